--- a/crates/bench/src/cluster.rs
+++ b/crates/bench/src/cluster.rs
@@ -59,6 +59,8 @@
     /// The client for everything.
     pub http: HttpClient,
     folder: PathBuf,
+    /// Where the product's programs are.
+    build: PathBuf,
     children: RefCell<BTreeMap<String, Child>>,
     addresses: BTreeMap<String, String>,
     operators: BTreeMap<String, String>,
@@ -99,6 +101,7 @@
         let mut cluster = Cluster {
             http,
             folder,
+            build: release_folder(),
             children: RefCell::default(),
             addresses: BTreeMap::new(),
             operators: BTreeMap::new(),
@@ -132,6 +135,11 @@
         cluster
     }
 
+    /// Takes the product's programs from another build from now on.
+    pub fn use_build(&mut self, folder: &Path) {
+        folder.clone_into(&mut self.build);
+    }
+
     /// Starts an engine and lists it.
     pub async fn engine(&mut self, name: &str, options: &EngineOptions) {
         let address = free_address();
@@ -273,7 +281,7 @@
 
     /// Starts the operators' command line.
     pub fn command_in_background(&self, args: &[&str]) -> Child {
-        Command::new(binary("sedgewall"))
+        Command::new(self.program("sedgewall"))
             .args(args)
             .env("SEDGEWALL_PLATFORM", self.platform_url())
             .stdout(Stdio::piped())
@@ -529,7 +537,7 @@
             let _ = old.kill();
             let _ = old.wait();
         }
-        let mut command = Command::new(binary(program));
+        let mut command = Command::new(self.program(program));
         command.args(args).stdout(Stdio::null()).stderr(Stdio::from(log));
         let child = start(&mut command).unwrap_or_else(|err| {
             panic!("{program} does not start ({err}); run scripts/test")
@@ -543,11 +551,22 @@
         children.get_mut(name)?.try_wait().expect("its state")
     }
 
+    fn program(&self, name: &str) -> PathBuf {
+        match name.starts_with("examples/") {
+            true => release_folder().join(name),
+            false => self.build.join(name),
+        }
+    }
+
+    /// Returns what a process has logged, in all its lives.
+    pub fn log(&self, name: &str) -> String {
+        let log = self.folder.join(format!("{name}.log"));
+        std::fs::read_to_string(log).unwrap_or_default()
+    }
+
     /// Returns the last line that a process wrote.
     fn last_line(&self, name: &str) -> String {
-        let log = self.folder.join(format!("{name}.log"));
-        let log = std::fs::read_to_string(log).unwrap_or_default();
-        log.lines().last().unwrap_or_default().to_owned()
+        self.log(name).lines().last().unwrap_or_default().to_owned()
     }
 
     async fn wait_for_answer(&self, name: &str, path: &str) {
@@ -620,9 +639,9 @@
 /// The only shard of the small configuration.
 pub const SMALL_SHARD: &str = "default.coach-8b.0";
 
-fn binary(name: &str) -> PathBuf {
-    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    root.join("target/release").join(name)
+/// Where the programs of this build are.
+pub fn release_folder() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../../target/release")
 }
 
 /// The first port that is given out; below the range from which the system
