--- a/crates/fleet/src/life.rs
+++ b/crates/fleet/src/life.rs
@@ -40,7 +40,7 @@
 #[derive(
     Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
-pub struct EndpointLife {
+pub struct EndpointIncarnation {
     /// The endpoint.
     pub id: EndpointId,
     /// When this life began, if it says so; else its id names one life.
--- a/crates/fleet/src/poison.rs
+++ b/crates/fleet/src/poison.rs
@@ -13,7 +13,7 @@
 use sedgewall_clock::Instant;
 use serde::{Deserialize, Serialize};
 
-use crate::{life::EndpointLife, request_digest::RequestDigest};
+use crate::{life::EndpointIncarnation, request_digest::RequestDigest};
 
 /// Endpoints that must have ended under a request before it is condemned. The users
 /// allow three.
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Crash {
     /// The endpoint.
-    pub endpoint: EndpointLife,
+    pub endpoint: EndpointIncarnation,
     /// What it ran.
     pub runs: Vec<CrashedRun>,
 }
@@ -88,14 +88,14 @@
     /// How long ago it was condemned, in milliseconds.
     pub ms_ago: u64,
     /// The endpoints that ended under it.
-    pub endpoints: Vec<EndpointLife>,
+    pub endpoints: Vec<EndpointIncarnation>,
 }
 
 /// Why a request is not sent on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Verdict {
     /// The endpoints that ended under it.
-    pub endpoints: Vec<EndpointLife>,
+    pub endpoints: Vec<EndpointIncarnation>,
     /// How long ago it was condemned.
     pub ago: Duration,
     /// When it is tried again.
@@ -115,12 +115,12 @@
 #[derive(Clone, Debug, Default)]
 pub struct Poison {
     /// Runs that wait for what becomes of their endpoint.
-    broken: HashMap<EndpointLife, Vec<BrokenRun>>,
+    broken: HashMap<EndpointIncarnation, Vec<BrokenRun>>,
     /// Endpoints that ended lately.
-    ended: HashMap<EndpointLife, Instant>,
+    ended: HashMap<EndpointIncarnation, Instant>,
     suspects: HashMap<RequestDigest, Suspect>,
     /// What others are told again.
-    told: Vec<(EndpointLife, End, RequestDigest)>,
+    told: Vec<(EndpointIncarnation, End, RequestDigest)>,
     /// Requests that were condemned since the last look.
     untold: Vec<RequestDigest>,
 }
@@ -144,7 +144,7 @@
 struct Suspect {
     /// By endpoint, so that what is told twice counts once. Those from before a run
     /// that ended well stay, and count no longer.
-    ends: HashMap<EndpointLife, (End, Counts)>,
+    ends: HashMap<EndpointIncarnation, (End, Counts)>,
     condemned_at: Option<Instant>,
     /// Whether it was condemned before, and one more end is enough.
     is_on_trial: bool,
@@ -175,7 +175,7 @@
     /// returns what others are to be told.
     pub fn lost(
         &mut self,
-        endpoint: &EndpointLife,
+        endpoint: &EndpointIncarnation,
         digest: RequestDigest,
         began: Instant,
         loss: Loss,
@@ -193,7 +193,7 @@
     /// of ours ended with it.
     pub fn endpoint_ended(
         &mut self,
-        endpoint: &EndpointLife,
+        endpoint: &EndpointIncarnation,
         now: Instant,
     ) -> Option<Crash> {
         self.ended.insert(endpoint.clone(), now);
@@ -210,7 +210,7 @@
 
     /// Notes that an endpoint was there at a moment: what broke off before was no end
     /// of it.
-    pub fn endpoint_listens(&mut self, endpoint: &EndpointLife, at: Instant) {
+    pub fn endpoint_listens(&mut self, endpoint: &EndpointIncarnation, at: Instant) {
         self.ended.remove(endpoint);
         let Some(broken) = self.broken.get_mut(endpoint) else { return };
         broken.retain(|run| run.broke > at);
@@ -372,7 +372,7 @@
 
     fn note_end(
         &mut self,
-        endpoint: &EndpointLife,
+        endpoint: &EndpointIncarnation,
         digest: RequestDigest,
         end: End,
         now: Instant,
@@ -437,7 +437,7 @@
 }
 
 impl Suspect {
-    fn endpoints(&self) -> Vec<EndpointLife> {
+    fn endpoints(&self) -> Vec<EndpointIncarnation> {
         let mut endpoints: Vec<_> = self.ends.keys().cloned().collect();
         endpoints.sort_unstable();
         endpoints
--- a/crates/fleet/tests/poison_model.rs
+++ b/crates/fleet/tests/poison_model.rs
@@ -11,7 +11,7 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    life::EndpointLife,
+    life::EndpointIncarnation,
     poison::{Condemned, Crash, Loss, Poison},
     request_digest::{RequestDigest, RequestParts},
 };
@@ -137,8 +137,8 @@
     })
 }
 
-fn life(n: u32) -> EndpointLife {
-    EndpointLife { id: format!("e{n}"), born: None }
+fn life(n: u32) -> EndpointIncarnation {
+    EndpointIncarnation { id: format!("e{n}"), born: None }
 }
 
 impl Model<'_> {
--- a/crates/fleet/tests/poison_rules.rs
+++ b/crates/fleet/tests/poison_rules.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    life::EndpointLife,
+    life::EndpointIncarnation,
     poison::{CONDEMNED_FOR, Crash, Loss, Poison, TakenIn},
     request_digest::{RequestDigest, RequestParts},
 };
@@ -28,8 +28,8 @@
     })
 }
 
-fn life(n: u32) -> EndpointLife {
-    EndpointLife { id: format!("e{n}"), born: None }
+fn life(n: u32) -> EndpointIncarnation {
+    EndpointIncarnation { id: format!("e{n}"), born: None }
 }
 
 /// A run at an endpoint that ends at a moment, as its instance sees it.
--- a/crates/sedgewalld/src/fleet/follow_poison.rs
+++ b/crates/sedgewalld/src/fleet/follow_poison.rs
@@ -14,7 +14,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
     back_off::{BackOff, Calls},
-    life::EndpointLife,
+    life::EndpointIncarnation,
     poison::{CONDEMNED_FOR, Condemned, TakenIn},
     request_digest::RequestDigest,
 };
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct PoisonRecord {
     /// The endpoints that ended under it.
-    endpoints: Vec<EndpointLife>,
+    endpoints: Vec<EndpointIncarnation>,
     /// When it was condemned, in milliseconds of Unix time.
     condemned_unix_ms: u64,
 }
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -8,7 +8,7 @@
 
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    life::EndpointLife,
+    life::EndpointIncarnation,
     note::Note,
     poison::{Condemned, Crash, Loss, TakenIn, Verdict},
     request_digest::RequestDigest,
@@ -159,7 +159,7 @@
     life_ended(node, &life_of(node, id));
 }
 
-fn life_ended(node: &FleetNode, life: &EndpointLife) {
+fn life_ended(node: &FleetNode, life: &EndpointIncarnation) {
     let now = Instant::now();
     let crash = node.poison.borrow_mut().endpoint_ended(life, now);
     tell(node, crash);
@@ -239,12 +239,12 @@
     node.notify_notes();
 }
 
-fn life_of(node: &FleetNode, id: &EndpointId) -> EndpointLife {
+fn life_of(node: &FleetNode, id: &EndpointId) -> EndpointIncarnation {
     let born = node.view.borrow().life(id);
-    EndpointLife { id: id.clone(), born }
+    EndpointIncarnation { id: id.clone(), born }
 }
 
-fn names(endpoints: &[EndpointLife]) -> String {
+fn names(endpoints: &[EndpointIncarnation]) -> String {
     let ids: Vec<&str> = endpoints.iter().map(|e| e.id.as_str()).collect();
     ids.join(" ")
 }
