--- a/crates/fleet/src/departure.rs
+++ b/crates/fleet/src/departure.rs
@@ -14,7 +14,7 @@
 use sedgewall_state::id::EndpointId;
 use serde::{Deserialize, Serialize};
 
-use crate::{endpoint::Revision, life::Born};
+use crate::{endpoint::Revision, life::Incarnation};
 
 /// How long each instance says again what it knows to have left: a note is due
 /// every 150 ms to 2.4 s, and one in a hundred may be lost. An instance that
@@ -42,7 +42,7 @@
     pub is_announced: bool,
     /// In which life it said so, if it tells its lives apart.
     #[serde(default)]
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
 }
 
 /// All departures that this instance knows of.
@@ -55,7 +55,7 @@
     since: Instant,
     is_told: bool,
     is_announced: bool,
-    born: Option<Born>,
+    born: Option<Incarnation>,
 }
 
 impl Departure {
@@ -73,7 +73,7 @@
     /// Returns the departure of an endpoint that said so itself.
     pub fn announced(
         endpoint: &EndpointId,
-        born: Option<Born>,
+        born: Option<Incarnation>,
         revision: Revision,
     ) -> Departure {
         let of_entry = Departure::of_entry(endpoint, revision);
@@ -83,7 +83,7 @@
 
 impl Known {
     /// Returns whether the endpoint said that it leaves in this life.
-    fn is_announced_in(&self, born: Option<Born>) -> bool {
+    fn is_announced_in(&self, born: Option<Incarnation>) -> bool {
         let is_other =
             matches!((self.born, born), (Some(a), Some(b)) if a != b);
         self.is_announced && !is_other
@@ -140,7 +140,7 @@
         &self,
         id: &EndpointId,
         revision: Revision,
-        born: Option<Born>,
+        born: Option<Incarnation>,
     ) -> bool {
         self.0.get(id).is_some_and(|known| {
             revision <= known.revision || known.is_announced_in(born)
--- a/crates/fleet/src/endpoint.rs
+++ b/crates/fleet/src/endpoint.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     adapter::{AdapterKey, WeightVersion},
-    life::Born,
+    life::Incarnation,
     route::ServiceName,
 };
 
@@ -38,7 +38,7 @@
     /// When this life of it began, if it says so. An instance of the release
     /// before does not pass it on.
     #[serde(default)]
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
 }
 
 /// A base model on an engine.
@@ -76,5 +76,5 @@
     /// The orders that it has taken in this life.
     pub orders_taken: u64,
     /// When its life began, if it says so.
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
 }
--- a/crates/fleet/src/life.rs
+++ b/crates/fleet/src/life.rs
@@ -19,7 +19,7 @@
 use crate::endpoint::Revision;
 
 /// The Unix millisecond of an endpoint's start, on its own clock.
-pub type Born = u64;
+pub type Incarnation = u64;
 
 /// How many lives that are over are kept for each endpoint: what is said late is
 /// seconds old, and an endpoint takes a second at least to start.
@@ -44,7 +44,7 @@
     /// The endpoint.
     pub id: EndpointId,
     /// When this life began, if it says so; else its id names one life.
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
 }
 
 /// What a word about an endpoint speaks of.
@@ -64,19 +64,19 @@
 
 #[derive(Clone, Debug)]
 struct Known {
-    born: Born,
+    born: Incarnation,
     /// Whether an entry has shown it; else only the endpoint's own word.
     is_listed: bool,
     /// The newest revision of the store that showed one of its lives.
     revision: Revision,
     /// The life that a word of the endpoint's ended, and until when entries of it
     /// are taken for late ones.
-    doubted: Option<(Born, Instant)>,
+    doubted: Option<(Incarnation, Instant)>,
     /// Lives that only their own words showed, left for another one, and until when
     /// words of them are taken for late ones. Their entries may yet come.
-    unlisted: VecDeque<(Born, Instant)>,
+    unlisted: VecDeque<(Incarnation, Instant)>,
     /// Lives that were followed by another one.
-    ended: VecDeque<Born>,
+    ended: VecDeque<Incarnation>,
     heard: Instant,
 }
 
@@ -85,7 +85,7 @@
     pub fn hear_entry(
         &mut self,
         id: &EndpointId,
-        born: Option<Born>,
+        born: Option<Incarnation>,
         revision: Revision,
         now: Instant,
     ) -> Speaks {
@@ -116,7 +116,7 @@
     pub fn hear(
         &mut self,
         id: &EndpointId,
-        born: Option<Born>,
+        born: Option<Incarnation>,
         now: Instant,
     ) -> Speaks {
         let Some(born) = born else { return Speaks::OfThis };
@@ -147,13 +147,13 @@
     }
 
     /// Returns when the life that is known began.
-    pub fn born(&self, id: &EndpointId) -> Option<Born> {
+    pub fn born(&self, id: &EndpointId) -> Option<Incarnation> {
         self.0.get(id).map(|known| known.born)
     }
 
     /// Returns whether a word about a life speaks of the one that is known, or
     /// none is known.
-    pub fn is_of_this(&self, id: &EndpointId, born: Option<Born>) -> bool {
+    pub fn is_of_this(&self, id: &EndpointId, born: Option<Incarnation>) -> bool {
         match (born, self.born(id)) {
             (Some(born), Some(known)) => born == known,
             _ => true,
@@ -169,7 +169,7 @@
 }
 
 impl Known {
-    fn new(born: Born, revision: Revision, now: Instant) -> Known {
+    fn new(born: Incarnation, revision: Revision, now: Instant) -> Known {
         Known {
             born,
             is_listed: true,
@@ -193,7 +193,7 @@
         }
     }
 
-    fn end(&mut self, born: Born) {
+    fn end(&mut self, born: Incarnation) {
         self.ended.push_back(born);
         if self.ended.len() > ENDED_LEN {
             self.ended.pop_front();
@@ -207,7 +207,7 @@
         }
     }
 
-    fn is_over(&self, born: Born, now: Instant) -> bool {
+    fn is_over(&self, born: Incarnation, now: Instant) -> bool {
         let is_doubted = self
             .doubted
             .is_some_and(|(known, until)| known == born && now < until);
--- a/crates/fleet/src/limit_share.rs
+++ b/crates/fleet/src/limit_share.rs
@@ -16,7 +16,7 @@
 use sedgewall_state::id::{EndpointId, InstanceId};
 use serde::{Deserialize, Serialize};
 
-use crate::{announcement::AnnouncedLimit, life::Born};
+use crate::{announcement::AnnouncedLimit, life::Incarnation};
 
 /// The time constant of the demand estimate. Longer than the pause between two notes
 /// among many instances, and short enough that a burst after a calm time is seen
@@ -70,7 +70,7 @@
     /// The endpoint.
     pub endpoint: EndpointId,
     /// When its life began, if it says so.
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
     /// The requests a second that it takes; none if its limit is over.
     pub per_s: Option<f32>,
     /// How long ago an answer last said so, in milliseconds.
@@ -128,7 +128,7 @@
 /// What is known of one endpoint's limit.
 #[derive(Clone, Debug)]
 struct Limit {
-    born: Option<Born>,
+    born: Option<Incarnation>,
     per_s: Option<f64>,
     /// The time of the newest evidence.
     announced: Instant,
@@ -166,7 +166,7 @@
     pub fn observe(
         &mut self,
         endpoint: &EndpointId,
-        born: Option<Born>,
+        born: Option<Incarnation>,
         announced: AnnouncedLimit,
         sent: Instant,
         now: Instant,
@@ -231,7 +231,7 @@
     fn adopt(
         &mut self,
         endpoint: &EndpointId,
-        born: Option<Born>,
+        born: Option<Incarnation>,
         per_s: Option<f64>,
         announced: Instant,
         now: Instant,
--- a/crates/fleet/src/note.rs
+++ b/crates/fleet/src/note.rs
@@ -15,7 +15,7 @@
     allowance,
     departure::Departure,
     endpoint::{Endpoint, Revision},
-    life::Born,
+    life::Incarnation,
     limit_share::LimitReport,
     poison::Crash,
     request_digest::RequestDigest,
@@ -243,7 +243,7 @@
     pub is_cold: bool,
     /// Which life of the engine was ordered, if it tells its lives apart.
     #[serde(default)]
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
 }
 
 /// An adapter that leaves an engine.
@@ -257,5 +257,5 @@
     pub key: AdapterKey,
     /// Which life of the engine was ordered, if it tells its lives apart.
     #[serde(default)]
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
 }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -33,7 +33,7 @@
     departure::{Departure, Departures},
     endpoint::{Endpoint, EngineReport, Revision},
     endpoint_state::EndpointState,
-    life::{Born, Lives, Speaks},
+    life::{Incarnation, Lives, Speaks},
     limit_share::LimitShares,
     note::{Placed, Removed},
     pace::Pace,
@@ -251,7 +251,7 @@
     }
 
     /// Returns which life an endpoint has now, if it tells its lives apart.
-    pub fn life(&self, id: &EndpointId) -> Option<Born> {
+    pub fn life(&self, id: &EndpointId) -> Option<Incarnation> {
         self.lives.born(id)
     }
 
--- a/crates/fleet/src/view/limits.rs
+++ b/crates/fleet/src/view/limits.rs
@@ -8,7 +8,7 @@
 use super::FleetView;
 use crate::{
     announcement::AnnouncedLimit,
-    life::Born,
+    life::Incarnation,
     limit_share::{
         LimitChange, LimitReport, Permit, PermitRequest, ReportSource,
     },
@@ -20,7 +20,7 @@
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Its life when the request was sent, if it tells its lives apart.
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
     /// When the request was sent.
     pub sent: Instant,
 }
--- a/crates/fleet/tests/life_rules.rs
+++ b/crates/fleet/tests/life_rules.rs
@@ -9,7 +9,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
     endpoint::{Endpoint, EngineReport},
-    life::Born,
+    life::Incarnation,
     note::{Placed, Removed},
     view::{Choice, FleetView},
 };
@@ -17,7 +17,7 @@
 const ID: &str = "e1";
 
 /// The starts of four lives in a row, by clocks that run ahead and behind.
-const BORN: [Born; 4] = [5_000, 9_000, 2_000, 7_000];
+const BORN: [Incarnation; 4] = [5_000, 9_000, 2_000, 7_000];
 
 /// The entry of a life, which holds the adapter of that number.
 fn entry(life: usize, revision: u64) -> Endpoint {
