--- a/crates/fleet/src/life.rs
+++ b/crates/fleet/src/life.rs
@@ -60,7 +60,7 @@
 
 /// The lives of all endpoints, as far as they were heard of.
 #[derive(Clone, Debug, Default)]
-pub struct Lives(HashMap<EndpointId, Known>);
+pub struct Incarnations(HashMap<EndpointId, Known>);
 
 #[derive(Clone, Debug)]
 struct Known {
@@ -80,7 +80,7 @@
     heard: Instant,
 }
 
-impl Lives {
+impl Incarnations {
     /// Takes in an entry, as of a revision of the store.
     pub fn hear_entry(
         &mut self,
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -33,7 +33,7 @@
     departure::{Departure, Departures},
     endpoint::{Endpoint, EngineReport, Revision},
     endpoint_state::EndpointState,
-    life::{Incarnation, Lives, Speaks},
+    life::{Incarnation, Incarnations, Speaks},
     limit_share::LimitShares,
     note::{Placed, Removed},
     pace::Pace,
@@ -70,7 +70,7 @@
     peer_pause: Duration,
     newest: HashMap<AdapterKey, (WeightVersion, Instant)>,
     departures: Departures,
-    lives: Lives,
+    lives: Incarnations,
     /// Our parts of the limits that endpoints announce.
     limits: LimitShares,
     /// Rests of endpoints whose entries lapsed, which may be back before their end.
@@ -102,7 +102,7 @@
             peer_pause: Duration::ZERO,
             newest: HashMap::new(),
             departures: Departures::default(),
-            lives: Lives::default(),
+            lives: Incarnations::default(),
             limits: LimitShares::default(),
             lapsed_rests: HashMap::new(),
             untold: Vec::new(),
