--- a/crates/fleet/src/life.rs
+++ b/crates/fleet/src/life.rs
@@ -49,7 +49,7 @@
 
 /// What a word about an endpoint speaks of.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Speaks {
+pub enum IncarnationStatus {
     /// The life that is known, or of no life in particular.
     OfThis,
     /// A life that has begun since: all that was known is void.
@@ -88,18 +88,18 @@
         born: Option<Incarnation>,
         revision: Revision,
         now: Instant,
-    ) -> Speaks {
-        let Some(born) = born else { return Speaks::OfThis };
+    ) -> IncarnationStatus {
+        let Some(born) = born else { return IncarnationStatus::OfThis };
         let Some(known) = self.0.get_mut(id) else {
             self.0.insert(id.clone(), Known::new(born, revision, now));
-            return Speaks::OfThis;
+            return IncarnationStatus::OfThis;
         };
         if known.born == born {
             known.list(revision, now);
-            return Speaks::OfThis;
+            return IncarnationStatus::OfThis;
         }
         if revision < known.revision || known.is_over(born, now) {
-            return Speaks::OfEnded;
+            return IncarnationStatus::OfEnded;
         }
         match known.is_listed {
             true => known.end(known.born),
@@ -107,7 +107,7 @@
         }
         known.born = born;
         known.list(revision, now);
-        Speaks::OfNew
+        IncarnationStatus::OfNew
     }
 
     /// Takes in what an endpoint said of itself when it was asked. Its entry may
@@ -118,23 +118,23 @@
         id: &EndpointId,
         born: Option<Incarnation>,
         now: Instant,
-    ) -> Speaks {
-        let Some(born) = born else { return Speaks::OfThis };
+    ) -> IncarnationStatus {
+        let Some(born) = born else { return IncarnationStatus::OfThis };
         let Some(known) = self.0.get_mut(id) else {
             let known = Known { is_listed: false, ..Known::new(born, 0, now) };
             self.0.insert(id.clone(), known);
-            return Speaks::OfThis;
+            return IncarnationStatus::OfThis;
         };
         if known.born == born {
             known.heard = now;
-            return Speaks::OfThis;
+            return IncarnationStatus::OfThis;
         }
         let is_late = known
             .unlisted
             .iter()
             .any(|(left, until)| *left == born && now < *until);
         if is_late || known.is_over(born, now) {
-            return Speaks::OfEnded;
+            return IncarnationStatus::OfEnded;
         }
         match known.is_listed {
             true => known.doubted = Some((known.born, now + ENTRY_LATE)),
@@ -143,7 +143,7 @@
         known.born = born;
         known.is_listed = false;
         known.heard = now;
-        Speaks::OfNew
+        IncarnationStatus::OfNew
     }
 
     /// Returns when the life that is known began.
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -33,7 +33,7 @@
     departure::{Departure, Departures},
     endpoint::{Endpoint, EngineReport, Revision},
     endpoint_state::EndpointState,
-    life::{Incarnation, Incarnations, Speaks},
+    life::{Incarnation, Incarnations, IncarnationStatus},
     limit_share::LimitShares,
     note::{Placed, Removed},
     pace::Pace,
@@ -133,9 +133,9 @@
         }
         let (born, revision) = (endpoint.born, endpoint.revision);
         match self.lives.hear_entry(&id, born, revision, now) {
-            Speaks::OfThis => {}
-            Speaks::OfNew => self.begin_life(&id),
-            Speaks::OfEnded => return,
+            IncarnationStatus::OfThis => {}
+            IncarnationStatus::OfNew => self.begin_life(&id),
+            IncarnationStatus::OfEnded => return,
         }
         let born = endpoint.born.or(self.lives.born(&id));
         endpoint.is_draining |=
@@ -242,9 +242,9 @@
         now: Instant,
     ) -> bool {
         match self.lives.hear(id, report.born, now) {
-            Speaks::OfThis => {}
-            Speaks::OfNew => self.begin_life(id),
-            Speaks::OfEnded => return false,
+            IncarnationStatus::OfThis => {}
+            IncarnationStatus::OfNew => self.begin_life(id),
+            IncarnationStatus::OfEnded => return false,
         }
         self.change_seats(id, |state| state.hear_report(report, now));
         true
