--- a/crates/fleet/src/life.rs
+++ b/crates/fleet/src/life.rs
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum IncarnationStatus {
     /// The life that is known, or of no life in particular.
-    OfThis,
+    Current,
     /// A life that has begun since: all that was known is void.
     OfNew,
     /// A life that is over: it says nothing.
@@ -89,14 +89,14 @@
         revision: Revision,
         now: Instant,
     ) -> IncarnationStatus {
-        let Some(born) = born else { return IncarnationStatus::OfThis };
+        let Some(born) = born else { return IncarnationStatus::Current };
         let Some(known) = self.0.get_mut(id) else {
             self.0.insert(id.clone(), Known::new(born, revision, now));
-            return IncarnationStatus::OfThis;
+            return IncarnationStatus::Current;
         };
         if known.born == born {
             known.list(revision, now);
-            return IncarnationStatus::OfThis;
+            return IncarnationStatus::Current;
         }
         if revision < known.revision || known.is_over(born, now) {
             return IncarnationStatus::OfEnded;
@@ -119,15 +119,15 @@
         born: Option<Incarnation>,
         now: Instant,
     ) -> IncarnationStatus {
-        let Some(born) = born else { return IncarnationStatus::OfThis };
+        let Some(born) = born else { return IncarnationStatus::Current };
         let Some(known) = self.0.get_mut(id) else {
             let known = Known { is_listed: false, ..Known::new(born, 0, now) };
             self.0.insert(id.clone(), known);
-            return IncarnationStatus::OfThis;
+            return IncarnationStatus::Current;
         };
         if known.born == born {
             known.heard = now;
-            return IncarnationStatus::OfThis;
+            return IncarnationStatus::Current;
         }
         let is_late = known
             .unlisted
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -133,7 +133,7 @@
         }
         let (born, revision) = (endpoint.born, endpoint.revision);
         match self.lives.hear_entry(&id, born, revision, now) {
-            IncarnationStatus::OfThis => {}
+            IncarnationStatus::Current => {}
             IncarnationStatus::OfNew => self.begin_life(&id),
             IncarnationStatus::OfEnded => return,
         }
@@ -242,7 +242,7 @@
         now: Instant,
     ) -> bool {
         match self.lives.hear(id, report.born, now) {
-            IncarnationStatus::OfThis => {}
+            IncarnationStatus::Current => {}
             IncarnationStatus::OfNew => self.begin_life(id),
             IncarnationStatus::OfEnded => return false,
         }
