--- a/crates/fleet/src/life.rs
+++ b/crates/fleet/src/life.rs
@@ -53,7 +53,7 @@
     /// The life that is known, or of no life in particular.
     Current,
     /// A life that has begun since: all that was known is void.
-    OfNew,
+    New,
     /// A life that is over: it says nothing.
     OfEnded,
 }
@@ -107,7 +107,7 @@
         }
         known.born = born;
         known.list(revision, now);
-        IncarnationStatus::OfNew
+        IncarnationStatus::New
     }
 
     /// Takes in what an endpoint said of itself when it was asked. Its entry may
@@ -143,7 +143,7 @@
         known.born = born;
         known.is_listed = false;
         known.heard = now;
-        IncarnationStatus::OfNew
+        IncarnationStatus::New
     }
 
     /// Returns when the life that is known began.
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -134,7 +134,7 @@
         let (born, revision) = (endpoint.born, endpoint.revision);
         match self.lives.hear_entry(&id, born, revision, now) {
             IncarnationStatus::Current => {}
-            IncarnationStatus::OfNew => self.begin_life(&id),
+            IncarnationStatus::New => self.begin_life(&id),
             IncarnationStatus::OfEnded => return,
         }
         let born = endpoint.born.or(self.lives.born(&id));
@@ -243,7 +243,7 @@
     ) -> bool {
         match self.lives.hear(id, report.born, now) {
             IncarnationStatus::Current => {}
-            IncarnationStatus::OfNew => self.begin_life(id),
+            IncarnationStatus::New => self.begin_life(id),
             IncarnationStatus::OfEnded => return false,
         }
         self.change_seats(id, |state| state.hear_report(report, now));
