--- a/crates/fleet/src/life.rs
+++ b/crates/fleet/src/life.rs
@@ -55,7 +55,7 @@
     /// A life that has begun since: all that was known is void.
     New,
     /// A life that is over: it says nothing.
-    OfEnded,
+    Ended,
 }
 
 /// The lives of all endpoints, as far as they were heard of.
@@ -99,7 +99,7 @@
             return IncarnationStatus::Current;
         }
         if revision < known.revision || known.is_over(born, now) {
-            return IncarnationStatus::OfEnded;
+            return IncarnationStatus::Ended;
         }
         match known.is_listed {
             true => known.end(known.born),
@@ -134,7 +134,7 @@
             .iter()
             .any(|(left, until)| *left == born && now < *until);
         if is_late || known.is_over(born, now) {
-            return IncarnationStatus::OfEnded;
+            return IncarnationStatus::Ended;
         }
         match known.is_listed {
             true => known.doubted = Some((known.born, now + ENTRY_LATE)),
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -135,7 +135,7 @@
         match self.lives.hear_entry(&id, born, revision, now) {
             IncarnationStatus::Current => {}
             IncarnationStatus::New => self.begin_life(&id),
-            IncarnationStatus::OfEnded => return,
+            IncarnationStatus::Ended => return,
         }
         let born = endpoint.born.or(self.lives.born(&id));
         endpoint.is_draining |=
@@ -244,7 +244,7 @@
         match self.lives.hear(id, report.born, now) {
             IncarnationStatus::Current => {}
             IncarnationStatus::New => self.begin_life(id),
-            IncarnationStatus::OfEnded => return false,
+            IncarnationStatus::Ended => return false,
         }
         self.change_seats(id, |state| state.hear_report(report, now));
         true
