--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -421,7 +421,7 @@
     /// over, it is not; of one that we have not heard of, the entry tells soon.
     pub fn hear_placed(&mut self, placed: &Placed, now: Instant) {
         let id = &placed.endpoint;
-        if !self.lives.is_of_this(id, placed.born) {
+        if !self.lives.is_current(id, placed.born) {
             return;
         }
         if placed.is_cold {
@@ -467,7 +467,7 @@
 
     /// Takes in that an adapter leaves an engine.
     pub fn hear_removed(&mut self, removed: &Removed, now: Instant) {
-        if !self.lives.is_of_this(&removed.endpoint, removed.born) {
+        if !self.lives.is_current(&removed.endpoint, removed.born) {
             return;
         }
         self.change_seats(&removed.endpoint, |state| {
