--- a/crates/fleet/src/departure.rs
+++ b/crates/fleet/src/departure.rs
@@ -14,7 +14,7 @@
 use sedgewall_state::id::EndpointId;
 use serde::{Deserialize, Serialize};
 
-use crate::{endpoint::Revision, life::Incarnation};
+use crate::{endpoint::Revision, incarnation::Incarnation};
 
 /// How long each instance says again what it knows to have left: a note is due
 /// every 150 ms to 2.4 s, and one in a hundred may be lost. An instance that
--- a/crates/fleet/src/endpoint.rs
+++ b/crates/fleet/src/endpoint.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     adapter::{AdapterKey, WeightVersion},
-    life::Incarnation,
+    incarnation::Incarnation,
     route::ServiceName,
 };
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -21,7 +21,7 @@
 pub mod events;
 pub mod good_runs;
 pub mod health;
-pub mod life;
+pub mod incarnation;
 pub mod limit_share;
 pub mod load_times;
 pub mod loader;
--- a/crates/fleet/src/limit_share.rs
+++ b/crates/fleet/src/limit_share.rs
@@ -16,7 +16,7 @@
 use sedgewall_state::id::{EndpointId, InstanceId};
 use serde::{Deserialize, Serialize};
 
-use crate::{announcement::AnnouncedLimit, life::Incarnation};
+use crate::{announcement::AnnouncedLimit, incarnation::Incarnation};
 
 /// The time constant of the demand estimate. Longer than the pause between two notes
 /// among many instances, and short enough that a burst after a calm time is seen
--- a/crates/fleet/src/loader.rs
+++ b/crates/fleet/src/loader.rs
@@ -349,7 +349,7 @@
             epoch: self.loader.epoch,
             endpoint: endpoint.clone(),
             key: key.clone(),
-            born: self.view.life(endpoint),
+            born: self.view.incarnation(endpoint),
         };
         self.view.hear_removed(&removed, self.now);
     }
@@ -391,7 +391,7 @@
             version,
             ready_in_ms: takes.as_millis() as u64,
             is_cold,
-            born: self.view.life(endpoint),
+            born: self.view.incarnation(endpoint),
         }
     }
 
--- a/crates/fleet/src/note.rs
+++ b/crates/fleet/src/note.rs
@@ -15,7 +15,7 @@
     allowance,
     departure::Departure,
     endpoint::{Endpoint, Revision},
-    life::Incarnation,
+    incarnation::Incarnation,
     limit_share::LimitReport,
     poison::Crash,
     request_digest::RequestDigest,
--- a/crates/fleet/src/poison.rs
+++ b/crates/fleet/src/poison.rs
@@ -13,7 +13,7 @@
 use sedgewall_clock::Instant;
 use serde::{Deserialize, Serialize};
 
-use crate::{life::EndpointIncarnation, request_digest::RequestDigest};
+use crate::{incarnation::EndpointIncarnation, request_digest::RequestDigest};
 
 /// Endpoints that must have ended under a request before it is condemned. The users
 /// allow three.
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -33,7 +33,7 @@
     departure::{Departure, Departures},
     endpoint::{Endpoint, EngineReport, Revision},
     endpoint_state::EndpointState,
-    life::{Incarnation, Incarnations, IncarnationStatus},
+    incarnation::{Incarnation, Incarnations, IncarnationStatus},
     limit_share::LimitShares,
     note::{Placed, Removed},
     pace::Pace,
@@ -70,7 +70,7 @@
     peer_pause: Duration,
     newest: HashMap<AdapterKey, (WeightVersion, Instant)>,
     departures: Departures,
-    lives: Incarnations,
+    incarnations: Incarnations,
     /// Our parts of the limits that endpoints announce.
     limits: LimitShares,
     /// Rests of endpoints whose entries lapsed, which may be back before their end.
@@ -102,7 +102,7 @@
             peer_pause: Duration::ZERO,
             newest: HashMap::new(),
             departures: Departures::default(),
-            lives: Incarnations::default(),
+            incarnations: Incarnations::default(),
             limits: LimitShares::default(),
             lapsed_rests: HashMap::new(),
             untold: Vec::new(),
@@ -132,12 +132,12 @@
             return;
         }
         let (born, revision) = (endpoint.born, endpoint.revision);
-        match self.lives.hear_entry(&id, born, revision, now) {
+        match self.incarnations.hear_entry(&id, born, revision, now) {
             IncarnationStatus::Current => {}
             IncarnationStatus::New => self.begin_life(&id),
             IncarnationStatus::Ended => return,
         }
-        let born = endpoint.born.or(self.lives.born(&id));
+        let born = endpoint.born.or(self.incarnations.born(&id));
         endpoint.is_draining |=
             self.departures.has_left(&id, endpoint.revision, born);
         let is_back = !endpoint.is_draining
@@ -241,7 +241,7 @@
         report: &EngineReport,
         now: Instant,
     ) -> bool {
-        match self.lives.hear(id, report.born, now) {
+        match self.incarnations.hear(id, report.born, now) {
             IncarnationStatus::Current => {}
             IncarnationStatus::New => self.begin_life(id),
             IncarnationStatus::Ended => return false,
@@ -251,8 +251,8 @@
     }
 
     /// Returns which life an endpoint has now, if it tells its lives apart.
-    pub fn life(&self, id: &EndpointId) -> Option<Incarnation> {
-        self.lives.born(id)
+    pub fn incarnation(&self, id: &EndpointId) -> Option<Incarnation> {
+        self.incarnations.born(id)
     }
 
     /// Notes that nobody knows what an engine holds, until it reports again.
@@ -327,7 +327,7 @@
                     .saturating_duration_since(now)
                     .as_millis() as u64,
                 is_cold: seat.is_unproven,
-                born: self.lives.born(&state.endpoint.id),
+                born: self.incarnations.born(&state.endpoint.id),
             })
             .collect()
     }
@@ -421,7 +421,7 @@
     /// over, it is not; of one that we have not heard of, the entry tells soon.
     pub fn hear_placed(&mut self, placed: &Placed, now: Instant) {
         let id = &placed.endpoint;
-        if !self.lives.is_current(id, placed.born) {
+        if !self.incarnations.is_current(id, placed.born) {
             return;
         }
         if placed.is_cold {
@@ -467,7 +467,7 @@
 
     /// Takes in that an adapter leaves an engine.
     pub fn hear_removed(&mut self, removed: &Removed, now: Instant) {
-        if !self.lives.is_current(&removed.endpoint, removed.born) {
+        if !self.incarnations.is_current(&removed.endpoint, removed.born) {
             return;
         }
         self.change_seats(&removed.endpoint, |state| {
--- a/crates/fleet/src/view/departed.rs
+++ b/crates/fleet/src/view/departed.rs
@@ -38,7 +38,7 @@
             return false;
         }
         let Departure { endpoint: id, .. } = departure;
-        let born = self.lives.born(id);
+        let born = self.incarnations.born(id);
         if let Some(state) = self.endpoints.get_mut(id) {
             let revision = state.endpoint.revision;
             let has_left = self.departures.has_left(id, revision, born);
@@ -55,7 +55,7 @@
         now: Instant,
     ) -> bool {
         let AnsweredSend { endpoint, born, .. } = answered;
-        if !self.lives.is_current(endpoint, *born) {
+        if !self.incarnations.is_current(endpoint, *born) {
             return false;
         }
         let state = self.endpoints.get(endpoint);
@@ -88,6 +88,6 @@
     pub fn forget_departures(&mut self, now: Instant) {
         let endpoints = &self.endpoints;
         self.departures.forget(|id| endpoints.contains_key(id), now);
-        self.lives.forget(now);
+        self.incarnations.forget(now);
     }
 }
--- a/crates/fleet/src/view/limits.rs
+++ b/crates/fleet/src/view/limits.rs
@@ -8,7 +8,7 @@
 use super::FleetView;
 use crate::{
     announcement::AnnouncedLimit,
-    life::Incarnation,
+    incarnation::Incarnation,
     limit_share::{
         LimitChange, LimitReport, Permit, PermitRequest, ReportSource,
     },
@@ -35,7 +35,7 @@
         now: Instant,
     ) -> Option<LimitChange> {
         let AnsweredSend { endpoint, born, sent } = answered;
-        if !self.lives.is_current(endpoint, *born) {
+        if !self.incarnations.is_current(endpoint, *born) {
             return None;
         }
         self.limits.observe(endpoint, *born, limit, *sent, now)
@@ -48,7 +48,7 @@
         source: ReportSource<'_>,
         now: Instant,
     ) -> Option<LimitChange> {
-        if !self.lives.is_current(&report.endpoint, report.born) {
+        if !self.incarnations.is_current(&report.endpoint, report.born) {
             return None;
         }
         self.limits.hear(report, source, now)
--- a/crates/fleet/src/view/rests.rs
+++ b/crates/fleet/src/view/rests.rs
@@ -18,7 +18,7 @@
         now: Instant,
     ) -> bool {
         let AnsweredSend { endpoint, born, .. } = answered;
-        if !self.lives.is_current(endpoint, *born) {
+        if !self.incarnations.is_current(endpoint, *born) {
             return false;
         }
         match self.endpoints.get_mut(endpoint) {
--- a/crates/fleet/tests/life_rules.rs
+++ b/crates/fleet/tests/incarnation_rules.rs
@@ -9,7 +9,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
     endpoint::{Endpoint, EngineReport},
-    life::Incarnation,
+    incarnation::Incarnation,
     note::{Placed, Removed},
     view::{Choice, FleetView},
 };
@@ -72,7 +72,7 @@
     assert!(view.hear_report(&ID.to_owned(), &reported(1), now));
     view.list(entry(0, 2), now);
     assert!(holds(&view, 1) && !holds(&view, 0));
-    assert_eq!(view.life(&ID.to_owned()), Some(BORN[1]));
+    assert_eq!(view.incarnation(&ID.to_owned()), Some(BORN[1]));
 }
 
 #[test]
@@ -171,7 +171,7 @@
         let mut heard = [false; 4];
         let mut listed = None;
         for (life, word, nth) in words {
-            let known = view.life(&id);
+            let known = view.incarnation(&id);
             // A life's entries lie after those of the life before.
             let revision = life as u64 * 20 + nth + 1;
             match word {
@@ -190,25 +190,25 @@
             }
             // A life is left for good once an entry has shown a later one.
             if heard[life] && listed.is_some_and(|listed| life < listed) {
-                prop_assert_eq!(view.life(&id), known);
+                prop_assert_eq!(view.incarnation(&id), known);
             }
             if matches!(word, Word::Entry)
-                && view.life(&id) == Some(BORN[life])
+                && view.incarnation(&id) == Some(BORN[life])
             {
                 listed = listed.max(Some(life));
             }
-            heard[life] |= view.life(&id) == Some(BORN[life]);
+            heard[life] |= view.incarnation(&id) == Some(BORN[life]);
             let Some(state) = view.get(&id) else { continue };
             let held = (0..BORN.len())
                 .filter(|n| state.seat(&key(*n as u32)).is_some());
             for held in held {
-                prop_assert_eq!(view.life(&id), Some(BORN[held]));
+                prop_assert_eq!(view.incarnation(&id), Some(BORN[held]));
             }
         }
         let last = BORN.len() - 1;
         let later = now + Duration::from_secs(10);
         view.list(entry(last, 1_000), later);
-        prop_assert_eq!(view.life(&id), Some(BORN[last]));
+        prop_assert_eq!(view.incarnation(&id), Some(BORN[last]));
         prop_assert!(holds(&view, last));
         prop_assert!(view.hear_report(&id, &reported(last), later));
     }
--- a/crates/fleet/tests/poison_model.rs
+++ b/crates/fleet/tests/poison_model.rs
@@ -11,7 +11,7 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    life::EndpointIncarnation,
+    incarnation::EndpointIncarnation,
     poison::{Condemned, Crash, Loss, Poison},
     request_digest::{RequestDigest, RequestParts},
 };
--- a/crates/fleet/tests/poison_rules.rs
+++ b/crates/fleet/tests/poison_rules.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    life::EndpointIncarnation,
+    incarnation::EndpointIncarnation,
     poison::{CONDEMNED_FOR, Crash, Loss, Poison, TakenIn},
     request_digest::{RequestDigest, RequestParts},
 };
--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -192,7 +192,7 @@
     let began = Instant::now();
     let answered = AnsweredSend {
         endpoint: target.id.clone(),
-        born: node.view.borrow().life(&target.id),
+        born: node.view.borrow().incarnation(&target.id),
         sent: began,
     };
     node.view.borrow_mut().note_sent(&target.id, began);
--- a/crates/sedgewalld/src/fleet/follow_poison.rs
+++ b/crates/sedgewalld/src/fleet/follow_poison.rs
@@ -14,7 +14,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
     back_off::{BackOff, Calls},
-    life::EndpointIncarnation,
+    incarnation::EndpointIncarnation,
     poison::{CONDEMNED_FOR, Condemned, TakenIn},
     request_digest::RequestDigest,
 };
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -183,7 +183,7 @@
     fn hear_rest(&self, endpoint: &EndpointId, rest: Duration) {
         let answered = AnsweredSend {
             endpoint: endpoint.clone(),
-            born: self.node.view.borrow().life(endpoint),
+            born: self.node.view.borrow().incarnation(endpoint),
             sent: Instant::now(),
         };
         announcements::hear_rest(&self.node, &answered, rest, "order");
@@ -204,7 +204,7 @@
         order: &Order,
         taken: u64,
     ) -> Option<u64> {
-        let born = self.node.view.borrow().life(&order.endpoint);
+        let born = self.node.view.borrow().incarnation(&order.endpoint);
         if let Task::Unload(key) = &order.task {
             let (endpoint, key) = (order.endpoint.clone(), key.clone());
             let removed = Removed { epoch, endpoint, key, born };
@@ -232,7 +232,7 @@
             took_ms = sent.elapsed().as_millis() as u64,
         );
         metrics::counter!("sedgewall_orders_total").increment(1);
-        if self.node.view.borrow().life(&order.endpoint) != born {
+        if self.node.view.borrow().incarnation(&order.endpoint) != born {
             // Whatever its engine said, it has started again since and forgotten it.
             tracing::info!(
                 event = "order_outlived",
@@ -306,7 +306,7 @@
         let now = Instant::now();
         let mut view = self.node.view.borrow_mut();
         let ready_in = view.order_taken(&order.endpoint, key, now);
-        let born = view.life(&order.endpoint);
+        let born = view.incarnation(&order.endpoint);
         drop(view);
         let ready_in = ready_in.unwrap_or_default();
         let placed = Placed {
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -8,7 +8,7 @@
 
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    life::EndpointIncarnation,
+    incarnation::EndpointIncarnation,
     note::Note,
     poison::{Condemned, Crash, Loss, TakenIn, Verdict},
     request_digest::RequestDigest,
@@ -240,7 +240,7 @@
 }
 
 fn life_of(node: &FleetNode, id: &EndpointId) -> EndpointIncarnation {
-    let born = node.view.borrow().life(id);
+    let born = node.view.borrow().incarnation(id);
     EndpointIncarnation { id: id.clone(), born }
 }
 
