--- a/crates/fleet/src/good_runs.rs
+++ b/crates/fleet/src/good_runs.rs
@@ -19,16 +19,16 @@
 
 /// What ended well lately, in two times that follow each other.
 #[derive(Clone, Debug)]
-pub struct GoodRuns {
+pub struct RecentSuccesses {
     newer: HashSet<RequestHash>,
     older: HashSet<RequestHash>,
     newer_since: Instant,
 }
 
-impl GoodRuns {
+impl RecentSuccesses {
     /// Returns an empty memory.
-    pub fn new(now: Instant) -> GoodRuns {
-        GoodRuns {
+    pub fn new(now: Instant) -> RecentSuccesses {
+        RecentSuccesses {
             newer: HashSet::new(),
             older: HashSet::new(),
             newer_since: now,
--- a/crates/fleet/tests/good_runs_rules.rs
+++ b/crates/fleet/tests/good_runs_rules.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use sedgewall_clock::Instant;
-use sedgewall_fleet::good_runs::GoodRuns;
+use sedgewall_fleet::good_runs::RecentSuccesses;
 
 #[test]
 fn a_good_run_is_remembered_for_a_while() {
     let start = Instant::now();
-    let mut good = GoodRuns::new(start);
+    let mut good = RecentSuccesses::new(start);
     assert!(!good.has(1));
     good.note(1, start);
     assert!(good.has(1));
@@ -23,7 +23,7 @@
 #[test]
 fn what_is_remembered_is_bounded() {
     let now = Instant::now();
-    let mut good = GoodRuns::new(now);
+    let mut good = RecentSuccesses::new(now);
     for hash in 0..100_000 {
         good.note(hash, now);
     }
