--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -19,7 +19,7 @@
 pub mod endpoint_state;
 mod engine_room;
 pub mod events;
-pub mod good_runs;
+pub mod recent_successes;
 pub mod health;
 pub mod incarnation;
 pub mod limit_share;
--- a/crates/fleet/tests/good_runs_rules.rs
+++ b/crates/fleet/tests/recent_successes_rules.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use sedgewall_clock::Instant;
-use sedgewall_fleet::good_runs::RecentSuccesses;
+use sedgewall_fleet::recent_successes::RecentSuccesses;
 
 #[test]
 fn a_good_run_is_remembered_for_a_while() {
--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -14,7 +14,7 @@
     adapter::AdapterKey,
     configuration::DecidedBy,
     customer::Customer,
-    good_runs::RequestHash,
+    recent_successes::RequestHash,
     poison::Loss,
     request_digest::{RequestDigest, RequestParts},
     route::{Repetition, Route},
--- a/crates/sedgewalld/src/fleet/node.rs
+++ b/crates/sedgewalld/src/fleet/node.rs
@@ -17,7 +17,7 @@
     allowance::Shares,
     catch_up::CatchUp,
     demand::Demand,
-    good_runs::RecentSuccesses,
+    recent_successes::RecentSuccesses,
     load_times::LoadTimes,
     note::{Lead, Note},
     poison::Poison,
@@ -185,7 +185,7 @@
     /// What was seen of requests that end endpoints.
     pub(crate) poison: RefCell<Poison>,
     /// What ended well here lately, by hashes that this process keys.
-    pub(crate) good_runs: RefCell<RecentSuccesses>,
+    pub(crate) recent_successes: RefCell<RecentSuccesses>,
     pub(crate) hash_key: RandomState,
     /// What of it stands in the store.
     pub(crate) poison_records: RefCell<PoisonRecords>,
@@ -287,7 +287,7 @@
             store: Store::new(EndpointPool::new(), store_address),
             pool,
             poison: RefCell::default(),
-            good_runs: RefCell::new(RecentSuccesses::new(Instant::now())),
+            recent_successes: RefCell::new(RecentSuccesses::new(Instant::now())),
             hash_key: RandomState::new(),
             poison_records: RefCell::default(),
             poison_records_notify: Notify::default(),
