--- a/crates/fleet/src/vouch.rs
+++ b/crates/fleet/src/vouch.rs
@@ -25,7 +25,7 @@
 
 /// What each instance said last.
 #[derive(Clone, Debug, Default)]
-pub struct LastWords(HashMap<InstanceId, LastWord>);
+pub struct StoreReports(HashMap<InstanceId, LastWord>);
 
 #[derive(Clone, Copy, Debug)]
 struct LastWord {
@@ -34,7 +34,7 @@
     is_leaving: bool,
 }
 
-impl LastWords {
+impl StoreReports {
     /// Takes in what an instance says of itself.
     pub fn hear(
         &mut self,
--- a/crates/fleet/tests/vouch_rules.rs
+++ b/crates/fleet/tests/vouch_rules.rs
@@ -3,15 +3,15 @@
 use std::time::Duration;
 
 use sedgewall_clock::Instant;
-use sedgewall_fleet::vouch::{LastWords, WORD_HOLDS};
+use sedgewall_fleet::vouch::{StoreReports, WORD_HOLDS};
 
 fn ids() -> [String; 3] {
     ["i1", "i2", "i3"].map(str::to_owned)
 }
 
 /// What three instances say, all of whom the store does not answer.
-fn all_out(now: Instant) -> LastWords {
-    let mut words = LastWords::default();
+fn all_out(now: Instant) -> StoreReports {
+    let mut words = StoreReports::default();
     for id in &ids() {
         words.hear(id, true, false, now);
     }
--- a/crates/sedgewalld/src/fleet/node.rs
+++ b/crates/sedgewalld/src/fleet/node.rs
@@ -26,7 +26,7 @@
     store_contact::{CallFailure, StoreContact},
     suspicion::Suspicions,
     view::FleetView,
-    vouch::{LastWords, WORD_HOLDS},
+    vouch::{StoreReports, WORD_HOLDS},
 };
 use sedgewall_platform::{Store, StoreError};
 use sedgewall_protocol::settings::{FleetSettings, Settings};
@@ -154,7 +154,7 @@
     /// Whether the store answers us.
     pub(crate) store_contact: RefCell<StoreContact>,
     /// What the other instances say of themselves.
-    pub(crate) last_words: RefCell<LastWords>,
+    pub(crate) last_words: RefCell<StoreReports>,
     /// Endpoints that take no more from us, and until when, for the holder to hear.
     pub(crate) saturated: RefCell<BTreeMap<EndpointId, Instant>>,
     /// When a value of an answer's head that cannot be read was last logged.
