--- a/crates/sedgewalld/src/fleet/node.rs
+++ b/crates/sedgewalld/src/fleet/node.rs
@@ -154,7 +154,7 @@
     /// Whether the store answers us.
     pub(crate) store_contact: RefCell<StoreContact>,
     /// What the other instances say of themselves.
-    pub(crate) last_words: RefCell<StoreReports>,
+    pub(crate) store_reports: RefCell<StoreReports>,
     /// Endpoints that take no more from us, and until when, for the holder to hear.
     pub(crate) saturated: RefCell<BTreeMap<EndpointId, Instant>>,
     /// When a value of an answer's head that cannot be read was last logged.
@@ -270,7 +270,7 @@
             shares: RefCell::default(),
             keys: Keys::new(revoke_within),
             store_contact: RefCell::default(),
-            last_words: RefCell::default(),
+            store_reports: RefCell::default(),
             saturated: RefCell::default(),
             unreadable_logged: Cell::default(),
             unreachable: RefCell::default(),
@@ -345,7 +345,7 @@
     /// Returns whether no instance can take the lease now.
     pub(crate) fn nobody_reaches_store(&self, now: Instant) -> bool {
         let peers = self.peers.borrow();
-        let words = self.last_words.borrow();
+        let words = self.store_reports.borrow();
         !peers.is_empty() && words.nobody_reaches_store(peers.keys(), now)
     }
 
