--- a/crates/fleet/src/vouch.rs
+++ b/crates/fleet/src/vouch.rs
@@ -15,7 +15,7 @@
 /// How long the word of an instance counts. It speaks every 300 ms; and a turn
 /// of two holders must pass between the last order of one, a second after that
 /// word, and the first of another, 4.5 s after it reached the store again.
-pub const WORD_HOLDS: Duration = Duration::from_millis(1_000);
+pub const REPORT_VALID_FOR: Duration = Duration::from_millis(1_000);
 
 /// An instance that was not heard for this long is gone or cut off. Where most
 /// others are heard to be without the store, it is not only our path that is
@@ -53,7 +53,7 @@
         now: Instant,
     ) -> impl Iterator<Item = &InstanceId> {
         let reaches = move |word: &LastWord| {
-            now - word.heard < WORD_HOLDS
+            now - word.heard < REPORT_VALID_FOR
                 && !word.store_is_out
                 && !word.is_leaving
         };
@@ -68,7 +68,7 @@
         known: impl Iterator<Item = &'a InstanceId>,
         now: Instant,
     ) -> bool {
-        let holds = |word: &LastWord| now - word.heard < WORD_HOLDS;
+        let holds = |word: &LastWord| now - word.heard < REPORT_VALID_FOR;
         // One that leaves takes no lease, and comes back without a
         // configuration, which only the store gives.
         let cannot = |word: &LastWord| {
--- a/crates/fleet/tests/vouch_rules.rs
+++ b/crates/fleet/tests/vouch_rules.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use sedgewall_clock::Instant;
-use sedgewall_fleet::vouch::{StoreReports, WORD_HOLDS};
+use sedgewall_fleet::vouch::{StoreReports, REPORT_VALID_FOR};
 
 fn ids() -> [String; 3] {
     ["i1", "i2", "i3"].map(str::to_owned)
@@ -36,7 +36,7 @@
 fn one_that_was_not_heard_lately_may() {
     let now = Instant::now();
     let mut words = all_out(now);
-    let later = now + WORD_HOLDS;
+    let later = now + REPORT_VALID_FOR;
     words.hear(&ids()[0], true, false, later);
     words.hear(&ids()[1], true, false, later);
     assert!(!words.nobody_reaches_store(ids().iter(), later));
--- a/crates/sedgewalld/src/fleet/node.rs
+++ b/crates/sedgewalld/src/fleet/node.rs
@@ -26,7 +26,7 @@
     store_contact::{CallFailure, StoreContact},
     suspicion::Suspicions,
     view::FleetView,
-    vouch::{StoreReports, WORD_HOLDS},
+    vouch::{StoreReports, REPORT_VALID_FOR},
 };
 use sedgewall_platform::{Store, StoreError};
 use sedgewall_protocol::settings::{FleetSettings, Settings};
@@ -118,7 +118,7 @@
     /// of the others.
     pub(crate) fn left(&self, now: Instant) -> Duration {
         match self.current_until.saturating_duration_since(now) {
-            Duration::ZERO => WORD_HOLDS,
+            Duration::ZERO => REPORT_VALID_FOR,
             left => left,
         }
     }
