--- a/crates/fleet/src/vouch.rs
+++ b/crates/fleet/src/vouch.rs
@@ -63,7 +63,7 @@
 
     /// Returns whether none of the known instances, and nobody else that was
     /// heard, can take the lease now.
-    pub fn nobody_reaches_store<'a>(
+    pub fn no_instance_reaches_store<'a>(
         &self,
         known: impl Iterator<Item = &'a InstanceId>,
         now: Instant,
--- a/crates/fleet/tests/vouch_rules.rs
+++ b/crates/fleet/tests/vouch_rules.rs
@@ -21,7 +21,7 @@
 #[test]
 fn nobody_can_take_a_lease_that_the_store_shows_nobody() {
     let now = Instant::now();
-    assert!(all_out(now).nobody_reaches_store(ids().iter(), now));
+    assert!(all_out(now).no_instance_reaches_store(ids().iter(), now));
 }
 
 #[test]
@@ -29,7 +29,7 @@
     let now = Instant::now();
     let mut words = all_out(now);
     words.hear(&ids()[1], false, false, now);
-    assert!(!words.nobody_reaches_store(ids().iter(), now));
+    assert!(!words.no_instance_reaches_store(ids().iter(), now));
 }
 
 #[test]
@@ -39,7 +39,7 @@
     let later = now + REPORT_VALID_FOR;
     words.hear(&ids()[0], true, false, later);
     words.hear(&ids()[1], true, false, later);
-    assert!(!words.nobody_reaches_store(ids().iter(), later));
+    assert!(!words.no_instance_reaches_store(ids().iter(), later));
 }
 
 #[test]
@@ -47,12 +47,12 @@
     let now = Instant::now();
     let known = ["i1", "i2", "i3", "gone"].map(str::to_owned);
     let mut words = all_out(now);
-    assert!(words.nobody_reaches_store(known.iter(), now));
+    assert!(words.no_instance_reaches_store(known.iter(), now));
     let later = now + Duration::from_secs(6);
     words.hear(&ids()[0], true, false, later);
     // Two were not heard for long, and that is no fewer than were heard.
     let known = ["i1", "i2"].map(str::to_owned);
-    assert!(!words.nobody_reaches_store(known.iter(), later));
+    assert!(!words.no_instance_reaches_store(known.iter(), later));
 }
 
 #[test]
@@ -60,7 +60,7 @@
     let now = Instant::now();
     let mut words = all_out(now);
     words.hear(&"new".to_owned(), false, false, now);
-    assert!(!words.nobody_reaches_store(ids().iter(), now));
+    assert!(!words.no_instance_reaches_store(ids().iter(), now));
 }
 
 #[test]
@@ -69,9 +69,9 @@
     let mut words = all_out(now);
     words.hear(&ids()[2], false, true, now);
     let later = now + Duration::from_millis(900);
-    assert!(words.nobody_reaches_store(ids().iter(), later));
+    assert!(words.no_instance_reaches_store(ids().iter(), later));
     let much_later = now + Duration::from_secs(3);
     words.hear(&ids()[0], true, false, much_later);
     words.hear(&ids()[1], true, false, much_later);
-    assert!(words.nobody_reaches_store(ids().iter(), much_later));
+    assert!(words.no_instance_reaches_store(ids().iter(), much_later));
 }
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -252,7 +252,7 @@
             kept.lease.end_turn();
         }
         let is_current =
-            kept.lease.is_current(now) || node.nobody_reaches_store(now);
+            kept.lease.is_current(now) || node.no_instance_reaches_store(now);
         if !is_current {
             node.held.set(None);
             let epoch = kept.lease.epoch();
--- a/crates/sedgewalld/src/fleet/node.rs
+++ b/crates/sedgewalld/src/fleet/node.rs
@@ -338,15 +338,15 @@
     /// or while the store is out for all who could take it.
     pub(crate) fn current_lease(&self, now: Instant) -> Option<HeldLease> {
         let held = self.held.get()?;
-        (now < held.current_until || self.nobody_reaches_store(now))
+        (now < held.current_until || self.no_instance_reaches_store(now))
             .then_some(held)
     }
 
     /// Returns whether no instance can take the lease now.
-    pub(crate) fn nobody_reaches_store(&self, now: Instant) -> bool {
+    pub(crate) fn no_instance_reaches_store(&self, now: Instant) -> bool {
         let peers = self.peers.borrow();
         let words = self.store_reports.borrow();
-        !peers.is_empty() && words.nobody_reaches_store(peers.keys(), now)
+        !peers.is_empty() && words.no_instance_reaches_store(peers.keys(), now)
     }
 
     /// Notes that the store answered; others hear at once what changed.
