--- a/crates/fleet/src/vouch.rs
+++ b/crates/fleet/src/vouch.rs
@@ -48,7 +48,7 @@
     }
 
     /// Returns the instances that said just now that the store answers them.
-    pub fn reaching_store(
+    pub fn instances_reaching_store(
         &self,
         now: Instant,
     ) -> impl Iterator<Item = &InstanceId> {
--- a/crates/sedgewalld/src/fleet/lease_store.rs
+++ b/crates/sedgewalld/src/fleet/lease_store.rs
@@ -151,7 +151,7 @@
 ) -> WriteAnswer {
     let now = Instant::now();
     let mut peers: Vec<InstanceId> =
-        node.store_reports.borrow().reaching_store(now).cloned().collect();
+        node.store_reports.borrow().instances_reaching_store(now).cloned().collect();
     peers.shuffle(&mut rand::rng());
     for asked in peers.chunks(PEERS_ASKED).take(ROUNDS) {
         let answer = renew_through(node, asked, renewal).await;
