--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -42,5 +42,5 @@
 pub mod store_rate;
 pub mod suspicion;
 pub mod view;
-pub mod vouch;
+pub mod store_reports;
 pub mod work;
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -16,7 +16,7 @@
     turn::{Takeover, Turns},
 };
 use sedgewall_fleet::{
-    note::Note, store_contact::CountedOut, vouch::REPORT_VALID_FOR,
+    note::Note, store_contact::CountedOut, store_reports::REPORT_VALID_FOR,
 };
 
 use super::{
--- a/crates/sedgewalld/src/fleet/node.rs
+++ b/crates/sedgewalld/src/fleet/node.rs
@@ -26,7 +26,7 @@
     store_contact::{CallFailure, StoreContact},
     suspicion::Suspicions,
     view::FleetView,
-    vouch::{StoreReports, REPORT_VALID_FOR},
+    store_reports::{StoreReports, REPORT_VALID_FOR},
 };
 use sedgewall_platform::{Store, StoreError};
 use sedgewall_protocol::settings::{FleetSettings, Settings};
