--- a/crates/fleet/src/back_off.rs
+++ b/crates/fleet/src/back_off.rs
@@ -26,7 +26,7 @@
 
 /// What an instance's calls of one kind are for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Calls {
+pub enum CallKind {
     /// They bring what this instance tells the others.
     Watcher,
     /// They are the first that an instance tries.
@@ -35,12 +35,12 @@
     Rung,
 }
 
-impl Calls {
+impl CallKind {
     fn longest_pause(self) -> Duration {
         match self {
-            Calls::Watcher => LONGEST_OF_WATCHERS,
-            Calls::First => LONGEST,
-            Calls::Rung => UNTIL_RUNG,
+            CallKind::Watcher => LONGEST_OF_WATCHERS,
+            CallKind::First => LONGEST,
+            CallKind::Rung => UNTIL_RUNG,
         }
     }
 }
@@ -72,15 +72,15 @@
 
     /// Returns how long to wait after another failed call. Where all calls fail,
     /// those that are rung for wait for that.
-    pub fn failed(&mut self, calls: Calls, is_out: bool) -> Duration {
+    pub fn failed(&mut self, calls: CallKind, is_out: bool) -> Duration {
         let longest = match calls {
-            Calls::Rung => calls.longest_pause(),
-            Calls::Watcher | Calls::First => {
+            CallKind::Rung => calls.longest_pause(),
+            CallKind::Watcher | CallKind::First => {
                 calls.longest_pause().min(self.most)
             }
         };
         let pause = match calls {
-            Calls::Rung if is_out => longest,
+            CallKind::Rung if is_out => longest,
             _ => self.next.min(longest),
         };
         self.next = (self.next * 2).min(longest);
--- a/crates/fleet/tests/back_off_rules.rs
+++ b/crates/fleet/tests/back_off_rules.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use sedgewall_fleet::back_off::{BackOff, Calls};
+use sedgewall_fleet::back_off::{BackOff, CallKind};
 
 /// The longest time that a call waits for its answer.
 const ANSWER_TIME: Duration = Duration::from_millis(1_200);
@@ -18,7 +18,7 @@
 /// Returns how long after the path is whole again the first call is answered, if
 /// each call before it waits for an answer in vain, or is turned away at once.
 fn first_answer_after(
-    calls: Calls,
+    calls: CallKind,
     whole_at: Duration,
     is_silent: bool,
 ) -> Duration {
@@ -48,7 +48,7 @@
         is_watcher in any::<bool>(),
         is_silent in any::<bool>(),
     ) {
-        let calls = if is_watcher { Calls::Watcher } else { Calls::First };
+        let calls = if is_watcher { CallKind::Watcher } else { CallKind::First };
         let whole_at = Duration::from_millis(whole_at_ms);
         let late = first_answer_after(calls, whole_at, is_silent);
         prop_assert!(late <= IN_FORCE_WITHIN, "{late:?}");
--- a/crates/fleet/tests/in_force_model.rs
+++ b/crates/fleet/tests/in_force_model.rs
@@ -7,7 +7,7 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    back_off::{BackOff, Calls},
+    back_off::{BackOff, CallKind},
     catch_up::{CatchUp, Knowledge, Step},
 };
 
@@ -175,7 +175,7 @@
     fn read(&mut self, idx: usize, tick: u32) {
         let shown = self.shown(idx, tick);
         let is_cut = tick < self.instances[idx].cut_until;
-        let calls = if idx == 0 { Calls::Watcher } else { Calls::First };
+        let calls = if idx == 0 { CallKind::Watcher } else { CallKind::First };
         let instance = &mut self.instances[idx];
         match instance.reading {
             Reading::Watching if is_cut => {
--- a/crates/sedgewalld/src/fleet/follow.rs
+++ b/crates/sedgewalld/src/fleet/follow.rs
@@ -7,7 +7,7 @@
 
 use futures_util::{FutureExt, select};
 use sedgewall_clock::Instant;
-use sedgewall_fleet::back_off::{BackOff, Calls};
+use sedgewall_fleet::back_off::{BackOff, CallKind};
 use sedgewall_platform::{
     StoreError,
     config::{CONFIG_KIND, CONFIG_NAME},
@@ -233,9 +233,9 @@
         // that the store is regained, and what was missed.
         let is_list = self.since.take().is_none();
         let calls = match rank_freshness(&self.node) {
-            Freshness::Newest => Calls::Watcher,
-            Freshness::SecondsOld if F::TRIES_FIRST => Calls::First,
-            Freshness::SecondsOld => Calls::Rung,
+            Freshness::Newest => CallKind::Watcher,
+            Freshness::SecondsOld if F::TRIES_FIRST => CallKind::First,
+            Freshness::SecondsOld => CallKind::Rung,
         };
         let is_out = self.node.store_contact.borrow().is_out();
         let pause = self.back_off.failed(calls, is_out);
--- a/crates/sedgewalld/src/fleet/follow_instances.rs
+++ b/crates/sedgewalld/src/fleet/follow_instances.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
 use sedgewall_clock::Instant;
-use sedgewall_fleet::back_off::{BackOff, Calls};
+use sedgewall_fleet::back_off::{BackOff, CallKind};
 use sedgewall_platform::{
     StoreError,
     store::{Change, Listing, StoredObject},
@@ -125,7 +125,7 @@
     while let Err(err) = write_entry(&node, &spec).await {
         let cause = err.to_string();
         tracing::warn!(event = "announce_failed", cause);
-        compio::time::sleep(back_off.failed(Calls::Watcher, true)).await;
+        compio::time::sleep(back_off.failed(CallKind::Watcher, true)).await;
     }
 }
 
--- a/crates/sedgewalld/src/fleet/follow_poison.rs
+++ b/crates/sedgewalld/src/fleet/follow_poison.rs
@@ -13,7 +13,7 @@
 
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    back_off::{BackOff, Calls},
+    back_off::{BackOff, CallKind},
     incarnation::EndpointIncarnation,
     poison::{CONDEMNED_FOR, Condemned, TakenIn},
     request_digest::RequestDigest,
@@ -232,7 +232,7 @@
                 Err(err) => {
                     let cause = err.to_string();
                     tracing::info!(event = "poison_record_failed", cause);
-                    let pause = back_off.failed(Calls::Watcher, true);
+                    let pause = back_off.failed(CallKind::Watcher, true);
                     compio::time::sleep(pause).await;
                 }
             }
