--- a/crates/fleet/src/back_off.rs
+++ b/crates/fleet/src/back_off.rs
@@ -32,7 +32,7 @@
     /// They are the first that an instance tries.
     First,
     /// Others of the same instance ring for them.
-    Rung,
+    Notified,
 }
 
 impl CallKind {
@@ -40,7 +40,7 @@
         match self {
             CallKind::Watcher => LONGEST_OF_WATCHERS,
             CallKind::First => LONGEST,
-            CallKind::Rung => UNTIL_RUNG,
+            CallKind::Notified => UNTIL_RUNG,
         }
     }
 }
@@ -74,13 +74,13 @@
     /// those that are rung for wait for that.
     pub fn failed(&mut self, calls: CallKind, is_out: bool) -> Duration {
         let longest = match calls {
-            CallKind::Rung => calls.longest_pause(),
+            CallKind::Notified => calls.longest_pause(),
             CallKind::Watcher | CallKind::First => {
                 calls.longest_pause().min(self.most)
             }
         };
         let pause = match calls {
-            CallKind::Rung if is_out => longest,
+            CallKind::Notified if is_out => longest,
             _ => self.next.min(longest),
         };
         self.next = (self.next * 2).min(longest);
--- a/crates/sedgewalld/src/fleet/follow.rs
+++ b/crates/sedgewalld/src/fleet/follow.rs
@@ -235,7 +235,7 @@
         let calls = match rank_freshness(&self.node) {
             Freshness::Newest => CallKind::Watcher,
             Freshness::SecondsOld if F::TRIES_FIRST => CallKind::First,
-            Freshness::SecondsOld => CallKind::Rung,
+            Freshness::SecondsOld => CallKind::Notified,
         };
         let is_out = self.node.store_contact.borrow().is_out();
         let pause = self.back_off.failed(calls, is_out);
