--- a/crates/fleet/src/view/choice.rs
+++ b/crates/fleet/src/view/choice.rs
@@ -80,7 +80,7 @@
     /// To this endpoint.
     Send(Target),
     /// Nowhere yet; the adapter is on its way and may be ready then.
-    Coming(Duration),
+    Loading(Duration),
     /// Nowhere; no usable engine holds the adapter.
     Absent,
     /// Nowhere; all that could serve it are full.
@@ -155,7 +155,7 @@
         let Some((_, state)) = best else { return found };
         if need.is_patient && self.would_be_late(state, need) {
             return Choice::Busy(match found {
-                Choice::Coming(ready_in) => Some(ready_in),
+                Choice::Loading(ready_in) => Some(ready_in),
                 _ => None,
             });
         }
@@ -190,7 +190,7 @@
         }
         if !seat.is_ready(now) {
             let left = seat.ready_at.saturating_duration_since(now);
-            return Some(Choice::Coming(left.max(LEAST_COMING)));
+            return Some(Choice::Loading(left.max(LEAST_COMING)));
         }
         full
     }
@@ -304,12 +304,12 @@
     let rank = |choice: &Choice| match choice {
         Choice::Send(_) | Choice::Busy(_) => 0,
         Choice::Full => 1,
-        Choice::Coming(_) => 2,
+        Choice::Loading(_) => 2,
         Choice::Absent => 3,
         Choice::Nobody => 4,
     };
     match (&a, &b) {
-        (Choice::Coming(x), Choice::Coming(y)) => Choice::Coming(*x.min(y)),
+        (Choice::Loading(x), Choice::Loading(y)) => Choice::Loading(*x.min(y)),
         _ if rank(&b) < rank(&a) => b,
         _ => a,
     }
--- a/crates/fleet/tests/view_rules.rs
+++ b/crates/fleet/tests/view_rules.rs
@@ -89,7 +89,7 @@
     view.list(endpoint("e1", "z1", &[]), now);
     view.hear_placed(&placed("e1", 1, 270), now);
     let wait = Duration::from_millis(270);
-    assert_eq!(choose(&view, &key(1), now), Choice::Coming(wait));
+    assert_eq!(choose(&view, &key(1), now), Choice::Loading(wait));
     assert_eq!(sent_to(&choose(&view, &key(1), now + wait)), Some("e1"));
 }
 
@@ -457,7 +457,7 @@
     // The order goes out 0.8 s later; the load begins then.
     let taken = now + Duration::from_millis(800);
     let choice = choose(&view, &key(1), taken);
-    assert!(matches!(choice, Choice::Coming(_)), "{choice:?}");
+    assert!(matches!(choice, Choice::Loading(_)), "{choice:?}");
     let ready_in = Duration::from_millis(250);
     assert_eq!(
         view.order_taken(&"e1".to_owned(), &key(1), taken),
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -385,7 +385,7 @@
         progress.waited = now - began;
         let (reason, obstacle, pause) = match choice {
             Choice::Send(found) => return Ok(found),
-            Choice::Coming(ready_in) => {
+            Choice::Loading(ready_in) => {
                 let obstacle = Obstacle::Coming(ready_in);
                 (Reason::AdapterAbsent, obstacle, ready_in)
             }
