--- a/crates/fleet/src/view/choice.rs
+++ b/crates/fleet/src/view/choice.rs
@@ -90,7 +90,7 @@
     /// be on its way.
     Busy(Option<Duration>),
     /// Nowhere; the service has no usable endpoint.
-    Nobody,
+    NoEndpoint,
 }
 
 /// The endpoint that a request goes to.
@@ -124,10 +124,10 @@
         };
         let holders = self.holders(key).filter(is_usable);
         match self.choose_among(holders, need, now) {
-            Choice::Nobody => {
+            Choice::NoEndpoint => {
                 match self.of_service(need.service).any(|s| is_usable(&s)) {
                     true => Choice::Absent,
-                    false => Choice::Nobody,
+                    false => Choice::NoEndpoint,
                 }
             }
             found => found,
@@ -140,7 +140,7 @@
         need: Need<'_>,
         now: Instant,
     ) -> Choice {
-        let mut found = Choice::Nobody;
+        let mut found = Choice::NoEndpoint;
         let mut best: Option<(f64, &EndpointState)> = None;
         for state in usable {
             if let Some(obstacle) = self.obstacle(state, need, now) {
@@ -306,7 +306,7 @@
         Choice::Full => 1,
         Choice::Loading(_) => 2,
         Choice::Absent => 3,
-        Choice::Nobody => 4,
+        Choice::NoEndpoint => 4,
     };
     match (&a, &b) {
         (Choice::Loading(x), Choice::Loading(y)) => Choice::Loading(*x.min(y)),
--- a/crates/fleet/src/view/spread.rs
+++ b/crates/fleet/src/view/spread.rs
@@ -96,7 +96,7 @@
             }
         }
         if open.is_empty() {
-            return if is_full { Choice::Full } else { Choice::Nobody };
+            return if is_full { Choice::Full } else { Choice::NoEndpoint };
         }
         if !self.admits(&open, need) {
             return Choice::Full;
--- a/crates/fleet/tests/departure_rules.rs
+++ b/crates/fleet/tests/departure_rules.rs
@@ -41,7 +41,7 @@
     view.list(entry(3, false), now);
     view.hear_departure(&departure(5), now);
     view.list(entry(4, false), now);
-    assert_eq!(choose(&view, &key(1), now), Choice::Nobody);
+    assert_eq!(choose(&view, &key(1), now), Choice::NoEndpoint);
     view.list(entry(6, false), now);
     assert!(is_chosen(&view, now));
 }
--- a/crates/fleet/tests/incarnation_rules.rs
+++ b/crates/fleet/tests/incarnation_rules.rs
@@ -112,7 +112,7 @@
     view.list(entry(1, 8), now);
     view.unlist(&ID.to_owned(), 9, true, now);
     view.list(entry(0, 3), now);
-    assert_eq!(choose(&view, &key(0), now), Choice::Nobody);
+    assert_eq!(choose(&view, &key(0), now), Choice::NoEndpoint);
     view.list(entry(2, 12), now);
     assert_eq!(sent_to(&choose(&view, &key(2), now)), Some(ID));
 }
@@ -129,11 +129,11 @@
         view.get_mut(&id).expect("it is listed").health.failed(now);
     }
     view.hear_suspect(&id, Duration::from_secs(9), now);
-    assert_eq!(choose(&view, &key(0), now), Choice::Nobody);
+    assert_eq!(choose(&view, &key(0), now), Choice::NoEndpoint);
     view.list(entry(1, 2), now);
     assert_eq!(sent_to(&choose(&view, &key(1), now)), Some(ID));
     view.list(Endpoint { is_draining: true, ..entry(1, 3) }, now);
-    assert_eq!(choose(&view, &key(1), now), Choice::Nobody);
+    assert_eq!(choose(&view, &key(1), now), Choice::NoEndpoint);
     view.list(entry(2, 4), now);
     assert_eq!(sent_to(&choose(&view, &key(2), now)), Some(ID));
 }
--- a/crates/fleet/tests/view_rules.rs
+++ b/crates/fleet/tests/view_rules.rs
@@ -60,7 +60,7 @@
     view.list(leaving.clone(), now);
     leaving.is_draining = true;
     view.list(leaving, now);
-    assert_eq!(choose(&view, &key(1), now), Choice::Nobody);
+    assert_eq!(choose(&view, &key(1), now), Choice::NoEndpoint);
 }
 
 #[test]
@@ -69,7 +69,7 @@
     let mut view = FleetView::new("z1");
     view.list(endpoint("e1", "z1", &[1]), now);
     assert!(view.hear_departure(&departure("e1", 1), now));
-    assert_eq!(choose(&view, &key(1), now), Choice::Nobody);
+    assert_eq!(choose(&view, &key(1), now), Choice::NoEndpoint);
     assert!(!view.hear_departure(&departure("e1", 1), now));
 }
 
@@ -79,7 +79,7 @@
     let mut view = FleetView::new("z1");
     view.list(endpoint("e1", "z1", &[1]), now);
     view.unlist(&"e1".to_owned(), 2, true, now);
-    assert_eq!(choose(&view, &key(1), now), Choice::Nobody);
+    assert_eq!(choose(&view, &key(1), now), Choice::NoEndpoint);
 }
 
 #[test]
@@ -282,7 +282,7 @@
     let exclude = ["e1".to_owned()];
     let key = key(1);
     let need = Need { exclude: &exclude, ..need(&key) };
-    assert_eq!(view.choose(need, now), Choice::Nobody);
+    assert_eq!(view.choose(need, now), Choice::NoEndpoint);
 }
 
 #[test]
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -418,7 +418,7 @@
                     .await;
                 continue;
             }
-            Choice::Nobody => {
+            Choice::NoEndpoint => {
                 // All have failed it; what may run again goes round again.
                 if progress.runs > 0 {
                     progress.tried.clear();
