--- a/crates/fleet/benches/decisions.rs
+++ b/crates/fleet/benches/decisions.rs
@@ -58,7 +58,7 @@
         view.list(endpoint, now);
         let report = EngineReport {
             models: vec![hosted(engine)],
-            coming: Vec::new(),
+            loading: Vec::new(),
             is_busy: false,
             orders_taken: 0,
             born: None,
--- a/crates/fleet/src/endpoint.rs
+++ b/crates/fleet/src/endpoint.rs
@@ -70,7 +70,7 @@
     /// The base models that it holds.
     pub models: Vec<HostedModel>,
     /// The adapters on their way to it.
-    pub coming: Vec<(AdapterKey, WeightVersion)>,
+    pub loading: Vec<(AdapterKey, WeightVersion)>,
     /// Whether it carries out an order that it can do only one of.
     pub is_busy: bool,
     /// The orders that it has taken in this life.
--- a/crates/fleet/src/endpoint_state.rs
+++ b/crates/fleet/src/endpoint_state.rs
@@ -314,7 +314,7 @@
         let mut endpoint = self.endpoint.clone();
         endpoint.models.clone_from(&report.models);
         self.list(endpoint, now);
-        for (key, version) in &report.coming {
+        for (key, version) in &report.loading {
             let seat = Seat {
                 version: *version,
                 ready_at: now + COMING_FOR,
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -49,7 +49,7 @@
 pub fn report(adapters: &[u32], orders_taken: u64) -> EngineReport {
     EngineReport {
         models: vec![hosted(adapters)],
-        coming: Vec::new(),
+        loading: Vec::new(),
         is_busy: false,
         orders_taken,
         born: None,
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -151,7 +151,7 @@
                     event = "engine_synced",
                     endpoint = order.endpoint,
                     orders_taken = report.orders_taken,
-                    coming = report.coming.len(),
+                    coming = report.loading.len(),
                     born = report.born,
                 );
                 let now = Instant::now();
