--- a/crates/fleet/src/announcement.rs
+++ b/crates/fleet/src/announcement.rs
@@ -10,7 +10,7 @@
 pub struct Announcement {
     /// For how long its endpoint wants no request from the instance that it
     /// answers.
-    pub rest: Option<Duration>,
+    pub cooldown: Option<Duration>,
     /// Whether it names a rate limit.
     pub limit: AnnouncedLimit,
     /// Whether its endpoint is leaving: it gets no new work.
--- a/crates/fleet/src/rest.rs
+++ b/crates/fleet/src/cooldown.rs
@@ -1,4 +1,4 @@
-//! Rest that an endpoint asks for when it turns a request away.
+//! Cooldown that an endpoint asks for when it turns a request away.
 //!
 //! An endpoint that turns requests away looks idle, and would get more of them than
 //! any other. It gets none until its rest is over; then one request shows whether it
@@ -19,7 +19,7 @@
 
 /// The rest of one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Rest {
+pub struct Cooldown {
     /// When it ends or ended; none once a request was answered otherwise since.
     until: Option<Instant>,
     /// When it was last asked for.
@@ -28,23 +28,23 @@
     probe_sent: Option<Instant>,
 }
 
-impl Rest {
+impl Cooldown {
     /// Takes in that the endpoint asks for rest; returns whether it did not rest
     /// before.
     pub fn ask(&mut self, rest: Duration, now: Instant) -> bool {
         let is_news = self.until.is_none_or(|until| now >= until);
         let until = self.until.map_or(now + rest, |u| u.max(now + rest));
         *self =
-            Rest { until: Some(until), asked: Some(now), probe_sent: None };
+            Cooldown { until: Some(until), asked: Some(now), probe_sent: None };
         is_news
     }
 
     /// Returns what is left of it where the endpoint turns out to have begun a new
     /// life: what the life before asked for is void.
-    pub fn in_new_life(&self) -> Rest {
+    pub fn in_new_life(&self) -> Cooldown {
         let longest = self.asked.map(|asked| asked + ENTRY_LATE);
         let until = self.until.zip(longest).map(|(u, most)| u.min(most));
-        Rest { until, ..*self }
+        Cooldown { until, ..*self }
     }
 
     /// Returns when a request may be sent; nothing if it may be now.
@@ -73,7 +73,7 @@
     pub fn note_answer(&mut self, sent: Instant) -> bool {
         let is_over = self.until.is_some_and(|until| sent >= until);
         if is_over {
-            *self = Rest::default();
+            *self = Cooldown::default();
         }
         is_over
     }
--- a/crates/fleet/src/endpoint_state.rs
+++ b/crates/fleet/src/endpoint_state.rs
@@ -18,7 +18,7 @@
     endpoint::{Endpoint, EngineReport},
     health::Health,
     note::Placed,
-    rest::Rest,
+    cooldown::Cooldown,
     work::Work,
 };
 
@@ -112,7 +112,7 @@
     /// another place.
     pub(crate) saturated_until: Option<Instant>,
     /// The rest that it asked us for.
-    pub(crate) rest: Rest,
+    pub(crate) cooldown: Cooldown,
 }
 
 impl Seat {
@@ -163,7 +163,7 @@
             is_ordered_by_us: false,
             warm: VecDeque::new(),
             saturated_until: None,
-            rest: Rest::default(),
+            cooldown: Cooldown::default(),
         }
     }
 
@@ -176,7 +176,7 @@
         self.health = Health::default();
         self.part = 1.0;
         self.saturated_until = None;
-        self.rest = self.rest.in_new_life();
+        self.cooldown = self.cooldown.in_new_life();
     }
 
     /// Returns its id.
@@ -221,7 +221,7 @@
     pub fn is_usable(&self, now: Instant) -> bool {
         !self.endpoint.is_draining
             && self.health.is_usable(now)
-            && self.rest.left(now).is_none()
+            && self.cooldown.left(now).is_none()
     }
 
     /// Returns whether it takes no more from some instance now.
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -33,7 +33,7 @@
 pub mod poison;
 pub mod relays;
 pub mod request_digest;
-pub mod rest;
+pub mod cooldown;
 pub mod retry_budget;
 pub mod revocation;
 pub mod route;
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -37,7 +37,7 @@
     limit_share::LimitShares,
     note::{Placed, Removed},
     pace::Pace,
-    rest::Rest,
+    cooldown::Cooldown,
     route::ServiceName,
     stay::Stay,
 };
@@ -74,7 +74,7 @@
     /// Our parts of the limits that endpoints announce.
     limits: LimitShares,
     /// Rests of endpoints whose entries lapsed, which may be back before their end.
-    lapsed_rests: HashMap<EndpointId, Rest>,
+    lapsed_rests: HashMap<EndpointId, Cooldown>,
     /// Departures that we saw in the store and the others have not heard of.
     untold: Vec<Departure>,
     /// How fast the engines of each service begin to answer.
@@ -148,7 +148,7 @@
         if !self.endpoints.contains_key(&id) {
             let mut state = EndpointState::new(endpoint.clone());
             state.others_work = self.others_work(&id);
-            state.rest = self.lapsed_rests.remove(&id).unwrap_or_default();
+            state.cooldown = self.lapsed_rests.remove(&id).unwrap_or_default();
             self.endpoints.insert(id.clone(), state);
             let of_service = self.services.entry(endpoint.service.clone());
             of_service.or_default().insert(id.clone());
@@ -291,8 +291,8 @@
         };
         self.see_departure(id, revision.max(known), is_sure, now);
         let Some(state) = self.endpoints.remove(id) else { return };
-        if state.rest.is_resting(now) {
-            self.lapsed_rests.insert(id.clone(), state.rest);
+        if state.cooldown.is_resting(now) {
+            self.lapsed_rests.insert(id.clone(), state.cooldown);
         }
         for key in state.seats.keys() {
             self.holders.remove(key, id);
--- a/crates/fleet/src/view/rests.rs
+++ b/crates/fleet/src/view/rests.rs
@@ -22,7 +22,7 @@
             return false;
         }
         match self.endpoints.get_mut(endpoint) {
-            Some(state) => state.rest.ask(rest, now),
+            Some(state) => state.cooldown.ask(rest, now),
             None => {
                 let lapsed = self.lapsed_rests.entry(endpoint.clone());
                 lapsed.or_default().ask(rest, now)
@@ -33,7 +33,7 @@
     /// Notes that a request is sent to an endpoint.
     pub fn note_sent(&mut self, id: &EndpointId, now: Instant) {
         if let Some(state) = self.endpoints.get_mut(id) {
-            state.rest.note_sent(now);
+            state.cooldown.note_sent(now);
         }
     }
 
@@ -41,12 +41,12 @@
     /// ends its rest.
     pub fn note_answer(&mut self, answered: &AnsweredSend) -> bool {
         let state = self.endpoints.get_mut(&answered.endpoint);
-        state.is_some_and(|state| state.rest.note_answer(answered.sent))
+        state.is_some_and(|state| state.cooldown.note_answer(answered.sent))
     }
 
     /// Returns whether an endpoint asked for rest that is not over.
     pub fn is_resting(&self, id: &EndpointId, now: Instant) -> bool {
-        self.endpoints.get(id).is_some_and(|s| s.rest.is_resting(now))
+        self.endpoints.get(id).is_some_and(|s| s.cooldown.is_resting(now))
     }
 
     /// Returns when the first endpoint of a service that rests takes requests again.
@@ -58,7 +58,7 @@
         let stays = self
             .of_service(service)
             .filter(|state| !state.endpoint.is_draining);
-        stays.filter_map(|state| state.rest.left(now)).min()
+        stays.filter_map(|state| state.cooldown.left(now)).min()
     }
 
     /// Returns the endpoints that hold an adapter and rest, and for how long.
@@ -68,7 +68,7 @@
         now: Instant,
     ) -> Vec<(EndpointId, Duration)> {
         self.holders(key)
-            .filter_map(|s| Some((s.id().clone(), s.rest.left(now)?)))
+            .filter_map(|s| Some((s.id().clone(), s.cooldown.left(now)?)))
             .collect()
     }
 
--- a/crates/fleet/tests/rest_rules.rs
+++ b/crates/fleet/tests/cooldown_rules.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    rest::Rest,
+    cooldown::Cooldown,
     view::{AnsweredSend, Choice, FleetView},
 };
 
@@ -117,7 +117,7 @@
         steps in prop::collection::vec((0..4_u8, 0..900_u64, 0..4_000_u64), 1..80),
     ) {
         let start = Instant::now();
-        let (mut rest, mut now) = (Rest::default(), start);
+        let (mut rest, mut now) = (Cooldown::default(), start);
         let (mut sent, mut ends) = (start, start);
         for (step, pause_ms, rest_ms) in steps {
             now += Duration::from_millis(pause_ms);
--- a/crates/sedgewalld/src/fleet/announcements.rs
+++ b/crates/sedgewalld/src/fleet/announcements.rs
@@ -37,7 +37,7 @@
     }
     let now = Instant::now();
     log_unreadable(node, answered, facts);
-    match facts.announcement.rest {
+    match facts.announcement.cooldown {
         Some(rest) => {
             hear_rest(node, answered, rest, &call.facts.request_id);
         }
