--- a/crates/fleet/src/cooldown.rs
+++ b/crates/fleet/src/cooldown.rs
@@ -57,7 +57,7 @@
     }
 
     /// Returns whether the endpoint asked for rest that is not over.
-    pub fn is_resting(&self, now: Instant) -> bool {
+    pub fn is_cooling_down(&self, now: Instant) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 
--- a/crates/fleet/src/loader.rs
+++ b/crates/fleet/src/loader.rs
@@ -142,7 +142,7 @@
             .view
             .of_service(self.service)
             .filter(|state| !state.endpoint.is_draining)
-            .filter(|state| !state.cooldown.is_resting(self.now))
+            .filter(|state| !state.cooldown.is_cooling_down(self.now))
             .filter(|state| !state.is_ordered_by_us())
             .map(|state| (state.endpoint.id.clone(), state.endpoint.address))
             .collect();
@@ -337,7 +337,7 @@
 
     fn engines(&self) -> impl Iterator<Item = &EndpointState> {
         let stays = |state: &&EndpointState| {
-            !state.endpoint.is_draining && !state.cooldown.is_resting(self.now)
+            !state.endpoint.is_draining && !state.cooldown.is_cooling_down(self.now)
         };
         let is_known = |state: &&EndpointState| state.is_ordered_by_us();
         let engines = self.view.of_service(self.service);
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -291,7 +291,7 @@
         };
         self.see_departure(id, revision.max(known), is_sure, now);
         let Some(state) = self.endpoints.remove(id) else { return };
-        if state.cooldown.is_resting(now) {
+        if state.cooldown.is_cooling_down(now) {
             self.lapsed_rests.insert(id.clone(), state.cooldown);
         }
         for key in state.seats.keys() {
--- a/crates/fleet/src/view/rests.rs
+++ b/crates/fleet/src/view/rests.rs
@@ -45,8 +45,8 @@
     }
 
     /// Returns whether an endpoint asked for rest that is not over.
-    pub fn is_resting(&self, id: &EndpointId, now: Instant) -> bool {
-        self.endpoints.get(id).is_some_and(|s| s.cooldown.is_resting(now))
+    pub fn is_cooling_down(&self, id: &EndpointId, now: Instant) -> bool {
+        self.endpoints.get(id).is_some_and(|s| s.cooldown.is_cooling_down(now))
     }
 
     /// Returns when the first endpoint of a service that rests takes requests again.
@@ -75,6 +75,6 @@
     /// Forgets the rests of endpoints that are not listed any more. Call it about
     /// once a second.
     pub fn forget_rests(&mut self, now: Instant) {
-        self.lapsed_rests.retain(|_, rest| rest.is_resting(now));
+        self.lapsed_rests.retain(|_, rest| rest.is_cooling_down(now));
     }
 }
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -177,7 +177,7 @@
     }
 
     fn is_resting(&self, endpoint: &EndpointId) -> bool {
-        self.node.view.borrow().is_resting(endpoint, Instant::now())
+        self.node.view.borrow().is_cooling_down(endpoint, Instant::now())
     }
 
     fn hear_rest(&self, endpoint: &EndpointId, rest: Duration) {
