--- a/crates/fleet/src/view/rests.rs
+++ b/crates/fleet/src/view/rests.rs
@@ -50,7 +50,7 @@
     }
 
     /// Returns when the first endpoint of a service that rests takes requests again.
-    pub fn service_rests_for(
+    pub fn service_cooldown(
         &self,
         service: &str,
         now: Instant,
--- a/crates/fleet/tests/cooldown_rules.rs
+++ b/crates/fleet/tests/cooldown_rules.rs
@@ -34,7 +34,7 @@
     assert!(!view.announce_rest(&answered(now), REST, now), "no news");
     assert_eq!(choose(&view, &key(1), now), Choice::NoEndpoint);
     let service = &endpoint("e1", "z1", &[1]).service;
-    assert_eq!(view.service_rests_for(service, now), Some(REST));
+    assert_eq!(view.service_cooldown(service, now), Some(REST));
     assert!(is_chosen(&view, now + REST));
 }
 
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -425,7 +425,7 @@
                 }
                 let resting = || {
                     let view = node.view.borrow();
-                    view.service_rests_for(&call.service, now)
+                    view.service_cooldown(&call.service, now)
                 };
                 match limited_for.or_else(resting) {
                     Some(ready_in) => {
