--- a/crates/fleet/src/view/rests.rs
+++ b/crates/fleet/src/view/rests.rs
@@ -62,7 +62,7 @@
     }
 
     /// Returns the endpoints that hold an adapter and rest, and for how long.
-    pub fn resting_holders(
+    pub fn holders_cooling_down(
         &self,
         key: &AdapterKey,
         now: Instant,
--- a/crates/sedgewalld/src/fleet/permits.rs
+++ b/crates/sedgewalld/src/fleet/permits.rs
@@ -99,7 +99,7 @@
         key: &AdapterKey,
         now: Instant,
     ) -> Option<Duration> {
-        let resting = self.view.borrow().resting_holders(key, now);
+        let resting = self.view.borrow().holders_cooling_down(key, now);
         let first = resting.iter().map(|(_, left)| *left).min();
         let mut saturated = self.saturated.borrow_mut();
         for (id, left) in resting {
