--- a/crates/fleet/src/view/rests.rs
+++ b/crates/fleet/src/view/rests.rs
@@ -74,7 +74,7 @@
 
     /// Forgets the rests of endpoints that are not listed any more. Call it about
     /// once a second.
-    pub fn forget_rests(&mut self, now: Instant) {
+    pub fn forget_cooldowns(&mut self, now: Instant) {
         self.lapsed_rests.retain(|_, rest| rest.is_cooling_down(now));
     }
 }
--- a/crates/fleet/tests/cooldown_rules.rs
+++ b/crates/fleet/tests/cooldown_rules.rs
@@ -72,7 +72,7 @@
     view.list(endpoint("e1", "z1", &[1]), now);
     view.announce_rest(&answered(now), REST, now);
     view.unlist(&"e1".to_owned(), 0, false, now);
-    view.forget_rests(now);
+    view.forget_cooldowns(now);
     let mut entry = endpoint("e1", "z1", &[1]);
     entry.revision = 9;
     view.list(entry, now);
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -379,7 +379,7 @@
             node.suspicions.borrow_mut().forget(now);
             node.shares.borrow_mut().forget(now);
             node.view.borrow_mut().forget_limits(now);
-            node.view.borrow_mut().forget_rests(now);
+            node.view.borrow_mut().forget_cooldowns(now);
             node.forget_saturated(now);
             node.catch_up.borrow_mut().forget(now);
             node.poison.borrow_mut().forget(now);
