--- a/crates/fleet/src/view/rests.rs
+++ b/crates/fleet/src/view/rests.rs
@@ -11,7 +11,7 @@
 impl FleetView {
     /// Takes in that an endpoint asked for rest; returns whether it did not rest
     /// before.
-    pub fn announce_rest(
+    pub fn apply_announced_cooldown(
         &mut self,
         answered: &AnsweredSend,
         rest: Duration,
--- a/crates/fleet/tests/cooldown_rules.rs
+++ b/crates/fleet/tests/cooldown_rules.rs
@@ -30,8 +30,8 @@
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.list(endpoint("e1", "z1", &[1]), now);
-    assert!(view.announce_rest(&answered(now), REST, now));
-    assert!(!view.announce_rest(&answered(now), REST, now), "no news");
+    assert!(view.apply_announced_cooldown(&answered(now), REST, now));
+    assert!(!view.apply_announced_cooldown(&answered(now), REST, now), "no news");
     assert_eq!(choose(&view, &key(1), now), Choice::NoEndpoint);
     let service = &endpoint("e1", "z1", &[1]).service;
     assert_eq!(view.service_cooldown(service, now), Some(REST));
@@ -43,7 +43,7 @@
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.list(endpoint("e1", "z1", &[1]), now);
-    view.announce_rest(&answered(now), REST, now);
+    view.apply_announced_cooldown(&answered(now), REST, now);
     let over = now + REST;
     view.note_sent(&"e1".to_owned(), over);
     assert!(!is_chosen(&view, over), "the first one has no answer yet");
@@ -59,7 +59,7 @@
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.list(endpoint("e1", "z1", &[1]), now);
-    view.announce_rest(&answered(now), REST, now);
+    view.apply_announced_cooldown(&answered(now), REST, now);
     let over = now + REST;
     view.note_sent(&"e1".to_owned(), over);
     assert!(is_chosen(&view, over + Duration::from_secs(1)));
@@ -70,7 +70,7 @@
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.list(endpoint("e1", "z1", &[1]), now);
-    view.announce_rest(&answered(now), REST, now);
+    view.apply_announced_cooldown(&answered(now), REST, now);
     view.unlist(&"e1".to_owned(), 0, false, now);
     view.forget_cooldowns(now);
     let mut entry = endpoint("e1", "z1", &[1]);
@@ -95,16 +95,16 @@
     let mut view = FleetView::new("z1");
     view.list(of_life(1, 1), now);
     let answered = AnsweredSend { born: Some(1), ..answered(now) };
-    view.announce_rest(&answered, REST, now);
+    view.apply_announced_cooldown(&answered, REST, now);
     let later = now + Duration::from_secs(1);
     view.list(of_life(2, 2), later);
     assert!(!is_chosen(&view, later));
     assert!(is_chosen(&view, now + REST));
 
     // A long one of the life before is void soon.
-    view.announce_rest(&answered, REST, now);
+    view.apply_announced_cooldown(&answered, REST, now);
     let answered = AnsweredSend { born: Some(2), ..answered };
-    view.announce_rest(&answered, Duration::from_secs(600), later);
+    view.apply_announced_cooldown(&answered, Duration::from_secs(600), later);
     view.list(of_life(3, 3), later + Duration::from_secs(10));
     assert!(is_chosen(&view, later + Duration::from_secs(10)));
 }
--- a/crates/sedgewalld/src/fleet/announcements.rs
+++ b/crates/sedgewalld/src/fleet/announcements.rs
@@ -66,7 +66,7 @@
     request: &str,
 ) {
     let now = Instant::now();
-    if !node.view.borrow_mut().announce_rest(answered, rest, now) {
+    if !node.view.borrow_mut().apply_announced_cooldown(answered, rest, now) {
         return;
     }
     metrics::counter!("sedgewall_endpoint_rests_total").increment(1);
