--- a/crates/fleet/src/view/limits.rs
+++ b/crates/fleet/src/view/limits.rs
@@ -28,7 +28,7 @@
 impl FleetView {
     /// Takes in what an answer says of its endpoint's limit; returns what changed.
     /// An answer of a life that is over says nothing.
-    pub fn announce_limit(
+    pub fn apply_announced_limit(
         &mut self,
         answered: &AnsweredSend,
         limit: AnnouncedLimit,
--- a/crates/sedgewalld/src/fleet/announcements.rs
+++ b/crates/sedgewalld/src/fleet/announcements.rs
@@ -51,7 +51,7 @@
     // What an endpoint turns away it may answer before it looks at its limit.
     if is_named || facts.is_proven {
         let change =
-            node.view.borrow_mut().announce_limit(answered, limit, now);
+            node.view.borrow_mut().apply_announced_limit(answered, limit, now);
         if let Some(change) = change {
             log_limit(&answered.endpoint, change, "answer");
         }
