--- a/crates/fleet/src/view/departed.rs
+++ b/crates/fleet/src/view/departed.rs
@@ -49,7 +49,7 @@
 
     /// Takes in that an endpoint said in an answer that it leaves; returns whether
     /// that is news, which others are told of.
-    pub fn announce_departure(
+    pub fn apply_announced_departure(
         &mut self,
         answered: &AnsweredSend,
         now: Instant,
--- a/crates/fleet/tests/departure_rules.rs
+++ b/crates/fleet/tests/departure_rules.rs
@@ -170,8 +170,8 @@
     let endpoint = "e1".to_owned();
     let answered =
         AnsweredSend { endpoint: endpoint.clone(), born: Some(1), sent: now };
-    assert!(view.announce_departure(&answered, now));
-    assert!(!view.announce_departure(&answered, now), "it is told once");
+    assert!(view.apply_announced_departure(&answered, now));
+    assert!(!view.apply_announced_departure(&answered, now), "it is told once");
     assert!(view.take_untold()[0].is_announced);
     view.list(of_life(1, 9), now);
     assert!(!is_chosen(&view, now));
@@ -185,7 +185,7 @@
 
     view.list(of_life(2, 12), later);
     assert!(is_chosen(&view, later), "another life has not said so");
-    assert!(!view.announce_departure(&answered, later), "a late answer");
+    assert!(!view.apply_announced_departure(&answered, later), "a late answer");
     assert!(is_chosen(&view, later));
 }
 
--- a/crates/sedgewalld/src/fleet/announcements.rs
+++ b/crates/sedgewalld/src/fleet/announcements.rs
@@ -110,7 +110,7 @@
     request: &str,
     now: Instant,
 ) {
-    if !node.view.borrow_mut().announce_departure(answered, now) {
+    if !node.view.borrow_mut().apply_announced_departure(answered, now) {
         return;
     }
     metrics::counter!("sedgewall_endpoint_departures_announced_total")
