--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -24,7 +24,7 @@
 
 pub(crate) use self::choice::{BUSY_BACKLOG, OTHER_ZONE_COST};
 pub use self::choice::{Choice, Need, Target};
-pub use self::limits::AnsweredSend;
+pub use self::limits::AnsweredRequest;
 pub use self::under_way::Totals;
 use self::under_way::{HeardTotals, PeerLoad};
 use crate::{
--- a/crates/fleet/src/view/departed.rs
+++ b/crates/fleet/src/view/departed.rs
@@ -3,7 +3,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_state::id::EndpointId;
 
-use super::{AnsweredSend, FleetView};
+use super::{AnsweredRequest, FleetView};
 use crate::{departure::Departure, endpoint::Revision};
 
 impl FleetView {
@@ -51,10 +51,10 @@
     /// that is news, which others are told of.
     pub fn apply_announced_departure(
         &mut self,
-        answered: &AnsweredSend,
+        answered: &AnsweredRequest,
         now: Instant,
     ) -> bool {
-        let AnsweredSend { endpoint, born, .. } = answered;
+        let AnsweredRequest { endpoint, born, .. } = answered;
         if !self.incarnations.is_current(endpoint, *born) {
             return false;
         }
--- a/crates/fleet/src/view/limits.rs
+++ b/crates/fleet/src/view/limits.rs
@@ -16,7 +16,7 @@
 
 /// A request that an endpoint answered.
 #[derive(Clone, Debug)]
-pub struct AnsweredSend {
+pub struct AnsweredRequest {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Its life when the request was sent, if it tells its lives apart.
@@ -30,11 +30,11 @@
     /// An answer of a life that is over says nothing.
     pub fn apply_announced_limit(
         &mut self,
-        answered: &AnsweredSend,
+        answered: &AnsweredRequest,
         limit: AnnouncedLimit,
         now: Instant,
     ) -> Option<LimitChange> {
-        let AnsweredSend { endpoint, born, sent } = answered;
+        let AnsweredRequest { endpoint, born, sent } = answered;
         if !self.incarnations.is_current(endpoint, *born) {
             return None;
         }
--- a/crates/fleet/src/view/rests.rs
+++ b/crates/fleet/src/view/rests.rs
@@ -5,7 +5,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_state::id::EndpointId;
 
-use super::{AnsweredSend, FleetView};
+use super::{AnsweredRequest, FleetView};
 use crate::adapter::AdapterKey;
 
 impl FleetView {
@@ -13,11 +13,11 @@
     /// before.
     pub fn apply_announced_cooldown(
         &mut self,
-        answered: &AnsweredSend,
+        answered: &AnsweredRequest,
         rest: Duration,
         now: Instant,
     ) -> bool {
-        let AnsweredSend { endpoint, born, .. } = answered;
+        let AnsweredRequest { endpoint, born, .. } = answered;
         if !self.incarnations.is_current(endpoint, *born) {
             return false;
         }
@@ -39,7 +39,7 @@
 
     /// Notes an answer of an endpoint that asks for no rest; returns whether that
     /// ends its rest.
-    pub fn note_answer(&mut self, answered: &AnsweredSend) -> bool {
+    pub fn note_answer(&mut self, answered: &AnsweredRequest) -> bool {
         let state = self.endpoints.get_mut(&answered.endpoint);
         state.is_some_and(|state| state.cooldown.note_answer(answered.sent))
     }
--- a/crates/fleet/tests/cooldown_rules.rs
+++ b/crates/fleet/tests/cooldown_rules.rs
@@ -10,13 +10,13 @@
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
     cooldown::Cooldown,
-    view::{AnsweredSend, Choice, FleetView},
+    view::{AnsweredRequest, Choice, FleetView},
 };
 
 const REST: Duration = Duration::from_secs(3);
 
-fn answered(sent: Instant) -> AnsweredSend {
-    AnsweredSend { endpoint: "e1".to_owned(), born: None, sent }
+fn answered(sent: Instant) -> AnsweredRequest {
+    AnsweredRequest { endpoint: "e1".to_owned(), born: None, sent }
 }
 
 fn is_chosen(view: &FleetView, now: Instant) -> bool {
@@ -94,7 +94,7 @@
     };
     let mut view = FleetView::new("z1");
     view.list(of_life(1, 1), now);
-    let answered = AnsweredSend { born: Some(1), ..answered(now) };
+    let answered = AnsweredRequest { born: Some(1), ..answered(now) };
     view.apply_announced_cooldown(&answered, REST, now);
     let later = now + Duration::from_secs(1);
     view.list(of_life(2, 2), later);
@@ -103,7 +103,7 @@
 
     // A long one of the life before is void soon.
     view.apply_announced_cooldown(&answered, REST, now);
-    let answered = AnsweredSend { born: Some(2), ..answered };
+    let answered = AnsweredRequest { born: Some(2), ..answered };
     view.apply_announced_cooldown(&answered, Duration::from_secs(600), later);
     view.list(of_life(3, 3), later + Duration::from_secs(10));
     assert!(is_chosen(&view, later + Duration::from_secs(10)));
--- a/crates/fleet/tests/departure_rules.rs
+++ b/crates/fleet/tests/departure_rules.rs
@@ -10,7 +10,7 @@
 use sedgewall_fleet::{
     departure::Departure,
     endpoint::{Endpoint, Revision},
-    view::{AnsweredSend, Choice, FleetView},
+    view::{AnsweredRequest, Choice, FleetView},
 };
 
 fn entry(revision: Revision, is_draining: bool) -> Endpoint {
@@ -169,7 +169,7 @@
     assert!(is_chosen(&view, now));
     let endpoint = "e1".to_owned();
     let answered =
-        AnsweredSend { endpoint: endpoint.clone(), born: Some(1), sent: now };
+        AnsweredRequest { endpoint: endpoint.clone(), born: Some(1), sent: now };
     assert!(view.apply_announced_departure(&answered, now));
     assert!(!view.apply_announced_departure(&answered, now), "it is told once");
     assert!(view.take_untold()[0].is_announced);
--- a/crates/sedgewalld/src/fleet/announcements.rs
+++ b/crates/sedgewalld/src/fleet/announcements.rs
@@ -11,7 +11,7 @@
 use sedgewall_fleet::{
     limit_share::{LimitChange, ReportSource},
     note::Status,
-    view::AnsweredSend,
+    view::AnsweredRequest,
 };
 use sedgewall_platform::AnswerFacts;
 use sedgewall_state::id::EndpointId;
@@ -28,7 +28,7 @@
 pub(crate) fn hear_answer(
     node: &FleetNode,
     call: &CallerRequest,
-    answered: &AnsweredSend,
+    answered: &AnsweredRequest,
     status: StatusCode,
     facts: &AnswerFacts,
 ) {
@@ -61,7 +61,7 @@
 /// Takes in that an endpoint asks for rest.
 pub(crate) fn hear_rest(
     node: &FleetNode,
-    answered: &AnsweredSend,
+    answered: &AnsweredRequest,
     rest: Duration,
     request: &str,
 ) {
@@ -76,7 +76,7 @@
 }
 
 /// Takes in that an endpoint answered without a wish for rest.
-fn hear_no_rest(node: &FleetNode, answered: &AnsweredSend) {
+fn hear_no_rest(node: &FleetNode, answered: &AnsweredRequest) {
     if !node.view.borrow_mut().note_answer(answered) {
         return;
     }
@@ -88,7 +88,7 @@
 /// One line a second at most for values that cannot be read.
 fn log_unreadable(
     node: &FleetNode,
-    answered: &AnsweredSend,
+    answered: &AnsweredRequest,
     facts: &AnswerFacts,
 ) {
     let Some(value) = &facts.announcement.unreadable else { return };
@@ -106,7 +106,7 @@
 /// Takes in that an endpoint leaves, and tells all others.
 fn hear_departure(
     node: &FleetNode,
-    answered: &AnsweredSend,
+    answered: &AnsweredRequest,
     request: &str,
     now: Instant,
 ) {
--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -18,7 +18,7 @@
     poison::Loss,
     request_digest::{RequestDigest, RequestParts},
     route::{Repetition, Route},
-    view::{AnsweredSend, Target},
+    view::{AnsweredRequest, Target},
 };
 use sedgewall_platform::{
     AnswerFacts, CallFacts,
@@ -190,7 +190,7 @@
         UnderWay::begin(node, &target.id, call.key(), prompt_tokens);
     let request = build(call, target, last_event);
     let began = Instant::now();
-    let answered = AnsweredSend {
+    let answered = AnsweredRequest {
         endpoint: target.id.clone(),
         born: node.view.borrow().incarnation(&target.id),
         sent: began,
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -14,7 +14,7 @@
     loader::Loader,
     note::{Note, Placed, Removed},
     order::{Order, Task},
-    view::AnsweredSend,
+    view::AnsweredRequest,
 };
 use sedgewall_platform::engine::{self, Holder, OrderAnswer, ReportError};
 use sedgewall_state::id::{EndpointId, Epoch};
@@ -181,7 +181,7 @@
     }
 
     fn hear_rest(&self, endpoint: &EndpointId, rest: Duration) {
-        let answered = AnsweredSend {
+        let answered = AnsweredRequest {
             endpoint: endpoint.clone(),
             born: self.node.view.borrow().incarnation(endpoint),
             sent: Instant::now(),
