--- a/crates/bench/src/herd/world.rs
+++ b/crates/bench/src/herd/world.rs
@@ -319,10 +319,10 @@
         let now = self.instant() + TRAVEL;
         match self.is_many() {
             true if instance == 0 => {}
-            true => self.views[0].hear_status(status, now),
+            true => self.views[0].apply_status(status, now),
             false => {
                 for other in (0..self.views.len()).filter(|o| *o != instance) {
-                    self.views[other].hear_status(status.clone(), now);
+                    self.views[other].apply_status(status.clone(), now);
                 }
             }
         }
@@ -336,7 +336,7 @@
         let status = self.status(0, work, TELLS_ALL, true);
         let now = self.instant() + SPREAD;
         for view in &mut self.views[1..] {
-            view.hear_status(status.clone(), now);
+            view.apply_status(status.clone(), now);
         }
         self.again(TELLS_ALL, Event::TellsAll);
     }
--- a/crates/fleet/src/view/under_way.rs
+++ b/crates/fleet/src/view/under_way.rs
@@ -50,7 +50,7 @@
 impl FleetView {
     /// Takes in what another instance has under way. Older notes than the
     /// last one change nothing.
-    pub fn hear_status(&mut self, status: Status, now: Instant) {
+    pub fn apply_status(&mut self, status: Status, now: Instant) {
         if let Some(last) = self.peers.get(&status.from)
             && last.sequence >= status.sequence
             && now < last.holds_until
--- a/crates/fleet/tests/loader_rules.rs
+++ b/crates/fleet/tests/loader_rules.rs
@@ -126,7 +126,7 @@
     }
     let mut theirs = Work::default();
     theirs.begin(Some(&key(2)), 100);
-    view.hear_status(status("peer", vec![("e1".to_owned(), theirs)]), now);
+    view.apply_status(status("peer", vec![("e1".to_owned(), theirs)]), now);
     let mut demand = Demand::default();
     demand.add(&key(3), 1, "z1", now);
     demand.add(&key(4), 2, "z1", now);
--- a/crates/fleet/tests/view_rules.rs
+++ b/crates/fleet/tests/view_rules.rs
@@ -159,14 +159,14 @@
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.list(endpoint("e1", "z1", &[1]), now);
-    view.hear_status(own_status("peer", 1, 5), now);
+    view.apply_status(own_status("peer", 1, 5), now);
     if let Some(state) = view.get_mut(&"e1".to_owned()) {
         state.own_work = requests(2);
     }
     let told = view.tell_work();
     assert_eq!(told, [("e1".to_owned(), requests(2))]);
     let sums = Status { is_total: true, ..own_status("holder", 1, 9) };
-    view.hear_status(sums, now);
+    view.apply_status(sums, now);
     // Nine in all, of which two are ours.
     assert_eq!(in_flight(&view), Some(9));
     if let Some(state) = view.get_mut(&"e1".to_owned()) {
@@ -175,7 +175,7 @@
     assert_eq!(in_flight(&view), Some(10));
 
     let later = now + Duration::from_millis(850);
-    view.hear_status(own_status("peer", 2, 5), later);
+    view.apply_status(own_status("peer", 2, 5), later);
     view.forget_silent_peers(now + Duration::from_millis(1_000));
     assert_eq!(in_flight(&view), Some(8));
 }
@@ -186,8 +186,8 @@
     let mut view = FleetView::new("z1");
     view.list(endpoint("e1", "z1", &[1]), now);
     view.list(endpoint("e2", "z1", &[1]), now);
-    view.hear_status(own_status("one", 1, 5), now);
-    view.hear_status(own_status("two", 1, 3), now);
+    view.apply_status(own_status("one", 1, 5), now);
+    view.apply_status(own_status("two", 1, 3), now);
     if let Some(state) = view.get_mut(&"e1".to_owned()) {
         state.own_work = requests(2);
     }
@@ -207,7 +207,7 @@
         view.list(endpoint(&format!("e{n}"), "z1", &[1]), now);
     }
     for n in 0..60 {
-        view.hear_status(own_status(&format!("peer{n}"), 1, 0), now);
+        view.apply_status(own_status(&format!("peer{n}"), 1, 0), now);
     }
     // One seems a little less loaded than the others.
     for n in 1..7 {
@@ -233,7 +233,7 @@
     view.list(endpoint("e1", "z1", &[1]), now);
     view.list(endpoint("e2", "z1", &[1]), now);
     let status = own_status("peer", 1, 20);
-    view.hear_status(status, now);
+    view.apply_status(status, now);
     assert_eq!(sent_to(&choose(&view, &key(1), now)), Some("e2"));
 }
 
@@ -243,8 +243,8 @@
     let mut view = FleetView::new("z1");
     view.list(endpoint("e1", "z1", &[1]), now);
     let status = |sequence, count| own_status("peer", sequence, count);
-    view.hear_status(status(2, 5), now);
-    view.hear_status(status(1, 9), now);
+    view.apply_status(status(2, 5), now);
+    view.apply_status(status(1, 9), now);
     assert_eq!(in_flight(&view), Some(5));
 }
 
@@ -254,7 +254,7 @@
     let mut view = FleetView::new("z1");
     view.list(endpoint("e1", "z1", &[1]), now);
     let status = own_status("peer", 1, 5);
-    view.hear_status(status, now);
+    view.apply_status(status, now);
     view.forget_silent_peers(now + Duration::from_millis(800));
     assert_eq!(in_flight(&view), Some(5));
     view.forget_silent_peers(now + Duration::from_millis(1_000));
@@ -498,12 +498,12 @@
         };
         let is_heard = sequence % 10 != 0;
         if is_heard {
-            other.hear_status(note, now);
+            other.apply_status(note, now);
         }
     };
     for n in 0..5 {
         let note = Status { sequence: n, ..status("peer", work(n as u32)) };
-        holder.hear_status(note, now);
+        holder.apply_status(note, now);
         tell(&mut holder, &mut other);
     }
     for _ in 0..40 {
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -103,7 +103,7 @@
             );
             hear_customers(node, &status, now);
             announcements::hear_reports(node, &status, now);
-            node.view.borrow_mut().hear_status(status, now);
+            node.view.borrow_mut().apply_status(status, now);
         }
         Note::Departed(departure) => hear_departure(node, &departure, now),
         Note::Crashed(crash) => poison::hear(node, &crash),
