--- a/crates/fleet/src/endpoint_state.rs
+++ b/crates/fleet/src/endpoint_state.rs
@@ -332,7 +332,7 @@
     }
 
     /// Takes in that an adapter is on its way.
-    pub(crate) fn hear_placed(&mut self, placed: &Placed, now: Instant) {
+    pub(crate) fn apply_placed(&mut self, placed: &Placed, now: Instant) {
         self.removed.remove(&placed.key);
         let before = self.seats.get(&placed.key);
         let is_replacement =
@@ -356,7 +356,7 @@
 
     /// Notes that an adapter is about to be ordered.
     pub(crate) fn plan(&mut self, placed: &Placed, now: Instant) {
-        self.hear_placed(placed, now);
+        self.apply_placed(placed, now);
         if let Some(seat) = self.seats.get_mut(&placed.key) {
             seat.is_ordered = false;
         }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -419,7 +419,7 @@
 
     /// Takes in that an adapter is on its way. To a life of its engine that is
     /// over, it is not; of one that we have not heard of, the entry tells soon.
-    pub fn hear_placed(&mut self, placed: &Placed, now: Instant) {
+    pub fn apply_placed(&mut self, placed: &Placed, now: Instant) {
         let id = &placed.endpoint;
         if !self.incarnations.is_current(id, placed.born) {
             return;
@@ -427,7 +427,7 @@
         if placed.is_cold {
             self.load_time = Duration::from_millis(placed.ready_in_ms);
         }
-        self.change_seats(id, |state| state.hear_placed(placed, now));
+        self.change_seats(id, |state| state.apply_placed(placed, now));
         self.note_warm(id, &placed.key);
     }
 
--- a/crates/fleet/tests/incarnation_rules.rs
+++ b/crates/fleet/tests/incarnation_rules.rs
@@ -91,7 +91,7 @@
     let mut view = FleetView::new("z1");
     view.list(entry(0, 1), now);
     view.list(entry(1, 2), now);
-    view.hear_placed(&placed(0), now);
+    view.apply_placed(&placed(0), now);
     assert!(!holds(&view, 0));
     let removed = Removed {
         epoch: 1,
@@ -186,7 +186,7 @@
                 Word::Report => {
                     view.hear_report(&id, &reported(life), now);
                 }
-                Word::Note => view.hear_placed(&placed(life), now),
+                Word::Note => view.apply_placed(&placed(life), now),
             }
             // A life is left for good once an entry has shown a later one.
             if heard[life] && listed.is_some_and(|listed| life < listed) {
--- a/crates/fleet/tests/view_rules.rs
+++ b/crates/fleet/tests/view_rules.rs
@@ -87,7 +87,7 @@
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.list(endpoint("e1", "z1", &[]), now);
-    view.hear_placed(&placed("e1", 1, 270), now);
+    view.apply_placed(&placed("e1", 1, 270), now);
     let wait = Duration::from_millis(270);
     assert_eq!(choose(&view, &key(1), now), Choice::Loading(wait));
     assert_eq!(sent_to(&choose(&view, &key(1), now + wait)), Some("e1"));
@@ -98,7 +98,7 @@
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.list(endpoint("e1", "z1", &[2]), now);
-    view.hear_placed(&placed("e1", 1, 0), now);
+    view.apply_placed(&placed("e1", 1, 0), now);
     let removed = Removed {
         epoch: 1,
         endpoint: "e1".to_owned(),
@@ -305,7 +305,7 @@
     view.list(endpoint("e1", "z1", &[]), now);
     let id = "e1".to_owned();
     view.hear_report(&id, &report(&[1, 2], 2), now);
-    view.hear_placed(&placed("e1", 3, 0), now);
+    view.apply_placed(&placed("e1", 3, 0), now);
     let late = now + Duration::from_secs(20);
     view.list(endpoint("e1", "z1", &[1]), late);
     let seats = view.get(&id).map(|s| s.seats().count());
@@ -381,7 +381,7 @@
         is_cold: false,
         born: None,
     };
-    view.hear_placed(&placed, now);
+    view.apply_placed(&placed, now);
     assert_eq!(view.choose(patient, now), Choice::Busy(Some(ready_in)));
     assert_eq!(sent_to(&view.choose(patient, now + ready_in)), Some("e2"));
     // One that may wait no longer is sent where it can run.
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -146,7 +146,7 @@
         Note::Placed(_) | Note::Removed(_)
             if node.current_lease(now).is_some() => {}
         Note::Placed(placed) => {
-            node.view.borrow_mut().hear_placed(&placed, now);
+            node.view.borrow_mut().apply_placed(&placed, now);
             node.wake(&placed.key);
         }
         Note::Removed(removed) => {
