--- a/crates/fleet/src/loader.rs
+++ b/crates/fleet/src/loader.rs
@@ -351,7 +351,7 @@
             key: key.clone(),
             born: self.view.incarnation(endpoint),
         };
-        self.view.hear_removed(&removed, self.now);
+        self.view.apply_removed(&removed, self.now);
     }
 
     /// Begins a load from the weight store.
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -466,7 +466,7 @@
     }
 
     /// Takes in that an adapter leaves an engine.
-    pub fn hear_removed(&mut self, removed: &Removed, now: Instant) {
+    pub fn apply_removed(&mut self, removed: &Removed, now: Instant) {
         if !self.incarnations.is_current(&removed.endpoint, removed.born) {
             return;
         }
--- a/crates/fleet/tests/incarnation_rules.rs
+++ b/crates/fleet/tests/incarnation_rules.rs
@@ -99,7 +99,7 @@
         key: key(1),
         born: Some(BORN[0]),
     };
-    view.hear_removed(&removed, now);
+    view.apply_removed(&removed, now);
     assert!(holds(&view, 1));
 }
 
--- a/crates/fleet/tests/view_rules.rs
+++ b/crates/fleet/tests/view_rules.rs
@@ -105,7 +105,7 @@
         key: key(2),
         born: None,
     };
-    view.hear_removed(&removed, now);
+    view.apply_removed(&removed, now);
     let soon = now + Duration::from_secs(1);
     view.list(endpoint("e1", "z1", &[2]), soon);
     assert_eq!(sent_to(&choose(&view, &key(1), soon)), Some("e1"));
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -150,7 +150,7 @@
             node.wake(&placed.key);
         }
         Note::Removed(removed) => {
-            node.view.borrow_mut().hear_removed(&removed, now);
+            node.view.borrow_mut().apply_removed(&removed, now);
         }
     }
 }
