--- a/crates/fleet/benches/decisions.rs
+++ b/crates/fleet/benches/decisions.rs
@@ -63,7 +63,7 @@
             orders_taken: 0,
             born: None,
         };
-        view.hear_report(&id(engine), &report, now);
+        view.apply_report(&id(engine), &report, now);
     }
     view
 }
--- a/crates/fleet/src/endpoint_state.rs
+++ b/crates/fleet/src/endpoint_state.rs
@@ -307,7 +307,7 @@
     }
 
     /// Takes in its own report, which is newer than its entry.
-    pub(crate) fn hear_report(&mut self, report: &EngineReport, now: Instant) {
+    pub(crate) fn apply_report(&mut self, report: &EngineReport, now: Instant) {
         self.removed.clear();
         self.seats.clear();
         self.is_ordered_by_us = false;
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -235,7 +235,7 @@
 
     /// Takes in an engine's own report, which is newer than its entry; returns
     /// whether it speaks of the life that the engine has now.
-    pub fn hear_report(
+    pub fn apply_report(
         &mut self,
         id: &EndpointId,
         report: &EngineReport,
@@ -246,7 +246,7 @@
             IncarnationStatus::New => self.begin_life(id),
             IncarnationStatus::Ended => return false,
         }
-        self.change_seats(id, |state| state.hear_report(report, now));
+        self.change_seats(id, |state| state.apply_report(report, now));
         true
     }
 
--- a/crates/fleet/tests/incarnation_rules.rs
+++ b/crates/fleet/tests/incarnation_rules.rs
@@ -53,7 +53,7 @@
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.list(entry(0, 1), now);
-    view.hear_report(&ID.to_owned(), &reported(0), now);
+    view.apply_report(&ID.to_owned(), &reported(0), now);
     assert_eq!(sent_to(&choose(&view, &key(0), now)), Some(ID));
     view.list(entry(1, 2), now);
     assert_eq!(choose(&view, &key(0), now), Choice::Absent);
@@ -69,7 +69,7 @@
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.list(entry(0, 1), now);
-    assert!(view.hear_report(&ID.to_owned(), &reported(1), now));
+    assert!(view.apply_report(&ID.to_owned(), &reported(1), now));
     view.list(entry(0, 2), now);
     assert!(holds(&view, 1) && !holds(&view, 0));
     assert_eq!(view.incarnation(&ID.to_owned()), Some(BORN[1]));
@@ -81,7 +81,7 @@
     let mut view = FleetView::new("z1");
     view.list(entry(0, 1), now);
     view.list(entry(1, 2), now);
-    assert!(!view.hear_report(&ID.to_owned(), &reported(0), now));
+    assert!(!view.apply_report(&ID.to_owned(), &reported(0), now));
     assert!(holds(&view, 1) && !holds(&view, 0));
 }
 
@@ -184,7 +184,7 @@
                     continue;
                 }
                 Word::Report => {
-                    view.hear_report(&id, &reported(life), now);
+                    view.apply_report(&id, &reported(life), now);
                 }
                 Word::Note => view.apply_placed(&placed(life), now),
             }
@@ -210,6 +210,6 @@
         view.list(entry(last, 1_000), later);
         prop_assert_eq!(view.incarnation(&id), Some(BORN[last]));
         prop_assert!(holds(&view, last));
-        prop_assert!(view.hear_report(&id, &reported(last), later));
+        prop_assert!(view.apply_report(&id, &reported(last), later));
     }
 }
--- a/crates/fleet/tests/loader_rules.rs
+++ b/crates/fleet/tests/loader_rules.rs
@@ -48,7 +48,7 @@
     let mut view = FleetView::new("z1");
     for (id, adapters) in engines {
         view.list(endpoint(id, "z1", adapters), now);
-        view.hear_report(&(*id).to_owned(), &report(adapters, 0), now);
+        view.apply_report(&(*id).to_owned(), &report(adapters, 0), now);
     }
     view
 }
@@ -150,9 +150,9 @@
     assert_eq!(loads(&orders), [("e2", key(9))]);
     let later = now + Duration::from_secs(4);
     let home = "e2".to_owned();
-    view.hear_report(&home, &report(&[], 2), later);
+    view.apply_report(&home, &report(&[], 2), later);
     // Another engine has less to do, and would need the weight store.
-    view.hear_report(&"e3".to_owned(), &report(&[], 0), later);
+    view.apply_report(&"e3".to_owned(), &report(&[], 0), later);
     if let Some(state) = view.get_mut(&home) {
         state.own_work = requests(8);
     }
@@ -259,7 +259,7 @@
     view.list(empty, now);
     let mut nothing = report(&[], 0);
     nothing.models.clear();
-    view.hear_report(&"e1".to_owned(), &nothing, now);
+    view.apply_report(&"e1".to_owned(), &nothing, now);
     let mut loader = loader(1, now);
     let mut demand = Demand::default();
     let orders = plan(&mut loader, &mut view, &mut demand, now);
@@ -356,7 +356,7 @@
                         let mut state = report(&[], 0);
                         let adapters = &mut state.models[0].adapters;
                         adapters.extend(held[e].iter().map(|k| (k.clone(), 1)));
-                        view.hear_report(&order.endpoint, &state, now);
+                        view.apply_report(&order.endpoint, &state, now);
                     }
                     Task::Load(key, _) => {
                         if !held[e].contains(&key) {
@@ -424,7 +424,7 @@
 fn a_free_place_is_taken_while_the_engine_at_hand_has_none() {
     let now = Instant::now();
     let mut view = synced(&[("e1", &[9]), ("e2", &[])], now);
-    view.hear_report(&"e1".to_owned(), &report(&[1, 2, 3, 4], 0), now);
+    view.apply_report(&"e1".to_owned(), &report(&[1, 2, 3, 4], 0), now);
     if let Some(state) = view.get_mut(&"e1".to_owned()) {
         for n in 1..=4 {
             state.own_work.begin(Some(&key(n)), 100);
--- a/crates/fleet/tests/view_rules.rs
+++ b/crates/fleet/tests/view_rules.rs
@@ -291,7 +291,7 @@
     let mut view = FleetView::new("z1");
     view.list(endpoint("e1", "z1", &[1]), now);
     let id = "e1".to_owned();
-    view.hear_report(&id, &report(&[1], 3), now);
+    view.apply_report(&id, &report(&[1], 3), now);
     view.note_absent(&id, &key(1), now);
     let state = view.get(&id);
     assert!(state.is_some_and(|state| state.seat(&key(1)).is_some()));
@@ -304,7 +304,7 @@
     let mut view = FleetView::new("z1");
     view.list(endpoint("e1", "z1", &[]), now);
     let id = "e1".to_owned();
-    view.hear_report(&id, &report(&[1, 2], 2), now);
+    view.apply_report(&id, &report(&[1, 2], 2), now);
     view.apply_placed(&placed("e1", 3, 0), now);
     let late = now + Duration::from_secs(20);
     view.list(endpoint("e1", "z1", &[1]), late);
@@ -323,7 +323,7 @@
     let mut view = FleetView::new("z1");
     let id = "e1".to_owned();
     view.list(endpoint("e1", "z1", &[]), now);
-    view.hear_report(&id, &report(&[1], 1), now);
+    view.apply_report(&id, &report(&[1], 1), now);
     assert!(view.get(&id).is_some_and(|s| s.is_ordered_by_us()));
     view.unlist(&id, 2, true, now);
     let mut back = endpoint("e1", "z1", &[1]);
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -157,7 +157,7 @@
                 let now = Instant::now();
                 let mut view = self.node.view.borrow_mut();
                 let is_of_this_life =
-                    view.hear_report(&order.endpoint, &report, now);
+                    view.apply_report(&order.endpoint, &report, now);
                 taken.count = is_of_this_life.then_some(report.orders_taken);
             }
             Ok(_) => {
