--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -159,7 +159,7 @@
     /// Takes in entries that another instance knows, without their adapters, while
     /// we do not reach the store: those of new endpoints, and newer ones of engines
     /// whose adapters we know by ourselves.
-    pub fn hear_entries(&mut self, entries: Vec<Endpoint>, now: Instant) {
+    pub fn apply_entries(&mut self, entries: Vec<Endpoint>, now: Instant) {
         for entry in entries {
             let is_useful = self
                 .get(&entry.id)
--- a/crates/fleet/tests/view_rules.rs
+++ b/crates/fleet/tests/view_rules.rs
@@ -425,7 +425,7 @@
     view.list(endpoint("e1", "z1", &[1]), now);
     let known = endpoint("e1", "z1", &[1]).without_adapters();
     let new = endpoint("e2", "z1", &[2]).without_adapters();
-    view.hear_entries(vec![known, new], now);
+    view.apply_entries(vec![known, new], now);
     // What is known of the adapters of the first comes from its own entry.
     let first = view.get(&"e1".to_owned()).expect("an engine");
     assert!(first.seat(&key(1)).is_some());
@@ -435,7 +435,7 @@
     let id = "e2".to_owned();
     view.hear_departure(&Departure::of_entry(&id, 5), now);
     let older = endpoint("e2", "z1", &[2]).without_adapters();
-    view.hear_entries(vec![older], now);
+    view.apply_entries(vec![older], now);
     let second = view.get(&"e2".to_owned()).expect("the engine");
     assert!(!second.is_usable(now));
 }
--- a/crates/sedgewalld/src/fleet/lease_store.rs
+++ b/crates/sedgewalld/src/fleet/lease_store.rs
@@ -230,7 +230,7 @@
 pub(super) fn hear_answer(node: &FleetNode, heard: RenewalAnswer) {
     let now = Instant::now();
     let mut view = node.view.borrow_mut();
-    view.hear_entries(heard.endpoints, now);
+    view.apply_entries(heard.endpoints, now);
     drop(view);
     for (key, version) in &heard.versions {
         node.name_version(key, *version);
