--- a/crates/fleet/src/view/departed.rs
+++ b/crates/fleet/src/view/departed.rs
@@ -29,7 +29,7 @@
 
     /// Takes in that another instance saw an endpoint leave; returns whether
     /// that is news.
-    pub fn hear_departure(
+    pub fn apply_departure(
         &mut self,
         departure: &Departure,
         now: Instant,
@@ -61,7 +61,7 @@
         let state = self.endpoints.get(endpoint);
         let revision = state.map_or(0, |state| state.endpoint.revision);
         let departure = Departure::announced(endpoint, *born, revision);
-        let is_news = self.hear_departure(&departure, now);
+        let is_news = self.apply_departure(&departure, now);
         if is_news {
             self.untold.push(departure);
         }
--- a/crates/fleet/tests/departure_rules.rs
+++ b/crates/fleet/tests/departure_rules.rs
@@ -39,7 +39,7 @@
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.list(entry(3, false), now);
-    view.hear_departure(&departure(5), now);
+    view.apply_departure(&departure(5), now);
     view.list(entry(4, false), now);
     assert_eq!(choose(&view, &key(1), now), Choice::NoEndpoint);
     view.list(entry(6, false), now);
@@ -50,7 +50,7 @@
 fn a_departure_is_known_before_the_endpoint_is() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.hear_departure(&departure(5), now);
+    view.apply_departure(&departure(5), now);
     view.list(entry(4, false), now);
     assert!(!is_chosen(&view, now));
 }
@@ -75,8 +75,8 @@
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.list(entry(3, false), now);
-    assert!(view.hear_departure(&departure(4), now));
-    assert!(!view.hear_departure(&departure(4), now));
+    assert!(view.apply_departure(&departure(4), now));
+    assert!(!view.apply_departure(&departure(4), now));
     assert!(view.take_untold().is_empty());
     // A lost note is repaired by whoever heard it.
     assert_eq!(view.departures(now), [departure(4)]);
@@ -138,7 +138,7 @@
                     }
                 }
                 Step::Heard(revision) => {
-                    view.hear_departure(&departure(revision), now);
+                    view.apply_departure(&departure(revision), now);
                     left = left.max(revision);
                 }
                 Step::Missing(revision) => {
@@ -195,6 +195,6 @@
     let mut view = FleetView::new("z1");
     view.list(entry(7, false), now);
     let departure = Departure::announced(&"e1".to_owned(), None, 3);
-    assert!(view.hear_departure(&departure, now));
+    assert!(view.apply_departure(&departure, now));
     assert!(!is_chosen(&view, now));
 }
--- a/crates/fleet/tests/view_rules.rs
+++ b/crates/fleet/tests/view_rules.rs
@@ -68,9 +68,9 @@
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.list(endpoint("e1", "z1", &[1]), now);
-    assert!(view.hear_departure(&departure("e1", 1), now));
+    assert!(view.apply_departure(&departure("e1", 1), now));
     assert_eq!(choose(&view, &key(1), now), Choice::NoEndpoint);
-    assert!(!view.hear_departure(&departure("e1", 1), now));
+    assert!(!view.apply_departure(&departure("e1", 1), now));
 }
 
 #[test]
@@ -433,7 +433,7 @@
     assert!(second.has_model("m") && !second.is_ordered_by_us());
     // One that has left since is not brought back.
     let id = "e2".to_owned();
-    view.hear_departure(&Departure::of_entry(&id, 5), now);
+    view.apply_departure(&Departure::of_entry(&id, 5), now);
     let older = endpoint("e2", "z1", &[2]).without_adapters();
     view.apply_entries(vec![older], now);
     let second = view.get(&"e2".to_owned()).expect("the engine");
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -161,7 +161,7 @@
     departure: &Departure,
     now: Instant,
 ) {
-    if !node.view.borrow_mut().hear_departure(departure, now) {
+    if !node.view.borrow_mut().apply_departure(departure, now) {
         return;
     }
     let Departure { endpoint, revision, is_announced, .. } = departure;
