--- a/crates/fleet/src/view/limits.rs
+++ b/crates/fleet/src/view/limits.rs
@@ -42,7 +42,7 @@
     }
 
     /// Takes in another instance's report of a limit; returns what changed.
-    pub fn hear_limit(
+    pub fn apply_limit_report(
         &mut self,
         report: &LimitReport,
         source: ReportSource<'_>,
--- a/crates/sedgewalld/src/fleet/announcements.rs
+++ b/crates/sedgewalld/src/fleet/announcements.rs
@@ -129,7 +129,7 @@
     let source = ReportSource { from, is_total, until };
     let mut view = node.view.borrow_mut();
     for report in &status.limits {
-        if let Some(change) = view.hear_limit(report, source, now) {
+        if let Some(change) = view.apply_limit_report(report, source, now) {
             log_limit(&report.endpoint, change, from);
         }
     }
