--- a/crates/fleet/src/view/limits.rs
+++ b/crates/fleet/src/view/limits.rs
@@ -92,7 +92,7 @@
 
     /// Takes in that an endpoint takes no more from some instance for a time: what
     /// it holds needs another place.
-    pub fn hear_saturated(
+    pub fn mark_saturated(
         &mut self,
         id: &EndpointId,
         time: Duration,
--- a/crates/fleet/tests/loader_rules.rs
+++ b/crates/fleet/tests/loader_rules.rs
@@ -521,7 +521,7 @@
 
     let time = Duration::from_secs(1);
     for id in ["e1", "e2"] {
-        view.hear_saturated(&id.to_owned(), time, now);
+        view.mark_saturated(&id.to_owned(), time, now);
     }
     asked(&mut demand, 1, 1, now);
     let orders = plan(&mut loader, &mut view, &mut demand, now);
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -251,7 +251,7 @@
     hear_arrivals(node, &asked.arrivals, now);
     for (endpoint, for_ms) in &asked.saturated {
         let time = Duration::from_millis(*for_ms);
-        node.view.borrow_mut().hear_saturated(endpoint, time, now);
+        node.view.borrow_mut().mark_saturated(endpoint, time, now);
     }
     if asked.waiting.is_empty() {
         return;
