--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -333,7 +333,7 @@
     }
 
     /// Takes in that several instances cannot reach an endpoint.
-    pub fn hear_suspect(
+    pub fn mark_suspect(
         &mut self,
         id: &EndpointId,
         time: Duration,
--- a/crates/fleet/tests/incarnation_rules.rs
+++ b/crates/fleet/tests/incarnation_rules.rs
@@ -128,7 +128,7 @@
     for _ in 0..8 {
         view.get_mut(&id).expect("it is listed").health.failed(now);
     }
-    view.hear_suspect(&id, Duration::from_secs(9), now);
+    view.mark_suspect(&id, Duration::from_secs(9), now);
     assert_eq!(choose(&view, &key(0), now), Choice::NoEndpoint);
     view.list(entry(1, 2), now);
     assert_eq!(sent_to(&choose(&view, &key(1), now)), Some(ID));
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -119,7 +119,7 @@
         Note::Renewed(answer) => lease_store::hear_answer(node, answer),
         Note::Suspect { endpoint, for_ms } => {
             let time = Duration::from_millis(for_ms);
-            node.view.borrow_mut().hear_suspect(&endpoint, time, now);
+            node.view.borrow_mut().mark_suspect(&endpoint, time, now);
             node.wake_all();
         }
         Note::AskFresh { from, number } => {
@@ -303,7 +303,7 @@
     let for_ms = time.as_millis() as u64;
     let by = &asked.from;
     tracing::warn!(event = "endpoint_suspect", endpoint, by, for_ms);
-    node.view.borrow_mut().hear_suspect(endpoint, time, now);
+    node.view.borrow_mut().mark_suspect(endpoint, time, now);
     let note = Note::Suspect { endpoint: endpoint.clone(), for_ms };
     node.outbox.borrow_mut().push(note);
     node.notify_notes();
