--- a/crates/fleet/src/incarnation.rs
+++ b/crates/fleet/src/incarnation.rs
@@ -82,7 +82,7 @@
 
 impl Incarnations {
     /// Takes in an entry, as of a revision of the store.
-    pub fn hear_entry(
+    pub fn apply_entry(
         &mut self,
         id: &EndpointId,
         born: Option<Incarnation>,
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -132,7 +132,7 @@
             return;
         }
         let (born, revision) = (endpoint.born, endpoint.revision);
-        match self.incarnations.hear_entry(&id, born, revision, now) {
+        match self.incarnations.apply_entry(&id, born, revision, now) {
             IncarnationStatus::Current => {}
             IncarnationStatus::New => self.begin_life(&id),
             IncarnationStatus::Ended => return,
