--- a/crates/bench/src/herd/world.rs
+++ b/crates/bench/src/herd/world.rs
@@ -314,7 +314,7 @@
 
     /// An instance tells the holder, or all others if they are few.
     fn tell_holder(&mut self, instance: usize) {
-        let work = self.views[instance].tell_work();
+        let work = self.views[instance].publish_work();
         let status = self.status(instance, work, TELLS_HOLDER, false);
         let now = self.instant() + TRAVEL;
         match self.is_many() {
--- a/crates/fleet/src/view/under_way.rs
+++ b/crates/fleet/src/view/under_way.rs
@@ -121,7 +121,7 @@
 
     /// Returns what this instance has under way; endpoints without work are left
     /// out. Notes what is told.
-    pub fn tell_work(&mut self) -> Vec<(EndpointId, Work)> {
+    pub fn publish_work(&mut self) -> Vec<(EndpointId, Work)> {
         let mut told = Vec::new();
         for (id, state) in &mut self.endpoints {
             state.told_work = state.own_work.without_adapters();
--- a/crates/fleet/tests/view_rules.rs
+++ b/crates/fleet/tests/view_rules.rs
@@ -163,7 +163,7 @@
     if let Some(state) = view.get_mut(&"e1".to_owned()) {
         state.own_work = requests(2);
     }
-    let told = view.tell_work();
+    let told = view.publish_work();
     assert_eq!(told, [("e1".to_owned(), requests(2))]);
     let sums = Status { is_total: true, ..own_status("holder", 1, 9) };
     view.apply_status(sums, now);
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -481,7 +481,7 @@
     let Totals { work, is_part } = match is_total {
         true => node.view.borrow_mut().tell_totals(),
         false => {
-            let work = node.view.borrow_mut().tell_work();
+            let work = node.view.borrow_mut().publish_work();
             Totals { work, is_part: false }
         }
     };
