--- a/crates/bench/src/herd/world.rs
+++ b/crates/bench/src/herd/world.rs
@@ -332,7 +332,7 @@
     }
 
     fn tell_all(&mut self) {
-        let Totals { work, .. } = self.views[0].tell_totals();
+        let Totals { work, .. } = self.views[0].publish_totals();
         let status = self.status(0, work, TELLS_ALL, true);
         let now = self.instant() + SPREAD;
         for view in &mut self.views[1..] {
--- a/crates/fleet/src/view/under_way.rs
+++ b/crates/fleet/src/view/under_way.rs
@@ -135,7 +135,7 @@
     /// Returns what all instances have under way, for the holder of the lease to
     /// tell. Where that is more than fits a note, it is what has changed most since
     /// it was told, and some of the others in turn, for whoever missed them.
-    pub fn tell_totals(&mut self) -> Totals {
+    pub fn publish_totals(&mut self) -> Totals {
         let mut all = Vec::new();
         for (id, state) in &mut self.endpoints {
             state.told_work = state.own_work.without_adapters();
--- a/crates/fleet/tests/view_rules.rs
+++ b/crates/fleet/tests/view_rules.rs
@@ -191,7 +191,7 @@
     if let Some(state) = view.get_mut(&"e1".to_owned()) {
         state.own_work = requests(2);
     }
-    let totals = view.tell_totals();
+    let totals = view.publish_totals();
     assert_eq!(totals.work, [("e1".to_owned(), requests(10))]);
     assert!(!totals.is_part);
 }
@@ -487,7 +487,7 @@
     };
     let mut sequence = 0;
     let mut tell = |holder: &mut FleetView, other: &mut FleetView| {
-        let totals = holder.tell_totals();
+        let totals = holder.publish_totals();
         assert!(totals.work.len() <= 256);
         sequence += 1;
         let note = Status {
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -479,7 +479,7 @@
     let is_total = around.is_many() && leads.is_some();
     node.has_untold_work.set(false);
     let Totals { work, is_part } = match is_total {
-        true => node.view.borrow_mut().tell_totals(),
+        true => node.view.borrow_mut().publish_totals(),
         false => {
             let work = node.view.borrow_mut().publish_work();
             Totals { work, is_part: false }
