--- a/crates/fleet/src/view/choice.rs
+++ b/crates/fleet/src/view/choice.rs
@@ -285,7 +285,7 @@
 
     /// Takes in how long an engine took to begin an answer, before which it
     /// had to read so many tokens.
-    pub fn observe_pace(
+    pub fn observe_first_event(
         &mut self,
         service: &str,
         tokens: u64,
@@ -293,7 +293,7 @@
     ) {
         let Some(pace) = self.paces.get_mut(service) else {
             self.paces.insert(service.to_owned(), Pace::default());
-            return self.observe_pace(service, tokens, took);
+            return self.observe_first_event(service, tokens, took);
         };
         pace.observe(tokens, took);
     }
--- a/crates/fleet/tests/loader_rules.rs
+++ b/crates/fleet/tests/loader_rules.rs
@@ -181,7 +181,7 @@
     let mut view = synced(&[("e1", &[1]), ("e2", &[]), ("e3", &[])], now);
     for n in 1..40_u64 {
         let took = Duration::from_millis(n * 50);
-        view.observe_pace(SERVICE, n * 1_000, took);
+        view.observe_first_event(SERVICE, n * 1_000, took);
     }
     for id in ["e1", "e2"] {
         if let Some(state) = view.get_mut(&id.to_owned()) {
--- a/crates/fleet/tests/view_rules.rs
+++ b/crates/fleet/tests/view_rules.rs
@@ -336,7 +336,7 @@
 fn learn_pace(view: &mut FleetView) {
     for n in 1..40_u64 {
         let took = Duration::from_millis(n * 50);
-        view.observe_pace(SERVICE, n * 1_000, took);
+        view.observe_first_event(SERVICE, n * 1_000, took);
     }
 }
 
--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -220,7 +220,7 @@
     if ended.is_ok() && call.key().is_some() {
         let tokens = target.unread_tokens + prompt_tokens;
         let mut view = node.view.borrow_mut();
-        view.observe_pace(&call.service, tokens, began.elapsed());
+        view.observe_first_event(&call.service, tokens, began.elapsed());
     }
     note_arrival(node, call, target, &ended, began);
     note(node, call, target, &ended);
