--- a/crates/bench/src/herd/world.rs
+++ b/crates/bench/src/herd/world.rs
@@ -302,7 +302,7 @@
         }
         if is_done {
             let took = self.now - asked.sent;
-            view.observe_stay(&id, asked.found_load, took);
+            view.observe_residence_time(&id, asked.found_load, took);
             let is_in_time = self.now - asked.at <= self.load.target;
             if self.counts(request) && is_in_time {
                 self.outcome.in_time += 1;
--- a/crates/fleet/src/view/spread.rs
+++ b/crates/fleet/src/view/spread.rs
@@ -195,7 +195,7 @@
 
     /// Takes in how long a request was under way at an endpoint that had so many
     /// others for each slot, as far as was known.
-    pub fn observe_stay(
+    pub fn observe_residence_time(
         &mut self,
         id: &EndpointId,
         load: f64,
--- a/crates/sedgewalld/src/fleet/under_way.rs
+++ b/crates/sedgewalld/src/fleet/under_way.rs
@@ -77,7 +77,7 @@
         }
         if self.key.is_none() {
             let took = self.began.elapsed();
-            view.observe_stay(&self.endpoint, self.load, took);
+            view.observe_residence_time(&self.endpoint, self.load, took);
         }
     }
 }
