--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -352,7 +352,7 @@
     }
 
     /// Returns how many versions of weights were named, counting each rise.
-    pub fn versions_named(&self) -> u64 {
+    pub fn versions_announced(&self) -> u64 {
         self.newest.values().map(|(version, _)| version).sum()
     }
 
--- a/crates/sedgewalld/src/fleet/catch_up.rs
+++ b/crates/sedgewalld/src/fleet/catch_up.rs
@@ -219,7 +219,7 @@
     let deployment = node.deployment().filter(|d| newer(d.version));
     let condemned = node.poison.borrow().condemned(Instant::now());
     let view = node.view.borrow();
-    let versions = match view.versions_named() > known.versions {
+    let versions = match view.versions_announced() > known.versions {
         true => view.named_versions().map(|(k, v)| (k.clone(), v)).collect(),
         false => Vec::new(),
     };
--- a/crates/sedgewalld/src/fleet/knowledge.rs
+++ b/crates/sedgewalld/src/fleet/knowledge.rs
@@ -49,7 +49,7 @@
     pub(crate) fn knowledge(&self) -> Knowledge {
         Knowledge {
             configuration: self.configuration_version().unwrap_or(0),
-            versions: self.view.borrow().versions_named(),
+            versions: self.view.borrow().versions_announced(),
             condemned: self.poison.borrow().condemned_len() as u64,
         }
     }
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -485,7 +485,7 @@
             Totals { work, is_part: false }
         }
     };
-    let versions = node.view.borrow().versions_named();
+    let versions = node.view.borrow().versions_announced();
     let shares = node.shares.borrow();
     let asked_by_customers = match is_total {
         true => shares.asked_of_all(now),
