--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -345,7 +345,7 @@
     }
 
     /// Returns the newest version of each model and adapter that one was named of.
-    pub fn named_versions(
+    pub fn newest_versions(
         &self,
     ) -> impl Iterator<Item = (&AdapterKey, WeightVersion)> {
         self.newest.iter().map(|(key, (version, _))| (key, *version))
--- a/crates/sedgewalld/src/fleet/catch_up.rs
+++ b/crates/sedgewalld/src/fleet/catch_up.rs
@@ -220,7 +220,7 @@
     let condemned = node.poison.borrow().condemned(Instant::now());
     let view = node.view.borrow();
     let versions = match view.versions_announced() > known.versions {
-        true => view.named_versions().map(|(k, v)| (k.clone(), v)).collect(),
+        true => view.newest_versions().map(|(k, v)| (k.clone(), v)).collect(),
         false => Vec::new(),
     };
     Missed {
--- a/crates/sedgewalld/src/fleet/lease_store.rs
+++ b/crates/sedgewalld/src/fleet/lease_store.rs
@@ -212,7 +212,7 @@
         answer = ?answer,
     );
     let view = node.view.borrow();
-    let versions = view.named_versions();
+    let versions = view.newest_versions();
     let answer = RenewalAnswer {
         number,
         answer,
