--- a/crates/fleet/src/endpoint_state.rs
+++ b/crates/fleet/src/endpoint_state.rs
@@ -381,7 +381,7 @@
     }
 
     /// Notes that an adapter that was about to be ordered is there already.
-    pub(crate) fn was_there(&mut self, key: &AdapterKey, now: Instant) {
+    pub(crate) fn mark_present(&mut self, key: &AdapterKey, now: Instant) {
         if let Some(seat) = self.seats.get_mut(key) {
             seat.is_ordered = true;
             seat.is_unproven = false;
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -454,14 +454,14 @@
     }
 
     /// Notes that an adapter that was about to be ordered is there already.
-    pub fn was_there(
+    pub fn mark_present(
         &mut self,
         id: &EndpointId,
         key: &AdapterKey,
         now: Instant,
     ) {
         if let Some(state) = self.endpoints.get_mut(id) {
-            state.was_there(key, now);
+            state.mark_present(key, now);
         }
     }
 
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -298,7 +298,7 @@
         let Task::Load(key, _) = &order.task else { return };
         self.forget_load(order);
         let mut view = self.node.view.borrow_mut();
-        view.was_there(&order.endpoint, key, Instant::now());
+        view.mark_present(&order.endpoint, key, Instant::now());
     }
 
     fn tell_placed(&self, epoch: Epoch, order: &Order, is_cold: bool) {
