--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -307,7 +307,7 @@
 
     /// Returns where an adapter is or will be, as a note for an instance that
     /// asks.
-    pub fn whereabouts(
+    pub fn placement_notes(
         &self,
         key: &AdapterKey,
         epoch: Epoch,
--- a/crates/fleet/tests/view_rules.rs
+++ b/crates/fleet/tests/view_rules.rs
@@ -453,7 +453,7 @@
     view.plan_placed(&placed("e1", 1, 250), now);
     let held = view.get(&"e1".to_owned()).expect("an engine");
     assert!(held.seat(&key(1)).is_some());
-    assert_eq!(view.whereabouts(&key(1), 1, now), []);
+    assert_eq!(view.placement_notes(&key(1), 1, now), []);
     // The order goes out 0.8 s later; the load begins then.
     let taken = now + Duration::from_millis(800);
     let choice = choose(&view, &key(1), taken);
@@ -463,7 +463,7 @@
         view.order_taken(&"e1".to_owned(), &key(1), taken),
         Some(ready_in)
     );
-    assert_eq!(view.whereabouts(&key(1), 1, taken).len(), 1);
+    assert_eq!(view.placement_notes(&key(1), 1, taken).len(), 1);
     let choice = choose(&view, &key(1), taken + ready_in);
     assert_eq!(sent_to(&choice), Some("e1"));
 }
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -321,7 +321,7 @@
     let mut known = Vec::new();
     let mut askers = node.askers.borrow_mut();
     for (key, _) in &asked.waiting {
-        let places = node.view.borrow().whereabouts(key, held.epoch, now);
+        let places = node.view.borrow().placement_notes(key, held.epoch, now);
         if places.is_empty() {
             let of_key = askers.entry(key.clone()).or_default();
             of_key.insert(asked.from.clone());
