--- a/crates/fleet/src/order.rs
+++ b/crates/fleet/src/order.rs
@@ -44,6 +44,6 @@
         if let Task::Load(key, _) = &self.task {
             view.take_back(&self.endpoint, key);
         }
-        view.lose_track(&self.endpoint);
+        view.invalidate_contents(&self.endpoint);
     }
 }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -143,7 +143,7 @@
         let is_back = !endpoint.is_draining
             && self.get(&id).is_some_and(|state| state.endpoint.is_draining);
         if is_back {
-            self.lose_track(&id);
+            self.invalidate_contents(&id);
         }
         if !self.endpoints.contains_key(&id) {
             let mut state = EndpointState::new(endpoint.clone());
@@ -256,7 +256,7 @@
     }
 
     /// Notes that nobody knows what an engine holds, until it reports again.
-    pub fn lose_track(&mut self, id: &EndpointId) {
+    pub fn invalidate_contents(&mut self, id: &EndpointId) {
         if let Some(state) = self.endpoints.get_mut(id) {
             state.is_ordered_by_us = false;
         }
--- a/crates/sedgewalld/src/fleet/follow_endpoints.rs
+++ b/crates/sedgewalld/src/fleet/follow_endpoints.rs
@@ -115,7 +115,7 @@
         // One that is there again belongs to the same life of its endpoint, but
         // what that holds is asked for anew.
         if self.lapsed.borrow_mut().remove(&endpoint.id).is_some() {
-            view.lose_track(&endpoint.id);
+            view.invalidate_contents(&endpoint.id);
         }
         let known = view.get(&endpoint.id);
         let was_draining = known.map(|state| state.endpoint.is_draining);
