--- a/crates/fleet/src/view/under_way.rs
+++ b/crates/fleet/src/view/under_way.rs
@@ -92,7 +92,7 @@
 
     /// Forgets instances that were not heard for too long. Call it about once
     /// a second.
-    pub fn forget_silent_peers(&mut self, now: Instant) {
+    pub fn remove_silent_peers(&mut self, now: Instant) {
         if self.totals.is_some_and(|heard| now >= heard.until) {
             self.forget_totals();
         }
--- a/crates/fleet/tests/view_rules.rs
+++ b/crates/fleet/tests/view_rules.rs
@@ -176,7 +176,7 @@
 
     let later = now + Duration::from_millis(850);
     view.apply_status(own_status("peer", 2, 5), later);
-    view.forget_silent_peers(now + Duration::from_millis(1_000));
+    view.remove_silent_peers(now + Duration::from_millis(1_000));
     assert_eq!(in_flight(&view), Some(8));
 }
 
@@ -255,9 +255,9 @@
     view.list(endpoint("e1", "z1", &[1]), now);
     let status = own_status("peer", 1, 5);
     view.apply_status(status, now);
-    view.forget_silent_peers(now + Duration::from_millis(800));
+    view.remove_silent_peers(now + Duration::from_millis(800));
     assert_eq!(in_flight(&view), Some(5));
-    view.forget_silent_peers(now + Duration::from_millis(1_000));
+    view.remove_silent_peers(now + Duration::from_millis(1_000));
     assert_eq!(in_flight(&view), Some(0));
     assert_eq!(view.live_peers(now), 0);
 }
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -374,7 +374,7 @@
         if now >= next_forget {
             next_forget = now + FORGET_EVERY;
             node.forget_heard(now);
-            node.view.borrow_mut().forget_silent_peers(now);
+            node.view.borrow_mut().remove_silent_peers(now);
             node.view.borrow_mut().forget_departures(now);
             node.suspicions.borrow_mut().forget(now);
             node.shares.borrow_mut().forget(now);
