--- a/crates/fleet/src/engine_room.rs
+++ b/crates/fleet/src/engine_room.rs
@@ -8,7 +8,7 @@
 
 /// What one engine can take in this look.
 #[derive(Clone, Debug)]
-pub(crate) struct EngineRoom {
+pub(crate) struct EngineHeadroom {
     pub(crate) endpoint: EndpointId,
     pub(crate) address: SocketAddr,
     pub(crate) zone: ZoneName,
--- a/crates/fleet/src/loader.rs
+++ b/crates/fleet/src/loader.rs
@@ -18,7 +18,7 @@
     adapter::{AdapterKey, WeightVersion},
     demand::Demand,
     endpoint_state::EndpointState,
-    engine_room::EngineRoom,
+    engine_room::EngineHeadroom,
     load_times::LoadTimes,
     note::{Placed, Removed},
     order::{Order, Task},
@@ -131,7 +131,7 @@
     now: Instant,
     /// What each engine can take; computed when first asked for, and again
     /// for the engine that gets an order.
-    engines: Option<Vec<EngineRoom>>,
+    engines: Option<Vec<EngineHeadroom>>,
 }
 
 impl Turn<'_> {
--- a/crates/fleet/src/loader/homes.rs
+++ b/crates/fleet/src/loader/homes.rs
@@ -8,7 +8,7 @@
 use crate::{
     adapter::AdapterKey,
     endpoint_state::EndpointState,
-    engine_room::{EngineRoom, Place},
+    engine_room::{EngineHeadroom, Place},
     order::{Order, Task},
     view::{BUSY_BACKLOG, OTHER_ZONE_COST},
 };
@@ -59,7 +59,7 @@
     fn cheapest_home(
         &self,
         key: &AdapterKey,
-        engines: &[EngineRoom],
+        engines: &[EngineHeadroom],
     ) -> Option<Home> {
         let zone = self.demand.get(key).map(|d| d.zone.as_str());
         let holds: Vec<&EndpointId> =
@@ -73,13 +73,13 @@
                     && !holds.contains(&&engine.endpoint)
             })
         };
-        let is_warm = |engine: &EngineRoom| warm.contains(&engine.endpoint);
+        let is_warm = |engine: &EngineHeadroom| warm.contains(&engine.endpoint);
         let has_place =
-            |engine: &EngineRoom| !matches!(engine.place, Place::None);
+            |engine: &EngineHeadroom| !matches!(engine.place, Place::None);
         let is_warm_somewhere = candidates().any(is_warm)
             && (candidates().any(|e| is_warm(e) && has_place(e))
                 || !candidates().any(|e| matches!(e.place, Place::Free)));
-        let mut best: Option<(f64, &EngineRoom)> = None;
+        let mut best: Option<(f64, &EngineHeadroom)> = None;
         for engine in candidates() {
             if warm.contains(&engine.endpoint) != is_warm_somewhere {
                 continue;
@@ -113,7 +113,7 @@
     }
 
     /// Returns what each engine that is known and usable can take.
-    fn rooms(&self) -> Vec<EngineRoom> {
+    fn rooms(&self) -> Vec<EngineHeadroom> {
         let takes_more = |s: &&EndpointState| {
             s.is_usable(self.now) && !s.is_saturated(self.now)
         };
@@ -121,7 +121,7 @@
         usable.map(|state| self.room(state)).collect()
     }
 
-    fn room(&self, state: &EndpointState) -> EngineRoom {
+    fn room(&self, state: &EndpointState) -> EngineHeadroom {
         // The base model is on all engines, and its share the same on each; to
         // count its holders for each took 0.34 ms an order among 1,010 engines, and the
         // next look came 2 s later.
@@ -130,7 +130,7 @@
             self.rate(key) / self.holders(key).count().max(1) as f64
         });
         let models = state.endpoint.models.iter();
-        EngineRoom {
+        EngineHeadroom {
             endpoint: state.id().clone(),
             address: state.endpoint.address,
             zone: state.endpoint.zone.clone(),
