--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod departure;
 pub mod endpoint;
 pub mod endpoint_state;
-mod engine_room;
+mod engine_headroom;
 pub mod events;
 pub mod recent_successes;
 pub mod health;
--- a/crates/fleet/src/loader.rs
+++ b/crates/fleet/src/loader.rs
@@ -18,7 +18,7 @@
     adapter::{AdapterKey, WeightVersion},
     demand::Demand,
     endpoint_state::EndpointState,
-    engine_room::EngineHeadroom,
+    engine_headroom::EngineHeadroom,
     load_times::LoadTimes,
     note::{Placed, Removed},
     order::{Order, Task},
--- a/crates/fleet/src/loader/homes.rs
+++ b/crates/fleet/src/loader/homes.rs
@@ -8,7 +8,7 @@
 use crate::{
     adapter::AdapterKey,
     endpoint_state::EndpointState,
-    engine_room::{EngineHeadroom, Place},
+    engine_headroom::{EngineHeadroom, Place},
     order::{Order, Task},
     view::{BUSY_BACKLOG, OTHER_ZONE_COST},
 };
