--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -76,7 +76,7 @@
     /// Rests of endpoints whose entries lapsed, which may be back before their end.
     lapsed_rests: HashMap<EndpointId, Cooldown>,
     /// Departures that we saw in the store and the others have not heard of.
-    untold: Vec<Departure>,
+    unsent_departures: Vec<Departure>,
     /// How fast the engines of each service begin to answer.
     paces: HashMap<ServiceName, Pace>,
     /// How long requests of each plain service are under way.
@@ -105,7 +105,7 @@
             incarnations: Incarnations::default(),
             limits: LimitShares::default(),
             lapsed_rests: HashMap::new(),
-            untold: Vec::new(),
+            unsent_departures: Vec::new(),
             paces: HashMap::new(),
             stays: HashMap::new(),
             learned_at: None,
--- a/crates/fleet/src/view/departed.rs
+++ b/crates/fleet/src/view/departed.rs
@@ -23,7 +23,7 @@
         let departure = Departure::of_entry(id, revision);
         let is_news = self.departures.note(&departure, is_sure, now);
         if is_news && is_sure && !was_leaving {
-            self.untold.push(departure);
+            self.unsent_departures.push(departure);
         }
     }
 
@@ -63,15 +63,15 @@
         let departure = Departure::announced(endpoint, *born, revision);
         let is_news = self.apply_departure(&departure, now);
         if is_news {
-            self.untold.push(departure);
+            self.unsent_departures.push(departure);
         }
         is_news
     }
 
     /// Returns the departures that we saw and the others have not heard of,
     /// once.
-    pub fn take_untold(&mut self) -> Vec<Departure> {
-        std::mem::take(&mut self.untold)
+    pub fn take_unsent_departures(&mut self) -> Vec<Departure> {
+        std::mem::take(&mut self.unsent_departures)
     }
 
     /// Returns the departures that others are told of again.
--- a/crates/fleet/tests/departure_rules.rs
+++ b/crates/fleet/tests/departure_rules.rs
@@ -60,11 +60,11 @@
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.list(entry(3, false), now);
-    assert!(view.take_untold().is_empty());
+    assert!(view.take_unsent_departures().is_empty());
     view.list(entry(4, true), now);
-    assert_eq!(view.take_untold(), [departure(4)]);
+    assert_eq!(view.take_unsent_departures(), [departure(4)]);
     view.unlist(&"e1".to_owned(), 5, true, now);
-    assert!(view.take_untold().is_empty());
+    assert!(view.take_unsent_departures().is_empty());
     assert_eq!(view.departures(now), [departure(5)]);
     let later = now + Duration::from_secs(10);
     assert!(view.departures(later).is_empty());
@@ -77,7 +77,7 @@
     view.list(entry(3, false), now);
     assert!(view.apply_departure(&departure(4), now));
     assert!(!view.apply_departure(&departure(4), now));
-    assert!(view.take_untold().is_empty());
+    assert!(view.take_unsent_departures().is_empty());
     // A lost note is repaired by whoever heard it.
     assert_eq!(view.departures(now), [departure(4)]);
 }
@@ -90,7 +90,7 @@
     let mut view = FleetView::new("z1");
     view.list(entry(3, false), now);
     view.unlist(&"e1".to_owned(), 5, false, now);
-    assert!(view.take_untold().is_empty());
+    assert!(view.take_unsent_departures().is_empty());
     assert!(view.departures(now).is_empty());
     view.list(entry(4, false), now);
     assert!(!is_chosen(&view, now));
@@ -172,7 +172,7 @@
         AnsweredRequest { endpoint: endpoint.clone(), born: Some(1), sent: now };
     assert!(view.apply_announced_departure(&answered, now));
     assert!(!view.apply_announced_departure(&answered, now), "it is told once");
-    assert!(view.take_untold()[0].is_announced);
+    assert!(view.take_unsent_departures()[0].is_announced);
     view.list(of_life(1, 9), now);
     assert!(!is_chosen(&view, now));
     let later = now + Duration::from_secs(600);
--- a/crates/sedgewalld/src/fleet/follow_endpoints.rs
+++ b/crates/sedgewalld/src/fleet/follow_endpoints.rs
@@ -187,7 +187,7 @@
 /// Tells all others of endpoints that we saw leave: their watches may be late,
 /// or their way to the store cut.
 pub(crate) fn tell_departures(node: &FleetNode) {
-    let untold = node.view.borrow_mut().take_untold();
+    let untold = node.view.borrow_mut().take_unsent_departures();
     if untold.is_empty() {
         return;
     }
