--- a/crates/fleet/src/endpoint_state.rs
+++ b/crates/fleet/src/endpoint_state.rs
@@ -392,7 +392,7 @@
 
     /// Takes in whether an adapter from the weight store was there when a request
     /// was sent to it; returns whether the holder of the lease is to hear of it.
-    pub(crate) fn prove(&mut self, key: &AdapterKey, is_there: bool) -> bool {
+    pub(crate) fn confirm_load(&mut self, key: &AdapterKey, is_there: bool) -> bool {
         let Some(seat) = self.seats.get_mut(key) else { return false };
         let is_news = seat.is_unproven;
         if is_there {
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -499,13 +499,13 @@
 
     /// Takes in whether an adapter from the weight store was there when a request
     /// was sent to it; returns whether the holder of the lease is to hear of it.
-    pub fn prove(
+    pub fn confirm_load(
         &mut self,
         id: &EndpointId,
         key: &AdapterKey,
         is_there: bool,
     ) -> bool {
         let state = self.endpoints.get_mut(id);
-        state.is_some_and(|state| state.prove(key, is_there))
+        state.is_some_and(|state| state.confirm_load(key, is_there))
     }
 }
--- a/crates/fleet/tests/loader_rules.rs
+++ b/crates/fleet/tests/loader_rules.rs
@@ -502,7 +502,7 @@
     view.order_taken(&"e1".to_owned(), &key(4), later);
     assert!(ordered(5..=5, &mut view, later).is_empty());
     // A request has shown that one is there.
-    view.prove(&"e1".to_owned(), &first[0], true);
+    view.confirm_load(&"e1".to_owned(), &first[0], true);
     let soon = later + Duration::from_millis(10);
     assert_eq!(ordered(5..=5, &mut view, soon).len(), 1);
 }
--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -297,7 +297,7 @@
         Err(AttemptError::Misdirected) => false,
         _ => return,
     };
-    if !node.view.borrow_mut().prove(&target.id, key, is_there) {
+    if !node.view.borrow_mut().confirm_load(&target.id, key, is_there) {
         return;
     }
     node.arrivals.borrow_mut().push(SeenArrival {
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -279,7 +279,7 @@
     for arrived in arrivals {
         let Arrived { endpoint, key, is_there, ago_ms } = arrived;
         // Its engine may take another load now.
-        view.prove(endpoint, key, *is_there);
+        view.confirm_load(endpoint, key, *is_there);
         let Some(at) = now.checked_sub(Duration::from_millis(*ago_ms)) else {
             continue;
         };
