--- a/crates/fleet/src/endpoint_state.rs
+++ b/crates/fleet/src/endpoint_state.rs
@@ -71,7 +71,7 @@
     pub(crate) is_replacement: bool,
     /// Whether it comes from the weight store, and no request has shown yet that
     /// it is there.
-    pub(crate) is_unproven: bool,
+    pub(crate) is_unconfirmed: bool,
     /// When its load was first heard of.
     pub(crate) began: Instant,
     /// Whether its engine has taken the order; before that it takes a place, and
@@ -286,7 +286,7 @@
                     noted: now,
                     is_listed: true,
                     is_replacement: false,
-                    is_unproven: false,
+                    is_unconfirmed: false,
                     began: now,
                     is_ordered: true,
                     on_way_until: now,
@@ -321,7 +321,7 @@
                 noted: now,
                 is_listed: false,
                 is_replacement: self.seats.contains_key(key),
-                is_unproven: false,
+                is_unconfirmed: false,
                 began: now,
                 is_ordered: true,
                 on_way_until: now + COMING_FOR * ON_WAY_TIMES,
@@ -346,7 +346,7 @@
             noted: now,
             is_listed: false,
             is_replacement,
-            is_unproven: placed.is_cold && !is_replacement,
+            is_unconfirmed: placed.is_cold && !is_replacement,
             began: known.map_or(now, |seat| seat.began),
             is_ordered: true,
             on_way_until: now + takes * ON_WAY_TIMES,
@@ -384,7 +384,7 @@
     pub(crate) fn mark_present(&mut self, key: &AdapterKey, now: Instant) {
         if let Some(seat) = self.seats.get_mut(key) {
             seat.is_ordered = true;
-            seat.is_unproven = false;
+            seat.is_unconfirmed = false;
             seat.ready_at = now;
             seat.on_way_until = now;
         }
@@ -394,9 +394,9 @@
     /// was sent to it; returns whether the holder of the lease is to hear of it.
     pub(crate) fn confirm_load(&mut self, key: &AdapterKey, is_there: bool) -> bool {
         let Some(seat) = self.seats.get_mut(key) else { return false };
-        let is_news = seat.is_unproven;
+        let is_news = seat.is_unconfirmed;
         if is_there {
-            seat.is_unproven = false;
+            seat.is_unconfirmed = false;
             seat.on_way_until = seat.began;
         }
         is_news
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -326,7 +326,7 @@
                     .ready_at
                     .saturating_duration_since(now)
                     .as_millis() as u64,
-                is_cold: seat.is_unproven,
+                is_cold: seat.is_unconfirmed,
                 born: self.incarnations.born(&state.endpoint.id),
             })
             .collect()
