--- a/crates/bench/src/herd/world.rs
+++ b/crates/bench/src/herd/world.rs
@@ -224,7 +224,7 @@
             draw: self.rng.random(),
             prompt_tokens: 0,
             target_latency: self.load.target,
-            is_patient: false,
+            may_wait: false,
         };
         let places = &self.places;
         let slots = f64::from(self.load.slots);
--- a/crates/fleet/benches/decisions.rs
+++ b/crates/fleet/benches/decisions.rs
@@ -119,7 +119,7 @@
             draw: 7,
             prompt_tokens: 600,
             target_latency: Duration::from_millis(600),
-            is_patient: false,
+            may_wait: false,
         };
         bench.iter(|| black_box(view.choose(black_box(need), now)));
     });
--- a/crates/fleet/src/view/choice.rs
+++ b/crates/fleet/src/view/choice.rs
@@ -71,7 +71,7 @@
     /// Within this time, its answer should begin.
     pub target_latency: Duration,
     /// Whether it may wait for a place where it begins sooner.
-    pub is_patient: bool,
+    pub may_wait: bool,
 }
 
 /// Where a request goes.
@@ -153,7 +153,7 @@
             }
         }
         let Some((_, state)) = best else { return found };
-        if need.is_patient && self.would_be_late(state, need) {
+        if need.may_wait && self.would_be_late(state, need) {
             return Choice::Busy(match found {
                 Choice::Loading(ready_in) => Some(ready_in),
                 _ => None,
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -137,6 +137,6 @@
         draw: 7,
         prompt_tokens: 600,
         target_latency: Duration::from_millis(600),
-        is_patient: false,
+        may_wait: false,
     }
 }
--- a/crates/fleet/tests/view_rules.rs
+++ b/crates/fleet/tests/view_rules.rs
@@ -368,7 +368,7 @@
         state.own_work.begin(Some(&key(1)), 30_000);
     }
     let key = key(1);
-    let patient = Need { is_patient: true, ..need(&key) };
+    let patient = Need { may_wait: true, ..need(&key) };
     assert_eq!(view.choose(patient, now), Choice::Busy(None));
     // It knows when a copy is on its way.
     let ready_in = Duration::from_millis(200);
@@ -385,7 +385,7 @@
     assert_eq!(view.choose(patient, now), Choice::Busy(Some(ready_in)));
     assert_eq!(sent_to(&view.choose(patient, now + ready_in)), Some("e2"));
     // One that may wait no longer is sent where it can run.
-    let hasty = Need { is_patient: false, ..patient };
+    let hasty = Need { may_wait: false, ..patient };
     assert_eq!(sent_to(&view.choose(hasty, now)), Some("e1"));
 }
 
@@ -397,7 +397,7 @@
     view.list(endpoint("e1", "z1", &[1]), now);
     learn_pace(&mut view);
     let key = key(1);
-    let long = Need { prompt_tokens: 40_000, is_patient: true, ..need(&key) };
+    let long = Need { prompt_tokens: 40_000, may_wait: true, ..need(&key) };
     assert_eq!(sent_to(&view.choose(long, now)), Some("e1"));
 }
 
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -370,7 +370,7 @@
     let mut permits = Permits::default();
     loop {
         let now = Instant::now();
-        let is_patient = now < patient_until;
+        let may_wait = now < patient_until;
         let need = Need {
             service: &call.service,
             key: call.key(),
@@ -378,7 +378,7 @@
             draw,
             prompt_tokens: call.facts.prompt_tokens,
             target_latency: target,
-            is_patient,
+            may_wait,
         };
         let PermittedChoice { choice, limited_for } =
             permits.choose(node, need, now);
