--- a/crates/fleet/src/relays.rs
+++ b/crates/fleet/src/relays.rs
@@ -66,7 +66,7 @@
 /// Returns one instance of each zone but our own, which passes a note on there.
 /// With a relay for each group of other zones, 195 instances in five zones sent
 /// each note to all four times as often between zones.
-pub fn heads<'a>(
+pub fn zone_relays<'a>(
     instances: impl Iterator<Item = (&'a InstanceId, &'a ZoneName)>,
     own_zone: &ZoneName,
     is_heard: impl Fn(&InstanceId) -> bool,
--- a/crates/sedgewalld/src/fleet/note_sender.rs
+++ b/crates/sedgewalld/src/fleet/note_sender.rs
@@ -15,7 +15,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
     note::{FEW_PEERS, Note, Relayed},
-    relays::{Group, heads, relays},
+    relays::{Group, zone_relays, relays},
 };
 use sedgewall_state::id::InstanceId;
 
@@ -70,7 +70,7 @@
         let (now, view) = (Instant::now(), node.view.borrow());
         let zones = peers.iter().map(|(id, peer)| (id, &peer.zone));
         let own = &node.settings.zone;
-        for id in heads(zones, own, |id| view.hears(id, now), turn) {
+        for id in zone_relays(zones, own, |id| view.hears(id, now), turn) {
             let for_zone = Note::ForZone(note.clone().into());
             self.send_to(peers[id].address, &for_zone);
         }
