--- a/crates/fleet/src/endpoint_state.rs
+++ b/crates/fleet/src/endpoint_state.rs
@@ -403,7 +403,7 @@
     }
 
     /// Notes that it turned a request down for want of an adapter.
-    pub(crate) fn note_absent(&mut self, key: &AdapterKey, now: Instant) {
+    pub(crate) fn record_absent(&mut self, key: &AdapterKey, now: Instant) {
         let Some(seat) = self.seats.get_mut(key) else { return };
         let elapsed = now.saturating_duration_since(seat.began);
         let pause = NOT_YET_PAUSE.max(elapsed / NOT_YET_PART);
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -488,13 +488,13 @@
     /// Notes that an engine turned a request down because it does not hold an
     /// adapter, or not yet. It is tried again after a pause, or when the list
     /// shows the adapter again.
-    pub fn note_absent(
+    pub fn record_absent(
         &mut self,
         id: &EndpointId,
         key: &AdapterKey,
         now: Instant,
     ) {
-        self.change_seats(id, |state| state.note_absent(key, now));
+        self.change_seats(id, |state| state.record_absent(key, now));
     }
 
     /// Takes in whether an adapter from the weight store was there when a request
--- a/crates/fleet/tests/loader_rules.rs
+++ b/crates/fleet/tests/loader_rules.rs
@@ -343,7 +343,7 @@
                 }
                 Step::TurnedAway(e, n) => {
                     let id = ids[e].to_owned();
-                    view.note_absent(&id, &key(n), now);
+                    view.record_absent(&id, &key(n), now);
                 }
             }
             let orders =
--- a/crates/fleet/tests/view_rules.rs
+++ b/crates/fleet/tests/view_rules.rs
@@ -292,7 +292,7 @@
     view.list(endpoint("e1", "z1", &[1]), now);
     let id = "e1".to_owned();
     view.apply_report(&id, &report(&[1], 3), now);
-    view.note_absent(&id, &key(1), now);
+    view.record_absent(&id, &key(1), now);
     let state = view.get(&id);
     assert!(state.is_some_and(|state| state.seat(&key(1)).is_some()));
 }
--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -326,7 +326,7 @@
             .and_then(|state| state.seat(key))
             .is_some_and(|seat| !seat.is_listed());
         if is_absent || is_coming {
-            view.note_absent(&target.id, key, now);
+            view.record_absent(&target.id, key, now);
         }
     }
     let Some(state) = view.get_mut(&target.id) else { return };
