--- a/crates/fleet/src/cooldown.rs
+++ b/crates/fleet/src/cooldown.rs
@@ -62,7 +62,7 @@
     }
 
     /// Notes that a request is sent.
-    pub fn note_sent(&mut self, now: Instant) {
+    pub fn record_sent(&mut self, now: Instant) {
         if self.until.is_some() {
             self.probe_sent = Some(now);
         }
--- a/crates/fleet/src/view/rests.rs
+++ b/crates/fleet/src/view/rests.rs
@@ -31,9 +31,9 @@
     }
 
     /// Notes that a request is sent to an endpoint.
-    pub fn note_sent(&mut self, id: &EndpointId, now: Instant) {
+    pub fn record_sent(&mut self, id: &EndpointId, now: Instant) {
         if let Some(state) = self.endpoints.get_mut(id) {
-            state.cooldown.note_sent(now);
+            state.cooldown.record_sent(now);
         }
     }
 
--- a/crates/fleet/tests/cooldown_rules.rs
+++ b/crates/fleet/tests/cooldown_rules.rs
@@ -45,7 +45,7 @@
     view.list(endpoint("e1", "z1", &[1]), now);
     view.apply_announced_cooldown(&answered(now), REST, now);
     let over = now + REST;
-    view.note_sent(&"e1".to_owned(), over);
+    view.record_sent(&"e1".to_owned(), over);
     assert!(!is_chosen(&view, over), "the first one has no answer yet");
     // What was sent before the rest was over says nothing of it.
     assert!(!view.note_answer(&answered(now)));
@@ -61,7 +61,7 @@
     view.list(endpoint("e1", "z1", &[1]), now);
     view.apply_announced_cooldown(&answered(now), REST, now);
     let over = now + REST;
-    view.note_sent(&"e1".to_owned(), over);
+    view.record_sent(&"e1".to_owned(), over);
     assert!(is_chosen(&view, over + Duration::from_secs(1)));
 }
 
@@ -133,7 +133,7 @@
                 _ => {
                     if rest.left(now).is_none() {
                         prop_assert!(now >= ends);
-                        rest.note_sent(now);
+                        rest.record_sent(now);
                         sent = now;
                     }
                 }
--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -195,7 +195,7 @@
         born: node.view.borrow().incarnation(&target.id),
         sent: began,
     };
-    node.view.borrow_mut().note_sent(&target.id, began);
+    node.view.borrow_mut().record_sent(&target.id, began);
     let sending = node.pool.send(target.address, request, CONNECT_TIME);
     let ended = match compio::time::timeout(limits.within, sending).await {
         Ok(Ok(answer)) => {
