--- a/crates/fleet/src/cooldown.rs
+++ b/crates/fleet/src/cooldown.rs
@@ -70,7 +70,7 @@
 
     /// Notes an answer that asks for no rest, to a request that was sent at a moment;
     /// returns whether that ends the rest.
-    pub fn note_answer(&mut self, sent: Instant) -> bool {
+    pub fn record_answer(&mut self, sent: Instant) -> bool {
         let is_over = self.until.is_some_and(|until| sent >= until);
         if is_over {
             *self = Cooldown::default();
--- a/crates/fleet/src/view/rests.rs
+++ b/crates/fleet/src/view/rests.rs
@@ -39,9 +39,9 @@
 
     /// Notes an answer of an endpoint that asks for no rest; returns whether that
     /// ends its rest.
-    pub fn note_answer(&mut self, answered: &AnsweredRequest) -> bool {
+    pub fn record_answer(&mut self, answered: &AnsweredRequest) -> bool {
         let state = self.endpoints.get_mut(&answered.endpoint);
-        state.is_some_and(|state| state.cooldown.note_answer(answered.sent))
+        state.is_some_and(|state| state.cooldown.record_answer(answered.sent))
     }
 
     /// Returns whether an endpoint asked for rest that is not over.
--- a/crates/fleet/tests/cooldown_rules.rs
+++ b/crates/fleet/tests/cooldown_rules.rs
@@ -48,9 +48,9 @@
     view.record_sent(&"e1".to_owned(), over);
     assert!(!is_chosen(&view, over), "the first one has no answer yet");
     // What was sent before the rest was over says nothing of it.
-    assert!(!view.note_answer(&answered(now)));
+    assert!(!view.record_answer(&answered(now)));
     assert!(!is_chosen(&view, over));
-    assert!(view.note_answer(&answered(over)));
+    assert!(view.record_answer(&answered(over)));
     assert!(is_chosen(&view, over));
 }
 
@@ -128,7 +128,7 @@
                     ends = ends.max(now + time);
                 }
                 1 => {
-                    rest.note_answer(sent);
+                    rest.record_answer(sent);
                 }
                 _ => {
                     if rest.left(now).is_none() {
--- a/crates/sedgewalld/src/fleet/announcements.rs
+++ b/crates/sedgewalld/src/fleet/announcements.rs
@@ -77,7 +77,7 @@
 
 /// Takes in that an endpoint answered without a wish for rest.
 fn hear_no_rest(node: &FleetNode, answered: &AnsweredRequest) {
-    if !node.view.borrow_mut().note_answer(answered) {
+    if !node.view.borrow_mut().record_answer(answered) {
         return;
     }
     let endpoint = &answered.endpoint;
