--- a/crates/fleet/src/view/under_way.rs
+++ b/crates/fleet/src/view/under_way.rs
@@ -188,7 +188,7 @@
     }
 
     /// Returns whether another instance was heard lately.
-    pub fn hears(&self, id: &InstanceId, now: Instant) -> bool {
+    pub fn is_live_peer(&self, id: &InstanceId, now: Instant) -> bool {
         self.peers.get(id).is_some_and(|load| now < load.holds_until)
     }
 
--- a/crates/sedgewalld/src/fleet/note_sender.rs
+++ b/crates/sedgewalld/src/fleet/note_sender.rs
@@ -70,7 +70,7 @@
         let (now, view) = (Instant::now(), node.view.borrow());
         let zones = peers.iter().map(|(id, peer)| (id, &peer.zone));
         let own = &node.settings.zone;
-        for id in zone_relays(zones, own, |id| view.hears(id, now), turn) {
+        for id in zone_relays(zones, own, |id| view.is_live_peer(id, now), turn) {
             let for_zone = Note::ForZone(note.clone().into());
             self.send_to(peers[id].address, &for_zone);
         }
@@ -86,7 +86,7 @@
         let own = &node.settings.zone;
         let zones = peers.iter().map(|(id, peer)| (id, &peer.zone));
         let zones = zones.filter(|(_, zone)| *zone == own);
-        for (id, group) in relays(zones, |id| view.hears(id, now), turn) {
+        for (id, group) in relays(zones, |id| view.is_live_peer(id, now), turn) {
             let Group { index, count } = group;
             let relayed = Relayed { index, count, note: note.clone().into() };
             self.send_to(peers[id].address, &Note::Relayed(relayed));
--- a/crates/sedgewalld/src/fleet/peers.rs
+++ b/crates/sedgewalld/src/fleet/peers.rs
@@ -99,7 +99,7 @@
 
     fn is_there(&self, id: &InstanceId, peer: &Peer, now: Instant) -> bool {
         now - peer.known_since < NEW_PEER_FOR
-            || self.view.borrow().hears(id, now)
+            || self.view.borrow().is_live_peer(id, now)
     }
 }
 
