--- a/crates/fleet/tests/relay_rules.rs
+++ b/crates/fleet/tests/relay_rules.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use proptest::prelude::*;
-use sedgewall_fleet::relays::{GROUP_LEN, Group, heads, relays};
+use sedgewall_fleet::relays::{GROUP_LEN, Group, relays, zone_relays};
 
 fn instances(zones: &[usize]) -> BTreeMap<String, String> {
     let mut all = BTreeMap::new();
@@ -90,13 +90,13 @@
     let mut first = std::collections::BTreeSet::new();
     for turn in 0..40 {
         let instances = all.iter().map(|(id, zone)| (id, zone));
-        let heads = heads(instances, &own, |id| id != "front-0", turn);
+        let chosen = zone_relays(instances, &own, |id| id != "front-0", turn);
         let mut zones: Vec<String> =
-            heads.iter().map(|id| zone_of(id)).collect();
+            chosen.iter().map(|id| zone_of(id)).collect();
         zones.sort();
         assert_eq!(zones, ["z0", "z1", "z3", "z4"]);
-        assert!(!heads.iter().any(|id| *id == "front-0"));
-        first.insert(heads[0].clone());
+        assert!(!chosen.iter().any(|id| *id == "front-0"));
+        first.insert(chosen[0].clone());
     }
     assert_eq!(first.len(), 39);
 }
