--- a/crates/fleet/src/relays.rs
+++ b/crates/fleet/src/relays.rs
@@ -27,7 +27,7 @@
 
 impl Group {
     /// Returns whether an instance of the zone belongs to it.
-    pub fn has(self, id: &InstanceId) -> bool {
+    pub fn contains(self, id: &InstanceId) -> bool {
         group_of(id, self.count) == self
     }
 }
--- a/crates/fleet/tests/relay_rules.rs
+++ b/crates/fleet/tests/relay_rules.rs
@@ -25,7 +25,7 @@
     for (relay, group) in chosen.iter().filter(|(r, _)| !lost.contains(*r)) {
         heard.push((*relay).clone());
         let rest = all.iter().filter(|(id, zone)| {
-            *zone == &all[*relay] && group.has(id) && id != relay
+            *zone == &all[*relay] && group.contains(id) && id != relay
         });
         heard.extend(rest.map(|(id, _)| id.clone()));
     }
--- a/crates/sedgewalld/src/fleet/note_sender.rs
+++ b/crates/sedgewalld/src/fleet/note_sender.rs
@@ -105,7 +105,7 @@
         let Some(bytes) = encode(&relayed.note) else { return };
         let group = Group { index: relayed.index, count: relayed.count };
         for (id, peer) in node.peers.borrow().iter() {
-            if peer.zone == node.settings.zone && group.has(id) {
+            if peer.zone == node.settings.zone && group.contains(id) {
                 self.send(peer.address, &bytes);
             }
         }
