--- a/crates/fleet/src/recent_successes.rs
+++ b/crates/fleet/src/recent_successes.rs
@@ -36,7 +36,7 @@
     }
 
     /// Notes that a run of a request ended well.
-    pub fn note(&mut self, hash: RequestHash, now: Instant) {
+    pub fn record(&mut self, hash: RequestHash, now: Instant) {
         if self.newer.len() >= MOST || now - self.newer_since >= KEPT_FOR {
             self.older = mem::take(&mut self.newer);
             self.newer_since = now;
@@ -45,7 +45,7 @@
     }
 
     /// Returns whether a run of a request ended well lately.
-    pub fn has(&self, hash: RequestHash) -> bool {
+    pub fn contains(&self, hash: RequestHash) -> bool {
         self.newer.contains(&hash) || self.older.contains(&hash)
     }
 }
--- a/crates/fleet/tests/recent_successes_rules.rs
+++ b/crates/fleet/tests/recent_successes_rules.rs
@@ -9,15 +9,15 @@
 fn a_good_run_is_remembered_for_a_while() {
     let start = Instant::now();
     let mut good = RecentSuccesses::new(start);
-    assert!(!good.has(1));
-    good.note(1, start);
-    assert!(good.has(1));
-    good.note(2, start + Duration::from_secs(119));
-    assert!(good.has(1));
-    good.note(3, start + Duration::from_secs(121));
-    assert!(good.has(1) && good.has(2) && good.has(3));
-    good.note(4, start + Duration::from_secs(242));
-    assert!(!good.has(1) && good.has(3) && good.has(4));
+    assert!(!good.contains(1));
+    good.record(1, start);
+    assert!(good.contains(1));
+    good.record(2, start + Duration::from_secs(119));
+    assert!(good.contains(1));
+    good.record(3, start + Duration::from_secs(121));
+    assert!(good.contains(1) && good.contains(2) && good.contains(3));
+    good.record(4, start + Duration::from_secs(242));
+    assert!(!good.contains(1) && good.contains(3) && good.contains(4));
 }
 
 #[test]
@@ -25,9 +25,9 @@
     let now = Instant::now();
     let mut good = RecentSuccesses::new(now);
     for hash in 0..100_000 {
-        good.note(hash, now);
+        good.record(hash, now);
     }
-    let known = (0..100_000).filter(|hash| good.has(*hash)).count();
+    let known = (0..100_000).filter(|hash| good.contains(*hash)).count();
     assert!(known <= 2 * 8_192);
-    assert!(good.has(99_999));
+    assert!(good.contains(99_999));
 }
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -90,7 +90,7 @@
 /// many callers send alike is at each endpoint that ends. Without that, such a read
 /// was condemned beside a request that ended all three endpoints of a service.
 pub(crate) fn run_lost(node: &FleetNode, call: &CallerRequest, loss: Loss) {
-    if node.recent_successes.borrow().has(call.hash(&node.hash_key)) {
+    if node.recent_successes.borrow().contains(call.hash(&node.hash_key)) {
         return;
     }
     let Some(sent) = call.sent_to.borrow().clone() else { return };
@@ -105,7 +105,7 @@
 /// Notes that a run of a request ended well: it is none that ends endpoints.
 pub(crate) fn ended_well(node: &FleetNode, call: &CallerRequest) {
     let hash = call.hash(&node.hash_key);
-    node.recent_successes.borrow_mut().note(hash, Instant::now());
+    node.recent_successes.borrow_mut().record(hash, Instant::now());
     if !node.poison.borrow().has_suspects() {
         return;
     }
