--- a/crates/fleet/src/store_reports.rs
+++ b/crates/fleet/src/store_reports.rs
@@ -36,7 +36,7 @@
 
 impl StoreReports {
     /// Takes in what an instance says of itself.
-    pub fn hear(
+    pub fn record(
         &mut self,
         from: &InstanceId,
         store_is_out: bool,
--- a/crates/fleet/tests/store_reports_rules.rs
+++ b/crates/fleet/tests/store_reports_rules.rs
@@ -13,7 +13,7 @@
 fn all_out(now: Instant) -> StoreReports {
     let mut words = StoreReports::default();
     for id in &ids() {
-        words.hear(id, true, false, now);
+        words.record(id, true, false, now);
     }
     words
 }
@@ -28,7 +28,7 @@
 fn one_that_reaches_the_store_can() {
     let now = Instant::now();
     let mut words = all_out(now);
-    words.hear(&ids()[1], false, false, now);
+    words.record(&ids()[1], false, false, now);
     assert!(!words.no_instance_reaches_store(ids().iter(), now));
 }
 
@@ -37,8 +37,8 @@
     let now = Instant::now();
     let mut words = all_out(now);
     let later = now + REPORT_VALID_FOR;
-    words.hear(&ids()[0], true, false, later);
-    words.hear(&ids()[1], true, false, later);
+    words.record(&ids()[0], true, false, later);
+    words.record(&ids()[1], true, false, later);
     assert!(!words.no_instance_reaches_store(ids().iter(), later));
 }
 
@@ -49,7 +49,7 @@
     let mut words = all_out(now);
     assert!(words.no_instance_reaches_store(known.iter(), now));
     let later = now + Duration::from_secs(6);
-    words.hear(&ids()[0], true, false, later);
+    words.record(&ids()[0], true, false, later);
     // Two were not heard for long, and that is no fewer than were heard.
     let known = ["i1", "i2"].map(str::to_owned);
     assert!(!words.no_instance_reaches_store(known.iter(), later));
@@ -59,7 +59,7 @@
 fn one_that_is_not_in_the_list_and_reaches_the_store_can() {
     let now = Instant::now();
     let mut words = all_out(now);
-    words.hear(&"new".to_owned(), false, false, now);
+    words.record(&"new".to_owned(), false, false, now);
     assert!(!words.no_instance_reaches_store(ids().iter(), now));
 }
 
@@ -67,11 +67,11 @@
 fn one_that_leaves_cannot() {
     let now = Instant::now();
     let mut words = all_out(now);
-    words.hear(&ids()[2], false, true, now);
+    words.record(&ids()[2], false, true, now);
     let later = now + Duration::from_millis(900);
     assert!(words.no_instance_reaches_store(ids().iter(), later));
     let much_later = now + Duration::from_secs(3);
-    words.hear(&ids()[0], true, false, much_later);
-    words.hear(&ids()[1], true, false, much_later);
+    words.record(&ids()[0], true, false, much_later);
+    words.record(&ids()[1], true, false, much_later);
     assert!(words.no_instance_reaches_store(ids().iter(), much_later));
 }
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -95,7 +95,7 @@
             for crash in &status.crashes {
                 poison::hear(node, crash);
             }
-            node.store_reports.borrow_mut().hear(
+            node.store_reports.borrow_mut().record(
                 &status.from,
                 status.store_is_out,
                 status.is_leaving,
