--- a/crates/fleet/src/limit_share.rs
+++ b/crates/fleet/src/limit_share.rs
@@ -249,7 +249,7 @@
     }
 
     /// Counts a request that would go to an endpoint without a limit.
-    pub fn want(&mut self, endpoint: &EndpointId, now: Instant) {
+    pub fn record_demand(&mut self, endpoint: &EndpointId, now: Instant) {
         if let Some(limit) = self.0.get_mut(endpoint) {
             limit.wanted.count(now);
         }
--- a/crates/fleet/src/view/limits.rs
+++ b/crates/fleet/src/view/limits.rs
@@ -70,8 +70,8 @@
     }
 
     /// Counts a request that would go to a limited endpoint if it had no limit.
-    pub fn want(&mut self, id: &EndpointId, now: Instant) {
-        self.limits.want(id, now);
+    pub fn record_demand(&mut self, id: &EndpointId, now: Instant) {
+        self.limits.record_demand(id, now);
     }
 
     /// Takes a permit for one request to an endpoint.
--- a/crates/fleet/tests/limit_model.rs
+++ b/crates/fleet/tests/limit_model.rs
@@ -167,7 +167,7 @@
                 continue;
             }
             let draw: f64 = rng.random();
-            shares[n].want(&endpoint, now);
+            shares[n].record_demand(&endpoint, now);
             let is_limited = ms >= ANNOUNCED_MS;
             let is_sent = !is_limited
                 || match run.way {
--- a/crates/sedgewalld/src/fleet/permits.rs
+++ b/crates/sedgewalld/src/fleet/permits.rs
@@ -61,7 +61,7 @@
             let instances = node.known_instances();
             let mut view = node.view.borrow_mut();
             if !self.wanted.contains(&id) {
-                view.want(&id, now);
+                view.record_demand(&id, now);
                 self.wanted.push(id.clone());
             }
             let hash = xxh3_64_with_seed(id.as_bytes(), need.draw);
