--- a/crates/fleet/src/incarnation.rs
+++ b/crates/fleet/src/incarnation.rs
@@ -113,7 +113,7 @@
     /// Takes in what an endpoint said of itself when it was asked. Its entry may
     /// still show the life before for a while, or, if the answer was late, another
     /// one that has begun since.
-    pub fn hear(
+    pub fn apply_report(
         &mut self,
         id: &EndpointId,
         born: Option<Incarnation>,
--- a/crates/fleet/src/limit_share.rs
+++ b/crates/fleet/src/limit_share.rs
@@ -188,7 +188,7 @@
     }
 
     /// Takes in another instance's report; returns what changed.
-    pub fn hear(
+    pub fn apply_report(
         &mut self,
         report: &LimitReport,
         source: ReportSource<'_>,
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -241,7 +241,7 @@
         report: &EngineReport,
         now: Instant,
     ) -> bool {
-        match self.incarnations.hear(id, report.born, now) {
+        match self.incarnations.apply_report(id, report.born, now) {
             IncarnationStatus::Current => {}
             IncarnationStatus::New => self.begin_life(id),
             IncarnationStatus::Ended => return false,
--- a/crates/fleet/src/view/limits.rs
+++ b/crates/fleet/src/view/limits.rs
@@ -51,7 +51,7 @@
         if !self.incarnations.is_current(&report.endpoint, report.born) {
             return None;
         }
-        self.limits.hear(report, source, now)
+        self.limits.apply_report(report, source, now)
     }
 
     /// Returns what others are told of limits: with this instance's demand, or with
--- a/crates/fleet/tests/limit_model.rs
+++ b/crates/fleet/tests/limit_model.rs
@@ -128,7 +128,7 @@
             let from = format!("i{from}");
             let source = ReportSource { from: &from, is_total, until };
             for report in &reports {
-                shares[to].hear(report, source, now);
+                shares[to].apply_report(report, source, now);
             }
         }
         for (from, phase) in phases.iter().enumerate() {
