--- a/crates/bench/src/herd/world.rs
+++ b/crates/bench/src/herd/world.rs
@@ -118,7 +118,7 @@
             .collect();
         let mut view = FleetView::new("z");
         for place in &places {
-            view.list(listed(&place.id, load.slots), start);
+            view.apply_entry(listed(&place.id, load.slots), start);
         }
         let mut world = World {
             load,
@@ -390,7 +390,7 @@
         let gone: Vec<EndpointId> = gone.map(|p| p.id.clone()).collect();
         for view in &mut self.views {
             for id in &gone {
-                view.unlist(id, 2, true, now);
+                view.remove_entry(id, 2, true, now);
             }
         }
     }
--- a/crates/fleet/benches/decisions.rs
+++ b/crates/fleet/benches/decisions.rs
@@ -55,7 +55,7 @@
             models: vec![hosted(engine)],
             born: None,
         };
-        view.list(endpoint, now);
+        view.apply_entry(endpoint, now);
         let report = EngineReport {
             models: vec![hosted(engine)],
             loading: Vec::new(),
--- a/crates/fleet/src/endpoint_state.rs
+++ b/crates/fleet/src/endpoint_state.rs
@@ -264,7 +264,7 @@
     }
 
     /// Takes in the endpoint's entry.
-    pub(crate) fn list(&mut self, endpoint: Endpoint, now: Instant) {
+    pub(crate) fn apply_entry(&mut self, endpoint: Endpoint, now: Instant) {
         if self.is_ordered_by_us {
             self.endpoint = endpoint;
             return;
@@ -313,7 +313,7 @@
         self.is_ordered_by_us = false;
         let mut endpoint = self.endpoint.clone();
         endpoint.models.clone_from(&report.models);
-        self.list(endpoint, now);
+        self.apply_entry(endpoint, now);
         for (key, version) in &report.loading {
             let seat = Seat {
                 version: *version,
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -122,7 +122,7 @@
     /// Takes in one endpoint's entry. An entry from before it left, which a
     /// list that is seconds old may show, does not bring it back, and one that is
     /// older than what is known changes nothing.
-    pub fn list(&mut self, mut endpoint: Endpoint, now: Instant) {
+    pub fn apply_entry(&mut self, mut endpoint: Endpoint, now: Instant) {
         let id = endpoint.id.clone();
         if endpoint.is_draining {
             self.see_departure(&id, endpoint.revision, true, now);
@@ -153,7 +153,7 @@
             let of_service = self.services.entry(endpoint.service.clone());
             of_service.or_default().insert(id.clone());
         }
-        self.change_seats(&id, |state| state.list(endpoint, now));
+        self.change_seats(&id, |state| state.apply_entry(endpoint, now));
     }
 
     /// Takes in entries that another instance knows, without their adapters, while
@@ -165,7 +165,7 @@
                 .get(&entry.id)
                 .is_none_or(|state| state.is_ordered_by_us());
             if is_useful {
-                self.list(entry, now);
+                self.apply_entry(entry, now);
             }
         }
     }
@@ -269,7 +269,7 @@
         for id in ids {
             self.change_seats(&id, |state| {
                 if std::mem::take(&mut state.is_ordered_by_us) {
-                    state.list(state.endpoint.clone(), now);
+                    state.apply_entry(state.endpoint.clone(), now);
                 }
             });
         }
@@ -278,7 +278,7 @@
     /// Takes an endpoint out whose entry is gone, as of a revision of the store.
     /// If it may only have lapsed in an outage we are not sure, and tell nobody:
     /// of all instances, the one that waited least would decide for them.
-    pub fn unlist(
+    pub fn remove_entry(
         &mut self,
         id: &EndpointId,
         revision: Revision,
--- a/crates/fleet/tests/cooldown_rules.rs
+++ b/crates/fleet/tests/cooldown_rules.rs
@@ -29,7 +29,7 @@
 fn an_endpoint_that_rests_is_not_chosen() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
     assert!(view.apply_announced_cooldown(&answered(now), REST, now));
     assert!(!view.apply_announced_cooldown(&answered(now), REST, now), "no news");
     assert_eq!(choose(&view, &key(1), now), Choice::NoEndpoint);
@@ -42,7 +42,7 @@
 fn one_request_shows_whether_a_rest_is_over() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
     view.apply_announced_cooldown(&answered(now), REST, now);
     let over = now + REST;
     view.record_sent(&"e1".to_owned(), over);
@@ -58,7 +58,7 @@
 fn a_request_whose_caller_left_does_not_keep_others_away() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
     view.apply_announced_cooldown(&answered(now), REST, now);
     let over = now + REST;
     view.record_sent(&"e1".to_owned(), over);
@@ -69,13 +69,13 @@
 fn a_rest_outlasts_a_lapse_of_the_entry() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
     view.apply_announced_cooldown(&answered(now), REST, now);
-    view.unlist(&"e1".to_owned(), 0, false, now);
+    view.remove_entry(&"e1".to_owned(), 0, false, now);
     view.forget_cooldowns(now);
     let mut entry = endpoint("e1", "z1", &[1]);
     entry.revision = 9;
-    view.list(entry, now);
+    view.apply_entry(entry, now);
     assert!(!is_chosen(&view, now));
     assert!(is_chosen(&view, now + REST));
 }
@@ -93,11 +93,11 @@
         entry
     };
     let mut view = FleetView::new("z1");
-    view.list(of_life(1, 1), now);
+    view.apply_entry(of_life(1, 1), now);
     let answered = AnsweredRequest { born: Some(1), ..answered(now) };
     view.apply_announced_cooldown(&answered, REST, now);
     let later = now + Duration::from_secs(1);
-    view.list(of_life(2, 2), later);
+    view.apply_entry(of_life(2, 2), later);
     assert!(!is_chosen(&view, later));
     assert!(is_chosen(&view, now + REST));
 
@@ -105,7 +105,7 @@
     view.apply_announced_cooldown(&answered, REST, now);
     let answered = AnsweredRequest { born: Some(2), ..answered };
     view.apply_announced_cooldown(&answered, Duration::from_secs(600), later);
-    view.list(of_life(3, 3), later + Duration::from_secs(10));
+    view.apply_entry(of_life(3, 3), later + Duration::from_secs(10));
     assert!(is_chosen(&view, later + Duration::from_secs(10)));
 }
 
--- a/crates/fleet/tests/departure_rules.rs
+++ b/crates/fleet/tests/departure_rules.rs
@@ -38,11 +38,11 @@
 fn a_late_list_does_not_bring_back_an_endpoint_that_left() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(entry(3, false), now);
+    view.apply_entry(entry(3, false), now);
     view.apply_departure(&departure(5), now);
-    view.list(entry(4, false), now);
+    view.apply_entry(entry(4, false), now);
     assert_eq!(choose(&view, &key(1), now), Choice::NoEndpoint);
-    view.list(entry(6, false), now);
+    view.apply_entry(entry(6, false), now);
     assert!(is_chosen(&view, now));
 }
 
@@ -51,7 +51,7 @@
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_departure(&departure(5), now);
-    view.list(entry(4, false), now);
+    view.apply_entry(entry(4, false), now);
     assert!(!is_chosen(&view, now));
 }
 
@@ -59,11 +59,11 @@
 fn what_we_see_leave_is_told_once_and_said_again_for_a_while() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(entry(3, false), now);
+    view.apply_entry(entry(3, false), now);
     assert!(view.take_unsent_departures().is_empty());
-    view.list(entry(4, true), now);
+    view.apply_entry(entry(4, true), now);
     assert_eq!(view.take_unsent_departures(), [departure(4)]);
-    view.unlist(&"e1".to_owned(), 5, true, now);
+    view.remove_entry(&"e1".to_owned(), 5, true, now);
     assert!(view.take_unsent_departures().is_empty());
     assert_eq!(view.departures(now), [departure(5)]);
     let later = now + Duration::from_secs(10);
@@ -74,7 +74,7 @@
 fn what_is_heard_is_not_told_as_our_own() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(entry(3, false), now);
+    view.apply_entry(entry(3, false), now);
     assert!(view.apply_departure(&departure(4), now));
     assert!(!view.apply_departure(&departure(4), now));
     assert!(view.take_unsent_departures().is_empty());
@@ -88,11 +88,11 @@
 fn what_may_only_have_lapsed_is_not_told() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(entry(3, false), now);
-    view.unlist(&"e1".to_owned(), 5, false, now);
+    view.apply_entry(entry(3, false), now);
+    view.remove_entry(&"e1".to_owned(), 5, false, now);
     assert!(view.take_unsent_departures().is_empty());
     assert!(view.departures(now).is_empty());
-    view.list(entry(4, false), now);
+    view.apply_entry(entry(4, false), now);
     assert!(!is_chosen(&view, now));
 }
 
@@ -131,7 +131,7 @@
         for step in steps {
             match step {
                 Step::Read { revision, is_draining } => {
-                    view.list(entry(revision, is_draining), now);
+                    view.apply_entry(entry(revision, is_draining), now);
                     listed = listed.max(Some(revision));
                     if is_draining {
                         left = left.max(revision);
@@ -142,7 +142,7 @@
                     left = left.max(revision);
                 }
                 Step::Missing(revision) => {
-                    view.unlist(&"e1".to_owned(), revision, true, now);
+                    view.remove_entry(&"e1".to_owned(), revision, true, now);
                     if let Some(known) = listed.take() {
                         left = left.max(revision).max(known);
                     }
@@ -165,7 +165,7 @@
         entry.born = Some(born);
         entry
     };
-    view.list(of_life(1, 3), now);
+    view.apply_entry(of_life(1, 3), now);
     assert!(is_chosen(&view, now));
     let endpoint = "e1".to_owned();
     let answered =
@@ -173,17 +173,17 @@
     assert!(view.apply_announced_departure(&answered, now));
     assert!(!view.apply_announced_departure(&answered, now), "it is told once");
     assert!(view.take_unsent_departures()[0].is_announced);
-    view.list(of_life(1, 9), now);
+    view.apply_entry(of_life(1, 9), now);
     assert!(!is_chosen(&view, now));
     let later = now + Duration::from_secs(600);
     view.forget_departures(later);
-    view.list(of_life(1, 10), later);
+    view.apply_entry(of_life(1, 10), later);
     assert!(!is_chosen(&view, later), "it is kept while it is listed");
-    view.unlist(&endpoint, 10, true, later);
-    view.list(of_life(1, 11), later);
+    view.remove_entry(&endpoint, 10, true, later);
+    view.apply_entry(of_life(1, 11), later);
     assert!(!is_chosen(&view, later), "an entry that lapsed is of its life");
 
-    view.list(of_life(2, 12), later);
+    view.apply_entry(of_life(2, 12), later);
     assert!(is_chosen(&view, later), "another life has not said so");
     assert!(!view.apply_announced_departure(&answered, later), "a late answer");
     assert!(is_chosen(&view, later));
@@ -193,7 +193,7 @@
 fn what_an_endpoint_announced_is_heard_whatever_entry_is_known() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(entry(7, false), now);
+    view.apply_entry(entry(7, false), now);
     let departure = Departure::announced(&"e1".to_owned(), None, 3);
     assert!(view.apply_departure(&departure, now));
     assert!(!is_chosen(&view, now));
--- a/crates/fleet/tests/incarnation_rules.rs
+++ b/crates/fleet/tests/incarnation_rules.rs
@@ -52,10 +52,10 @@
 fn a_new_life_holds_nothing_of_the_one_before() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(entry(0, 1), now);
+    view.apply_entry(entry(0, 1), now);
     view.apply_report(&ID.to_owned(), &reported(0), now);
     assert_eq!(sent_to(&choose(&view, &key(0), now)), Some(ID));
-    view.list(entry(1, 2), now);
+    view.apply_entry(entry(1, 2), now);
     assert_eq!(choose(&view, &key(0), now), Choice::Absent);
     // What it holds is asked for before it gets orders.
     assert!(!view.get(&ID.to_owned()).expect("listed").is_ordered_by_us());
@@ -68,9 +68,9 @@
 fn an_older_entry_after_a_report_of_the_new_life_says_nothing() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(entry(0, 1), now);
+    view.apply_entry(entry(0, 1), now);
     assert!(view.apply_report(&ID.to_owned(), &reported(1), now));
-    view.list(entry(0, 2), now);
+    view.apply_entry(entry(0, 2), now);
     assert!(holds(&view, 1) && !holds(&view, 0));
     assert_eq!(view.incarnation(&ID.to_owned()), Some(BORN[1]));
 }
@@ -79,8 +79,8 @@
 fn an_older_report_after_the_new_life_began_says_nothing() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(entry(0, 1), now);
-    view.list(entry(1, 2), now);
+    view.apply_entry(entry(0, 1), now);
+    view.apply_entry(entry(1, 2), now);
     assert!(!view.apply_report(&ID.to_owned(), &reported(0), now));
     assert!(holds(&view, 1) && !holds(&view, 0));
 }
@@ -89,8 +89,8 @@
 fn older_notes_after_the_new_life_began_say_nothing() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(entry(0, 1), now);
-    view.list(entry(1, 2), now);
+    view.apply_entry(entry(0, 1), now);
+    view.apply_entry(entry(1, 2), now);
     view.apply_placed(&placed(0), now);
     assert!(!holds(&view, 0));
     let removed = Removed {
@@ -109,11 +109,11 @@
 fn a_stale_list_does_not_bring_an_older_life_back() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(entry(1, 8), now);
-    view.unlist(&ID.to_owned(), 9, true, now);
-    view.list(entry(0, 3), now);
+    view.apply_entry(entry(1, 8), now);
+    view.remove_entry(&ID.to_owned(), 9, true, now);
+    view.apply_entry(entry(0, 3), now);
     assert_eq!(choose(&view, &key(0), now), Choice::NoEndpoint);
-    view.list(entry(2, 12), now);
+    view.apply_entry(entry(2, 12), now);
     assert_eq!(sent_to(&choose(&view, &key(2), now)), Some(ID));
 }
 
@@ -123,18 +123,18 @@
 fn a_new_life_is_not_blamed_for_the_one_before() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(entry(0, 1), now);
+    view.apply_entry(entry(0, 1), now);
     let id = ID.to_owned();
     for _ in 0..8 {
         view.get_mut(&id).expect("it is listed").health.failed(now);
     }
     view.mark_suspect(&id, Duration::from_secs(9), now);
     assert_eq!(choose(&view, &key(0), now), Choice::NoEndpoint);
-    view.list(entry(1, 2), now);
+    view.apply_entry(entry(1, 2), now);
     assert_eq!(sent_to(&choose(&view, &key(1), now)), Some(ID));
-    view.list(Endpoint { is_draining: true, ..entry(1, 3) }, now);
+    view.apply_entry(Endpoint { is_draining: true, ..entry(1, 3) }, now);
     assert_eq!(choose(&view, &key(1), now), Choice::NoEndpoint);
-    view.list(entry(2, 4), now);
+    view.apply_entry(entry(2, 4), now);
     assert_eq!(sent_to(&choose(&view, &key(2), now)), Some(ID));
 }
 
@@ -175,8 +175,8 @@
             // A life's entries lie after those of the life before.
             let revision = life as u64 * 20 + nth + 1;
             match word {
-                Word::Entry => view.list(entry(life, revision), now),
-                Word::Gone => view.unlist(&id, revision + 10, true, now),
+                Word::Entry => view.apply_entry(entry(life, revision), now),
+                Word::Gone => view.remove_entry(&id, revision + 10, true, now),
                 // An endpoint is asked once it is listed, and an answer that is
                 // late comes from a life that was heard of.
                 _ if view.get(&id).is_none() => continue,
@@ -207,7 +207,7 @@
         }
         let last = BORN.len() - 1;
         let later = now + Duration::from_secs(10);
-        view.list(entry(last, 1_000), later);
+        view.apply_entry(entry(last, 1_000), later);
         prop_assert_eq!(view.incarnation(&id), Some(BORN[last]));
         prop_assert!(holds(&view, last));
         prop_assert!(view.apply_report(&id, &reported(last), later));
--- a/crates/fleet/tests/loader_rules.rs
+++ b/crates/fleet/tests/loader_rules.rs
@@ -47,7 +47,7 @@
 fn synced(engines: &[(&str, &[u32])], now: Instant) -> FleetView {
     let mut view = FleetView::new("z1");
     for (id, adapters) in engines {
-        view.list(endpoint(id, "z1", adapters), now);
+        view.apply_entry(endpoint(id, "z1", adapters), now);
         view.apply_report(&(*id).to_owned(), &report(adapters, 0), now);
     }
     view
@@ -67,7 +67,7 @@
 fn an_engine_gets_no_order_before_it_has_reported() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[]), now);
+    view.apply_entry(endpoint("e1", "z1", &[]), now);
     let mut demand = Demand::default();
     asked(&mut demand, 1, 1, now);
     let mut loader = loader(1, now);
@@ -145,7 +145,7 @@
     let mut demand = Demand::default();
     let mut loader = loader(1, now);
     asked(&mut demand, 9, 1, now);
-    view.list(endpoint("e3", "z1", &[]), now);
+    view.apply_entry(endpoint("e3", "z1", &[]), now);
     let orders = plan(&mut loader, &mut view, &mut demand, now);
     assert_eq!(loads(&orders), [("e2", key(9))]);
     let later = now + Duration::from_secs(4);
@@ -256,7 +256,7 @@
     let mut view = FleetView::new("z1");
     let mut empty = endpoint("e1", "z1", &[]);
     empty.models.clear();
-    view.list(empty, now);
+    view.apply_entry(empty, now);
     let mut nothing = report(&[], 0);
     nothing.models.clear();
     view.apply_report(&"e1".to_owned(), &nothing, now);
@@ -273,7 +273,7 @@
     let mut view = synced(&[("e1", &[])], now);
     let mut leaving = endpoint("e1", "z1", &[]);
     leaving.is_draining = true;
-    view.list(leaving, now);
+    view.apply_entry(leaving, now);
     let mut demand = Demand::default();
     asked(&mut demand, 1, 1, now);
     let mut loader = loader(1, now);
@@ -325,7 +325,7 @@
         let mut held: Vec<Vec<AdapterKey>> = vec![Vec::new(); 3];
         let mut view = FleetView::new("z1");
         for id in ids {
-            view.list(endpoint(id, "z1", &[]), now);
+            view.apply_entry(endpoint(id, "z1", &[]), now);
         }
         let mut demand = Demand::default();
         let mut loader = loader(1, now);
@@ -334,12 +334,12 @@
                 Step::Asked(n, times) => asked(&mut demand, n, times, now),
                 Step::Later(ms) => now += Duration::from_millis(ms),
                 Step::Unlisted(e) => {
-                    view.unlist(&ids[e].to_owned(), revision, true, now);
+                    view.remove_entry(&ids[e].to_owned(), revision, true, now);
                 }
                 Step::Listed(e, adapters) => {
                     let mut entry = endpoint(ids[e], "z1", &adapters);
                     entry.revision = revision;
-                    view.list(entry, now);
+                    view.apply_entry(entry, now);
                 }
                 Step::TurnedAway(e, n) => {
                     let id = ids[e].to_owned();
--- a/crates/fleet/tests/view_rules.rs
+++ b/crates/fleet/tests/view_rules.rs
@@ -36,8 +36,8 @@
 fn a_request_goes_only_where_its_adapter_is() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
-    view.list(endpoint("e2", "z1", &[2]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e2", "z1", &[2]), now);
     assert_eq!(sent_to(&choose(&view, &key(1), now)), Some("e1"));
     assert_eq!(sent_to(&choose(&view, &key(2), now)), Some("e2"));
     assert_eq!(choose(&view, &key(3), now), Choice::Absent);
@@ -47,7 +47,7 @@
 fn the_base_model_itself_needs_no_adapter() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[]), now);
+    view.apply_entry(endpoint("e1", "z1", &[]), now);
     let base = AdapterKey::base(common::MODEL);
     assert_eq!(sent_to(&choose(&view, &base, now)), Some("e1"));
 }
@@ -57,9 +57,9 @@
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     let mut leaving = endpoint("e1", "z1", &[1]);
-    view.list(leaving.clone(), now);
+    view.apply_entry(leaving.clone(), now);
     leaving.is_draining = true;
-    view.list(leaving, now);
+    view.apply_entry(leaving, now);
     assert_eq!(choose(&view, &key(1), now), Choice::NoEndpoint);
 }
 
@@ -67,7 +67,7 @@
 fn an_endpoint_that_others_see_leave_gets_nothing() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
     assert!(view.apply_departure(&departure("e1", 1), now));
     assert_eq!(choose(&view, &key(1), now), Choice::NoEndpoint);
     assert!(!view.apply_departure(&departure("e1", 1), now));
@@ -77,8 +77,8 @@
 fn an_endpoint_whose_entry_is_gone_gets_nothing() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
-    view.unlist(&"e1".to_owned(), 2, true, now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
+    view.remove_entry(&"e1".to_owned(), 2, true, now);
     assert_eq!(choose(&view, &key(1), now), Choice::NoEndpoint);
 }
 
@@ -86,7 +86,7 @@
 fn a_coming_adapter_is_used_once_it_is_ready() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[]), now);
+    view.apply_entry(endpoint("e1", "z1", &[]), now);
     view.apply_placed(&placed("e1", 1, 270), now);
     let wait = Duration::from_millis(270);
     assert_eq!(choose(&view, &key(1), now), Choice::Loading(wait));
@@ -97,7 +97,7 @@
 fn a_late_list_neither_hides_nor_shows_what_a_note_changed() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[2]), now);
+    view.apply_entry(endpoint("e1", "z1", &[2]), now);
     view.apply_placed(&placed("e1", 1, 0), now);
     let removed = Removed {
         epoch: 1,
@@ -107,11 +107,11 @@
     };
     view.apply_removed(&removed, now);
     let soon = now + Duration::from_secs(1);
-    view.list(endpoint("e1", "z1", &[2]), soon);
+    view.apply_entry(endpoint("e1", "z1", &[2]), soon);
     assert_eq!(sent_to(&choose(&view, &key(1), soon)), Some("e1"));
     assert_eq!(choose(&view, &key(2), soon), Choice::Absent);
     let later = now + Duration::from_secs(10);
-    view.list(endpoint("e1", "z1", &[2]), later);
+    view.apply_entry(endpoint("e1", "z1", &[2]), later);
     assert_eq!(choose(&view, &key(1), later), Choice::Absent);
     assert_eq!(sent_to(&choose(&view, &key(2), later)), Some("e1"));
 }
@@ -120,7 +120,7 @@
 fn an_old_version_gets_work_for_a_while_and_then_none() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
     view.name_version(&key(1), 2, now);
     assert_eq!(sent_to(&choose(&view, &key(1), now)), Some("e1"));
     // The platform allows 5 s from the naming to the beginning of a run.
@@ -128,7 +128,7 @@
     assert_eq!(choose(&view, &key(1), late), Choice::Absent);
     let mut new = endpoint("e2", "z1", &[]);
     new.models[0].adapters = vec![(key(1), 2)];
-    view.list(new, late);
+    view.apply_entry(new, late);
     let Choice::Send(target) = choose(&view, &key(1), late) else {
         panic!("the new version is there");
     };
@@ -158,7 +158,7 @@
 fn sums_of_the_holder_count_while_it_speaks() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
     view.apply_status(own_status("peer", 1, 5), now);
     if let Some(state) = view.get_mut(&"e1".to_owned()) {
         state.own_work = requests(2);
@@ -184,8 +184,8 @@
 fn the_holder_tells_the_sums_of_all() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
-    view.list(endpoint("e2", "z1", &[1]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e2", "z1", &[1]), now);
     view.apply_status(own_status("one", 1, 5), now);
     view.apply_status(own_status("two", 1, 3), now);
     if let Some(state) = view.get_mut(&"e1".to_owned()) {
@@ -204,7 +204,7 @@
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     for n in 0..7 {
-        view.list(endpoint(&format!("e{n}"), "z1", &[1]), now);
+        view.apply_entry(endpoint(&format!("e{n}"), "z1", &[1]), now);
     }
     for n in 0..60 {
         view.apply_status(own_status(&format!("peer{n}"), 1, 0), now);
@@ -230,8 +230,8 @@
 fn the_less_loaded_endpoint_gets_the_request() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
-    view.list(endpoint("e2", "z1", &[1]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e2", "z1", &[1]), now);
     let status = own_status("peer", 1, 20);
     view.apply_status(status, now);
     assert_eq!(sent_to(&choose(&view, &key(1), now)), Some("e2"));
@@ -241,7 +241,7 @@
 fn an_older_status_of_a_peer_changes_nothing() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
     let status = |sequence, count| own_status("peer", sequence, count);
     view.apply_status(status(2, 5), now);
     view.apply_status(status(1, 9), now);
@@ -252,7 +252,7 @@
 fn a_silent_peer_counts_no_longer() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
     let status = own_status("peer", 1, 5);
     view.apply_status(status, now);
     view.remove_silent_peers(now + Duration::from_millis(800));
@@ -266,7 +266,7 @@
 fn a_full_endpoint_gets_no_more() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
     let id = "e1".to_owned();
     if let Some(state) = view.get_mut(&id) {
         state.own_work = requests(2 * common::SLOTS);
@@ -278,7 +278,7 @@
 fn an_endpoint_that_turned_a_request_down_is_not_asked_again() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
     let exclude = ["e1".to_owned()];
     let key = key(1);
     let need = Need { exclude: &exclude, ..need(&key) };
@@ -289,7 +289,7 @@
 fn a_send_that_was_turned_away_frees_no_place_in_the_holders_table() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
     let id = "e1".to_owned();
     view.apply_report(&id, &report(&[1], 3), now);
     view.record_absent(&id, &key(1), now);
@@ -302,12 +302,12 @@
 fn the_holder_believes_its_own_orders_over_the_list() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[]), now);
+    view.apply_entry(endpoint("e1", "z1", &[]), now);
     let id = "e1".to_owned();
     view.apply_report(&id, &report(&[1, 2], 2), now);
     view.apply_placed(&placed("e1", 3, 0), now);
     let late = now + Duration::from_secs(20);
-    view.list(endpoint("e1", "z1", &[1]), late);
+    view.apply_entry(endpoint("e1", "z1", &[1]), late);
     let seats = view.get(&id).map(|s| s.seats().count());
     // Three adapters and the base model.
     assert_eq!(seats, Some(4));
@@ -322,13 +322,13 @@
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     let id = "e1".to_owned();
-    view.list(endpoint("e1", "z1", &[]), now);
+    view.apply_entry(endpoint("e1", "z1", &[]), now);
     view.apply_report(&id, &report(&[1], 1), now);
     assert!(view.get(&id).is_some_and(|s| s.is_ordered_by_us()));
-    view.unlist(&id, 2, true, now);
+    view.remove_entry(&id, 2, true, now);
     let mut back = endpoint("e1", "z1", &[1]);
     back.revision = 3;
-    view.list(back, now);
+    view.apply_entry(back, now);
     assert!(view.get(&id).is_some_and(|s| !s.is_ordered_by_us()));
 }
 
@@ -344,8 +344,8 @@
 fn the_engine_that_begins_sooner_gets_the_request() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
-    view.list(endpoint("e2", "z1", &[1]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e2", "z1", &[1]), now);
     learn_pace(&mut view);
     // One long prompt against three requests that are being answered.
     if let Some(state) = view.get_mut(&"e1".to_owned()) {
@@ -361,8 +361,8 @@
 fn a_request_that_would_come_late_waits_for_a_copy_if_it_may() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
-    view.list(endpoint("e2", "z1", &[]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e2", "z1", &[]), now);
     learn_pace(&mut view);
     if let Some(state) = view.get_mut(&"e1".to_owned()) {
         state.own_work.begin(Some(&key(1)), 30_000);
@@ -394,7 +394,7 @@
 fn a_request_that_is_late_by_its_own_length_does_not_wait() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
     learn_pace(&mut view);
     let key = key(1);
     let long = Need { prompt_tokens: 40_000, may_wait: true, ..need(&key) };
@@ -407,9 +407,9 @@
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     let newer = Endpoint { revision: 9, ..endpoint("e1", "z1", &[2]) };
-    view.list(newer, now);
+    view.apply_entry(newer, now);
     let older = Endpoint { revision: 4, ..endpoint("e1", "z1", &[1]) };
-    view.list(older, now);
+    view.apply_entry(older, now);
     let held = view.get(&"e1".to_owned()).expect("an endpoint");
     assert!(held.seat(&key(2)).is_some() && held.seat(&key(1)).is_none());
 }
@@ -422,7 +422,7 @@
 fn a_holder_without_the_store_hears_of_new_engines_from_others() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
     let known = endpoint("e1", "z1", &[1]).without_adapters();
     let new = endpoint("e2", "z1", &[2]).without_adapters();
     view.apply_entries(vec![known, new], now);
@@ -449,7 +449,7 @@
 fn a_planned_load_takes_a_place_and_no_requests() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[]), now);
+    view.apply_entry(endpoint("e1", "z1", &[]), now);
     view.plan_placed(&placed("e1", 1, 250), now);
     let held = view.get(&"e1".to_owned()).expect("an engine");
     assert!(held.seat(&key(1)).is_some());
@@ -477,8 +477,8 @@
     let mut holder = FleetView::new("z1");
     let mut other = FleetView::new("z1");
     for id in &ids {
-        holder.list(endpoint(id, "z1", &[]), now);
-        other.list(endpoint(id, "z1", &[]), now);
+        holder.apply_entry(endpoint(id, "z1", &[]), now);
+        other.apply_entry(endpoint(id, "z1", &[]), now);
     }
     let work = |n: u32| -> Vec<(String, sedgewall_fleet::work::Work)> {
         let loaded = ids.iter().enumerate().filter(|(at, _)| at % 3 != 0);
@@ -523,7 +523,7 @@
     let mut view = FleetView::new("z1");
     for n in 1..=1_000 {
         let entry = endpoint(&format!("e{n}"), "z1", &[1, 2]);
-        view.list(Endpoint { revision: n, ..entry }, now);
+        view.apply_entry(Endpoint { revision: n, ..entry }, now);
     }
     let newer = view.entries_since(400);
     assert_eq!(newer.first().map(|e| e.revision), Some(401));
--- a/crates/sedgewalld/src/fleet/follow_endpoints.rs
+++ b/crates/sedgewalld/src/fleet/follow_endpoints.rs
@@ -130,7 +130,7 @@
                 revision = endpoint.revision,
             );
         }
-        view.list(endpoint, Instant::now());
+        view.apply_entry(endpoint, Instant::now());
     }
 
     /// Takes an endpoint out whose entry was missing at a revision of the store.
@@ -181,7 +181,7 @@
     if is_sure {
         poison::endpoint_ended(node, id);
     }
-    node.view.borrow_mut().unlist(id, revision, is_sure, now);
+    node.view.borrow_mut().remove_entry(id, revision, is_sure, now);
 }
 
 /// Tells all others of endpoints that we saw leave: their watches may be late,
