--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -357,7 +357,7 @@
     }
 
     /// Notes the newest version of a model or adapter; returns whether it is news.
-    pub fn name_version(
+    pub fn record_version(
         &mut self,
         key: &AdapterKey,
         version: WeightVersion,
--- a/crates/fleet/tests/loader_rules.rs
+++ b/crates/fleet/tests/loader_rules.rs
@@ -205,7 +205,7 @@
     let mut view = synced(&[("e1", &[1])], now);
     let mut demand = Demand::default();
     demand.add(&key(1), 1, "z1", now);
-    view.name_version(&key(1), 2, now);
+    view.record_version(&key(1), 2, now);
     let mut loader = loader(1, now);
     let orders = plan(&mut loader, &mut view, &mut demand, now);
     let tasks: Vec<_> = orders.iter().map(|o| o.task.clone()).collect();
@@ -220,7 +220,7 @@
     let mut view = synced(&[("e1", &[1, 2, 3, 4])], now);
     let mut demand = Demand::default();
     demand.add(&key(1), 1, "z1", now);
-    view.name_version(&key(1), 2, now);
+    view.record_version(&key(1), 2, now);
     let mut full = loader(1, now);
     let orders = full.plan(
         &deployment(),
@@ -233,7 +233,7 @@
     assert_eq!(tasks, [Task::Unload(key(1))]);
     // One place is free: the replacement takes it, and nothing else does.
     let mut view = synced(&[("e1", &[1, 2, 3])], now);
-    view.name_version(&key(1), 2, now);
+    view.record_version(&key(1), 2, now);
     for n in [1, 2, 3] {
         demand.add(&key(n), 1, "z1", now);
     }
--- a/crates/fleet/tests/view_rules.rs
+++ b/crates/fleet/tests/view_rules.rs
@@ -121,7 +121,7 @@
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
-    view.name_version(&key(1), 2, now);
+    view.record_version(&key(1), 2, now);
     assert_eq!(sent_to(&choose(&view, &key(1), now)), Some("e1"));
     // The platform allows 5 s from the naming to the beginning of a run.
     let late = now + Duration::from_millis(2_600);
@@ -139,8 +139,8 @@
 fn an_older_version_is_never_the_newest_again() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.name_version(&key(1), 3, now);
-    view.name_version(&key(1), 2, now);
+    view.record_version(&key(1), 3, now);
+    view.record_version(&key(1), 2, now);
     assert_eq!(view.newest(&key(1)).map(|(version, _)| version), Some(3));
 }
 
--- a/crates/sedgewalld/src/fleet/knowledge.rs
+++ b/crates/sedgewalld/src/fleet/knowledge.rs
@@ -68,7 +68,7 @@
         version: WeightVersion,
     ) {
         let mut view = self.view.borrow_mut();
-        if !view.name_version(key, version, Instant::now()) {
+        if !view.record_version(key, version, Instant::now()) {
             return;
         }
         drop(view);
