--- a/crates/fleet/src/pace.rs
+++ b/crates/fleet/src/pace.rs
@@ -54,7 +54,7 @@
 
     /// Returns how long an engine reads so many tokens; nothing before enough
     /// was seen.
-    pub fn reading_time(&self, tokens: u64) -> Duration {
+    pub fn prefill_time(&self, tokens: u64) -> Duration {
         if self.weight < LEAST_ANSWERS {
             return Duration::ZERO;
         }
--- a/crates/fleet/src/view/choice.rs
+++ b/crates/fleet/src/view/choice.rs
@@ -273,14 +273,14 @@
 
     /// Returns how long an engine reads before a new prompt's turn.
     pub fn backlog(&self, state: &EndpointState) -> Duration {
-        self.reading_time(state.id(), state.unread_tokens())
+        self.prefill_time(state.id(), state.unread_tokens())
     }
 
     /// Returns how long an endpoint reads so many tokens.
-    pub fn reading_time(&self, id: &EndpointId, tokens: u64) -> Duration {
+    pub fn prefill_time(&self, id: &EndpointId, tokens: u64) -> Duration {
         let state = self.endpoints.get(id);
         let pace = state.and_then(|s| self.paces.get(&s.endpoint.service));
-        pace.map_or(Duration::ZERO, |pace| pace.reading_time(tokens))
+        pace.map_or(Duration::ZERO, |pace| pace.prefill_time(tokens))
     }
 
     /// Takes in how long an engine took to begin an answer, before which it
--- a/crates/fleet/tests/pace_rules.rs
+++ b/crates/fleet/tests/pace_rules.rs
@@ -17,7 +17,7 @@
         seen(&mut pace, tokens, 0.03, 10.0);
     }
     assert_eq!(pace.predict(500), None);
-    assert_eq!(pace.reading_time(5_000), Duration::ZERO);
+    assert_eq!(pace.prefill_time(5_000), Duration::ZERO);
 }
 
 #[test]
@@ -29,7 +29,7 @@
     for n in 0..300 {
         seen(&mut pace, 500 + n * 40, 0.08, 10.0);
     }
-    let took = pace.reading_time(10_000).as_secs_f64();
+    let took = pace.prefill_time(10_000).as_secs_f64();
     assert!((0.75..0.85).contains(&took), "{took} s");
 }
 
--- a/crates/sedgewalld/src/fleet/under_way.rs
+++ b/crates/sedgewalld/src/fleet/under_way.rs
@@ -33,7 +33,7 @@
         prompt_tokens: u64,
     ) -> UnderWay {
         let mut view = node.view.borrow_mut();
-        let reads_for = view.reading_time(endpoint, prompt_tokens);
+        let reads_for = view.prefill_time(endpoint, prompt_tokens);
         let mut load = 0.0;
         if let Some(state) = view.get_mut(endpoint) {
             load = state.load();
