--- a/crates/fleet/src/endpoint_state.rs
+++ b/crates/fleet/src/endpoint_state.rs
@@ -58,7 +58,7 @@
 
 /// An adapter on an engine.
 #[derive(Clone, Debug)]
-pub struct Seat {
+pub struct Placement {
     /// The version that is there, or that the load brings.
     pub version: WeightVersion,
     /// From when on it takes requests.
@@ -101,7 +101,7 @@
     pub health: Health,
     /// What it is worth against an endpoint as the others, for plain services.
     pub(crate) part: f64,
-    pub(crate) seats: HashMap<AdapterKey, Seat>,
+    pub(crate) placements: HashMap<AdapterKey, Placement>,
     pub(crate) removed: HashMap<AdapterKey, Instant>,
     /// Whether our own orders alone decide what it holds; then the list, which
     /// is late, says nothing about that.
@@ -115,7 +115,7 @@
     pub(crate) cooldown: Cooldown,
 }
 
-impl Seat {
+impl Placement {
     /// Returns whether the seat takes requests.
     pub fn is_ready(&self, now: Instant) -> bool {
         self.is_ordered && now >= self.ready_at
@@ -158,7 +158,7 @@
             total_work: None,
             health: Health::default(),
             part: 1.0,
-            seats: HashMap::new(),
+            placements: HashMap::new(),
             removed: HashMap::new(),
             is_ordered_by_us: false,
             warm: VecDeque::new(),
@@ -169,7 +169,7 @@
 
     /// Forgets what it held, what requests showed and what was learned of it.
     pub(crate) fn begin_life(&mut self) {
-        self.seats.clear();
+        self.placements.clear();
         self.removed.clear();
         self.warm.clear();
         self.is_ordered_by_us = false;
@@ -241,13 +241,13 @@
     }
 
     /// Returns the adapters that are there or on their way.
-    pub fn seats(&self) -> impl Iterator<Item = (&AdapterKey, &Seat)> {
-        self.seats.iter()
+    pub fn placements(&self) -> impl Iterator<Item = (&AdapterKey, &Placement)> {
+        self.placements.iter()
     }
 
     /// Returns one adapter that is there or on its way.
-    pub fn seat(&self, key: &AdapterKey) -> Option<&Seat> {
-        self.seats.get(key)
+    pub fn placement(&self, key: &AdapterKey) -> Option<&Placement> {
+        self.placements.get(key)
     }
 
     /// Notes that it holds an adapter; returns what it no longer has at hand.
@@ -271,7 +271,7 @@
         }
         let holds = |at: Instant| now - at < NOTE_HOLDS;
         self.removed.retain(|_, at| holds(*at));
-        let mut seats = HashMap::new();
+        let mut placements = HashMap::new();
         for model in &endpoint.models {
             let own = (model.key.clone(), model.version);
             for (key, version) in
@@ -280,7 +280,7 @@
                 if self.removed.contains_key(key) {
                     continue;
                 }
-                let seat = Seat {
+                let placement = Placement {
                     version: *version,
                     ready_at: now,
                     noted: now,
@@ -291,42 +291,42 @@
                     is_ordered: true,
                     on_way_until: now,
                 };
-                seats.insert(key.clone(), seat);
+                placements.insert(key.clone(), placement);
             }
         }
-        for (key, seat) in &self.seats {
-            let is_newer = seats
+        for (key, placement) in &self.placements {
+            let is_newer = placements
                 .get(key)
-                .is_none_or(|listed| listed.version < seat.version);
-            if is_newer && !seat.is_listed && holds(seat.noted) {
-                seats.insert(key.clone(), seat.clone());
+                .is_none_or(|listed| listed.version < placement.version);
+            if is_newer && !placement.is_listed && holds(placement.noted) {
+                placements.insert(key.clone(), placement.clone());
             }
         }
-        self.seats = seats;
+        self.placements = placements;
         self.endpoint = endpoint;
     }
 
     /// Takes in its own report, which is newer than its entry.
     pub(crate) fn apply_report(&mut self, report: &EngineReport, now: Instant) {
         self.removed.clear();
-        self.seats.clear();
+        self.placements.clear();
         self.is_ordered_by_us = false;
         let mut endpoint = self.endpoint.clone();
         endpoint.models.clone_from(&report.models);
         self.apply_entry(endpoint, now);
         for (key, version) in &report.loading {
-            let seat = Seat {
+            let placement = Placement {
                 version: *version,
                 ready_at: now + COMING_FOR,
                 noted: now,
                 is_listed: false,
-                is_replacement: self.seats.contains_key(key),
+                is_replacement: self.placements.contains_key(key),
                 is_unconfirmed: false,
                 began: now,
                 is_ordered: true,
                 on_way_until: now + COMING_FOR * ON_WAY_TIMES,
             };
-            self.seats.insert(key.clone(), seat);
+            self.placements.insert(key.clone(), placement);
         }
         self.is_ordered_by_us = true;
     }
@@ -334,31 +334,31 @@
     /// Takes in that an adapter is on its way.
     pub(crate) fn apply_placed(&mut self, placed: &Placed, now: Instant) {
         self.removed.remove(&placed.key);
-        let before = self.seats.get(&placed.key);
+        let before = self.placements.get(&placed.key);
         let is_replacement =
             before.is_some_and(|b| b.version < placed.version);
         // A note of the same load, with a better guess.
         let known = before.filter(|b| b.version == placed.version);
         let takes = Duration::from_millis(placed.ready_in_ms);
-        let seat = Seat {
+        let placement = Placement {
             version: placed.version,
             ready_at: now + takes,
             noted: now,
             is_listed: false,
             is_replacement,
             is_unconfirmed: placed.is_cold && !is_replacement,
-            began: known.map_or(now, |seat| seat.began),
+            began: known.map_or(now, |placement| placement.began),
             is_ordered: true,
             on_way_until: now + takes * ON_WAY_TIMES,
         };
-        self.seats.insert(placed.key.clone(), seat);
+        self.placements.insert(placed.key.clone(), placement);
     }
 
     /// Notes that an adapter is about to be ordered.
     pub(crate) fn plan(&mut self, placed: &Placed, now: Instant) {
         self.apply_placed(placed, now);
-        if let Some(seat) = self.seats.get_mut(&placed.key) {
-            seat.is_ordered = false;
+        if let Some(placement) = self.placements.get_mut(&placed.key) {
+            placement.is_ordered = false;
         }
     }
 
@@ -369,50 +369,50 @@
         key: &AdapterKey,
         now: Instant,
     ) -> Option<Duration> {
-        let seat = self.seats.get_mut(key)?;
-        if !std::mem::replace(&mut seat.is_ordered, true) {
-            let takes = seat.ready_at.saturating_duration_since(seat.noted);
-            seat.ready_at = now + takes;
-            seat.on_way_until = now + takes * ON_WAY_TIMES;
-            seat.noted = now;
-            seat.began = now;
+        let placement = self.placements.get_mut(key)?;
+        if !std::mem::replace(&mut placement.is_ordered, true) {
+            let takes = placement.ready_at.saturating_duration_since(placement.noted);
+            placement.ready_at = now + takes;
+            placement.on_way_until = now + takes * ON_WAY_TIMES;
+            placement.noted = now;
+            placement.began = now;
         }
-        Some(seat.ready_at.saturating_duration_since(now))
+        Some(placement.ready_at.saturating_duration_since(now))
     }
 
     /// Notes that an adapter that was about to be ordered is there already.
     pub(crate) fn mark_present(&mut self, key: &AdapterKey, now: Instant) {
-        if let Some(seat) = self.seats.get_mut(key) {
-            seat.is_ordered = true;
-            seat.is_unconfirmed = false;
-            seat.ready_at = now;
-            seat.on_way_until = now;
+        if let Some(placement) = self.placements.get_mut(key) {
+            placement.is_ordered = true;
+            placement.is_unconfirmed = false;
+            placement.ready_at = now;
+            placement.on_way_until = now;
         }
     }
 
     /// Takes in whether an adapter from the weight store was there when a request
     /// was sent to it; returns whether the holder of the lease is to hear of it.
     pub(crate) fn confirm_load(&mut self, key: &AdapterKey, is_there: bool) -> bool {
-        let Some(seat) = self.seats.get_mut(key) else { return false };
-        let is_news = seat.is_unconfirmed;
+        let Some(placement) = self.placements.get_mut(key) else { return false };
+        let is_news = placement.is_unconfirmed;
         if is_there {
-            seat.is_unconfirmed = false;
-            seat.on_way_until = seat.began;
+            placement.is_unconfirmed = false;
+            placement.on_way_until = placement.began;
         }
         is_news
     }
 
     /// Notes that it turned a request down for want of an adapter.
     pub(crate) fn record_absent(&mut self, key: &AdapterKey, now: Instant) {
-        let Some(seat) = self.seats.get_mut(key) else { return };
-        let elapsed = now.saturating_duration_since(seat.began);
+        let Some(placement) = self.placements.get_mut(key) else { return };
+        let elapsed = now.saturating_duration_since(placement.began);
         let pause = NOT_YET_PAUSE.max(elapsed / NOT_YET_PART);
         // The holder's table must not lose what takes a place.
-        if seat.is_listed && !self.is_ordered_by_us {
-            self.seats.remove(key);
+        if placement.is_listed && !self.is_ordered_by_us {
+            self.placements.remove(key);
             self.removed.insert(key.clone(), now);
         } else {
-            seat.ready_at = now + pause;
+            placement.ready_at = now + pause;
         }
     }
 }
--- a/crates/fleet/src/loader.rs
+++ b/crates/fleet/src/loader.rs
@@ -183,10 +183,10 @@
     fn replace_versions(&mut self, orders: &mut Vec<Order>) {
         let mut old = Vec::new();
         for state in self.engines() {
-            for (key, seat) in state.seats() {
+            for (key, placement) in state.placements() {
                 let newest = self.view.newest(key);
                 if let Some((newest, _)) = newest
-                    && seat.version < newest
+                    && placement.version < newest
                 {
                     let id = state.endpoint.id.clone();
                     let address = state.endpoint.address;
@@ -327,7 +327,7 @@
 
     fn coming(&self, state: &EndpointState) -> bool {
         let on_their_way =
-            state.seats().filter(|(_, seat)| seat.is_on_way(self.now));
+            state.placements().filter(|(_, placement)| placement.is_on_way(self.now));
         on_their_way.count() >= COMING_PER_ENGINE
     }
 
--- a/crates/fleet/src/loader/homes.rs
+++ b/crates/fleet/src/loader/homes.rs
@@ -125,7 +125,7 @@
         // The base model is on all engines, and its share the same on each; to
         // count its holders for each took 0.34 ms an order among 1,010 engines, and the
         // next look came 2 s later.
-        let adapters = state.seats().filter(|(key, _)| key.adapter.is_some());
+        let adapters = state.placements().filter(|(key, _)| key.adapter.is_some());
         let shares = adapters.map(|(key, _)| {
             self.rate(key) / self.holders(key).count().max(1) as f64
         });
@@ -179,7 +179,7 @@
         state: &EndpointState,
     ) -> Option<Option<AdapterKey>> {
         let places = self.group.adapter_places();
-        let adapters = || state.seats().filter(|(k, _)| k.adapter.is_some());
+        let adapters = || state.placements().filter(|(k, _)| k.adapter.is_some());
         let replaced = adapters().filter(|(_, s)| s.is_replacing(self.now));
         let taken = adapters().count() + replaced.count();
         if taken < places {
@@ -189,7 +189,7 @@
             return None;
         }
         adapters()
-            .filter(|(_, seat)| seat.is_settled(self.now))
+            .filter(|(_, placement)| placement.is_settled(self.now))
             .filter(|(key, _)| !state.uses(key) && !self.may_be_in_use(key))
             .min_by(|a, b| self.rate(a.0).total_cmp(&self.rate(b.0)))
             .map(|(key, _)| Some(key.clone()))
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -153,7 +153,7 @@
             let of_service = self.services.entry(endpoint.service.clone());
             of_service.or_default().insert(id.clone());
         }
-        self.change_seats(&id, |state| state.apply_entry(endpoint, now));
+        self.change_placements(&id, |state| state.apply_entry(endpoint, now));
     }
 
     /// Takes in entries that another instance knows, without their adapters, while
@@ -188,19 +188,19 @@
     }
 
     /// Changes what an endpoint holds, and the indexes with it.
-    fn change_seats(
+    fn change_placements(
         &mut self,
         id: &EndpointId,
         change: impl FnOnce(&mut EndpointState),
     ) {
         let Some(state) = self.endpoints.get_mut(id) else { return };
-        let before: Vec<AdapterKey> = state.seats.keys().cloned().collect();
+        let before: Vec<AdapterKey> = state.placements.keys().cloned().collect();
         change(state);
-        for key in before.iter().filter(|k| !state.seats.contains_key(k)) {
+        for key in before.iter().filter(|k| !state.placements.contains_key(k)) {
             self.holders.remove(key, id);
         }
         let new: Vec<AdapterKey> = state
-            .seats
+            .placements
             .keys()
             .filter(|key| !before.contains(key))
             .cloned()
@@ -222,7 +222,7 @@
         for key in &state.warm {
             self.warm.remove(key, id);
         }
-        self.change_seats(id, EndpointState::begin_life);
+        self.change_placements(id, EndpointState::begin_life);
     }
 
     fn note_warm(&mut self, id: &EndpointId, key: &AdapterKey) {
@@ -246,7 +246,7 @@
             IncarnationStatus::New => self.begin_life(id),
             IncarnationStatus::Ended => return false,
         }
-        self.change_seats(id, |state| state.apply_report(report, now));
+        self.change_placements(id, |state| state.apply_report(report, now));
         true
     }
 
@@ -267,7 +267,7 @@
     pub fn stop_ordering(&mut self, now: Instant) {
         let ids: Vec<EndpointId> = self.endpoints.keys().cloned().collect();
         for id in ids {
-            self.change_seats(&id, |state| {
+            self.change_placements(&id, |state| {
                 if std::mem::take(&mut state.is_ordered_by_us) {
                     state.apply_entry(state.endpoint.clone(), now);
                 }
@@ -294,7 +294,7 @@
         if state.cooldown.is_cooling_down(now) {
             self.lapsed_rests.insert(id.clone(), state.cooldown);
         }
-        for key in state.seats.keys() {
+        for key in state.placements.keys() {
             self.holders.remove(key, id);
         }
         for key in &state.warm {
@@ -314,19 +314,19 @@
         now: Instant,
     ) -> Vec<Placed> {
         let usable = self.holders(key).filter(|s| s.is_usable(now));
-        let seats = usable.filter_map(|s| Some((s, s.seats.get(key)?)));
-        seats
-            .filter(|(_, seat)| seat.is_ordered())
-            .map(|(state, seat)| Placed {
+        let placements = usable.filter_map(|s| Some((s, s.placements.get(key)?)));
+        placements
+            .filter(|(_, placement)| placement.is_ordered())
+            .map(|(state, placement)| Placed {
                 epoch,
                 endpoint: state.endpoint.id.clone(),
                 key: key.clone(),
-                version: seat.version,
-                ready_in_ms: seat
+                version: placement.version,
+                ready_in_ms: placement
                     .ready_at
                     .saturating_duration_since(now)
                     .as_millis() as u64,
-                is_cold: seat.is_unconfirmed,
+                is_cold: placement.is_unconfirmed,
                 born: self.incarnations.born(&state.endpoint.id),
             })
             .collect()
@@ -427,7 +427,7 @@
         if placed.is_cold {
             self.load_time = Duration::from_millis(placed.ready_in_ms);
         }
-        self.change_seats(id, |state| state.apply_placed(placed, now));
+        self.change_placements(id, |state| state.apply_placed(placed, now));
         self.note_warm(id, &placed.key);
     }
 
@@ -438,7 +438,7 @@
         if placed.is_cold {
             self.load_time = Duration::from_millis(placed.ready_in_ms);
         }
-        self.change_seats(id, |state| state.plan(placed, now));
+        self.change_placements(id, |state| state.plan(placed, now));
         self.note_warm(id, &placed.key);
     }
 
@@ -470,16 +470,16 @@
         if !self.incarnations.is_current(&removed.endpoint, removed.born) {
             return;
         }
-        self.change_seats(&removed.endpoint, |state| {
-            state.seats.remove(&removed.key);
+        self.change_placements(&removed.endpoint, |state| {
+            state.placements.remove(&removed.key);
             state.removed.insert(removed.key.clone(), now);
         });
     }
 
     /// Takes an adapter out that a load did not bring after all.
     pub fn take_back(&mut self, id: &EndpointId, key: &AdapterKey) {
-        self.change_seats(id, |state| {
-            state.seats.remove(key);
+        self.change_placements(id, |state| {
+            state.placements.remove(key);
             state.warm.retain(|held| held != key);
         });
         self.warm.remove(key, id);
@@ -494,7 +494,7 @@
         key: &AdapterKey,
         now: Instant,
     ) {
-        self.change_seats(id, |state| state.record_absent(key, now));
+        self.change_placements(id, |state| state.record_absent(key, now));
     }
 
     /// Takes in whether an adapter from the weight store was there when a request
--- a/crates/fleet/src/view/choice.rs
+++ b/crates/fleet/src/view/choice.rs
@@ -182,14 +182,14 @@
         };
         let full = (state.load() >= fill).then_some(Choice::Full);
         let Some(key) = need.key else { return full };
-        let Some(seat) = state.seats.get(key) else {
+        let Some(placement) = state.placements.get(key) else {
             return Some(Choice::Absent);
         };
-        if self.is_outdated(key, seat.version, now) {
+        if self.is_outdated(key, placement.version, now) {
             return Some(Choice::Absent);
         }
-        if !seat.is_ready(now) {
-            let left = seat.ready_at.saturating_duration_since(now);
+        if !placement.is_ready(now) {
+            let left = placement.ready_at.saturating_duration_since(now);
             return Some(Choice::Loading(left.max(LEAST_COMING)));
         }
         full
--- a/crates/fleet/tests/incarnation_rules.rs
+++ b/crates/fleet/tests/incarnation_rules.rs
@@ -45,7 +45,7 @@
 
 fn holds(view: &FleetView, life: usize) -> bool {
     let state = view.get(&ID.to_owned()).expect("it is listed");
-    state.seat(&key(life as u32)).is_some()
+    state.placement(&key(life as u32)).is_some()
 }
 
 #[test]
@@ -200,7 +200,7 @@
             heard[life] |= view.incarnation(&id) == Some(BORN[life]);
             let Some(state) = view.get(&id) else { continue };
             let held = (0..BORN.len())
-                .filter(|n| state.seat(&key(*n as u32)).is_some());
+                .filter(|n| state.placement(&key(*n as u32)).is_some());
             for held in held {
                 prop_assert_eq!(view.incarnation(&id), Some(BORN[held]));
             }
--- a/crates/fleet/tests/view_rules.rs
+++ b/crates/fleet/tests/view_rules.rs
@@ -294,7 +294,7 @@
     view.apply_report(&id, &report(&[1], 3), now);
     view.record_absent(&id, &key(1), now);
     let state = view.get(&id);
-    assert!(state.is_some_and(|state| state.seat(&key(1)).is_some()));
+    assert!(state.is_some_and(|state| state.placement(&key(1)).is_some()));
 }
 
 /// The list is a second late.
@@ -308,12 +308,12 @@
     view.apply_placed(&placed("e1", 3, 0), now);
     let late = now + Duration::from_secs(20);
     view.apply_entry(endpoint("e1", "z1", &[1]), late);
-    let seats = view.get(&id).map(|s| s.seats().count());
+    let placements = view.get(&id).map(|s| s.placements().count());
     // Three adapters and the base model.
-    assert_eq!(seats, Some(4));
+    assert_eq!(placements, Some(4));
     view.stop_ordering(late);
-    let seats = view.get(&id).map(|s| s.seats().count());
-    assert_eq!(seats, Some(2));
+    let placements = view.get(&id).map(|s| s.placements().count());
+    assert_eq!(placements, Some(2));
 }
 
 /// An entry went while the store was down, and came back.
@@ -411,7 +411,7 @@
     let older = Endpoint { revision: 4, ..endpoint("e1", "z1", &[1]) };
     view.apply_entry(older, now);
     let held = view.get(&"e1".to_owned()).expect("an endpoint");
-    assert!(held.seat(&key(2)).is_some() && held.seat(&key(1)).is_none());
+    assert!(held.placement(&key(2)).is_some() && held.placement(&key(1)).is_none());
 }
 
 /// Symptom: 500 adapters waited for places while 18 new engines had none.
@@ -428,7 +428,7 @@
     view.apply_entries(vec![known, new], now);
     // What is known of the adapters of the first comes from its own entry.
     let first = view.get(&"e1".to_owned()).expect("an engine");
-    assert!(first.seat(&key(1)).is_some());
+    assert!(first.placement(&key(1)).is_some());
     let second = view.get(&"e2".to_owned()).expect("the new engine");
     assert!(second.has_model("m") && !second.is_ordered_by_us());
     // One that has left since is not brought back.
@@ -452,7 +452,7 @@
     view.apply_entry(endpoint("e1", "z1", &[]), now);
     view.plan_placed(&placed("e1", 1, 250), now);
     let held = view.get(&"e1".to_owned()).expect("an engine");
-    assert!(held.seat(&key(1)).is_some());
+    assert!(held.placement(&key(1)).is_some());
     assert_eq!(view.placement_notes(&key(1), 1, now), []);
     // The order goes out 0.8 s later; the load begins then.
     let taken = now + Duration::from_millis(800);
--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -323,8 +323,8 @@
         let is_absent = matches!(ended, Err(AttemptError::Misdirected));
         let is_coming = view
             .get(&target.id)
-            .and_then(|state| state.seat(key))
-            .is_some_and(|seat| !seat.is_listed());
+            .and_then(|state| state.placement(key))
+            .is_some_and(|placement| !placement.is_listed());
         if is_absent || is_coming {
             view.record_absent(&target.id, key, now);
         }
