--- a/crates/fleet/src/endpoint_state.rs
+++ b/crates/fleet/src/endpoint_state.rs
@@ -137,7 +137,7 @@
     }
 
     /// Returns whether its load may still be under way.
-    pub fn is_on_way(&self, now: Instant) -> bool {
+    pub fn is_loading(&self, now: Instant) -> bool {
         now < self.ready_at.max(self.on_way_until)
     }
 
--- a/crates/fleet/src/loader.rs
+++ b/crates/fleet/src/loader.rs
@@ -327,7 +327,7 @@
 
     fn coming(&self, state: &EndpointState) -> bool {
         let on_their_way =
-            state.placements().filter(|(_, placement)| placement.is_on_way(self.now));
+            state.placements().filter(|(_, placement)| placement.is_loading(self.now));
         on_their_way.count() >= COMING_PER_ENGINE
     }
 
