--- a/crates/fleet/src/order.rs
+++ b/crates/fleet/src/order.rs
@@ -42,7 +42,7 @@
     /// reports: an adapter that was to leave is still there.
     pub fn take_back(&self, view: &mut FleetView) {
         if let Task::Load(key, _) = &self.task {
-            view.take_back(&self.endpoint, key);
+            view.remove_placement(&self.endpoint, key);
         }
         view.invalidate_contents(&self.endpoint);
     }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -477,7 +477,7 @@
     }
 
     /// Takes an adapter out that a load did not bring after all.
-    pub fn take_back(&mut self, id: &EndpointId, key: &AdapterKey) {
+    pub fn remove_placement(&mut self, id: &EndpointId, key: &AdapterKey) {
         self.change_placements(id, |state| {
             state.placements.remove(key);
             state.warm.retain(|held| held != key);
