--- a/crates/fleet/src/engine_headroom.rs
+++ b/crates/fleet/src/engine_headroom.rs
@@ -24,17 +24,17 @@
     /// Requests a second that its adapters stand for, an adapter's shared
     /// among those that hold it.
     pub(crate) rate_per_s: f64,
-    pub(crate) place: Place,
+    pub(crate) next_slot: NextSlot,
 }
 
 /// The next place for an adapter on an engine.
 #[derive(Clone, Debug)]
-pub(crate) enum Place {
+pub(crate) enum NextSlot {
     /// All are taken by what may be in use, or enough is on its way.
     None,
     /// One is free.
     Free,
     /// One is free once this adapter has left, which is asked for so often a
     /// second.
-    Of(AdapterKey, f64),
+    AfterEvicting(AdapterKey, f64),
 }
--- a/crates/fleet/src/loader/homes.rs
+++ b/crates/fleet/src/loader/homes.rs
@@ -8,7 +8,7 @@
 use crate::{
     adapter::AdapterKey,
     endpoint_state::EndpointState,
-    engine_headroom::{EngineHeadroom, Place},
+    engine_headroom::{EngineHeadroom, NextSlot},
     order::{Order, Task},
     view::{BUSY_BACKLOG, OTHER_ZONE_COST},
 };
@@ -75,19 +75,19 @@
         };
         let is_warm = |engine: &EngineHeadroom| warm.contains(&engine.endpoint);
         let has_place =
-            |engine: &EngineHeadroom| !matches!(engine.place, Place::None);
+            |engine: &EngineHeadroom| !matches!(engine.next_slot, NextSlot::None);
         let is_warm_somewhere = candidates().any(is_warm)
             && (candidates().any(|e| is_warm(e) && has_place(e))
-                || !candidates().any(|e| matches!(e.place, Place::Free)));
+                || !candidates().any(|e| matches!(e.next_slot, NextSlot::Free)));
         let mut best: Option<(f64, &EngineHeadroom)> = None;
         for engine in candidates() {
             if warm.contains(&engine.endpoint) != is_warm_somewhere {
                 continue;
             }
-            let lost = match &engine.place {
-                Place::None => continue,
-                Place::Free => 0.0,
-                Place::Of(_, rate_per_s) => EVICTION_COST + rate_per_s,
+            let lost = match &engine.next_slot {
+                NextSlot::None => continue,
+                NextSlot::Free => 0.0,
+                NextSlot::AfterEvicting(_, rate_per_s) => EVICTION_COST + rate_per_s,
             };
             let is_near = Some(engine.zone.as_str()) == zone;
             let expected = engine.rate_per_s * SERVICE_TIME_S;
@@ -100,9 +100,9 @@
             }
         }
         let (_, engine) = best?;
-        let victim = match &engine.place {
-            Place::Of(victim, _) => Some(victim.clone()),
-            Place::None | Place::Free => None,
+        let victim = match &engine.next_slot {
+            NextSlot::AfterEvicting(victim, _) => Some(victim.clone()),
+            NextSlot::None | NextSlot::Free => None,
         };
         Some(Home {
             endpoint: engine.endpoint.clone(),
@@ -139,20 +139,20 @@
             backlog: self.view.backlog(state),
             pressure: self.view.pressure(state),
             rate_per_s: shares.sum(),
-            place: self.next_place(state),
+            next_slot: self.next_place(state),
         }
     }
 
-    fn next_place(&self, state: &EndpointState) -> Place {
+    fn next_place(&self, state: &EndpointState) -> NextSlot {
         if self.coming(state) {
-            return Place::None;
+            return NextSlot::None;
         }
         match self.make_room(state) {
-            None => Place::None,
-            Some(None) => Place::Free,
+            None => NextSlot::None,
+            Some(None) => NextSlot::Free,
             Some(Some(victim)) => {
                 let rate_per_s = self.rate(&victim);
-                Place::Of(victim, rate_per_s)
+                NextSlot::AfterEvicting(victim, rate_per_s)
             }
         }
     }
