--- a/crates/fleet/benches/decisions.rs
+++ b/crates/fleet/benches/decisions.rs
@@ -14,7 +14,7 @@
     endpoint::{Endpoint, EngineReport, HostedModel},
     load_times::LoadTimes,
     loader::Loader,
-    route::{BaseModel, CallerLimits, Deployment, EngineGroup, Service},
+    route::{BaseModel, CallerLimits, RoutingConfiguration, EngineGroup, Service},
     store_rate::StoreRate,
     view::{FleetView, Need},
 };
@@ -81,7 +81,7 @@
     demand
 }
 
-fn deployment() -> Deployment {
+fn routing() -> RoutingConfiguration {
     let model = BaseModel {
         name: MODEL.to_owned(),
         weights_mb: 65_000.0,
@@ -98,7 +98,7 @@
         models: vec![model],
     };
     let service = Service { max_connections: 590, engine: Some(engine) };
-    Deployment {
+    RoutingConfiguration {
         version: 1,
         routes: Vec::new(),
         services: BTreeMap::from([(SERVICE.to_owned(), service)]),
@@ -109,7 +109,7 @@
 
 fn decisions(criterion: &mut Criterion) {
     let now = Instant::now();
-    let (view, demand, deployment) = (view(now), demand(now), deployment());
+    let (view, demand, routing) = (view(now), demand(now), routing());
     criterion.bench_function("choose", |bench| {
         let key = key(400);
         let need = Need {
@@ -132,7 +132,7 @@
             fresh,
             |(mut loader, mut view, mut demand)| {
                 loader.plan(
-                    &deployment,
+                    &routing,
                     &mut view,
                     &mut demand,
                     &mut LoadTimes::default(),
--- a/crates/fleet/src/catch_up.rs
+++ b/crates/fleet/src/catch_up.rs
@@ -17,7 +17,7 @@
     configuration::ConfigurationVersion,
     departure::Departure,
     poison::Condemned,
-    route::Deployment,
+    route::RoutingConfiguration,
 };
 
 /// How long our own read of the store may take before others are asked. A watch
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Missed {
     /// The configuration in force there, if it is newer.
-    pub deployment: Option<Deployment>,
+    pub deployment: Option<RoutingConfiguration>,
     /// The named versions of weights, if there are more.
     pub versions: Vec<(AdapterKey, WeightVersion)>,
     /// Endpoints that have left.
--- a/crates/fleet/src/loader.rs
+++ b/crates/fleet/src/loader.rs
@@ -22,7 +22,7 @@
     load_times::LoadTimes,
     note::{Placed, Removed},
     order::{Order, Task},
-    route::{Deployment, EngineGroup},
+    route::{RoutingConfiguration, EngineGroup},
     store_rate::StoreRate,
     view::{BUSY_BACKLOG, FleetView},
 };
@@ -75,7 +75,7 @@
     /// taken.
     pub fn plan(
         &mut self,
-        deployment: &Deployment,
+        routing: &RoutingConfiguration,
         view: &mut FleetView,
         demand: &mut Demand,
         times: &mut LoadTimes,
@@ -88,7 +88,7 @@
             self.forget(now);
         }
         let mut orders = Vec::new();
-        for (service, group) in deployment.engines() {
+        for (service, group) in routing.engines() {
             let mut turn = Turn {
                 loader: self,
                 service,
--- a/crates/fleet/src/route.rs
+++ b/crates/fleet/src/route.rs
@@ -12,7 +12,7 @@
 
 /// A configuration in force. Versions only rise.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Deployment {
+pub struct RoutingConfiguration {
     /// Its version.
     pub version: ConfigurationVersion,
     /// All routes, in the order given.
@@ -140,7 +140,7 @@
     }
 }
 
-impl Deployment {
+impl RoutingConfiguration {
     /// Returns the route of a host and path: the longest prefix wins.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         self.routes
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -8,7 +8,7 @@
     customer::Customers,
     endpoint::{Endpoint, EngineReport, HostedModel},
     note::Status,
-    route::{BaseModel, CallerLimits, Deployment, EngineGroup, Service},
+    route::{BaseModel, CallerLimits, RoutingConfiguration, EngineGroup, Service},
     view::{Choice, FleetView, Need},
     work::Work,
 };
@@ -56,7 +56,7 @@
     }
 }
 
-pub fn deployment() -> Deployment {
+pub fn routing() -> RoutingConfiguration {
     let model = BaseModel {
         name: MODEL.to_owned(),
         weights_mb: 65_000.0,
@@ -73,7 +73,7 @@
         models: vec![model],
     };
     let service = Service { max_connections: 200, engine: Some(engine) };
-    Deployment {
+    RoutingConfiguration {
         version: 1,
         routes: Vec::new(),
         services: BTreeMap::from([(SERVICE.to_owned(), service)]),
--- a/crates/fleet/tests/loader_rules.rs
+++ b/crates/fleet/tests/loader_rules.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::{
-    MODEL, PLACES, SERVICE, deployment, endpoint, key, report, requests,
+    MODEL, PLACES, SERVICE, routing, endpoint, key, report, requests,
     status,
 };
 use proptest::prelude::*;
@@ -35,7 +35,7 @@
     now: Instant,
 ) -> Vec<Order> {
     let mut times = LoadTimes::default();
-    loader.plan(&deployment(), view, demand, &mut times, now)
+    loader.plan(&routing(), view, demand, &mut times, now)
 }
 
 fn asked(demand: &mut Demand, n: u32, times: u32, now: Instant) {
@@ -223,7 +223,7 @@
     view.record_version(&key(1), 2, now);
     let mut full = loader(1, now);
     let orders = full.plan(
-        &deployment(),
+        &routing(),
         &mut view,
         &mut demand,
         &mut LoadTimes::default(),
@@ -240,7 +240,7 @@
     asked(&mut demand, 9, 1, now);
     let mut free = loader(1, now);
     let orders = free.plan(
-        &deployment(),
+        &routing(),
         &mut view,
         &mut demand,
         &mut LoadTimes::default(),
@@ -436,7 +436,7 @@
     let mut loader = loader(1, now);
     let mut times = LoadTimes::default();
     let orders =
-        loader.plan(&deployment(), &mut view, &mut demand, &mut times, now);
+        loader.plan(&routing(), &mut view, &mut demand, &mut times, now);
     assert_eq!(loads(&orders), [("e2", key(9))]);
 }
 
@@ -478,7 +478,7 @@
     let mut loader = loader(1, now);
     let mut times = LoadTimes::default();
     let mut demand = Demand::default();
-    let mut roomy = deployment();
+    let mut roomy = routing();
     for service in roomy.services.values_mut() {
         let engine = service.engine.as_mut().expect("an engine");
         engine.adapter_slots = 9;
--- a/crates/fleet/tests/route_rules.rs
+++ b/crates/fleet/tests/route_rules.rs
@@ -4,7 +4,7 @@
 
 use sedgewall_fleet::customer::Customers;
 use sedgewall_fleet::route::{
-    Backend, BaseModel, CallerLimits, Deployment, EngineGroup, Repetition,
+    Backend, BaseModel, CallerLimits, RoutingConfiguration, EngineGroup, Repetition,
     Route,
 };
 
@@ -29,8 +29,8 @@
     }
 }
 
-fn deployment(routes: Vec<Route>) -> Deployment {
-    Deployment {
+fn routing(routes: Vec<Route>) -> RoutingConfiguration {
+    RoutingConfiguration {
         version: 1,
         routes,
         services: BTreeMap::new(),
@@ -41,12 +41,12 @@
 
 #[test]
 fn the_longest_prefix_of_the_host_wins() {
-    let deployment = deployment(vec![
+    let routing = routing(vec![
         route("short", "one.example", "/a/"),
         route("long", "one.example", "/a/b/"),
         route("other", "two.example", "/a/b/c/"),
     ]);
-    let name = |host, path| deployment.route(host, path).map(|r| &*r.name);
+    let name = |host, path| routing.route(host, path).map(|r| &*r.name);
     assert_eq!(name("one.example", "/a/b/c/d"), Some("long"));
     assert_eq!(name("one.example", "/a/x"), Some("short"));
     assert_eq!(name("ONE.example", "/a/x"), Some("short"));
--- a/crates/sedgewalld/src/fleet/admit.rs
+++ b/crates/sedgewalld/src/fleet/admit.rs
@@ -7,7 +7,7 @@
 use sedgewall_fleet::{
     configuration::DecidedBy,
     customer::{Customer, KeyDigest},
-    route::{Deployment, Route},
+    route::{RoutingConfiguration, Route},
 };
 
 use super::{attempt::CallerRequest, node::FleetNode, refusal::Reason};
@@ -25,7 +25,7 @@
 
 /// A request that the configuration allows.
 pub(super) struct Admitted {
-    pub(super) deployment: Rc<Deployment>,
+    pub(super) routing: Rc<RoutingConfiguration>,
     pub(super) route: Route,
     pub(super) customer: Option<Rc<Customer>>,
     pub(super) decided_by: DecidedBy,
@@ -53,13 +53,13 @@
 }
 
 fn admit(node: &FleetNode, asked: &Asked) -> Result<Admitted, Reason> {
-    let deployment = node.deployment().ok_or(Reason::NoConfiguration)?;
-    let route = deployment.route(&asked.host, &asked.path);
+    let routing = node.routing().ok_or(Reason::NoConfiguration)?;
+    let route = routing.route(&asked.host, &asked.path);
     let route = route.ok_or(Reason::NoRoute)?.clone();
     let credential = asked.credential.as_ref();
-    let customer = admit_key(node, &deployment, &route, credential)?;
+    let customer = admit_key(node, &routing, &route, credential)?;
     let decided_by = node.decides();
-    Ok(Admitted { deployment, route, customer, decided_by })
+    Ok(Admitted { routing, route, customer, decided_by })
 }
 
 /// Returns whose a request is. Each request is looked at by itself: a key that
@@ -67,11 +67,11 @@
 /// on.
 fn admit_key(
     node: &FleetNode,
-    deployment: &Deployment,
+    routing: &RoutingConfiguration,
     route: &Route,
     credential: Option<&KeyDigest>,
 ) -> Result<Option<Rc<Customer>>, Reason> {
-    let customers = &deployment.customers;
+    let customers = &routing.customers;
     if customers.is_empty() {
         return Ok(None);
     }
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -156,7 +156,7 @@
         credential: facts.as_ref().and_then(|f| f.credential),
     };
     let admitted = admit_by_newest(node, &asked).await.map_err(&refuse)?;
-    let Admitted { deployment, route, customer, decided_by } = admitted;
+    let Admitted { routing, route, customer, decided_by } = admitted;
     let facts = facts.ok_or_else(|| refuse(Reason::NoRequestId))?;
     let tokens = facts.prompt_tokens + facts.answer_tokens;
     if let Some(customer) = &customer {
@@ -165,7 +165,7 @@
             ..refuse(reason)
         })?;
     }
-    let most = deployment.limits.body_bytes;
+    let most = routing.limits.body_bytes;
     let body = read_body(body, most, BODY_TIME).await.map_err(|err| {
         refuse(match err {
             BodyError::TooLong(_) => Reason::BodyTooLong,
@@ -180,7 +180,7 @@
         .pick_service(draw_of(&facts.request_id))
         .ok_or_else(|| refuse(Reason::NobodyThere))?
         .clone();
-    let is_engine = deployment.engine_group(&service).is_some();
+    let is_engine = routing.engine_group(&service).is_some();
     Ok(CallerRequest {
         facts,
         method: head.method,
--- a/crates/sedgewalld/src/fleet/catch_up.rs
+++ b/crates/sedgewalld/src/fleet/catch_up.rs
@@ -154,8 +154,8 @@
 fn take_in(node: &FleetNode, missed: Missed) -> bool {
     let before = node.knowledge();
     let now = Instant::now();
-    if let Some(deployment) = missed.deployment {
-        put_in_force(node, deployment, Source::Instance);
+    if let Some(routing) = missed.deployment {
+        put_in_force(node, routing, Source::Instance);
     }
     for (key, version) in &missed.versions {
         node.name_version(key, *version);
@@ -216,7 +216,7 @@
 /// Returns what an instance misses that knows so much.
 fn missed_by(node: &FleetNode, known: Knowledge) -> Missed {
     let newer = |version| version > known.configuration;
-    let deployment = node.deployment().filter(|d| newer(d.version));
+    let routing = node.routing().filter(|d| newer(d.version));
     let condemned = node.poison.borrow().condemned(Instant::now());
     let view = node.view.borrow();
     let versions = match view.versions_announced() > known.versions {
@@ -224,7 +224,7 @@
         false => Vec::new(),
     };
     Missed {
-        deployment: deployment.map(|deployment| (*deployment).clone()),
+        deployment: routing.map(|routing| (*routing).clone()),
         versions,
         departures: view.all_departures(),
         condemned,
--- a/crates/sedgewalld/src/fleet/follow_configuration.rs
+++ b/crates/sedgewalld/src/fleet/follow_configuration.rs
@@ -12,7 +12,7 @@
     node::{FleetNode, Stage},
     notify::Notify,
 };
-use sedgewall_fleet::route::Deployment;
+use sedgewall_fleet::route::RoutingConfiguration;
 use sedgewall_platform::{
     config::{
         CONFIG_KIND, CONFIG_NAME, VERSIONS_KIND, decode_config, decode_version,
@@ -80,8 +80,8 @@
             return;
         }
         let node = &self.0;
-        let deployment = match decode_config(&object.spec) {
-            Ok(deployment) => deployment,
+        let routing = match decode_config(&object.spec) {
+            Ok(routing) => routing,
             Err(err) => {
                 let cause = err.to_string();
                 tracing::error!(event = "configuration_unreadable", cause);
@@ -90,7 +90,7 @@
             }
         };
         node.is_configuration_unreadable.set(false);
-        put_in_force(node, deployment, Source::Store);
+        put_in_force(node, routing, Source::Store);
     }
 }
 
@@ -114,21 +114,21 @@
 /// Puts a configuration in force if it is newer than the one that is.
 pub(crate) fn put_in_force(
     node: &FleetNode,
-    deployment: Deployment,
+    routing: RoutingConfiguration,
     source: Source,
 ) {
     let known = node.configuration_version().unwrap_or(0);
-    if deployment.version <= known {
+    if routing.version <= known {
         return;
     }
     tracing::info!(
         event = "configuration",
-        version = deployment.version,
-        routes = deployment.routes.len(),
+        version = routing.version,
+        routes = routing.routes.len(),
         replaces = known,
         from = source.name(),
     );
-    *node.deployment.borrow_mut() = Some(Rc::new(deployment));
+    *node.routing.borrow_mut() = Some(Rc::new(routing));
     node.forget_patience();
     if node.stage.get() == Stage::Starting {
         node.stage.set(Stage::Ready);
--- a/crates/sedgewalld/src/fleet/knowledge.rs
+++ b/crates/sedgewalld/src/fleet/knowledge.rs
@@ -9,7 +9,7 @@
     adapter::{AdapterKey, WeightVersion},
     catch_up::Knowledge,
     configuration::{ConfigurationVersion, DecidedBy},
-    route::Deployment,
+    route::RoutingConfiguration,
 };
 
 use super::node::FleetNode;
@@ -21,15 +21,15 @@
     }
 
     /// Returns the configuration in force.
-    pub(crate) fn deployment(&self) -> Option<Rc<Deployment>> {
-        self.deployment.borrow().clone()
+    pub(crate) fn routing(&self) -> Option<Rc<RoutingConfiguration>> {
+        self.routing.borrow().clone()
     }
 
     /// Returns the version of the configuration in force.
     pub(crate) fn configuration_version(
         &self,
     ) -> Option<ConfigurationVersion> {
-        self.deployment.borrow().as_ref().map(|known| known.version)
+        self.routing.borrow().as_ref().map(|known| known.version)
     }
 
     /// Returns by which configuration a request is decided that comes now.
--- a/crates/sedgewalld/src/fleet/leader.rs
+++ b/crates/sedgewalld/src/fleet/leader.rs
@@ -54,10 +54,10 @@
             let loader = Loader::new(held.epoch, rate, now);
             *orders.loader.borrow_mut() = Some(loader);
         }
-        let Some(deployment) = node.deployment() else { continue };
+        let Some(routing) = node.routing() else { continue };
         let planned = match orders.loader.borrow_mut().as_mut() {
             Some(loader) => loader.plan(
-                &deployment,
+                &routing,
                 &mut node.view.borrow_mut(),
                 &mut node.demand.borrow_mut(),
                 &mut node.load_times.borrow_mut(),
@@ -84,12 +84,12 @@
     if node.current_lease(now).is_none() {
         return;
     }
-    let Some(deployment) = node.deployment() else { return };
+    let Some(routing) = node.routing() else { return };
     let demand = node.demand.borrow();
     let view = node.view.borrow();
     let mut times = node.load_times.borrow_mut();
     let (pace, on_way) = (times.pace(), times.on_way(now));
-    for (service, group) in deployment.engines() {
+    for (service, group) in routing.engines() {
         let engines =
             || view.endpoints().filter(|s| s.endpoint.service == service);
         let adapters: usize = engines()
--- a/crates/sedgewalld/src/fleet/node.rs
+++ b/crates/sedgewalld/src/fleet/node.rs
@@ -22,7 +22,7 @@
     note::{Lead, Note},
     poison::Poison,
     retry_budget::{RetryAllowance, RetryBudget},
-    route::Deployment,
+    route::RoutingConfiguration,
     store_contact::{CallFailure, StoreContact},
     suspicion::Suspicions,
     view::FleetView,
@@ -132,7 +132,7 @@
     pub(crate) stage: Cell<Stage>,
     /// When it was told to stop.
     pub(crate) leaving_since: Cell<Option<Instant>>,
-    pub(crate) deployment: RefCell<Option<Rc<Deployment>>>,
+    pub(crate) routing: RefCell<Option<Rc<RoutingConfiguration>>>,
     /// When it was last read, from the store or another instance.
     pub(crate) configuration_read: Cell<Option<Instant>>,
     /// What others know, and whom we ask for what we miss.
@@ -257,7 +257,7 @@
             incarnation: rand::random(),
             stage: Cell::new(Stage::Starting),
             leaving_since: Cell::new(None),
-            deployment: RefCell::default(),
+            routing: RefCell::default(),
             configuration_read: Cell::default(),
             catch_up: RefCell::default(),
             configuration_waiters: RefCell::default(),
@@ -324,7 +324,7 @@
 
     /// Returns whether requests need keys.
     pub(crate) fn has_customers(&self) -> bool {
-        self.deployment().is_some_and(|d| !d.customers.is_empty())
+        self.routing().is_some_and(|d| !d.customers.is_empty())
     }
 
     /// Returns whether requests may come here: those that need a key could not be
