--- a/crates/fleet/src/loader.rs
+++ b/crates/fleet/src/loader.rs
@@ -212,7 +212,7 @@
                 && self.times.may_begin(self.group.loads_per_s, self.now)
             {
                 let placed = self.placed_cold(&endpoint, &key, newest);
-                self.view.plan_placed(&placed, self.now);
+                self.view.plan_placement(&placed, self.now);
                 orders.push(order(Task::Load(key, newest), true));
             } else {
                 self.remove(&endpoint, &key);
@@ -295,7 +295,7 @@
             true => self.placed_warm(&home.endpoint, key, version),
             false => self.placed_cold(&home.endpoint, key, version),
         };
-        self.view.plan_placed(&placed, self.now);
+        self.view.plan_placement(&placed, self.now);
         self.look_again(&home.endpoint);
         let task = Task::Load(key.clone(), version);
         orders.push(home.order(task, !home.is_warm));
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -433,7 +433,7 @@
 
     /// Notes that an adapter is about to be ordered: it takes a place from now on,
     /// and requests once its engine has taken the order.
-    pub fn plan_placed(&mut self, placed: &Placed, now: Instant) {
+    pub fn plan_placement(&mut self, placed: &Placed, now: Instant) {
         let id = &placed.endpoint;
         if placed.is_cold {
             self.load_time = Duration::from_millis(placed.ready_in_ms);
--- a/crates/fleet/tests/view_rules.rs
+++ b/crates/fleet/tests/view_rules.rs
@@ -450,7 +450,7 @@
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[]), now);
-    view.plan_placed(&placed("e1", 1, 250), now);
+    view.plan_placement(&placed("e1", 1, 250), now);
     let held = view.get(&"e1".to_owned()).expect("an engine");
     assert!(held.placement(&key(1)).is_some());
     assert_eq!(view.placement_notes(&key(1), 1, now), []);
