--- a/crates/fleet/src/view/choice.rs
+++ b/crates/fleet/src/view/choice.rs
@@ -258,7 +258,7 @@
 
     /// Returns what an engine of a service is likely to take until the answer to a
     /// prompt begins, if it has no other to read.
-    pub fn engine_time(&self, service: &str, prompt_tokens: u64) -> Duration {
+    pub fn idle_first_event_time(&self, service: &str, prompt_tokens: u64) -> Duration {
         let pace = self.paces.get(service);
         pace.and_then(|p| p.predict(prompt_tokens)).unwrap_or_default()
     }
