--- a/crates/fleet/src/pace.rs
+++ b/crates/fleet/src/latency_regression.rs
@@ -19,7 +19,7 @@
 
 /// Fits the time to the first event against the tokens to read before it.
 #[derive(Clone, Debug, Default)]
-pub struct Pace {
+pub struct LatencyRegression {
     weight: f64,
     tokens: f64,
     ms: f64,
@@ -27,7 +27,7 @@
     tokens_ms: f64,
 }
 
-impl Pace {
+impl LatencyRegression {
     /// Takes in an answer: the tokens that its engine had to read, those ahead
     /// of it and its own, and the time until it began.
     pub fn observe(&mut self, tokens: u64, took: Duration) {
--- a/crates/fleet/src/stay.rs
+++ b/crates/fleet/src/residence_time.rs
@@ -3,35 +3,35 @@
 
 use std::time::Duration;
 
-use crate::pace::Pace;
+use crate::latency_regression::LatencyRegression;
 
 /// Weight of the newest request: the last 30 or so count, which an instance with
 /// five requests a second sees within six seconds.
 const NEWEST_WEIGHT: f64 = 0.03;
 
-/// The line is fitted against thousandths of a request for each slot.
+/// The regression is fitted against thousandths of a request for each slot.
 const PER_SLOT: f64 = 1_000.0;
 
 /// What was seen lately.
 #[derive(Clone, Debug)]
-pub struct Stay {
+pub struct ResidenceTime {
     mean: Duration,
-    line: Pace,
+    regression: LatencyRegression,
 }
 
-impl Stay {
+impl ResidenceTime {
     /// Returns what one request shows that found so many others for each slot.
-    pub fn of(load: f64, took: Duration) -> Stay {
-        let mut stay = Stay { mean: took, line: Pace::default() };
-        stay.observe(load, took);
-        stay
+    pub fn of(load: f64, took: Duration) -> ResidenceTime {
+        let mut residence = ResidenceTime { mean: took, regression: LatencyRegression::default() };
+        residence.observe(load, took);
+        residence
     }
 
     /// Takes in a request that found so many others for each slot.
     pub fn observe(&mut self, load: f64, took: Duration) {
         let kept = self.mean.mul_f64(1.0 - NEWEST_WEIGHT);
         self.mean = kept + took.mul_f64(NEWEST_WEIGHT);
-        self.line.observe((load * PER_SLOT) as u64, took);
+        self.regression.observe((load * PER_SLOT) as u64, took);
     }
 
     /// Returns the mean time.
@@ -42,6 +42,6 @@
     /// Returns the time of a request that finds so many others for each slot;
     /// none before enough was seen.
     pub fn predict(&self, load: f64) -> Option<Duration> {
-        self.line.predict((load * PER_SLOT) as u64)
+        self.regression.predict((load * PER_SLOT) as u64)
     }
 }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -36,10 +36,10 @@
     incarnation::{Incarnation, Incarnations, IncarnationStatus},
     limit_share::LimitShares,
     note::{Placed, Removed},
-    pace::Pace,
+    latency_regression::LatencyRegression,
     cooldown::Cooldown,
     route::ServiceName,
-    stay::Stay,
+    residence_time::ResidenceTime,
 };
 
 /// How long requests may go to the old version after a newer one was named.
@@ -78,9 +78,9 @@
     /// Departures that we saw in the store and the others have not heard of.
     unsent_departures: Vec<Departure>,
     /// How fast the engines of each service begin to answer.
-    paces: HashMap<ServiceName, Pace>,
+    first_event_times: HashMap<ServiceName, LatencyRegression>,
     /// How long requests of each plain service are under way.
-    stays: HashMap<ServiceName, Stay>,
+    residence_times: HashMap<ServiceName, ResidenceTime>,
     /// When the endpoints' parts were last learned.
     learned_at: Option<Instant>,
     /// What the last load from the weight store was expected to take.
@@ -106,8 +106,8 @@
             limits: LimitShares::default(),
             lapsed_rests: HashMap::new(),
             unsent_departures: Vec::new(),
-            paces: HashMap::new(),
-            stays: HashMap::new(),
+            first_event_times: HashMap::new(),
+            residence_times: HashMap::new(),
             learned_at: None,
             load_time: Duration::ZERO,
         }
--- a/crates/fleet/src/view/choice.rs
+++ b/crates/fleet/src/view/choice.rs
@@ -16,7 +16,7 @@
     adapter::{AdapterKey, WeightVersion},
     endpoint_state::EndpointState,
     note::FEW_PEERS,
-    pace::Pace,
+    latency_regression::LatencyRegression,
 };
 
 /// What another availability zone costs, in parts of an endpoint's load:
@@ -253,14 +253,14 @@
     ) -> Option<Duration> {
         need.key?;
         let tokens = state.unread_tokens() + need.prompt_tokens;
-        self.paces.get(need.service)?.predict(tokens)
+        self.first_event_times.get(need.service)?.predict(tokens)
     }
 
     /// Returns what an engine of a service is likely to take until the answer to a
     /// prompt begins, if it has no other to read.
     pub fn idle_first_event_time(&self, service: &str, prompt_tokens: u64) -> Duration {
-        let pace = self.paces.get(service);
-        pace.and_then(|p| p.predict(prompt_tokens)).unwrap_or_default()
+        let regression = self.first_event_times.get(service);
+        regression.and_then(|p| p.predict(prompt_tokens)).unwrap_or_default()
     }
 
     /// Returns how much an endpoint has to do: requests as a part of its slots,
@@ -279,8 +279,8 @@
     /// Returns how long an endpoint reads so many tokens.
     pub fn prefill_time(&self, id: &EndpointId, tokens: u64) -> Duration {
         let state = self.endpoints.get(id);
-        let pace = state.and_then(|s| self.paces.get(&s.endpoint.service));
-        pace.map_or(Duration::ZERO, |pace| pace.prefill_time(tokens))
+        let regression = state.and_then(|s| self.first_event_times.get(&s.endpoint.service));
+        regression.map_or(Duration::ZERO, |regression| regression.prefill_time(tokens))
     }
 
     /// Takes in how long an engine took to begin an answer, before which it
@@ -291,11 +291,11 @@
         tokens: u64,
         took: Duration,
     ) {
-        let Some(pace) = self.paces.get_mut(service) else {
-            self.paces.insert(service.to_owned(), Pace::default());
+        let Some(regression) = self.first_event_times.get_mut(service) else {
+            self.first_event_times.insert(service.to_owned(), LatencyRegression::default());
             return self.observe_first_event(service, tokens, took);
         };
-        pace.observe(tokens, took);
+        regression.observe(tokens, took);
     }
 }
 
--- a/crates/fleet/src/view/spread.rs
+++ b/crates/fleet/src/view/spread.rs
@@ -23,7 +23,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::{Choice, FleetView, Need};
-use crate::{endpoint_state::EndpointState, stay::Stay};
+use crate::{endpoint_state::EndpointState, residence_time::ResidenceTime};
 
 /// How much an endpoint that fails loses of its capacity: one that fails half of
 /// its requests gets an eighth of what another gets.
@@ -134,8 +134,8 @@
         if load < 1.0 {
             return true;
         }
-        let stay = self.stays.get(need.service);
-        let Some(takes) = stay.and_then(|stay| stay.predict(load)) else {
+        let residence = self.residence_times.get(need.service);
+        let Some(takes) = residence.and_then(|residence| residence.predict(load)) else {
             return true;
         };
         let target_s = need.target_latency.as_secs_f64().max(1e-3);
@@ -171,9 +171,9 @@
     ) -> f64 {
         let under_way: f64 = endpoints.iter().map(|e| e.in_flight).sum();
         let unseen = self.unseen_for(now);
-        let stay = self.stays.get(service).map(Stay::mean);
-        let turns = match stay {
-            Some(stay) => unseen.as_secs_f64() / stay.as_secs_f64().max(1e-3),
+        let residence = self.residence_times.get(service).map(ResidenceTime::mean);
+        let turns = match residence {
+            Some(residence) => unseen.as_secs_f64() / residence.as_secs_f64().max(1e-3),
             None if unseen.is_zero() => 0.0,
             None => 1.0,
         };
@@ -203,10 +203,10 @@
     ) {
         let Some(state) = self.endpoints.get(id) else { return };
         let service = &state.endpoint.service;
-        match self.stays.get_mut(service) {
-            Some(stay) => stay.observe(load, took),
+        match self.residence_times.get_mut(service) {
+            Some(residence) => residence.observe(load, took),
             None => {
-                self.stays.insert(service.clone(), Stay::of(load, took));
+                self.residence_times.insert(service.clone(), ResidenceTime::of(load, took));
             }
         }
     }
--- a/crates/fleet/tests/pace_rules.rs
+++ b/crates/fleet/tests/latency_regression_rules.rs
@@ -3,43 +3,43 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use sedgewall_fleet::pace::Pace;
+use sedgewall_fleet::latency_regression::LatencyRegression;
 
-fn seen(pace: &mut Pace, tokens: u64, ms_per_token: f64, base_ms: f64) {
+fn seen(regression: &mut LatencyRegression, tokens: u64, ms_per_token: f64, base_ms: f64) {
     let ms = base_ms + ms_per_token * tokens as f64;
-    pace.observe(tokens, Duration::from_secs_f64(ms / 1_000.0));
+    regression.observe(tokens, Duration::from_secs_f64(ms / 1_000.0));
 }
 
 #[test]
 fn nothing_is_predicted_before_enough_was_seen() {
-    let mut pace = Pace::default();
+    let mut regression = LatencyRegression::default();
     for tokens in [100, 9_000, 400] {
-        seen(&mut pace, tokens, 0.03, 10.0);
+        seen(&mut regression, tokens, 0.03, 10.0);
     }
-    assert_eq!(pace.predict(500), None);
-    assert_eq!(pace.prefill_time(5_000), Duration::ZERO);
+    assert_eq!(regression.predict(500), None);
+    assert_eq!(regression.prefill_time(5_000), Duration::ZERO);
 }
 
 #[test]
 fn a_change_of_speed_is_followed() {
-    let mut pace = Pace::default();
+    let mut regression = LatencyRegression::default();
     for n in 0..300 {
-        seen(&mut pace, 500 + n * 40, 0.02, 10.0);
+        seen(&mut regression, 500 + n * 40, 0.02, 10.0);
     }
     for n in 0..300 {
-        seen(&mut pace, 500 + n * 40, 0.08, 10.0);
+        seen(&mut regression, 500 + n * 40, 0.08, 10.0);
     }
-    let took = pace.prefill_time(10_000).as_secs_f64();
+    let took = regression.prefill_time(10_000).as_secs_f64();
     assert!((0.75..0.85).contains(&took), "{took} s");
 }
 
 #[test]
 fn prompts_of_one_length_give_their_mean() {
-    let mut pace = Pace::default();
+    let mut regression = LatencyRegression::default();
     for _ in 0..50 {
-        seen(&mut pace, 600, 0.05, 20.0);
+        seen(&mut regression, 600, 0.05, 20.0);
     }
-    let known = pace.predict(600).map(|d| d.as_secs_f64());
+    let known = regression.predict(600).map(|d| d.as_secs_f64());
     assert!(known.is_some_and(|s| (0.049..0.051).contains(&s)));
 }
 
@@ -51,12 +51,12 @@
         base_ms in 0.0..200.0_f64,
         lengths in prop::collection::vec(50_u64..40_000, 40..120),
     ) {
-        let mut pace = Pace::default();
+        let mut regression = LatencyRegression::default();
         for tokens in &lengths {
-            seen(&mut pace, *tokens, ms_per_token, base_ms);
+            seen(&mut regression, *tokens, ms_per_token, base_ms);
         }
         let expected = (base_ms + ms_per_token * 10_000.0) / 1_000.0;
-        let predicted = pace.predict(10_000).map(|d| d.as_secs_f64());
+        let predicted = regression.predict(10_000).map(|d| d.as_secs_f64());
         let error = predicted.map(|p| (p - expected).abs());
         prop_assert!(error.is_some_and(|e| e < 0.01 + 0.02 * expected));
     }
@@ -68,10 +68,10 @@
             prop::collection::vec((0_u64..1 << 40, 0_u64..100_000), 12..60),
         tokens in 0_u64..1 << 40,
     ) {
-        let mut pace = Pace::default();
+        let mut regression = LatencyRegression::default();
         for (read, ms) in answers {
-            pace.observe(read, Duration::from_millis(ms));
+            regression.observe(read, Duration::from_millis(ms));
         }
-        prop_assert!(pace.predict(tokens).is_some());
+        prop_assert!(regression.predict(tokens).is_some());
     }
 }
