--- a/crates/fleet/src/endpoint_state.rs
+++ b/crates/fleet/src/endpoint_state.rs
@@ -100,7 +100,7 @@
     /// What our requests show.
     pub health: Health,
     /// What it is worth against an endpoint as the others, for plain services.
-    pub(crate) part: f64,
+    pub(crate) weight: f64,
     pub(crate) placements: HashMap<AdapterKey, Placement>,
     pub(crate) removed: HashMap<AdapterKey, Instant>,
     /// Whether our own orders alone decide what it holds; then the list, which
@@ -157,7 +157,7 @@
             others_work: Work::default(),
             total_work: None,
             health: Health::default(),
-            part: 1.0,
+            weight: 1.0,
             placements: HashMap::new(),
             removed: HashMap::new(),
             is_ordered_by_us: false,
@@ -174,7 +174,7 @@
         self.warm.clear();
         self.is_ordered_by_us = false;
         self.health = Health::default();
-        self.part = 1.0;
+        self.weight = 1.0;
         self.saturated_until = None;
         self.cooldown = self.cooldown.in_new_life();
     }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -7,12 +7,12 @@
 //! chosen.
 
 mod choice;
-mod departed;
-mod learned;
+mod departures;
+mod learned_weights;
 mod limits;
-mod rests;
-pub mod spread;
-mod under_way;
+mod cooldowns;
+pub mod load_interpretation;
+mod in_flight;
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -25,8 +25,8 @@
 pub(crate) use self::choice::{BUSY_BACKLOG, OTHER_ZONE_COST};
 pub use self::choice::{Choice, Need, Target};
 pub use self::limits::AnsweredRequest;
-pub use self::under_way::Totals;
-use self::under_way::{HeardTotals, PeerLoad};
+pub use self::in_flight::Totals;
+use self::in_flight::{HeardTotals, PeerLoad};
 use crate::{
     adapter::{AdapterKey, WeightVersion},
     adapter_index::AdapterIndex,
--- a/crates/fleet/src/view/choice.rs
+++ b/crates/fleet/src/view/choice.rs
@@ -120,7 +120,7 @@
         };
         let Some(key) = need.key else {
             let all = self.of_service(need.service).filter(is_usable);
-            return self.choose_spread(all, need, now);
+            return self.choose_balanced(all, need, now);
         };
         let holders = self.holders(key).filter(is_usable);
         match self.choose_among(holders, need, now) {
--- a/crates/fleet/src/view/under_way.rs
+++ b/crates/fleet/src/view/in_flight.rs
@@ -87,7 +87,7 @@
         if let Some(before) = self.peers.insert(status.from, load) {
             self.count_peer(&before, Work::subtract);
         }
-        self.learn_parts(now);
+        self.learn_weights(now);
     }
 
     /// Forgets instances that were not heard for too long. Call it about once
--- a/crates/fleet/src/view/learned.rs
+++ b/crates/fleet/src/view/learned_weights.rs
@@ -3,7 +3,7 @@
 //! By old sums a request goes to each endpoint nearly with the part of its slots,
 //! so that a slow one gets as much as a quick one and never comes to rest. Its
 //! load then stays above the mean, and its part shrinks until it does not: an
-//! integral beside the proportional part in [`super::spread`].
+//! integral beside the proportional part in [`super::load_interpretation`].
 
 use std::time::Duration;
 
@@ -33,11 +33,11 @@
 const LARGEST_EXCESS: f64 = 2.0;
 
 /// The least and the largest part, against an endpoint that is as the others.
-const PARTS: (f64, f64) = (0.1, 3.0);
+const WEIGHTS: (f64, f64) = (0.1, 3.0);
 
 impl FleetView {
     /// Learns from what is known of all endpoints now.
-    pub(super) fn learn_parts(&mut self, now: Instant) {
+    pub(super) fn learn_weights(&mut self, now: Instant) {
         let since = self
             .learned_at
             .map_or(LOOK_EVERY, |at| now.saturating_duration_since(at));
@@ -65,14 +65,14 @@
         let mean = states().map(|s| s.load()).sum::<f64>() / ids.len() as f64;
         for id in ids {
             let Some(state) = self.endpoints.get_mut(id) else { continue };
-            let faded = state.part.ln() * look_s / FADE_TIME.as_secs_f64();
+            let faded = state.weight.ln() * look_s / FADE_TIME.as_secs_f64();
             let excess = match mean < LEAST_LOAD {
                 true => 0.0,
                 false => (state.load() / mean - 1.0).min(LARGEST_EXCESS),
             };
             let learned = excess * look_s / LEARN_TIME.as_secs_f64();
-            let part = state.part * (-learned - faded).exp();
-            state.part = part.clamp(PARTS.0, PARTS.1);
+            let weight = state.weight * (-learned - faded).exp();
+            state.weight = weight.clamp(WEIGHTS.0, WEIGHTS.1);
         }
     }
 }
--- a/crates/fleet/src/view/spread.rs
+++ b/crates/fleet/src/view/load_interpretation.rs
@@ -81,7 +81,7 @@
 
 impl FleetView {
     /// Chooses among the endpoints of a plain service.
-    pub(super) fn choose_spread<'a>(
+    pub(super) fn choose_balanced<'a>(
         &'a self,
         usable: impl Iterator<Item = &'a EndpointState>,
         need: Need<'_>,
@@ -154,7 +154,7 @@
         Capacity {
             slots: slots
                 * zone
-                * state.part
+                * state.weight
                 * good.powi(FAILURE_POWER).max(f64::EPSILON),
             in_flight: f64::from(state.in_flight()),
         }
