--- a/crates/fleet/benches/decisions.rs
+++ b/crates/fleet/benches/decisions.rs
@@ -14,7 +14,9 @@
     endpoint::{Endpoint, EngineReport, HostedModel},
     load_times::LoadTimes,
     loader::Loader,
-    route::{BaseModel, CallerLimits, RoutingConfiguration, EngineGroup, Service},
+    route::{
+        BaseModel, CallerLimits, EngineGroup, RoutingConfiguration, Service,
+    },
     store_rate::StoreRate,
     view::{FleetView, Need},
 };
--- a/crates/fleet/src/cooldown.rs
+++ b/crates/fleet/src/cooldown.rs
@@ -34,8 +34,11 @@
     pub fn ask(&mut self, rest: Duration, now: Instant) -> bool {
         let is_news = self.until.is_none_or(|until| now >= until);
         let until = self.until.map_or(now + rest, |u| u.max(now + rest));
-        *self =
-            Cooldown { until: Some(until), asked: Some(now), probe_sent: None };
+        *self = Cooldown {
+            until: Some(until),
+            asked: Some(now),
+            probe_sent: None,
+        };
         is_news
     }
 
--- a/crates/fleet/src/endpoint_state.rs
+++ b/crates/fleet/src/endpoint_state.rs
@@ -15,10 +15,10 @@
 
 use crate::{
     adapter::{AdapterKey, WeightVersion},
+    cooldown::Cooldown,
     endpoint::{Endpoint, EngineReport},
     health::Health,
     note::Placed,
-    cooldown::Cooldown,
     work::Work,
 };
 
@@ -241,7 +241,9 @@
     }
 
     /// Returns the adapters that are there or on their way.
-    pub fn placements(&self) -> impl Iterator<Item = (&AdapterKey, &Placement)> {
+    pub fn placements(
+        &self,
+    ) -> impl Iterator<Item = (&AdapterKey, &Placement)> {
         self.placements.iter()
     }
 
@@ -307,7 +309,11 @@
     }
 
     /// Takes in its own report, which is newer than its entry.
-    pub(crate) fn apply_report(&mut self, report: &EngineReport, now: Instant) {
+    pub(crate) fn apply_report(
+        &mut self,
+        report: &EngineReport,
+        now: Instant,
+    ) {
         self.removed.clear();
         self.placements.clear();
         self.is_ordered_by_us = false;
@@ -371,7 +377,8 @@
     ) -> Option<Duration> {
         let placement = self.placements.get_mut(key)?;
         if !std::mem::replace(&mut placement.is_ordered, true) {
-            let takes = placement.ready_at.saturating_duration_since(placement.noted);
+            let takes =
+                placement.ready_at.saturating_duration_since(placement.noted);
             placement.ready_at = now + takes;
             placement.on_way_until = now + takes * ON_WAY_TIMES;
             placement.noted = now;
@@ -392,8 +399,14 @@
 
     /// Takes in whether an adapter from the weight store was there when a request
     /// was sent to it; returns whether the holder of the lease is to hear of it.
-    pub(crate) fn confirm_load(&mut self, key: &AdapterKey, is_there: bool) -> bool {
-        let Some(placement) = self.placements.get_mut(key) else { return false };
+    pub(crate) fn confirm_load(
+        &mut self,
+        key: &AdapterKey,
+        is_there: bool,
+    ) -> bool {
+        let Some(placement) = self.placements.get_mut(key) else {
+            return false;
+        };
         let is_news = placement.is_unconfirmed;
         if is_there {
             placement.is_unconfirmed = false;
--- a/crates/fleet/src/incarnation.rs
+++ b/crates/fleet/src/incarnation.rs
@@ -153,7 +153,11 @@
 
     /// Returns whether a word about a life speaks of the one that is known, or
     /// none is known.
-    pub fn is_current(&self, id: &EndpointId, born: Option<Incarnation>) -> bool {
+    pub fn is_current(
+        &self,
+        id: &EndpointId,
+        born: Option<Incarnation>,
+    ) -> bool {
         match (born, self.born(id)) {
             (Some(born), Some(known)) => born == known,
             _ => true,
--- a/crates/fleet/src/loader.rs
+++ b/crates/fleet/src/loader.rs
@@ -22,7 +22,7 @@
     load_times::LoadTimes,
     note::{Placed, Removed},
     order::{Order, Task},
-    route::{RoutingConfiguration, EngineGroup},
+    route::{EngineGroup, RoutingConfiguration},
     store_rate::StoreRate,
     view::{BUSY_BACKLOG, FleetView},
 };
@@ -326,8 +326,9 @@
     }
 
     fn coming(&self, state: &EndpointState) -> bool {
-        let on_their_way =
-            state.placements().filter(|(_, placement)| placement.is_loading(self.now));
+        let on_their_way = state
+            .placements()
+            .filter(|(_, placement)| placement.is_loading(self.now));
         on_their_way.count() >= COMING_PER_ENGINE
     }
 
@@ -337,7 +338,8 @@
 
     fn engines(&self) -> impl Iterator<Item = &EndpointState> {
         let stays = |state: &&EndpointState| {
-            !state.endpoint.is_draining && !state.cooldown.is_cooling_down(self.now)
+            !state.endpoint.is_draining
+                && !state.cooldown.is_cooling_down(self.now)
         };
         let is_known = |state: &&EndpointState| state.is_ordered_by_us();
         let engines = self.view.of_service(self.service);
--- a/crates/fleet/src/loader/homes.rs
+++ b/crates/fleet/src/loader/homes.rs
@@ -73,12 +73,15 @@
                     && !holds.contains(&&engine.endpoint)
             })
         };
-        let is_warm = |engine: &EngineHeadroom| warm.contains(&engine.endpoint);
-        let has_place =
-            |engine: &EngineHeadroom| !matches!(engine.next_slot, NextSlot::None);
+        let is_warm =
+            |engine: &EngineHeadroom| warm.contains(&engine.endpoint);
+        let has_place = |engine: &EngineHeadroom| {
+            !matches!(engine.next_slot, NextSlot::None)
+        };
         let is_warm_somewhere = candidates().any(is_warm)
             && (candidates().any(|e| is_warm(e) && has_place(e))
-                || !candidates().any(|e| matches!(e.next_slot, NextSlot::Free)));
+                || !candidates()
+                    .any(|e| matches!(e.next_slot, NextSlot::Free)));
         let mut best: Option<(f64, &EngineHeadroom)> = None;
         for engine in candidates() {
             if warm.contains(&engine.endpoint) != is_warm_somewhere {
@@ -87,7 +90,9 @@
             let lost = match &engine.next_slot {
                 NextSlot::None => continue,
                 NextSlot::Free => 0.0,
-                NextSlot::AfterEvicting(_, rate_per_s) => EVICTION_COST + rate_per_s,
+                NextSlot::AfterEvicting(_, rate_per_s) => {
+                    EVICTION_COST + rate_per_s
+                }
             };
             let is_near = Some(engine.zone.as_str()) == zone;
             let expected = engine.rate_per_s * SERVICE_TIME_S;
@@ -125,7 +130,8 @@
         // The base model is on all engines, and its share the same on each; to
         // count its holders for each took 0.34 ms an order among 1,010 engines, and the
         // next look came 2 s later.
-        let adapters = state.placements().filter(|(key, _)| key.adapter.is_some());
+        let adapters =
+            state.placements().filter(|(key, _)| key.adapter.is_some());
         let shares = adapters.map(|(key, _)| {
             self.rate(key) / self.holders(key).count().max(1) as f64
         });
@@ -179,7 +185,8 @@
         state: &EndpointState,
     ) -> Option<Option<AdapterKey>> {
         let places = self.group.adapter_places();
-        let adapters = || state.placements().filter(|(k, _)| k.adapter.is_some());
+        let adapters =
+            || state.placements().filter(|(k, _)| k.adapter.is_some());
         let replaced = adapters().filter(|(_, s)| s.is_replacing(self.now));
         let taken = adapters().count() + replaced.count();
         if taken < places {
--- a/crates/fleet/src/poison.rs
+++ b/crates/fleet/src/poison.rs
@@ -210,7 +210,11 @@
 
     /// Notes that an endpoint was there at a moment: what broke off before was no end
     /// of it.
-    pub fn endpoint_listens(&mut self, endpoint: &EndpointIncarnation, at: Instant) {
+    pub fn endpoint_listens(
+        &mut self,
+        endpoint: &EndpointIncarnation,
+        at: Instant,
+    ) {
         self.ended.remove(endpoint);
         let Some(broken) = self.broken.get_mut(endpoint) else { return };
         broken.retain(|run| run.broke > at);
--- a/crates/fleet/src/residence_time.rs
+++ b/crates/fleet/src/residence_time.rs
@@ -22,7 +22,10 @@
 impl ResidenceTime {
     /// Returns what one request shows that found so many others for each slot.
     pub fn of(load: f64, took: Duration) -> ResidenceTime {
-        let mut residence = ResidenceTime { mean: took, regression: LatencyRegression::default() };
+        let mut residence = ResidenceTime {
+            mean: took,
+            regression: LatencyRegression::default(),
+        };
         residence.observe(load, took);
         residence
     }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -7,12 +7,12 @@
 //! chosen.
 
 mod choice;
+mod cooldowns;
 mod departures;
+mod in_flight;
 mod learned_weights;
 mod limits;
-mod cooldowns;
 pub mod load_interpretation;
-mod in_flight;
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -24,22 +24,22 @@
 
 pub(crate) use self::choice::{BUSY_BACKLOG, OTHER_ZONE_COST};
 pub use self::choice::{Choice, Need, Target};
-pub use self::limits::AnsweredRequest;
 pub use self::in_flight::Totals;
 use self::in_flight::{HeardTotals, PeerLoad};
+pub use self::limits::AnsweredRequest;
 use crate::{
     adapter::{AdapterKey, WeightVersion},
     adapter_index::AdapterIndex,
+    cooldown::Cooldown,
     departure::{Departure, Departures},
     endpoint::{Endpoint, EngineReport, Revision},
     endpoint_state::EndpointState,
-    incarnation::{Incarnation, Incarnations, IncarnationStatus},
+    incarnation::{Incarnation, IncarnationStatus, Incarnations},
+    latency_regression::LatencyRegression,
     limit_share::LimitShares,
     note::{Placed, Removed},
-    latency_regression::LatencyRegression,
-    cooldown::Cooldown,
-    route::ServiceName,
     residence_time::ResidenceTime,
+    route::ServiceName,
 };
 
 /// How long requests may go to the old version after a newer one was named.
@@ -194,9 +194,11 @@
         change: impl FnOnce(&mut EndpointState),
     ) {
         let Some(state) = self.endpoints.get_mut(id) else { return };
-        let before: Vec<AdapterKey> = state.placements.keys().cloned().collect();
+        let before: Vec<AdapterKey> =
+            state.placements.keys().cloned().collect();
         change(state);
-        for key in before.iter().filter(|k| !state.placements.contains_key(k)) {
+        for key in before.iter().filter(|k| !state.placements.contains_key(k))
+        {
             self.holders.remove(key, id);
         }
         let new: Vec<AdapterKey> = state
@@ -314,7 +316,8 @@
         now: Instant,
     ) -> Vec<Placed> {
         let usable = self.holders(key).filter(|s| s.is_usable(now));
-        let placements = usable.filter_map(|s| Some((s, s.placements.get(key)?)));
+        let placements =
+            usable.filter_map(|s| Some((s, s.placements.get(key)?)));
         placements
             .filter(|(_, placement)| placement.is_ordered())
             .map(|(state, placement)| Placed {
--- a/crates/fleet/src/view/choice.rs
+++ b/crates/fleet/src/view/choice.rs
@@ -15,8 +15,8 @@
 use crate::{
     adapter::{AdapterKey, WeightVersion},
     endpoint_state::EndpointState,
-    note::FEW_PEERS,
     latency_regression::LatencyRegression,
+    note::FEW_PEERS,
 };
 
 /// What another availability zone costs, in parts of an endpoint's load:
@@ -258,7 +258,11 @@
 
     /// Returns what an engine of a service is likely to take until the answer to a
     /// prompt begins, if it has no other to read.
-    pub fn idle_first_event_time(&self, service: &str, prompt_tokens: u64) -> Duration {
+    pub fn idle_first_event_time(
+        &self,
+        service: &str,
+        prompt_tokens: u64,
+    ) -> Duration {
         let regression = self.first_event_times.get(service);
         regression.and_then(|p| p.predict(prompt_tokens)).unwrap_or_default()
     }
@@ -279,8 +283,11 @@
     /// Returns how long an endpoint reads so many tokens.
     pub fn prefill_time(&self, id: &EndpointId, tokens: u64) -> Duration {
         let state = self.endpoints.get(id);
-        let regression = state.and_then(|s| self.first_event_times.get(&s.endpoint.service));
-        regression.map_or(Duration::ZERO, |regression| regression.prefill_time(tokens))
+        let regression = state
+            .and_then(|s| self.first_event_times.get(&s.endpoint.service));
+        regression.map_or(Duration::ZERO, |regression| {
+            regression.prefill_time(tokens)
+        })
     }
 
     /// Takes in how long an engine took to begin an answer, before which it
@@ -292,7 +299,8 @@
         took: Duration,
     ) {
         let Some(regression) = self.first_event_times.get_mut(service) else {
-            self.first_event_times.insert(service.to_owned(), LatencyRegression::default());
+            self.first_event_times
+                .insert(service.to_owned(), LatencyRegression::default());
             return self.observe_first_event(service, tokens, took);
         };
         regression.observe(tokens, took);
--- a/crates/fleet/src/view/load_interpretation.rs
+++ b/crates/fleet/src/view/load_interpretation.rs
@@ -135,7 +135,9 @@
             return true;
         }
         let residence = self.residence_times.get(need.service);
-        let Some(takes) = residence.and_then(|residence| residence.predict(load)) else {
+        let Some(takes) =
+            residence.and_then(|residence| residence.predict(load))
+        else {
             return true;
         };
         let target_s = need.target_latency.as_secs_f64().max(1e-3);
@@ -171,9 +173,12 @@
     ) -> f64 {
         let under_way: f64 = endpoints.iter().map(|e| e.in_flight).sum();
         let unseen = self.unseen_for(now);
-        let residence = self.residence_times.get(service).map(ResidenceTime::mean);
+        let residence =
+            self.residence_times.get(service).map(ResidenceTime::mean);
         let turns = match residence {
-            Some(residence) => unseen.as_secs_f64() / residence.as_secs_f64().max(1e-3),
+            Some(residence) => {
+                unseen.as_secs_f64() / residence.as_secs_f64().max(1e-3)
+            }
             None if unseen.is_zero() => 0.0,
             None => 1.0,
         };
@@ -206,7 +211,8 @@
         match self.residence_times.get_mut(service) {
             Some(residence) => residence.observe(load, took),
             None => {
-                self.residence_times.insert(service.clone(), ResidenceTime::of(load, took));
+                self.residence_times
+                    .insert(service.clone(), ResidenceTime::of(load, took));
             }
         }
     }
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -8,7 +8,9 @@
     customer::Customers,
     endpoint::{Endpoint, EngineReport, HostedModel},
     note::Status,
-    route::{BaseModel, CallerLimits, RoutingConfiguration, EngineGroup, Service},
+    route::{
+        BaseModel, CallerLimits, EngineGroup, RoutingConfiguration, Service,
+    },
     view::{Choice, FleetView, Need},
     work::Work,
 };
--- a/crates/fleet/tests/cooldown_rules.rs
+++ b/crates/fleet/tests/cooldown_rules.rs
@@ -31,7 +31,10 @@
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
     assert!(view.apply_announced_cooldown(&answered(now), REST, now));
-    assert!(!view.apply_announced_cooldown(&answered(now), REST, now), "no news");
+    assert!(
+        !view.apply_announced_cooldown(&answered(now), REST, now),
+        "no news"
+    );
     assert_eq!(choose(&view, &key(1), now), Choice::NoEndpoint);
     let service = &endpoint("e1", "z1", &[1]).service;
     assert_eq!(view.service_cooldown(service, now), Some(REST));
--- a/crates/fleet/tests/departure_rules.rs
+++ b/crates/fleet/tests/departure_rules.rs
@@ -168,10 +168,16 @@
     view.apply_entry(of_life(1, 3), now);
     assert!(is_chosen(&view, now));
     let endpoint = "e1".to_owned();
-    let answered =
-        AnsweredRequest { endpoint: endpoint.clone(), born: Some(1), sent: now };
+    let answered = AnsweredRequest {
+        endpoint: endpoint.clone(),
+        born: Some(1),
+        sent: now,
+    };
     assert!(view.apply_announced_departure(&answered, now));
-    assert!(!view.apply_announced_departure(&answered, now), "it is told once");
+    assert!(
+        !view.apply_announced_departure(&answered, now),
+        "it is told once"
+    );
     assert!(view.take_unsent_departures()[0].is_announced);
     view.apply_entry(of_life(1, 9), now);
     assert!(!is_chosen(&view, now));
@@ -185,7 +191,10 @@
 
     view.apply_entry(of_life(2, 12), later);
     assert!(is_chosen(&view, later), "another life has not said so");
-    assert!(!view.apply_announced_departure(&answered, later), "a late answer");
+    assert!(
+        !view.apply_announced_departure(&answered, later),
+        "a late answer"
+    );
     assert!(is_chosen(&view, later));
 }
 
--- a/crates/fleet/tests/latency_regression_rules.rs
+++ b/crates/fleet/tests/latency_regression_rules.rs
@@ -5,7 +5,12 @@
 use proptest::prelude::*;
 use sedgewall_fleet::latency_regression::LatencyRegression;
 
-fn seen(regression: &mut LatencyRegression, tokens: u64, ms_per_token: f64, base_ms: f64) {
+fn seen(
+    regression: &mut LatencyRegression,
+    tokens: u64,
+    ms_per_token: f64,
+    base_ms: f64,
+) {
     let ms = base_ms + ms_per_token * tokens as f64;
     regression.observe(tokens, Duration::from_secs_f64(ms / 1_000.0));
 }
--- a/crates/fleet/tests/loader_rules.rs
+++ b/crates/fleet/tests/loader_rules.rs
@@ -5,8 +5,7 @@
 use std::time::Duration;
 
 use common::{
-    MODEL, PLACES, SERVICE, routing, endpoint, key, report, requests,
-    status,
+    MODEL, PLACES, SERVICE, endpoint, key, report, requests, routing, status,
 };
 use proptest::prelude::*;
 use sedgewall_clock::Instant;
--- a/crates/fleet/tests/route_rules.rs
+++ b/crates/fleet/tests/route_rules.rs
@@ -4,8 +4,8 @@
 
 use sedgewall_fleet::customer::Customers;
 use sedgewall_fleet::route::{
-    Backend, BaseModel, CallerLimits, RoutingConfiguration, EngineGroup, Repetition,
-    Route,
+    Backend, BaseModel, CallerLimits, EngineGroup, Repetition, Route,
+    RoutingConfiguration,
 };
 
 fn route(name: &str, host: &str, prefix: &str) -> Route {
--- a/crates/fleet/tests/store_reports_rules.rs
+++ b/crates/fleet/tests/store_reports_rules.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use sedgewall_clock::Instant;
-use sedgewall_fleet::store_reports::{StoreReports, REPORT_VALID_FOR};
+use sedgewall_fleet::store_reports::{REPORT_VALID_FOR, StoreReports};
 
 fn ids() -> [String; 3] {
     ["i1", "i2", "i3"].map(str::to_owned)
--- a/crates/fleet/tests/view_rules.rs
+++ b/crates/fleet/tests/view_rules.rs
@@ -411,7 +411,9 @@
     let older = Endpoint { revision: 4, ..endpoint("e1", "z1", &[1]) };
     view.apply_entry(older, now);
     let held = view.get(&"e1".to_owned()).expect("an endpoint");
-    assert!(held.placement(&key(2)).is_some() && held.placement(&key(1)).is_none());
+    assert!(
+        held.placement(&key(2)).is_some() && held.placement(&key(1)).is_none()
+    );
 }
 
 /// Symptom: 500 adapters waited for places while 18 new engines had none.
--- a/crates/sedgewalld/src/fleet/admit.rs
+++ b/crates/sedgewalld/src/fleet/admit.rs
@@ -7,7 +7,7 @@
 use sedgewall_fleet::{
     configuration::DecidedBy,
     customer::{Customer, KeyDigest},
-    route::{RoutingConfiguration, Route},
+    route::{Route, RoutingConfiguration},
 };
 
 use super::{attempt::CallerRequest, node::FleetNode, refusal::Reason};
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -468,7 +468,9 @@
 fn held(node: &FleetNode, call: &CallerRequest) -> Held {
     let tokens = call.facts.prompt_tokens;
     let engine_time = match call.key() {
-        Some(_) => node.view.borrow().idle_first_event_time(&call.service, tokens),
+        Some(_) => {
+            node.view.borrow().idle_first_event_time(&call.service, tokens)
+        }
         None => Duration::ZERO,
     };
     Held {
--- a/crates/sedgewalld/src/fleet/leader.rs
+++ b/crates/sedgewalld/src/fleet/leader.rs
@@ -93,7 +93,9 @@
         let engines =
             || view.endpoints().filter(|s| s.endpoint.service == service);
         let adapters: usize = engines()
-            .map(|s| s.placements().filter(|(k, _)| k.adapter.is_some()).count())
+            .map(|s| {
+                s.placements().filter(|(k, _)| k.adapter.is_some()).count()
+            })
             .sum();
         let loads_left = orders
             .loader
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -202,14 +202,15 @@
     // what it said before that has not ended its lease. Waiting for the record
     // alone, for 30 s after an outage, let 2 s more pass without orders.
     let contact = node.store_contact.borrow();
-    let noted = match contact.counted_out_until(REPORT_VALID_FOR + WORD_TRAVELS) {
-        CountedOut::Never => noted,
-        CountedOut::Until(end) => noted.map(|noted| NotedLease {
-            ends_by: noted.ends_by.max(end),
-            ..noted
-        }),
-        CountedOut::Now => None,
-    };
+    let noted =
+        match contact.counted_out_until(REPORT_VALID_FOR + WORD_TRAVELS) {
+            CountedOut::Never => noted,
+            CountedOut::Until(end) => noted.map(|noted| NotedLease {
+                ends_by: noted.ends_by.max(end),
+                ..noted
+            }),
+            CountedOut::Now => None,
+        };
     watching.ended_by(noted).unwrap_or(now)
 }
 
--- a/crates/sedgewalld/src/fleet/lease_store.rs
+++ b/crates/sedgewalld/src/fleet/lease_store.rs
@@ -150,8 +150,12 @@
     renewal: &LeaseWrite,
 ) -> WriteAnswer {
     let now = Instant::now();
-    let mut peers: Vec<InstanceId> =
-        node.store_reports.borrow().instances_reaching_store(now).cloned().collect();
+    let mut peers: Vec<InstanceId> = node
+        .store_reports
+        .borrow()
+        .instances_reaching_store(now)
+        .cloned()
+        .collect();
     peers.shuffle(&mut rand::rng());
     for asked in peers.chunks(PEERS_ASKED).take(ROUNDS) {
         let answer = renew_through(node, asked, renewal).await;
--- a/crates/sedgewalld/src/fleet/node.rs
+++ b/crates/sedgewalld/src/fleet/node.rs
@@ -17,16 +17,16 @@
     allowance::Shares,
     catch_up::CatchUp,
     demand::Demand,
-    recent_successes::RecentSuccesses,
     load_times::LoadTimes,
     note::{Lead, Note},
     poison::Poison,
+    recent_successes::RecentSuccesses,
     retry_budget::{RetryAllowance, RetryBudget},
     route::RoutingConfiguration,
     store_contact::{CallFailure, StoreContact},
+    store_reports::{REPORT_VALID_FOR, StoreReports},
     suspicion::Suspicions,
     view::FleetView,
-    store_reports::{StoreReports, REPORT_VALID_FOR},
 };
 use sedgewall_platform::{Store, StoreError};
 use sedgewall_protocol::settings::{FleetSettings, Settings};
@@ -287,7 +287,9 @@
             store: Store::new(EndpointPool::new(), store_address),
             pool,
             poison: RefCell::default(),
-            recent_successes: RefCell::new(RecentSuccesses::new(Instant::now())),
+            recent_successes: RefCell::new(RecentSuccesses::new(
+                Instant::now(),
+            )),
             hash_key: RandomState::new(),
             poison_records: RefCell::default(),
             poison_records_notify: Notify::default(),
--- a/crates/sedgewalld/src/fleet/note_sender.rs
+++ b/crates/sedgewalld/src/fleet/note_sender.rs
@@ -15,7 +15,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
     note::{FEW_PEERS, Note, Relayed},
-    relays::{Group, zone_relays, relays},
+    relays::{Group, relays, zone_relays},
 };
 use sedgewall_state::id::InstanceId;
 
@@ -70,7 +70,9 @@
         let (now, view) = (Instant::now(), node.view.borrow());
         let zones = peers.iter().map(|(id, peer)| (id, &peer.zone));
         let own = &node.settings.zone;
-        for id in zone_relays(zones, own, |id| view.is_live_peer(id, now), turn) {
+        for id in
+            zone_relays(zones, own, |id| view.is_live_peer(id, now), turn)
+        {
             let for_zone = Note::ForZone(note.clone().into());
             self.send_to(peers[id].address, &for_zone);
         }
@@ -86,7 +88,8 @@
         let own = &node.settings.zone;
         let zones = peers.iter().map(|(id, peer)| (id, &peer.zone));
         let zones = zones.filter(|(_, zone)| *zone == own);
-        for (id, group) in relays(zones, |id| view.is_live_peer(id, now), turn) {
+        for (id, group) in relays(zones, |id| view.is_live_peer(id, now), turn)
+        {
             let Group { index, count } = group;
             let relayed = Relayed { index, count, note: note.clone().into() };
             self.send_to(peers[id].address, &Note::Relayed(relayed));
