--- a/crates/fleet/src/endpoint_state.rs
+++ b/crates/fleet/src/endpoint_state.rs
@@ -370,7 +370,7 @@
 
     /// Notes that the engine has taken an order that was planned: its load begins
     /// now. Returns when it is likely to be ready.
-    pub(crate) fn order_taken(
+    pub(crate) fn order_accepted(
         &mut self,
         key: &AdapterKey,
         now: Instant,
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -447,13 +447,13 @@
 
     /// Notes that an engine has taken an order that was planned; returns when the
     /// adapter is likely to be ready.
-    pub fn order_taken(
+    pub fn order_accepted(
         &mut self,
         id: &EndpointId,
         key: &AdapterKey,
         now: Instant,
     ) -> Option<Duration> {
-        self.endpoints.get_mut(id)?.order_taken(key, now)
+        self.endpoints.get_mut(id)?.order_accepted(key, now)
     }
 
     /// Notes that an adapter that was about to be ordered is there already.
--- a/crates/fleet/tests/loader_rules.rs
+++ b/crates/fleet/tests/loader_rules.rs
@@ -492,13 +492,13 @@
     let first = ordered(1..=3, &mut view, now);
     assert_eq!(first.len(), 3);
     for key in &first {
-        view.order_taken(&"e1".to_owned(), key, now);
+        view.order_accepted(&"e1".to_owned(), key, now);
     }
     let expected = Duration::from_millis(280);
     let later = now + expected + Duration::from_millis(20);
     assert_eq!(ordered(4..=4, &mut view, later).len(), 1);
     // Nine places would do, but four may be on their way.
-    view.order_taken(&"e1".to_owned(), &key(4), later);
+    view.order_accepted(&"e1".to_owned(), &key(4), later);
     assert!(ordered(5..=5, &mut view, later).is_empty());
     // A request has shown that one is there.
     view.confirm_load(&"e1".to_owned(), &first[0], true);
--- a/crates/fleet/tests/view_rules.rs
+++ b/crates/fleet/tests/view_rules.rs
@@ -462,7 +462,7 @@
     assert!(matches!(choice, Choice::Loading(_)), "{choice:?}");
     let ready_in = Duration::from_millis(250);
     assert_eq!(
-        view.order_taken(&"e1".to_owned(), &key(1), taken),
+        view.order_accepted(&"e1".to_owned(), &key(1), taken),
         Some(ready_in)
     );
     assert_eq!(view.placement_notes(&key(1), 1, taken).len(), 1);
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -305,7 +305,7 @@
         let Task::Load(key, version) = &order.task else { return };
         let now = Instant::now();
         let mut view = self.node.view.borrow_mut();
-        let ready_in = view.order_taken(&order.endpoint, key, now);
+        let ready_in = view.order_accepted(&order.endpoint, key, now);
         let born = view.incarnation(&order.endpoint);
         drop(view);
         let ready_in = ready_in.unwrap_or_default();
