--- a/crates/bench/src/herd/world.rs
+++ b/crates/bench/src/herd/world.rs
@@ -118,7 +118,7 @@
             .collect();
         let mut view = FleetView::new("z");
         for place in &places {
-            view.list(listed(&place.id, load.slots), start);
+            view.apply_entry(listed(&place.id, load.slots), start);
         }
         let mut world = World {
             load,
@@ -224,7 +224,7 @@
             draw: self.rng.random(),
             prompt_tokens: 0,
             target_latency: self.load.target,
-            is_patient: false,
+            may_wait: false,
         };
         let places = &self.places;
         let slots = f64::from(self.load.slots);
@@ -302,7 +302,7 @@
         }
         if is_done {
             let took = self.now - asked.sent;
-            view.observe_stay(&id, asked.found_load, took);
+            view.observe_residence_time(&id, asked.found_load, took);
             let is_in_time = self.now - asked.at <= self.load.target;
             if self.counts(request) && is_in_time {
                 self.outcome.in_time += 1;
@@ -314,15 +314,15 @@
 
     /// An instance tells the holder, or all others if they are few.
     fn tell_holder(&mut self, instance: usize) {
-        let work = self.views[instance].tell_work();
+        let work = self.views[instance].publish_work();
         let status = self.status(instance, work, TELLS_HOLDER, false);
         let now = self.instant() + TRAVEL;
         match self.is_many() {
             true if instance == 0 => {}
-            true => self.views[0].hear_status(status, now),
+            true => self.views[0].apply_status(status, now),
             false => {
                 for other in (0..self.views.len()).filter(|o| *o != instance) {
-                    self.views[other].hear_status(status.clone(), now);
+                    self.views[other].apply_status(status.clone(), now);
                 }
             }
         }
@@ -332,11 +332,11 @@
     }
 
     fn tell_all(&mut self) {
-        let Totals { work, .. } = self.views[0].tell_totals();
+        let Totals { work, .. } = self.views[0].publish_totals();
         let status = self.status(0, work, TELLS_ALL, true);
         let now = self.instant() + SPREAD;
         for view in &mut self.views[1..] {
-            view.hear_status(status.clone(), now);
+            view.apply_status(status.clone(), now);
         }
         self.again(TELLS_ALL, Event::TellsAll);
     }
@@ -390,7 +390,7 @@
         let gone: Vec<EndpointId> = gone.map(|p| p.id.clone()).collect();
         for view in &mut self.views {
             for id in &gone {
-                view.unlist(id, 2, true, now);
+                view.remove_entry(id, 2, true, now);
             }
         }
     }
--- a/crates/fleet/benches/decisions.rs
+++ b/crates/fleet/benches/decisions.rs
@@ -14,7 +14,9 @@
     endpoint::{Endpoint, EngineReport, HostedModel},
     load_times::LoadTimes,
     loader::Loader,
-    route::{BaseModel, CallerLimits, Deployment, EngineGroup, Service},
+    route::{
+        BaseModel, CallerLimits, EngineGroup, RoutingConfiguration, Service,
+    },
     store_rate::StoreRate,
     view::{FleetView, Need},
 };
@@ -55,15 +57,15 @@
             models: vec![hosted(engine)],
             born: None,
         };
-        view.list(endpoint, now);
+        view.apply_entry(endpoint, now);
         let report = EngineReport {
             models: vec![hosted(engine)],
-            coming: Vec::new(),
+            loading: Vec::new(),
             is_busy: false,
             orders_taken: 0,
             born: None,
         };
-        view.hear_report(&id(engine), &report, now);
+        view.apply_report(&id(engine), &report, now);
     }
     view
 }
@@ -81,7 +83,7 @@
     demand
 }
 
-fn deployment() -> Deployment {
+fn routing() -> RoutingConfiguration {
     let model = BaseModel {
         name: MODEL.to_owned(),
         weights_mb: 65_000.0,
@@ -98,7 +100,7 @@
         models: vec![model],
     };
     let service = Service { max_connections: 590, engine: Some(engine) };
-    Deployment {
+    RoutingConfiguration {
         version: 1,
         routes: Vec::new(),
         services: BTreeMap::from([(SERVICE.to_owned(), service)]),
@@ -109,7 +111,7 @@
 
 fn decisions(criterion: &mut Criterion) {
     let now = Instant::now();
-    let (view, demand, deployment) = (view(now), demand(now), deployment());
+    let (view, demand, routing) = (view(now), demand(now), routing());
     criterion.bench_function("choose", |bench| {
         let key = key(400);
         let need = Need {
@@ -119,7 +121,7 @@
             draw: 7,
             prompt_tokens: 600,
             target_latency: Duration::from_millis(600),
-            is_patient: false,
+            may_wait: false,
         };
         bench.iter(|| black_box(view.choose(black_box(need), now)));
     });
@@ -132,7 +134,7 @@
             fresh,
             |(mut loader, mut view, mut demand)| {
                 loader.plan(
-                    &deployment,
+                    &routing,
                     &mut view,
                     &mut demand,
                     &mut LoadTimes::default(),
--- a/crates/fleet/src/endpoint.rs
+++ b/crates/fleet/src/endpoint.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     adapter::{AdapterKey, WeightVersion},
-    life::Born,
+    incarnation::Incarnation,
     route::ServiceName,
 };
 
@@ -38,7 +38,7 @@
     /// When this life of it began, if it says so. An instance of the release
     /// before does not pass it on.
     #[serde(default)]
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
 }
 
 /// A base model on an engine.
@@ -70,11 +70,11 @@
     /// The base models that it holds.
     pub models: Vec<HostedModel>,
     /// The adapters on their way to it.
-    pub coming: Vec<(AdapterKey, WeightVersion)>,
+    pub loading: Vec<(AdapterKey, WeightVersion)>,
     /// Whether it carries out an order that it can do only one of.
     pub is_busy: bool,
     /// The orders that it has taken in this life.
     pub orders_taken: u64,
     /// When its life began, if it says so.
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
 }
--- a/crates/fleet/src/endpoint_state.rs
+++ b/crates/fleet/src/endpoint_state.rs
@@ -15,10 +15,10 @@
 
 use crate::{
     adapter::{AdapterKey, WeightVersion},
+    cooldown::Cooldown,
     endpoint::{Endpoint, EngineReport},
     health::Health,
     note::Placed,
-    rest::Rest,
     work::Work,
 };
 
@@ -58,7 +58,7 @@
 
 /// An adapter on an engine.
 #[derive(Clone, Debug)]
-pub struct Seat {
+pub struct Placement {
     /// The version that is there, or that the load brings.
     pub version: WeightVersion,
     /// From when on it takes requests.
@@ -71,7 +71,7 @@
     pub(crate) is_replacement: bool,
     /// Whether it comes from the weight store, and no request has shown yet that
     /// it is there.
-    pub(crate) is_unproven: bool,
+    pub(crate) is_unconfirmed: bool,
     /// When its load was first heard of.
     pub(crate) began: Instant,
     /// Whether its engine has taken the order; before that it takes a place, and
@@ -100,8 +100,8 @@
     /// What our requests show.
     pub health: Health,
     /// What it is worth against an endpoint as the others, for plain services.
-    pub(crate) part: f64,
-    pub(crate) seats: HashMap<AdapterKey, Seat>,
+    pub(crate) weight: f64,
+    pub(crate) placements: HashMap<AdapterKey, Placement>,
     pub(crate) removed: HashMap<AdapterKey, Instant>,
     /// Whether our own orders alone decide what it holds; then the list, which
     /// is late, says nothing about that.
@@ -112,10 +112,10 @@
     /// another place.
     pub(crate) saturated_until: Option<Instant>,
     /// The rest that it asked us for.
-    pub(crate) rest: Rest,
+    pub(crate) cooldown: Cooldown,
 }
 
-impl Seat {
+impl Placement {
     /// Returns whether the seat takes requests.
     pub fn is_ready(&self, now: Instant) -> bool {
         self.is_ordered && now >= self.ready_at
@@ -137,7 +137,7 @@
     }
 
     /// Returns whether its load may still be under way.
-    pub fn is_on_way(&self, now: Instant) -> bool {
+    pub fn is_loading(&self, now: Instant) -> bool {
         now < self.ready_at.max(self.on_way_until)
     }
 
@@ -157,26 +157,26 @@
             others_work: Work::default(),
             total_work: None,
             health: Health::default(),
-            part: 1.0,
-            seats: HashMap::new(),
+            weight: 1.0,
+            placements: HashMap::new(),
             removed: HashMap::new(),
             is_ordered_by_us: false,
             warm: VecDeque::new(),
             saturated_until: None,
-            rest: Rest::default(),
+            cooldown: Cooldown::default(),
         }
     }
 
     /// Forgets what it held, what requests showed and what was learned of it.
     pub(crate) fn begin_life(&mut self) {
-        self.seats.clear();
+        self.placements.clear();
         self.removed.clear();
         self.warm.clear();
         self.is_ordered_by_us = false;
         self.health = Health::default();
-        self.part = 1.0;
+        self.weight = 1.0;
         self.saturated_until = None;
-        self.rest = self.rest.in_new_life();
+        self.cooldown = self.cooldown.in_new_life();
     }
 
     /// Returns its id.
@@ -221,7 +221,7 @@
     pub fn is_usable(&self, now: Instant) -> bool {
         !self.endpoint.is_draining
             && self.health.is_usable(now)
-            && self.rest.left(now).is_none()
+            && self.cooldown.left(now).is_none()
     }
 
     /// Returns whether it takes no more from some instance now.
@@ -241,13 +241,15 @@
     }
 
     /// Returns the adapters that are there or on their way.
-    pub fn seats(&self) -> impl Iterator<Item = (&AdapterKey, &Seat)> {
-        self.seats.iter()
+    pub fn placements(
+        &self,
+    ) -> impl Iterator<Item = (&AdapterKey, &Placement)> {
+        self.placements.iter()
     }
 
     /// Returns one adapter that is there or on its way.
-    pub fn seat(&self, key: &AdapterKey) -> Option<&Seat> {
-        self.seats.get(key)
+    pub fn placement(&self, key: &AdapterKey) -> Option<&Placement> {
+        self.placements.get(key)
     }
 
     /// Notes that it holds an adapter; returns what it no longer has at hand.
@@ -264,14 +266,14 @@
     }
 
     /// Takes in the endpoint's entry.
-    pub(crate) fn list(&mut self, endpoint: Endpoint, now: Instant) {
+    pub(crate) fn apply_entry(&mut self, endpoint: Endpoint, now: Instant) {
         if self.is_ordered_by_us {
             self.endpoint = endpoint;
             return;
         }
         let holds = |at: Instant| now - at < NOTE_HOLDS;
         self.removed.retain(|_, at| holds(*at));
-        let mut seats = HashMap::new();
+        let mut placements = HashMap::new();
         for model in &endpoint.models {
             let own = (model.key.clone(), model.version);
             for (key, version) in
@@ -280,139 +282,150 @@
                 if self.removed.contains_key(key) {
                     continue;
                 }
-                let seat = Seat {
+                let placement = Placement {
                     version: *version,
                     ready_at: now,
                     noted: now,
                     is_listed: true,
                     is_replacement: false,
-                    is_unproven: false,
+                    is_unconfirmed: false,
                     began: now,
                     is_ordered: true,
                     on_way_until: now,
                 };
-                seats.insert(key.clone(), seat);
+                placements.insert(key.clone(), placement);
             }
         }
-        for (key, seat) in &self.seats {
-            let is_newer = seats
+        for (key, placement) in &self.placements {
+            let is_newer = placements
                 .get(key)
-                .is_none_or(|listed| listed.version < seat.version);
-            if is_newer && !seat.is_listed && holds(seat.noted) {
-                seats.insert(key.clone(), seat.clone());
+                .is_none_or(|listed| listed.version < placement.version);
+            if is_newer && !placement.is_listed && holds(placement.noted) {
+                placements.insert(key.clone(), placement.clone());
             }
         }
-        self.seats = seats;
+        self.placements = placements;
         self.endpoint = endpoint;
     }
 
     /// Takes in its own report, which is newer than its entry.
-    pub(crate) fn hear_report(&mut self, report: &EngineReport, now: Instant) {
+    pub(crate) fn apply_report(
+        &mut self,
+        report: &EngineReport,
+        now: Instant,
+    ) {
         self.removed.clear();
-        self.seats.clear();
+        self.placements.clear();
         self.is_ordered_by_us = false;
         let mut endpoint = self.endpoint.clone();
         endpoint.models.clone_from(&report.models);
-        self.list(endpoint, now);
-        for (key, version) in &report.coming {
-            let seat = Seat {
+        self.apply_entry(endpoint, now);
+        for (key, version) in &report.loading {
+            let placement = Placement {
                 version: *version,
                 ready_at: now + COMING_FOR,
                 noted: now,
                 is_listed: false,
-                is_replacement: self.seats.contains_key(key),
-                is_unproven: false,
+                is_replacement: self.placements.contains_key(key),
+                is_unconfirmed: false,
                 began: now,
                 is_ordered: true,
                 on_way_until: now + COMING_FOR * ON_WAY_TIMES,
             };
-            self.seats.insert(key.clone(), seat);
+            self.placements.insert(key.clone(), placement);
         }
         self.is_ordered_by_us = true;
     }
 
     /// Takes in that an adapter is on its way.
-    pub(crate) fn hear_placed(&mut self, placed: &Placed, now: Instant) {
+    pub(crate) fn apply_placed(&mut self, placed: &Placed, now: Instant) {
         self.removed.remove(&placed.key);
-        let before = self.seats.get(&placed.key);
+        let before = self.placements.get(&placed.key);
         let is_replacement =
             before.is_some_and(|b| b.version < placed.version);
         // A note of the same load, with a better guess.
         let known = before.filter(|b| b.version == placed.version);
         let takes = Duration::from_millis(placed.ready_in_ms);
-        let seat = Seat {
+        let placement = Placement {
             version: placed.version,
             ready_at: now + takes,
             noted: now,
             is_listed: false,
             is_replacement,
-            is_unproven: placed.is_cold && !is_replacement,
-            began: known.map_or(now, |seat| seat.began),
+            is_unconfirmed: placed.is_cold && !is_replacement,
+            began: known.map_or(now, |placement| placement.began),
             is_ordered: true,
             on_way_until: now + takes * ON_WAY_TIMES,
         };
-        self.seats.insert(placed.key.clone(), seat);
+        self.placements.insert(placed.key.clone(), placement);
     }
 
     /// Notes that an adapter is about to be ordered.
     pub(crate) fn plan(&mut self, placed: &Placed, now: Instant) {
-        self.hear_placed(placed, now);
-        if let Some(seat) = self.seats.get_mut(&placed.key) {
-            seat.is_ordered = false;
+        self.apply_placed(placed, now);
+        if let Some(placement) = self.placements.get_mut(&placed.key) {
+            placement.is_ordered = false;
         }
     }
 
     /// Notes that the engine has taken an order that was planned: its load begins
     /// now. Returns when it is likely to be ready.
-    pub(crate) fn order_taken(
+    pub(crate) fn order_accepted(
         &mut self,
         key: &AdapterKey,
         now: Instant,
     ) -> Option<Duration> {
-        let seat = self.seats.get_mut(key)?;
-        if !std::mem::replace(&mut seat.is_ordered, true) {
-            let takes = seat.ready_at.saturating_duration_since(seat.noted);
-            seat.ready_at = now + takes;
-            seat.on_way_until = now + takes * ON_WAY_TIMES;
-            seat.noted = now;
-            seat.began = now;
+        let placement = self.placements.get_mut(key)?;
+        if !std::mem::replace(&mut placement.is_ordered, true) {
+            let takes =
+                placement.ready_at.saturating_duration_since(placement.noted);
+            placement.ready_at = now + takes;
+            placement.on_way_until = now + takes * ON_WAY_TIMES;
+            placement.noted = now;
+            placement.began = now;
         }
-        Some(seat.ready_at.saturating_duration_since(now))
+        Some(placement.ready_at.saturating_duration_since(now))
     }
 
     /// Notes that an adapter that was about to be ordered is there already.
-    pub(crate) fn was_there(&mut self, key: &AdapterKey, now: Instant) {
-        if let Some(seat) = self.seats.get_mut(key) {
-            seat.is_ordered = true;
-            seat.is_unproven = false;
-            seat.ready_at = now;
-            seat.on_way_until = now;
+    pub(crate) fn mark_present(&mut self, key: &AdapterKey, now: Instant) {
+        if let Some(placement) = self.placements.get_mut(key) {
+            placement.is_ordered = true;
+            placement.is_unconfirmed = false;
+            placement.ready_at = now;
+            placement.on_way_until = now;
         }
     }
 
     /// Takes in whether an adapter from the weight store was there when a request
     /// was sent to it; returns whether the holder of the lease is to hear of it.
-    pub(crate) fn prove(&mut self, key: &AdapterKey, is_there: bool) -> bool {
-        let Some(seat) = self.seats.get_mut(key) else { return false };
-        let is_news = seat.is_unproven;
+    pub(crate) fn confirm_load(
+        &mut self,
+        key: &AdapterKey,
+        is_there: bool,
+    ) -> bool {
+        let Some(placement) = self.placements.get_mut(key) else {
+            return false;
+        };
+        let is_news = placement.is_unconfirmed;
         if is_there {
-            seat.is_unproven = false;
-            seat.on_way_until = seat.began;
+            placement.is_unconfirmed = false;
+            placement.on_way_until = placement.began;
         }
         is_news
     }
 
     /// Notes that it turned a request down for want of an adapter.
-    pub(crate) fn note_absent(&mut self, key: &AdapterKey, now: Instant) {
-        let Some(seat) = self.seats.get_mut(key) else { return };
-        let elapsed = now.saturating_duration_since(seat.began);
+    pub(crate) fn record_absent(&mut self, key: &AdapterKey, now: Instant) {
+        let Some(placement) = self.placements.get_mut(key) else { return };
+        let elapsed = now.saturating_duration_since(placement.began);
         let pause = NOT_YET_PAUSE.max(elapsed / NOT_YET_PART);
         // The holder's table must not lose what takes a place.
-        if seat.is_listed && !self.is_ordered_by_us {
-            self.seats.remove(key);
+        if placement.is_listed && !self.is_ordered_by_us {
+            self.placements.remove(key);
             self.removed.insert(key.clone(), now);
         } else {
-            seat.ready_at = now + pause;
+            placement.ready_at = now + pause;
         }
     }
 }
--- a/crates/fleet/src/life.rs
+++ b/crates/fleet/src/incarnation.rs
@@ -19,7 +19,7 @@
 use crate::endpoint::Revision;
 
 /// The Unix millisecond of an endpoint's start, on its own clock.
-pub type Born = u64;
+pub type Incarnation = u64;
 
 /// How many lives that are over are kept for each endpoint: what is said late is
 /// seconds old, and an endpoint takes a second at least to start.
@@ -40,66 +40,66 @@
 #[derive(
     Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
-pub struct EndpointLife {
+pub struct EndpointIncarnation {
     /// The endpoint.
     pub id: EndpointId,
     /// When this life began, if it says so; else its id names one life.
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
 }
 
 /// What a word about an endpoint speaks of.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Speaks {
+pub enum IncarnationStatus {
     /// The life that is known, or of no life in particular.
-    OfThis,
+    Current,
     /// A life that has begun since: all that was known is void.
-    OfNew,
+    New,
     /// A life that is over: it says nothing.
-    OfEnded,
+    Ended,
 }
 
 /// The lives of all endpoints, as far as they were heard of.
 #[derive(Clone, Debug, Default)]
-pub struct Lives(HashMap<EndpointId, Known>);
+pub struct Incarnations(HashMap<EndpointId, Known>);
 
 #[derive(Clone, Debug)]
 struct Known {
-    born: Born,
+    born: Incarnation,
     /// Whether an entry has shown it; else only the endpoint's own word.
     is_listed: bool,
     /// The newest revision of the store that showed one of its lives.
     revision: Revision,
     /// The life that a word of the endpoint's ended, and until when entries of it
     /// are taken for late ones.
-    doubted: Option<(Born, Instant)>,
+    doubted: Option<(Incarnation, Instant)>,
     /// Lives that only their own words showed, left for another one, and until when
     /// words of them are taken for late ones. Their entries may yet come.
-    unlisted: VecDeque<(Born, Instant)>,
+    unlisted: VecDeque<(Incarnation, Instant)>,
     /// Lives that were followed by another one.
-    ended: VecDeque<Born>,
+    ended: VecDeque<Incarnation>,
     heard: Instant,
 }
 
-impl Lives {
+impl Incarnations {
     /// Takes in an entry, as of a revision of the store.
-    pub fn hear_entry(
+    pub fn apply_entry(
         &mut self,
         id: &EndpointId,
-        born: Option<Born>,
+        born: Option<Incarnation>,
         revision: Revision,
         now: Instant,
-    ) -> Speaks {
-        let Some(born) = born else { return Speaks::OfThis };
+    ) -> IncarnationStatus {
+        let Some(born) = born else { return IncarnationStatus::Current };
         let Some(known) = self.0.get_mut(id) else {
             self.0.insert(id.clone(), Known::new(born, revision, now));
-            return Speaks::OfThis;
+            return IncarnationStatus::Current;
         };
         if known.born == born {
             known.list(revision, now);
-            return Speaks::OfThis;
+            return IncarnationStatus::Current;
         }
         if revision < known.revision || known.is_over(born, now) {
-            return Speaks::OfEnded;
+            return IncarnationStatus::Ended;
         }
         match known.is_listed {
             true => known.end(known.born),
@@ -107,34 +107,34 @@
         }
         known.born = born;
         known.list(revision, now);
-        Speaks::OfNew
+        IncarnationStatus::New
     }
 
     /// Takes in what an endpoint said of itself when it was asked. Its entry may
     /// still show the life before for a while, or, if the answer was late, another
     /// one that has begun since.
-    pub fn hear(
+    pub fn apply_report(
         &mut self,
         id: &EndpointId,
-        born: Option<Born>,
+        born: Option<Incarnation>,
         now: Instant,
-    ) -> Speaks {
-        let Some(born) = born else { return Speaks::OfThis };
+    ) -> IncarnationStatus {
+        let Some(born) = born else { return IncarnationStatus::Current };
         let Some(known) = self.0.get_mut(id) else {
             let known = Known { is_listed: false, ..Known::new(born, 0, now) };
             self.0.insert(id.clone(), known);
-            return Speaks::OfThis;
+            return IncarnationStatus::Current;
         };
         if known.born == born {
             known.heard = now;
-            return Speaks::OfThis;
+            return IncarnationStatus::Current;
         }
         let is_late = known
             .unlisted
             .iter()
             .any(|(left, until)| *left == born && now < *until);
         if is_late || known.is_over(born, now) {
-            return Speaks::OfEnded;
+            return IncarnationStatus::Ended;
         }
         match known.is_listed {
             true => known.doubted = Some((known.born, now + ENTRY_LATE)),
@@ -143,17 +143,21 @@
         known.born = born;
         known.is_listed = false;
         known.heard = now;
-        Speaks::OfNew
+        IncarnationStatus::New
     }
 
     /// Returns when the life that is known began.
-    pub fn born(&self, id: &EndpointId) -> Option<Born> {
+    pub fn born(&self, id: &EndpointId) -> Option<Incarnation> {
         self.0.get(id).map(|known| known.born)
     }
 
     /// Returns whether a word about a life speaks of the one that is known, or
     /// none is known.
-    pub fn is_of_this(&self, id: &EndpointId, born: Option<Born>) -> bool {
+    pub fn is_current(
+        &self,
+        id: &EndpointId,
+        born: Option<Incarnation>,
+    ) -> bool {
         match (born, self.born(id)) {
             (Some(born), Some(known)) => born == known,
             _ => true,
@@ -169,7 +173,7 @@
 }
 
 impl Known {
-    fn new(born: Born, revision: Revision, now: Instant) -> Known {
+    fn new(born: Incarnation, revision: Revision, now: Instant) -> Known {
         Known {
             born,
             is_listed: true,
@@ -193,7 +197,7 @@
         }
     }
 
-    fn end(&mut self, born: Born) {
+    fn end(&mut self, born: Incarnation) {
         self.ended.push_back(born);
         if self.ended.len() > ENDED_LEN {
             self.ended.pop_front();
@@ -207,7 +211,7 @@
         }
     }
 
-    fn is_over(&self, born: Born, now: Instant) -> bool {
+    fn is_over(&self, born: Incarnation, now: Instant) -> bool {
         let is_doubted = self
             .doubted
             .is_some_and(|(known, until)| known == born && now < until);
--- a/crates/fleet/src/loader.rs
+++ b/crates/fleet/src/loader.rs
@@ -18,11 +18,11 @@
     adapter::{AdapterKey, WeightVersion},
     demand::Demand,
     endpoint_state::EndpointState,
-    engine_room::EngineRoom,
+    engine_headroom::EngineHeadroom,
     load_times::LoadTimes,
     note::{Placed, Removed},
     order::{Order, Task},
-    route::{Deployment, EngineGroup},
+    route::{EngineGroup, RoutingConfiguration},
     store_rate::StoreRate,
     view::{BUSY_BACKLOG, FleetView},
 };
@@ -75,7 +75,7 @@
     /// taken.
     pub fn plan(
         &mut self,
-        deployment: &Deployment,
+        routing: &RoutingConfiguration,
         view: &mut FleetView,
         demand: &mut Demand,
         times: &mut LoadTimes,
@@ -88,7 +88,7 @@
             self.forget(now);
         }
         let mut orders = Vec::new();
-        for (service, group) in deployment.engines() {
+        for (service, group) in routing.engines() {
             let mut turn = Turn {
                 loader: self,
                 service,
@@ -131,7 +131,7 @@
     now: Instant,
     /// What each engine can take; computed when first asked for, and again
     /// for the engine that gets an order.
-    engines: Option<Vec<EngineRoom>>,
+    engines: Option<Vec<EngineHeadroom>>,
 }
 
 impl Turn<'_> {
@@ -142,7 +142,7 @@
             .view
             .of_service(self.service)
             .filter(|state| !state.endpoint.is_draining)
-            .filter(|state| !state.rest.is_resting(self.now))
+            .filter(|state| !state.cooldown.is_cooling_down(self.now))
             .filter(|state| !state.is_ordered_by_us())
             .map(|state| (state.endpoint.id.clone(), state.endpoint.address))
             .collect();
@@ -183,10 +183,10 @@
     fn replace_versions(&mut self, orders: &mut Vec<Order>) {
         let mut old = Vec::new();
         for state in self.engines() {
-            for (key, seat) in state.seats() {
+            for (key, placement) in state.placements() {
                 let newest = self.view.newest(key);
                 if let Some((newest, _)) = newest
-                    && seat.version < newest
+                    && placement.version < newest
                 {
                     let id = state.endpoint.id.clone();
                     let address = state.endpoint.address;
@@ -212,7 +212,7 @@
                 && self.times.may_begin(self.group.loads_per_s, self.now)
             {
                 let placed = self.placed_cold(&endpoint, &key, newest);
-                self.view.plan_placed(&placed, self.now);
+                self.view.plan_placement(&placed, self.now);
                 orders.push(order(Task::Load(key, newest), true));
             } else {
                 self.remove(&endpoint, &key);
@@ -295,7 +295,7 @@
             true => self.placed_warm(&home.endpoint, key, version),
             false => self.placed_cold(&home.endpoint, key, version),
         };
-        self.view.plan_placed(&placed, self.now);
+        self.view.plan_placement(&placed, self.now);
         self.look_again(&home.endpoint);
         let task = Task::Load(key.clone(), version);
         orders.push(home.order(task, !home.is_warm));
@@ -326,8 +326,9 @@
     }
 
     fn coming(&self, state: &EndpointState) -> bool {
-        let on_their_way =
-            state.seats().filter(|(_, seat)| seat.is_on_way(self.now));
+        let on_their_way = state
+            .placements()
+            .filter(|(_, placement)| placement.is_loading(self.now));
         on_their_way.count() >= COMING_PER_ENGINE
     }
 
@@ -337,7 +338,8 @@
 
     fn engines(&self) -> impl Iterator<Item = &EndpointState> {
         let stays = |state: &&EndpointState| {
-            !state.endpoint.is_draining && !state.rest.is_resting(self.now)
+            !state.endpoint.is_draining
+                && !state.cooldown.is_cooling_down(self.now)
         };
         let is_known = |state: &&EndpointState| state.is_ordered_by_us();
         let engines = self.view.of_service(self.service);
@@ -349,9 +351,9 @@
             epoch: self.loader.epoch,
             endpoint: endpoint.clone(),
             key: key.clone(),
-            born: self.view.life(endpoint),
+            born: self.view.incarnation(endpoint),
         };
-        self.view.hear_removed(&removed, self.now);
+        self.view.apply_removed(&removed, self.now);
     }
 
     /// Begins a load from the weight store.
@@ -391,7 +393,7 @@
             version,
             ready_in_ms: takes.as_millis() as u64,
             is_cold,
-            born: self.view.life(endpoint),
+            born: self.view.incarnation(endpoint),
         }
     }
 
--- a/crates/fleet/src/vouch.rs
+++ b/crates/fleet/src/store_reports.rs
@@ -15,7 +15,7 @@
 /// How long the word of an instance counts. It speaks every 300 ms; and a turn
 /// of two holders must pass between the last order of one, a second after that
 /// word, and the first of another, 4.5 s after it reached the store again.
-pub const WORD_HOLDS: Duration = Duration::from_millis(1_000);
+pub const REPORT_VALID_FOR: Duration = Duration::from_millis(1_000);
 
 /// An instance that was not heard for this long is gone or cut off. Where most
 /// others are heard to be without the store, it is not only our path that is
@@ -25,7 +25,7 @@
 
 /// What each instance said last.
 #[derive(Clone, Debug, Default)]
-pub struct LastWords(HashMap<InstanceId, LastWord>);
+pub struct StoreReports(HashMap<InstanceId, LastWord>);
 
 #[derive(Clone, Copy, Debug)]
 struct LastWord {
@@ -34,9 +34,9 @@
     is_leaving: bool,
 }
 
-impl LastWords {
+impl StoreReports {
     /// Takes in what an instance says of itself.
-    pub fn hear(
+    pub fn record(
         &mut self,
         from: &InstanceId,
         store_is_out: bool,
@@ -48,12 +48,12 @@
     }
 
     /// Returns the instances that said just now that the store answers them.
-    pub fn reaching_store(
+    pub fn instances_reaching_store(
         &self,
         now: Instant,
     ) -> impl Iterator<Item = &InstanceId> {
         let reaches = move |word: &LastWord| {
-            now - word.heard < WORD_HOLDS
+            now - word.heard < REPORT_VALID_FOR
                 && !word.store_is_out
                 && !word.is_leaving
         };
@@ -63,12 +63,12 @@
 
     /// Returns whether none of the known instances, and nobody else that was
     /// heard, can take the lease now.
-    pub fn nobody_reaches_store<'a>(
+    pub fn no_instance_reaches_store<'a>(
         &self,
         known: impl Iterator<Item = &'a InstanceId>,
         now: Instant,
     ) -> bool {
-        let holds = |word: &LastWord| now - word.heard < WORD_HOLDS;
+        let holds = |word: &LastWord| now - word.heard < REPORT_VALID_FOR;
         // One that leaves takes no lease, and comes back without a
         // configuration, which only the store gives.
         let cannot = |word: &LastWord| {
--- a/crates/fleet/src/view/choice.rs
+++ b/crates/fleet/src/view/choice.rs
@@ -15,8 +15,8 @@
 use crate::{
     adapter::{AdapterKey, WeightVersion},
     endpoint_state::EndpointState,
+    latency_regression::LatencyRegression,
     note::FEW_PEERS,
-    pace::Pace,
 };
 
 /// What another availability zone costs, in parts of an endpoint's load:
@@ -71,7 +71,7 @@
     /// Within this time, its answer should begin.
     pub target_latency: Duration,
     /// Whether it may wait for a place where it begins sooner.
-    pub is_patient: bool,
+    pub may_wait: bool,
 }
 
 /// Where a request goes.
@@ -80,7 +80,7 @@
     /// To this endpoint.
     Send(Target),
     /// Nowhere yet; the adapter is on its way and may be ready then.
-    Coming(Duration),
+    Loading(Duration),
     /// Nowhere; no usable engine holds the adapter.
     Absent,
     /// Nowhere; all that could serve it are full.
@@ -90,7 +90,7 @@
     /// be on its way.
     Busy(Option<Duration>),
     /// Nowhere; the service has no usable endpoint.
-    Nobody,
+    NoEndpoint,
 }
 
 /// The endpoint that a request goes to.
@@ -120,14 +120,14 @@
         };
         let Some(key) = need.key else {
             let all = self.of_service(need.service).filter(is_usable);
-            return self.choose_spread(all, need, now);
+            return self.choose_balanced(all, need, now);
         };
         let holders = self.holders(key).filter(is_usable);
         match self.choose_among(holders, need, now) {
-            Choice::Nobody => {
+            Choice::NoEndpoint => {
                 match self.of_service(need.service).any(|s| is_usable(&s)) {
                     true => Choice::Absent,
-                    false => Choice::Nobody,
+                    false => Choice::NoEndpoint,
                 }
             }
             found => found,
@@ -140,7 +140,7 @@
         need: Need<'_>,
         now: Instant,
     ) -> Choice {
-        let mut found = Choice::Nobody;
+        let mut found = Choice::NoEndpoint;
         let mut best: Option<(f64, &EndpointState)> = None;
         for state in usable {
             if let Some(obstacle) = self.obstacle(state, need, now) {
@@ -153,9 +153,9 @@
             }
         }
         let Some((_, state)) = best else { return found };
-        if need.is_patient && self.would_be_late(state, need) {
+        if need.may_wait && self.would_be_late(state, need) {
             return Choice::Busy(match found {
-                Choice::Coming(ready_in) => Some(ready_in),
+                Choice::Loading(ready_in) => Some(ready_in),
                 _ => None,
             });
         }
@@ -182,15 +182,15 @@
         };
         let full = (state.load() >= fill).then_some(Choice::Full);
         let Some(key) = need.key else { return full };
-        let Some(seat) = state.seats.get(key) else {
+        let Some(placement) = state.placements.get(key) else {
             return Some(Choice::Absent);
         };
-        if self.is_outdated(key, seat.version, now) {
+        if self.is_outdated(key, placement.version, now) {
             return Some(Choice::Absent);
         }
-        if !seat.is_ready(now) {
-            let left = seat.ready_at.saturating_duration_since(now);
-            return Some(Choice::Coming(left.max(LEAST_COMING)));
+        if !placement.is_ready(now) {
+            let left = placement.ready_at.saturating_duration_since(now);
+            return Some(Choice::Loading(left.max(LEAST_COMING)));
         }
         full
     }
@@ -253,14 +253,18 @@
     ) -> Option<Duration> {
         need.key?;
         let tokens = state.unread_tokens() + need.prompt_tokens;
-        self.paces.get(need.service)?.predict(tokens)
+        self.first_event_times.get(need.service)?.predict(tokens)
     }
 
     /// Returns what an engine of a service is likely to take until the answer to a
     /// prompt begins, if it has no other to read.
-    pub fn engine_time(&self, service: &str, prompt_tokens: u64) -> Duration {
-        let pace = self.paces.get(service);
-        pace.and_then(|p| p.predict(prompt_tokens)).unwrap_or_default()
+    pub fn idle_first_event_time(
+        &self,
+        service: &str,
+        prompt_tokens: u64,
+    ) -> Duration {
+        let regression = self.first_event_times.get(service);
+        regression.and_then(|p| p.predict(prompt_tokens)).unwrap_or_default()
     }
 
     /// Returns how much an endpoint has to do: requests as a part of its slots,
@@ -273,29 +277,33 @@
 
     /// Returns how long an engine reads before a new prompt's turn.
     pub fn backlog(&self, state: &EndpointState) -> Duration {
-        self.reading_time(state.id(), state.unread_tokens())
+        self.prefill_time(state.id(), state.unread_tokens())
     }
 
     /// Returns how long an endpoint reads so many tokens.
-    pub fn reading_time(&self, id: &EndpointId, tokens: u64) -> Duration {
+    pub fn prefill_time(&self, id: &EndpointId, tokens: u64) -> Duration {
         let state = self.endpoints.get(id);
-        let pace = state.and_then(|s| self.paces.get(&s.endpoint.service));
-        pace.map_or(Duration::ZERO, |pace| pace.reading_time(tokens))
+        let regression = state
+            .and_then(|s| self.first_event_times.get(&s.endpoint.service));
+        regression.map_or(Duration::ZERO, |regression| {
+            regression.prefill_time(tokens)
+        })
     }
 
     /// Takes in how long an engine took to begin an answer, before which it
     /// had to read so many tokens.
-    pub fn observe_pace(
+    pub fn observe_first_event(
         &mut self,
         service: &str,
         tokens: u64,
         took: Duration,
     ) {
-        let Some(pace) = self.paces.get_mut(service) else {
-            self.paces.insert(service.to_owned(), Pace::default());
-            return self.observe_pace(service, tokens, took);
+        let Some(regression) = self.first_event_times.get_mut(service) else {
+            self.first_event_times
+                .insert(service.to_owned(), LatencyRegression::default());
+            return self.observe_first_event(service, tokens, took);
         };
-        pace.observe(tokens, took);
+        regression.observe(tokens, took);
     }
 }
 
@@ -304,12 +312,12 @@
     let rank = |choice: &Choice| match choice {
         Choice::Send(_) | Choice::Busy(_) => 0,
         Choice::Full => 1,
-        Choice::Coming(_) => 2,
+        Choice::Loading(_) => 2,
         Choice::Absent => 3,
-        Choice::Nobody => 4,
+        Choice::NoEndpoint => 4,
     };
     match (&a, &b) {
-        (Choice::Coming(x), Choice::Coming(y)) => Choice::Coming(*x.min(y)),
+        (Choice::Loading(x), Choice::Loading(y)) => Choice::Loading(*x.min(y)),
         _ if rank(&b) < rank(&a) => b,
         _ => a,
     }
--- a/crates/fleet/src/view/departed.rs
+++ b/crates/fleet/src/view/departures.rs
@@ -3,7 +3,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_state::id::EndpointId;
 
-use super::{AnsweredSend, FleetView};
+use super::{AnsweredRequest, FleetView};
 use crate::{departure::Departure, endpoint::Revision};
 
 impl FleetView {
@@ -23,13 +23,13 @@
         let departure = Departure::of_entry(id, revision);
         let is_news = self.departures.note(&departure, is_sure, now);
         if is_news && is_sure && !was_leaving {
-            self.untold.push(departure);
+            self.unsent_departures.push(departure);
         }
     }
 
     /// Takes in that another instance saw an endpoint leave; returns whether
     /// that is news.
-    pub fn hear_departure(
+    pub fn apply_departure(
         &mut self,
         departure: &Departure,
         now: Instant,
@@ -38,7 +38,7 @@
             return false;
         }
         let Departure { endpoint: id, .. } = departure;
-        let born = self.lives.born(id);
+        let born = self.incarnations.born(id);
         if let Some(state) = self.endpoints.get_mut(id) {
             let revision = state.endpoint.revision;
             let has_left = self.departures.has_left(id, revision, born);
@@ -49,29 +49,29 @@
 
     /// Takes in that an endpoint said in an answer that it leaves; returns whether
     /// that is news, which others are told of.
-    pub fn announce_departure(
+    pub fn apply_announced_departure(
         &mut self,
-        answered: &AnsweredSend,
+        answered: &AnsweredRequest,
         now: Instant,
     ) -> bool {
-        let AnsweredSend { endpoint, born, .. } = answered;
-        if !self.lives.is_of_this(endpoint, *born) {
+        let AnsweredRequest { endpoint, born, .. } = answered;
+        if !self.incarnations.is_current(endpoint, *born) {
             return false;
         }
         let state = self.endpoints.get(endpoint);
         let revision = state.map_or(0, |state| state.endpoint.revision);
         let departure = Departure::announced(endpoint, *born, revision);
-        let is_news = self.hear_departure(&departure, now);
+        let is_news = self.apply_departure(&departure, now);
         if is_news {
-            self.untold.push(departure);
+            self.unsent_departures.push(departure);
         }
         is_news
     }
 
     /// Returns the departures that we saw and the others have not heard of,
     /// once.
-    pub fn take_untold(&mut self) -> Vec<Departure> {
-        std::mem::take(&mut self.untold)
+    pub fn take_unsent_departures(&mut self) -> Vec<Departure> {
+        std::mem::take(&mut self.unsent_departures)
     }
 
     /// Returns the departures that others are told of again.
@@ -88,6 +88,6 @@
     pub fn forget_departures(&mut self, now: Instant) {
         let endpoints = &self.endpoints;
         self.departures.forget(|id| endpoints.contains_key(id), now);
-        self.lives.forget(now);
+        self.incarnations.forget(now);
     }
 }
--- a/crates/fleet/src/view/under_way.rs
+++ b/crates/fleet/src/view/in_flight.rs
@@ -50,7 +50,7 @@
 impl FleetView {
     /// Takes in what another instance has under way. Older notes than the
     /// last one change nothing.
-    pub fn hear_status(&mut self, status: Status, now: Instant) {
+    pub fn apply_status(&mut self, status: Status, now: Instant) {
         if let Some(last) = self.peers.get(&status.from)
             && last.sequence >= status.sequence
             && now < last.holds_until
@@ -87,12 +87,12 @@
         if let Some(before) = self.peers.insert(status.from, load) {
             self.count_peer(&before, Work::subtract);
         }
-        self.learn_parts(now);
+        self.learn_weights(now);
     }
 
     /// Forgets instances that were not heard for too long. Call it about once
     /// a second.
-    pub fn forget_silent_peers(&mut self, now: Instant) {
+    pub fn remove_silent_peers(&mut self, now: Instant) {
         if self.totals.is_some_and(|heard| now >= heard.until) {
             self.forget_totals();
         }
@@ -121,7 +121,7 @@
 
     /// Returns what this instance has under way; endpoints without work are left
     /// out. Notes what is told.
-    pub fn tell_work(&mut self) -> Vec<(EndpointId, Work)> {
+    pub fn publish_work(&mut self) -> Vec<(EndpointId, Work)> {
         let mut told = Vec::new();
         for (id, state) in &mut self.endpoints {
             state.told_work = state.own_work.without_adapters();
@@ -135,7 +135,7 @@
     /// Returns what all instances have under way, for the holder of the lease to
     /// tell. Where that is more than fits a note, it is what has changed most since
     /// it was told, and some of the others in turn, for whoever missed them.
-    pub fn tell_totals(&mut self) -> Totals {
+    pub fn publish_totals(&mut self) -> Totals {
         let mut all = Vec::new();
         for (id, state) in &mut self.endpoints {
             state.told_work = state.own_work.without_adapters();
@@ -188,7 +188,7 @@
     }
 
     /// Returns whether another instance was heard lately.
-    pub fn hears(&self, id: &InstanceId, now: Instant) -> bool {
+    pub fn is_live_peer(&self, id: &InstanceId, now: Instant) -> bool {
         self.peers.get(id).is_some_and(|load| now < load.holds_until)
     }
 
--- a/crates/fleet/src/view/limits.rs
+++ b/crates/fleet/src/view/limits.rs
@@ -8,7 +8,7 @@
 use super::FleetView;
 use crate::{
     announcement::AnnouncedLimit,
-    life::Born,
+    incarnation::Incarnation,
     limit_share::{
         LimitChange, LimitReport, Permit, PermitRequest, ReportSource,
     },
@@ -16,11 +16,11 @@
 
 /// A request that an endpoint answered.
 #[derive(Clone, Debug)]
-pub struct AnsweredSend {
+pub struct AnsweredRequest {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Its life when the request was sent, if it tells its lives apart.
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
     /// When the request was sent.
     pub sent: Instant,
 }
@@ -28,30 +28,30 @@
 impl FleetView {
     /// Takes in what an answer says of its endpoint's limit; returns what changed.
     /// An answer of a life that is over says nothing.
-    pub fn announce_limit(
+    pub fn apply_announced_limit(
         &mut self,
-        answered: &AnsweredSend,
+        answered: &AnsweredRequest,
         limit: AnnouncedLimit,
         now: Instant,
     ) -> Option<LimitChange> {
-        let AnsweredSend { endpoint, born, sent } = answered;
-        if !self.lives.is_of_this(endpoint, *born) {
+        let AnsweredRequest { endpoint, born, sent } = answered;
+        if !self.incarnations.is_current(endpoint, *born) {
             return None;
         }
         self.limits.observe(endpoint, *born, limit, *sent, now)
     }
 
     /// Takes in another instance's report of a limit; returns what changed.
-    pub fn hear_limit(
+    pub fn apply_limit_report(
         &mut self,
         report: &LimitReport,
         source: ReportSource<'_>,
         now: Instant,
     ) -> Option<LimitChange> {
-        if !self.lives.is_of_this(&report.endpoint, report.born) {
+        if !self.incarnations.is_current(&report.endpoint, report.born) {
             return None;
         }
-        self.limits.hear(report, source, now)
+        self.limits.apply_report(report, source, now)
     }
 
     /// Returns what others are told of limits: with this instance's demand, or with
@@ -70,8 +70,8 @@
     }
 
     /// Counts a request that would go to a limited endpoint if it had no limit.
-    pub fn want(&mut self, id: &EndpointId, now: Instant) {
-        self.limits.want(id, now);
+    pub fn record_demand(&mut self, id: &EndpointId, now: Instant) {
+        self.limits.record_demand(id, now);
     }
 
     /// Takes a permit for one request to an endpoint.
@@ -92,7 +92,7 @@
 
     /// Takes in that an endpoint takes no more from some instance for a time: what
     /// it holds needs another place.
-    pub fn hear_saturated(
+    pub fn mark_saturated(
         &mut self,
         id: &EndpointId,
         time: Duration,
--- a/crates/fleet/tests/limit_model.rs
+++ b/crates/fleet/tests/limit_model.rs
@@ -128,7 +128,7 @@
             let from = format!("i{from}");
             let source = ReportSource { from: &from, is_total, until };
             for report in &reports {
-                shares[to].hear(report, source, now);
+                shares[to].apply_report(report, source, now);
             }
         }
         for (from, phase) in phases.iter().enumerate() {
@@ -167,7 +167,7 @@
                 continue;
             }
             let draw: f64 = rng.random();
-            shares[n].want(&endpoint, now);
+            shares[n].record_demand(&endpoint, now);
             let is_limited = ms >= ANNOUNCED_MS;
             let is_sent = !is_limited
                 || match run.way {
--- a/crates/fleet/tests/vouch_rules.rs
+++ b/crates/fleet/tests/store_reports_rules.rs
@@ -3,17 +3,17 @@
 use std::time::Duration;
 
 use sedgewall_clock::Instant;
-use sedgewall_fleet::vouch::{LastWords, WORD_HOLDS};
+use sedgewall_fleet::store_reports::{REPORT_VALID_FOR, StoreReports};
 
 fn ids() -> [String; 3] {
     ["i1", "i2", "i3"].map(str::to_owned)
 }
 
 /// What three instances say, all of whom the store does not answer.
-fn all_out(now: Instant) -> LastWords {
-    let mut words = LastWords::default();
+fn all_out(now: Instant) -> StoreReports {
+    let mut words = StoreReports::default();
     for id in &ids() {
-        words.hear(id, true, false, now);
+        words.record(id, true, false, now);
     }
     words
 }
@@ -21,25 +21,25 @@
 #[test]
 fn nobody_can_take_a_lease_that_the_store_shows_nobody() {
     let now = Instant::now();
-    assert!(all_out(now).nobody_reaches_store(ids().iter(), now));
+    assert!(all_out(now).no_instance_reaches_store(ids().iter(), now));
 }
 
 #[test]
 fn one_that_reaches_the_store_can() {
     let now = Instant::now();
     let mut words = all_out(now);
-    words.hear(&ids()[1], false, false, now);
-    assert!(!words.nobody_reaches_store(ids().iter(), now));
+    words.record(&ids()[1], false, false, now);
+    assert!(!words.no_instance_reaches_store(ids().iter(), now));
 }
 
 #[test]
 fn one_that_was_not_heard_lately_may() {
     let now = Instant::now();
     let mut words = all_out(now);
-    let later = now + WORD_HOLDS;
-    words.hear(&ids()[0], true, false, later);
-    words.hear(&ids()[1], true, false, later);
-    assert!(!words.nobody_reaches_store(ids().iter(), later));
+    let later = now + REPORT_VALID_FOR;
+    words.record(&ids()[0], true, false, later);
+    words.record(&ids()[1], true, false, later);
+    assert!(!words.no_instance_reaches_store(ids().iter(), later));
 }
 
 #[test]
@@ -47,31 +47,31 @@
     let now = Instant::now();
     let known = ["i1", "i2", "i3", "gone"].map(str::to_owned);
     let mut words = all_out(now);
-    assert!(words.nobody_reaches_store(known.iter(), now));
+    assert!(words.no_instance_reaches_store(known.iter(), now));
     let later = now + Duration::from_secs(6);
-    words.hear(&ids()[0], true, false, later);
+    words.record(&ids()[0], true, false, later);
     // Two were not heard for long, and that is no fewer than were heard.
     let known = ["i1", "i2"].map(str::to_owned);
-    assert!(!words.nobody_reaches_store(known.iter(), later));
+    assert!(!words.no_instance_reaches_store(known.iter(), later));
 }
 
 #[test]
 fn one_that_is_not_in_the_list_and_reaches_the_store_can() {
     let now = Instant::now();
     let mut words = all_out(now);
-    words.hear(&"new".to_owned(), false, false, now);
-    assert!(!words.nobody_reaches_store(ids().iter(), now));
+    words.record(&"new".to_owned(), false, false, now);
+    assert!(!words.no_instance_reaches_store(ids().iter(), now));
 }
 
 #[test]
 fn one_that_leaves_cannot() {
     let now = Instant::now();
     let mut words = all_out(now);
-    words.hear(&ids()[2], false, true, now);
+    words.record(&ids()[2], false, true, now);
     let later = now + Duration::from_millis(900);
-    assert!(words.nobody_reaches_store(ids().iter(), later));
+    assert!(words.no_instance_reaches_store(ids().iter(), later));
     let much_later = now + Duration::from_secs(3);
-    words.hear(&ids()[0], true, false, much_later);
-    words.hear(&ids()[1], true, false, much_later);
-    assert!(words.nobody_reaches_store(ids().iter(), much_later));
+    words.record(&ids()[0], true, false, much_later);
+    words.record(&ids()[1], true, false, much_later);
+    assert!(words.no_instance_reaches_store(ids().iter(), much_later));
 }
--- a/crates/fleet/tests/view_rules.rs
+++ b/crates/fleet/tests/view_rules.rs
@@ -36,8 +36,8 @@
 fn a_request_goes_only_where_its_adapter_is() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
-    view.list(endpoint("e2", "z1", &[2]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e2", "z1", &[2]), now);
     assert_eq!(sent_to(&choose(&view, &key(1), now)), Some("e1"));
     assert_eq!(sent_to(&choose(&view, &key(2), now)), Some("e2"));
     assert_eq!(choose(&view, &key(3), now), Choice::Absent);
@@ -47,7 +47,7 @@
 fn the_base_model_itself_needs_no_adapter() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[]), now);
+    view.apply_entry(endpoint("e1", "z1", &[]), now);
     let base = AdapterKey::base(common::MODEL);
     assert_eq!(sent_to(&choose(&view, &base, now)), Some("e1"));
 }
@@ -57,39 +57,39 @@
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     let mut leaving = endpoint("e1", "z1", &[1]);
-    view.list(leaving.clone(), now);
+    view.apply_entry(leaving.clone(), now);
     leaving.is_draining = true;
-    view.list(leaving, now);
-    assert_eq!(choose(&view, &key(1), now), Choice::Nobody);
+    view.apply_entry(leaving, now);
+    assert_eq!(choose(&view, &key(1), now), Choice::NoEndpoint);
 }
 
 #[test]
 fn an_endpoint_that_others_see_leave_gets_nothing() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
-    assert!(view.hear_departure(&departure("e1", 1), now));
-    assert_eq!(choose(&view, &key(1), now), Choice::Nobody);
-    assert!(!view.hear_departure(&departure("e1", 1), now));
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
+    assert!(view.apply_departure(&departure("e1", 1), now));
+    assert_eq!(choose(&view, &key(1), now), Choice::NoEndpoint);
+    assert!(!view.apply_departure(&departure("e1", 1), now));
 }
 
 #[test]
 fn an_endpoint_whose_entry_is_gone_gets_nothing() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
-    view.unlist(&"e1".to_owned(), 2, true, now);
-    assert_eq!(choose(&view, &key(1), now), Choice::Nobody);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
+    view.remove_entry(&"e1".to_owned(), 2, true, now);
+    assert_eq!(choose(&view, &key(1), now), Choice::NoEndpoint);
 }
 
 #[test]
 fn a_coming_adapter_is_used_once_it_is_ready() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[]), now);
-    view.hear_placed(&placed("e1", 1, 270), now);
+    view.apply_entry(endpoint("e1", "z1", &[]), now);
+    view.apply_placed(&placed("e1", 1, 270), now);
     let wait = Duration::from_millis(270);
-    assert_eq!(choose(&view, &key(1), now), Choice::Coming(wait));
+    assert_eq!(choose(&view, &key(1), now), Choice::Loading(wait));
     assert_eq!(sent_to(&choose(&view, &key(1), now + wait)), Some("e1"));
 }
 
@@ -97,21 +97,21 @@
 fn a_late_list_neither_hides_nor_shows_what_a_note_changed() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[2]), now);
-    view.hear_placed(&placed("e1", 1, 0), now);
+    view.apply_entry(endpoint("e1", "z1", &[2]), now);
+    view.apply_placed(&placed("e1", 1, 0), now);
     let removed = Removed {
         epoch: 1,
         endpoint: "e1".to_owned(),
         key: key(2),
         born: None,
     };
-    view.hear_removed(&removed, now);
+    view.apply_removed(&removed, now);
     let soon = now + Duration::from_secs(1);
-    view.list(endpoint("e1", "z1", &[2]), soon);
+    view.apply_entry(endpoint("e1", "z1", &[2]), soon);
     assert_eq!(sent_to(&choose(&view, &key(1), soon)), Some("e1"));
     assert_eq!(choose(&view, &key(2), soon), Choice::Absent);
     let later = now + Duration::from_secs(10);
-    view.list(endpoint("e1", "z1", &[2]), later);
+    view.apply_entry(endpoint("e1", "z1", &[2]), later);
     assert_eq!(choose(&view, &key(1), later), Choice::Absent);
     assert_eq!(sent_to(&choose(&view, &key(2), later)), Some("e1"));
 }
@@ -120,15 +120,15 @@
 fn an_old_version_gets_work_for_a_while_and_then_none() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
-    view.name_version(&key(1), 2, now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
+    view.record_version(&key(1), 2, now);
     assert_eq!(sent_to(&choose(&view, &key(1), now)), Some("e1"));
     // The platform allows 5 s from the naming to the beginning of a run.
     let late = now + Duration::from_millis(2_600);
     assert_eq!(choose(&view, &key(1), late), Choice::Absent);
     let mut new = endpoint("e2", "z1", &[]);
     new.models[0].adapters = vec![(key(1), 2)];
-    view.list(new, late);
+    view.apply_entry(new, late);
     let Choice::Send(target) = choose(&view, &key(1), late) else {
         panic!("the new version is there");
     };
@@ -139,8 +139,8 @@
 fn an_older_version_is_never_the_newest_again() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.name_version(&key(1), 3, now);
-    view.name_version(&key(1), 2, now);
+    view.record_version(&key(1), 3, now);
+    view.record_version(&key(1), 2, now);
     assert_eq!(view.newest(&key(1)).map(|(version, _)| version), Some(3));
 }
 
@@ -158,15 +158,15 @@
 fn sums_of_the_holder_count_while_it_speaks() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
-    view.hear_status(own_status("peer", 1, 5), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
+    view.apply_status(own_status("peer", 1, 5), now);
     if let Some(state) = view.get_mut(&"e1".to_owned()) {
         state.own_work = requests(2);
     }
-    let told = view.tell_work();
+    let told = view.publish_work();
     assert_eq!(told, [("e1".to_owned(), requests(2))]);
     let sums = Status { is_total: true, ..own_status("holder", 1, 9) };
-    view.hear_status(sums, now);
+    view.apply_status(sums, now);
     // Nine in all, of which two are ours.
     assert_eq!(in_flight(&view), Some(9));
     if let Some(state) = view.get_mut(&"e1".to_owned()) {
@@ -175,8 +175,8 @@
     assert_eq!(in_flight(&view), Some(10));
 
     let later = now + Duration::from_millis(850);
-    view.hear_status(own_status("peer", 2, 5), later);
-    view.forget_silent_peers(now + Duration::from_millis(1_000));
+    view.apply_status(own_status("peer", 2, 5), later);
+    view.remove_silent_peers(now + Duration::from_millis(1_000));
     assert_eq!(in_flight(&view), Some(8));
 }
 
@@ -184,14 +184,14 @@
 fn the_holder_tells_the_sums_of_all() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
-    view.list(endpoint("e2", "z1", &[1]), now);
-    view.hear_status(own_status("one", 1, 5), now);
-    view.hear_status(own_status("two", 1, 3), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e2", "z1", &[1]), now);
+    view.apply_status(own_status("one", 1, 5), now);
+    view.apply_status(own_status("two", 1, 3), now);
     if let Some(state) = view.get_mut(&"e1".to_owned()) {
         state.own_work = requests(2);
     }
-    let totals = view.tell_totals();
+    let totals = view.publish_totals();
     assert_eq!(totals.work, [("e1".to_owned(), requests(10))]);
     assert!(!totals.is_part);
 }
@@ -204,10 +204,10 @@
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     for n in 0..7 {
-        view.list(endpoint(&format!("e{n}"), "z1", &[1]), now);
+        view.apply_entry(endpoint(&format!("e{n}"), "z1", &[1]), now);
     }
     for n in 0..60 {
-        view.hear_status(own_status(&format!("peer{n}"), 1, 0), now);
+        view.apply_status(own_status(&format!("peer{n}"), 1, 0), now);
     }
     // One seems a little less loaded than the others.
     for n in 1..7 {
@@ -230,10 +230,10 @@
 fn the_less_loaded_endpoint_gets_the_request() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
-    view.list(endpoint("e2", "z1", &[1]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e2", "z1", &[1]), now);
     let status = own_status("peer", 1, 20);
-    view.hear_status(status, now);
+    view.apply_status(status, now);
     assert_eq!(sent_to(&choose(&view, &key(1), now)), Some("e2"));
 }
 
@@ -241,10 +241,10 @@
 fn an_older_status_of_a_peer_changes_nothing() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
     let status = |sequence, count| own_status("peer", sequence, count);
-    view.hear_status(status(2, 5), now);
-    view.hear_status(status(1, 9), now);
+    view.apply_status(status(2, 5), now);
+    view.apply_status(status(1, 9), now);
     assert_eq!(in_flight(&view), Some(5));
 }
 
@@ -252,12 +252,12 @@
 fn a_silent_peer_counts_no_longer() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
     let status = own_status("peer", 1, 5);
-    view.hear_status(status, now);
-    view.forget_silent_peers(now + Duration::from_millis(800));
+    view.apply_status(status, now);
+    view.remove_silent_peers(now + Duration::from_millis(800));
     assert_eq!(in_flight(&view), Some(5));
-    view.forget_silent_peers(now + Duration::from_millis(1_000));
+    view.remove_silent_peers(now + Duration::from_millis(1_000));
     assert_eq!(in_flight(&view), Some(0));
     assert_eq!(view.live_peers(now), 0);
 }
@@ -266,7 +266,7 @@
 fn a_full_endpoint_gets_no_more() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
     let id = "e1".to_owned();
     if let Some(state) = view.get_mut(&id) {
         state.own_work = requests(2 * common::SLOTS);
@@ -278,23 +278,23 @@
 fn an_endpoint_that_turned_a_request_down_is_not_asked_again() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
     let exclude = ["e1".to_owned()];
     let key = key(1);
     let need = Need { exclude: &exclude, ..need(&key) };
-    assert_eq!(view.choose(need, now), Choice::Nobody);
+    assert_eq!(view.choose(need, now), Choice::NoEndpoint);
 }
 
 #[test]
 fn a_send_that_was_turned_away_frees_no_place_in_the_holders_table() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
     let id = "e1".to_owned();
-    view.hear_report(&id, &report(&[1], 3), now);
-    view.note_absent(&id, &key(1), now);
+    view.apply_report(&id, &report(&[1], 3), now);
+    view.record_absent(&id, &key(1), now);
     let state = view.get(&id);
-    assert!(state.is_some_and(|state| state.seat(&key(1)).is_some()));
+    assert!(state.is_some_and(|state| state.placement(&key(1)).is_some()));
 }
 
 /// The list is a second late.
@@ -302,18 +302,18 @@
 fn the_holder_believes_its_own_orders_over_the_list() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[]), now);
+    view.apply_entry(endpoint("e1", "z1", &[]), now);
     let id = "e1".to_owned();
-    view.hear_report(&id, &report(&[1, 2], 2), now);
-    view.hear_placed(&placed("e1", 3, 0), now);
+    view.apply_report(&id, &report(&[1, 2], 2), now);
+    view.apply_placed(&placed("e1", 3, 0), now);
     let late = now + Duration::from_secs(20);
-    view.list(endpoint("e1", "z1", &[1]), late);
-    let seats = view.get(&id).map(|s| s.seats().count());
+    view.apply_entry(endpoint("e1", "z1", &[1]), late);
+    let placements = view.get(&id).map(|s| s.placements().count());
     // Three adapters and the base model.
-    assert_eq!(seats, Some(4));
+    assert_eq!(placements, Some(4));
     view.stop_ordering(late);
-    let seats = view.get(&id).map(|s| s.seats().count());
-    assert_eq!(seats, Some(2));
+    let placements = view.get(&id).map(|s| s.placements().count());
+    assert_eq!(placements, Some(2));
 }
 
 /// An entry went while the store was down, and came back.
@@ -322,13 +322,13 @@
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     let id = "e1".to_owned();
-    view.list(endpoint("e1", "z1", &[]), now);
-    view.hear_report(&id, &report(&[1], 1), now);
+    view.apply_entry(endpoint("e1", "z1", &[]), now);
+    view.apply_report(&id, &report(&[1], 1), now);
     assert!(view.get(&id).is_some_and(|s| s.is_ordered_by_us()));
-    view.unlist(&id, 2, true, now);
+    view.remove_entry(&id, 2, true, now);
     let mut back = endpoint("e1", "z1", &[1]);
     back.revision = 3;
-    view.list(back, now);
+    view.apply_entry(back, now);
     assert!(view.get(&id).is_some_and(|s| !s.is_ordered_by_us()));
 }
 
@@ -336,7 +336,7 @@
 fn learn_pace(view: &mut FleetView) {
     for n in 1..40_u64 {
         let took = Duration::from_millis(n * 50);
-        view.observe_pace(SERVICE, n * 1_000, took);
+        view.observe_first_event(SERVICE, n * 1_000, took);
     }
 }
 
@@ -344,8 +344,8 @@
 fn the_engine_that_begins_sooner_gets_the_request() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
-    view.list(endpoint("e2", "z1", &[1]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e2", "z1", &[1]), now);
     learn_pace(&mut view);
     // One long prompt against three requests that are being answered.
     if let Some(state) = view.get_mut(&"e1".to_owned()) {
@@ -361,14 +361,14 @@
 fn a_request_that_would_come_late_waits_for_a_copy_if_it_may() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
-    view.list(endpoint("e2", "z1", &[]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e2", "z1", &[]), now);
     learn_pace(&mut view);
     if let Some(state) = view.get_mut(&"e1".to_owned()) {
         state.own_work.begin(Some(&key(1)), 30_000);
     }
     let key = key(1);
-    let patient = Need { is_patient: true, ..need(&key) };
+    let patient = Need { may_wait: true, ..need(&key) };
     assert_eq!(view.choose(patient, now), Choice::Busy(None));
     // It knows when a copy is on its way.
     let ready_in = Duration::from_millis(200);
@@ -381,11 +381,11 @@
         is_cold: false,
         born: None,
     };
-    view.hear_placed(&placed, now);
+    view.apply_placed(&placed, now);
     assert_eq!(view.choose(patient, now), Choice::Busy(Some(ready_in)));
     assert_eq!(sent_to(&view.choose(patient, now + ready_in)), Some("e2"));
     // One that may wait no longer is sent where it can run.
-    let hasty = Need { is_patient: false, ..patient };
+    let hasty = Need { may_wait: false, ..patient };
     assert_eq!(sent_to(&view.choose(hasty, now)), Some("e1"));
 }
 
@@ -394,10 +394,10 @@
 fn a_request_that_is_late_by_its_own_length_does_not_wait() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
     learn_pace(&mut view);
     let key = key(1);
-    let long = Need { prompt_tokens: 40_000, is_patient: true, ..need(&key) };
+    let long = Need { prompt_tokens: 40_000, may_wait: true, ..need(&key) };
     assert_eq!(sent_to(&view.choose(long, now)), Some("e1"));
 }
 
@@ -407,11 +407,13 @@
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     let newer = Endpoint { revision: 9, ..endpoint("e1", "z1", &[2]) };
-    view.list(newer, now);
+    view.apply_entry(newer, now);
     let older = Endpoint { revision: 4, ..endpoint("e1", "z1", &[1]) };
-    view.list(older, now);
+    view.apply_entry(older, now);
     let held = view.get(&"e1".to_owned()).expect("an endpoint");
-    assert!(held.seat(&key(2)).is_some() && held.seat(&key(1)).is_none());
+    assert!(
+        held.placement(&key(2)).is_some() && held.placement(&key(1)).is_none()
+    );
 }
 
 /// Symptom: 500 adapters waited for places while 18 new engines had none.
@@ -422,20 +424,20 @@
 fn a_holder_without_the_store_hears_of_new_engines_from_others() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
     let known = endpoint("e1", "z1", &[1]).without_adapters();
     let new = endpoint("e2", "z1", &[2]).without_adapters();
-    view.hear_entries(vec![known, new], now);
+    view.apply_entries(vec![known, new], now);
     // What is known of the adapters of the first comes from its own entry.
     let first = view.get(&"e1".to_owned()).expect("an engine");
-    assert!(first.seat(&key(1)).is_some());
+    assert!(first.placement(&key(1)).is_some());
     let second = view.get(&"e2".to_owned()).expect("the new engine");
     assert!(second.has_model("m") && !second.is_ordered_by_us());
     // One that has left since is not brought back.
     let id = "e2".to_owned();
-    view.hear_departure(&Departure::of_entry(&id, 5), now);
+    view.apply_departure(&Departure::of_entry(&id, 5), now);
     let older = endpoint("e2", "z1", &[2]).without_adapters();
-    view.hear_entries(vec![older], now);
+    view.apply_entries(vec![older], now);
     let second = view.get(&"e2".to_owned()).expect("the engine");
     assert!(!second.is_usable(now));
 }
@@ -449,21 +451,21 @@
 fn a_planned_load_takes_a_place_and_no_requests() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[]), now);
-    view.plan_placed(&placed("e1", 1, 250), now);
+    view.apply_entry(endpoint("e1", "z1", &[]), now);
+    view.plan_placement(&placed("e1", 1, 250), now);
     let held = view.get(&"e1".to_owned()).expect("an engine");
-    assert!(held.seat(&key(1)).is_some());
-    assert_eq!(view.whereabouts(&key(1), 1, now), []);
+    assert!(held.placement(&key(1)).is_some());
+    assert_eq!(view.placement_notes(&key(1), 1, now), []);
     // The order goes out 0.8 s later; the load begins then.
     let taken = now + Duration::from_millis(800);
     let choice = choose(&view, &key(1), taken);
-    assert!(matches!(choice, Choice::Coming(_)), "{choice:?}");
+    assert!(matches!(choice, Choice::Loading(_)), "{choice:?}");
     let ready_in = Duration::from_millis(250);
     assert_eq!(
-        view.order_taken(&"e1".to_owned(), &key(1), taken),
+        view.order_accepted(&"e1".to_owned(), &key(1), taken),
         Some(ready_in)
     );
-    assert_eq!(view.whereabouts(&key(1), 1, taken).len(), 1);
+    assert_eq!(view.placement_notes(&key(1), 1, taken).len(), 1);
     let choice = choose(&view, &key(1), taken + ready_in);
     assert_eq!(sent_to(&choice), Some("e1"));
 }
@@ -477,8 +479,8 @@
     let mut holder = FleetView::new("z1");
     let mut other = FleetView::new("z1");
     for id in &ids {
-        holder.list(endpoint(id, "z1", &[]), now);
-        other.list(endpoint(id, "z1", &[]), now);
+        holder.apply_entry(endpoint(id, "z1", &[]), now);
+        other.apply_entry(endpoint(id, "z1", &[]), now);
     }
     let work = |n: u32| -> Vec<(String, sedgewall_fleet::work::Work)> {
         let loaded = ids.iter().enumerate().filter(|(at, _)| at % 3 != 0);
@@ -487,7 +489,7 @@
     };
     let mut sequence = 0;
     let mut tell = |holder: &mut FleetView, other: &mut FleetView| {
-        let totals = holder.tell_totals();
+        let totals = holder.publish_totals();
         assert!(totals.work.len() <= 256);
         sequence += 1;
         let note = Status {
@@ -498,12 +500,12 @@
         };
         let is_heard = sequence % 10 != 0;
         if is_heard {
-            other.hear_status(note, now);
+            other.apply_status(note, now);
         }
     };
     for n in 0..5 {
         let note = Status { sequence: n, ..status("peer", work(n as u32)) };
-        holder.hear_status(note, now);
+        holder.apply_status(note, now);
         tell(&mut holder, &mut other);
     }
     for _ in 0..40 {
@@ -523,7 +525,7 @@
     let mut view = FleetView::new("z1");
     for n in 1..=1_000 {
         let entry = endpoint(&format!("e{n}"), "z1", &[1, 2]);
-        view.list(Endpoint { revision: n, ..entry }, now);
+        view.apply_entry(Endpoint { revision: n, ..entry }, now);
     }
     let newer = view.entries_since(400);
     assert_eq!(newer.first().map(|e| e.revision), Some(401));
--- a/crates/sedgewalld/src/fleet/announcements.rs
+++ b/crates/sedgewalld/src/fleet/announcements.rs
@@ -11,7 +11,7 @@
 use sedgewall_fleet::{
     limit_share::{LimitChange, ReportSource},
     note::Status,
-    view::AnsweredSend,
+    view::AnsweredRequest,
 };
 use sedgewall_platform::AnswerFacts;
 use sedgewall_state::id::EndpointId;
@@ -28,7 +28,7 @@
 pub(crate) fn hear_answer(
     node: &FleetNode,
     call: &CallerRequest,
-    answered: &AnsweredSend,
+    answered: &AnsweredRequest,
     status: StatusCode,
     facts: &AnswerFacts,
 ) {
@@ -37,7 +37,7 @@
     }
     let now = Instant::now();
     log_unreadable(node, answered, facts);
-    match facts.announcement.rest {
+    match facts.announcement.cooldown {
         Some(rest) => {
             hear_rest(node, answered, rest, &call.facts.request_id);
         }
@@ -51,7 +51,7 @@
     // What an endpoint turns away it may answer before it looks at its limit.
     if is_named || facts.is_proven {
         let change =
-            node.view.borrow_mut().announce_limit(answered, limit, now);
+            node.view.borrow_mut().apply_announced_limit(answered, limit, now);
         if let Some(change) = change {
             log_limit(&answered.endpoint, change, "answer");
         }
@@ -61,12 +61,12 @@
 /// Takes in that an endpoint asks for rest.
 pub(crate) fn hear_rest(
     node: &FleetNode,
-    answered: &AnsweredSend,
+    answered: &AnsweredRequest,
     rest: Duration,
     request: &str,
 ) {
     let now = Instant::now();
-    if !node.view.borrow_mut().announce_rest(answered, rest, now) {
+    if !node.view.borrow_mut().apply_announced_cooldown(answered, rest, now) {
         return;
     }
     metrics::counter!("sedgewall_endpoint_rests_total").increment(1);
@@ -76,8 +76,8 @@
 }
 
 /// Takes in that an endpoint answered without a wish for rest.
-fn hear_no_rest(node: &FleetNode, answered: &AnsweredSend) {
-    if !node.view.borrow_mut().note_answer(answered) {
+fn hear_no_rest(node: &FleetNode, answered: &AnsweredRequest) {
+    if !node.view.borrow_mut().record_answer(answered) {
         return;
     }
     let endpoint = &answered.endpoint;
@@ -88,7 +88,7 @@
 /// One line a second at most for values that cannot be read.
 fn log_unreadable(
     node: &FleetNode,
-    answered: &AnsweredSend,
+    answered: &AnsweredRequest,
     facts: &AnswerFacts,
 ) {
     let Some(value) = &facts.announcement.unreadable else { return };
@@ -106,11 +106,11 @@
 /// Takes in that an endpoint leaves, and tells all others.
 fn hear_departure(
     node: &FleetNode,
-    answered: &AnsweredSend,
+    answered: &AnsweredRequest,
     request: &str,
     now: Instant,
 ) {
-    if !node.view.borrow_mut().announce_departure(answered, now) {
+    if !node.view.borrow_mut().apply_announced_departure(answered, now) {
         return;
     }
     metrics::counter!("sedgewall_endpoint_departures_announced_total")
@@ -129,7 +129,7 @@
     let source = ReportSource { from, is_total, until };
     let mut view = node.view.borrow_mut();
     for report in &status.limits {
-        if let Some(change) = view.hear_limit(report, source, now) {
+        if let Some(change) = view.apply_limit_report(report, source, now) {
             log_limit(&report.endpoint, change, from);
         }
     }
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -156,7 +156,7 @@
         credential: facts.as_ref().and_then(|f| f.credential),
     };
     let admitted = admit_by_newest(node, &asked).await.map_err(&refuse)?;
-    let Admitted { deployment, route, customer, decided_by } = admitted;
+    let Admitted { routing, route, customer, decided_by } = admitted;
     let facts = facts.ok_or_else(|| refuse(Reason::NoRequestId))?;
     let tokens = facts.prompt_tokens + facts.answer_tokens;
     if let Some(customer) = &customer {
@@ -165,7 +165,7 @@
             ..refuse(reason)
         })?;
     }
-    let most = deployment.limits.body_bytes;
+    let most = routing.limits.body_bytes;
     let body = read_body(body, most, BODY_TIME).await.map_err(|err| {
         refuse(match err {
             BodyError::TooLong(_) => Reason::BodyTooLong,
@@ -180,7 +180,7 @@
         .pick_service(draw_of(&facts.request_id))
         .ok_or_else(|| refuse(Reason::NobodyThere))?
         .clone();
-    let is_engine = deployment.engine_group(&service).is_some();
+    let is_engine = routing.engine_group(&service).is_some();
     Ok(CallerRequest {
         facts,
         method: head.method,
@@ -370,7 +370,7 @@
     let mut permits = Permits::default();
     loop {
         let now = Instant::now();
-        let is_patient = now < patient_until;
+        let may_wait = now < patient_until;
         let need = Need {
             service: &call.service,
             key: call.key(),
@@ -378,14 +378,14 @@
             draw,
             prompt_tokens: call.facts.prompt_tokens,
             target_latency: target,
-            is_patient,
+            may_wait,
         };
         let PermittedChoice { choice, limited_for } =
             permits.choose(node, need, now);
         progress.waited = now - began;
         let (reason, obstacle, pause) = match choice {
             Choice::Send(found) => return Ok(found),
-            Choice::Coming(ready_in) => {
+            Choice::Loading(ready_in) => {
                 let obstacle = Obstacle::Coming(ready_in);
                 (Reason::AdapterAbsent, obstacle, ready_in)
             }
@@ -418,14 +418,14 @@
                     .await;
                 continue;
             }
-            Choice::Nobody => {
+            Choice::NoEndpoint => {
                 // All have failed it; what may run again goes round again.
                 if progress.runs > 0 {
                     progress.tried.clear();
                 }
                 let resting = || {
                     let view = node.view.borrow();
-                    view.service_rests_for(&call.service, now)
+                    view.service_cooldown(&call.service, now)
                 };
                 match limited_for.or_else(resting) {
                     Some(ready_in) => {
@@ -468,7 +468,9 @@
 fn held(node: &FleetNode, call: &CallerRequest) -> Held {
     let tokens = call.facts.prompt_tokens;
     let engine_time = match call.key() {
-        Some(_) => node.view.borrow().engine_time(&call.service, tokens),
+        Some(_) => {
+            node.view.borrow().idle_first_event_time(&call.service, tokens)
+        }
         None => Duration::ZERO,
     };
     Held {
--- a/crates/sedgewalld/src/fleet/follow_endpoints.rs
+++ b/crates/sedgewalld/src/fleet/follow_endpoints.rs
@@ -115,7 +115,7 @@
         // One that is there again belongs to the same life of its endpoint, but
         // what that holds is asked for anew.
         if self.lapsed.borrow_mut().remove(&endpoint.id).is_some() {
-            view.lose_track(&endpoint.id);
+            view.invalidate_contents(&endpoint.id);
         }
         let known = view.get(&endpoint.id);
         let was_draining = known.map(|state| state.endpoint.is_draining);
@@ -130,7 +130,7 @@
                 revision = endpoint.revision,
             );
         }
-        view.list(endpoint, Instant::now());
+        view.apply_entry(endpoint, Instant::now());
     }
 
     /// Takes an endpoint out whose entry was missing at a revision of the store.
@@ -181,13 +181,13 @@
     if is_sure {
         poison::endpoint_ended(node, id);
     }
-    node.view.borrow_mut().unlist(id, revision, is_sure, now);
+    node.view.borrow_mut().remove_entry(id, revision, is_sure, now);
 }
 
 /// Tells all others of endpoints that we saw leave: their watches may be late,
 /// or their way to the store cut.
 pub(crate) fn tell_departures(node: &FleetNode) {
-    let untold = node.view.borrow_mut().take_untold();
+    let untold = node.view.borrow_mut().take_unsent_departures();
     if untold.is_empty() {
         return;
     }
--- a/crates/sedgewalld/src/fleet/follow_poison.rs
+++ b/crates/sedgewalld/src/fleet/follow_poison.rs
@@ -13,8 +13,8 @@
 
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    back_off::{BackOff, Calls},
-    life::EndpointLife,
+    back_off::{BackOff, CallKind},
+    incarnation::EndpointIncarnation,
     poison::{CONDEMNED_FOR, Condemned, TakenIn},
     request_digest::RequestDigest,
 };
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct PoisonRecord {
     /// The endpoints that ended under it.
-    endpoints: Vec<EndpointLife>,
+    endpoints: Vec<EndpointIncarnation>,
     /// When it was condemned, in milliseconds of Unix time.
     condemned_unix_ms: u64,
 }
@@ -232,7 +232,7 @@
                 Err(err) => {
                     let cause = err.to_string();
                     tracing::info!(event = "poison_record_failed", cause);
-                    let pause = back_off.failed(Calls::Watcher, true);
+                    let pause = back_off.failed(CallKind::Watcher, true);
                     compio::time::sleep(pause).await;
                 }
             }
--- a/crates/sedgewalld/src/fleet/lease_store.rs
+++ b/crates/sedgewalld/src/fleet/lease_store.rs
@@ -150,8 +150,12 @@
     renewal: &LeaseWrite,
 ) -> WriteAnswer {
     let now = Instant::now();
-    let mut peers: Vec<InstanceId> =
-        node.last_words.borrow().reaching_store(now).cloned().collect();
+    let mut peers: Vec<InstanceId> = node
+        .store_reports
+        .borrow()
+        .instances_reaching_store(now)
+        .cloned()
+        .collect();
     peers.shuffle(&mut rand::rng());
     for asked in peers.chunks(PEERS_ASKED).take(ROUNDS) {
         let answer = renew_through(node, asked, renewal).await;
@@ -212,7 +216,7 @@
         answer = ?answer,
     );
     let view = node.view.borrow();
-    let versions = view.named_versions();
+    let versions = view.newest_versions();
     let answer = RenewalAnswer {
         number,
         answer,
@@ -230,7 +234,7 @@
 pub(super) fn hear_answer(node: &FleetNode, heard: RenewalAnswer) {
     let now = Instant::now();
     let mut view = node.view.borrow_mut();
-    view.hear_entries(heard.endpoints, now);
+    view.apply_entries(heard.endpoints, now);
     drop(view);
     for (key, version) in &heard.versions {
         node.name_version(key, *version);
--- a/crates/sedgewalld/src/fleet/node.rs
+++ b/crates/sedgewalld/src/fleet/node.rs
@@ -17,16 +17,16 @@
     allowance::Shares,
     catch_up::CatchUp,
     demand::Demand,
-    good_runs::GoodRuns,
     load_times::LoadTimes,
     note::{Lead, Note},
     poison::Poison,
+    recent_successes::RecentSuccesses,
     retry_budget::{RetryAllowance, RetryBudget},
-    route::Deployment,
+    route::RoutingConfiguration,
     store_contact::{CallFailure, StoreContact},
+    store_reports::{REPORT_VALID_FOR, StoreReports},
     suspicion::Suspicions,
     view::FleetView,
-    vouch::{LastWords, WORD_HOLDS},
 };
 use sedgewall_platform::{Store, StoreError};
 use sedgewall_protocol::settings::{FleetSettings, Settings};
@@ -118,7 +118,7 @@
     /// of the others.
     pub(crate) fn left(&self, now: Instant) -> Duration {
         match self.current_until.saturating_duration_since(now) {
-            Duration::ZERO => WORD_HOLDS,
+            Duration::ZERO => REPORT_VALID_FOR,
             left => left,
         }
     }
@@ -132,7 +132,7 @@
     pub(crate) stage: Cell<Stage>,
     /// When it was told to stop.
     pub(crate) leaving_since: Cell<Option<Instant>>,
-    pub(crate) deployment: RefCell<Option<Rc<Deployment>>>,
+    pub(crate) routing: RefCell<Option<Rc<RoutingConfiguration>>>,
     /// When it was last read, from the store or another instance.
     pub(crate) configuration_read: Cell<Option<Instant>>,
     /// What others know, and whom we ask for what we miss.
@@ -154,7 +154,7 @@
     /// Whether the store answers us.
     pub(crate) store_contact: RefCell<StoreContact>,
     /// What the other instances say of themselves.
-    pub(crate) last_words: RefCell<LastWords>,
+    pub(crate) store_reports: RefCell<StoreReports>,
     /// Endpoints that take no more from us, and until when, for the holder to hear.
     pub(crate) saturated: RefCell<BTreeMap<EndpointId, Instant>>,
     /// When a value of an answer's head that cannot be read was last logged.
@@ -185,7 +185,7 @@
     /// What was seen of requests that end endpoints.
     pub(crate) poison: RefCell<Poison>,
     /// What ended well here lately, by hashes that this process keys.
-    pub(crate) good_runs: RefCell<GoodRuns>,
+    pub(crate) recent_successes: RefCell<RecentSuccesses>,
     pub(crate) hash_key: RandomState,
     /// What of it stands in the store.
     pub(crate) poison_records: RefCell<PoisonRecords>,
@@ -257,7 +257,7 @@
             incarnation: rand::random(),
             stage: Cell::new(Stage::Starting),
             leaving_since: Cell::new(None),
-            deployment: RefCell::default(),
+            routing: RefCell::default(),
             configuration_read: Cell::default(),
             catch_up: RefCell::default(),
             configuration_waiters: RefCell::default(),
@@ -270,7 +270,7 @@
             shares: RefCell::default(),
             keys: Keys::new(revoke_within),
             store_contact: RefCell::default(),
-            last_words: RefCell::default(),
+            store_reports: RefCell::default(),
             saturated: RefCell::default(),
             unreadable_logged: Cell::default(),
             unreachable: RefCell::default(),
@@ -287,7 +287,9 @@
             store: Store::new(EndpointPool::new(), store_address),
             pool,
             poison: RefCell::default(),
-            good_runs: RefCell::new(GoodRuns::new(Instant::now())),
+            recent_successes: RefCell::new(RecentSuccesses::new(
+                Instant::now(),
+            )),
             hash_key: RandomState::new(),
             poison_records: RefCell::default(),
             poison_records_notify: Notify::default(),
@@ -324,7 +326,7 @@
 
     /// Returns whether requests need keys.
     pub(crate) fn has_customers(&self) -> bool {
-        self.deployment().is_some_and(|d| !d.customers.is_empty())
+        self.routing().is_some_and(|d| !d.customers.is_empty())
     }
 
     /// Returns whether requests may come here: those that need a key could not be
@@ -338,15 +340,15 @@
     /// or while the store is out for all who could take it.
     pub(crate) fn current_lease(&self, now: Instant) -> Option<HeldLease> {
         let held = self.held.get()?;
-        (now < held.current_until || self.nobody_reaches_store(now))
+        (now < held.current_until || self.no_instance_reaches_store(now))
             .then_some(held)
     }
 
     /// Returns whether no instance can take the lease now.
-    pub(crate) fn nobody_reaches_store(&self, now: Instant) -> bool {
+    pub(crate) fn no_instance_reaches_store(&self, now: Instant) -> bool {
         let peers = self.peers.borrow();
-        let words = self.last_words.borrow();
-        !peers.is_empty() && words.nobody_reaches_store(peers.keys(), now)
+        let words = self.store_reports.borrow();
+        !peers.is_empty() && words.no_instance_reaches_store(peers.keys(), now)
     }
 
     /// Notes that the store answered; others hear at once what changed.
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -95,7 +95,7 @@
             for crash in &status.crashes {
                 poison::hear(node, crash);
             }
-            node.last_words.borrow_mut().hear(
+            node.store_reports.borrow_mut().record(
                 &status.from,
                 status.store_is_out,
                 status.is_leaving,
@@ -103,7 +103,7 @@
             );
             hear_customers(node, &status, now);
             announcements::hear_reports(node, &status, now);
-            node.view.borrow_mut().hear_status(status, now);
+            node.view.borrow_mut().apply_status(status, now);
         }
         Note::Departed(departure) => hear_departure(node, &departure, now),
         Note::Crashed(crash) => poison::hear(node, &crash),
@@ -119,7 +119,7 @@
         Note::Renewed(answer) => lease_store::hear_answer(node, answer),
         Note::Suspect { endpoint, for_ms } => {
             let time = Duration::from_millis(for_ms);
-            node.view.borrow_mut().hear_suspect(&endpoint, time, now);
+            node.view.borrow_mut().mark_suspect(&endpoint, time, now);
             node.wake_all();
         }
         Note::AskFresh { from, number } => {
@@ -146,11 +146,11 @@
         Note::Placed(_) | Note::Removed(_)
             if node.current_lease(now).is_some() => {}
         Note::Placed(placed) => {
-            node.view.borrow_mut().hear_placed(&placed, now);
+            node.view.borrow_mut().apply_placed(&placed, now);
             node.wake(&placed.key);
         }
         Note::Removed(removed) => {
-            node.view.borrow_mut().hear_removed(&removed, now);
+            node.view.borrow_mut().apply_removed(&removed, now);
         }
     }
 }
@@ -161,7 +161,7 @@
     departure: &Departure,
     now: Instant,
 ) {
-    if !node.view.borrow_mut().hear_departure(departure, now) {
+    if !node.view.borrow_mut().apply_departure(departure, now) {
         return;
     }
     let Departure { endpoint, revision, is_announced, .. } = departure;
@@ -251,7 +251,7 @@
     hear_arrivals(node, &asked.arrivals, now);
     for (endpoint, for_ms) in &asked.saturated {
         let time = Duration::from_millis(*for_ms);
-        node.view.borrow_mut().hear_saturated(endpoint, time, now);
+        node.view.borrow_mut().mark_saturated(endpoint, time, now);
     }
     if asked.waiting.is_empty() {
         return;
@@ -279,7 +279,7 @@
     for arrived in arrivals {
         let Arrived { endpoint, key, is_there, ago_ms } = arrived;
         // Its engine may take another load now.
-        view.prove(endpoint, key, *is_there);
+        view.confirm_load(endpoint, key, *is_there);
         let Some(at) = now.checked_sub(Duration::from_millis(*ago_ms)) else {
             continue;
         };
@@ -303,7 +303,7 @@
     let for_ms = time.as_millis() as u64;
     let by = &asked.from;
     tracing::warn!(event = "endpoint_suspect", endpoint, by, for_ms);
-    node.view.borrow_mut().hear_suspect(endpoint, time, now);
+    node.view.borrow_mut().mark_suspect(endpoint, time, now);
     let note = Note::Suspect { endpoint: endpoint.clone(), for_ms };
     node.outbox.borrow_mut().push(note);
     node.notify_notes();
@@ -321,7 +321,7 @@
     let mut known = Vec::new();
     let mut askers = node.askers.borrow_mut();
     for (key, _) in &asked.waiting {
-        let places = node.view.borrow().whereabouts(key, held.epoch, now);
+        let places = node.view.borrow().placement_notes(key, held.epoch, now);
         if places.is_empty() {
             let of_key = askers.entry(key.clone()).or_default();
             of_key.insert(asked.from.clone());
@@ -374,12 +374,12 @@
         if now >= next_forget {
             next_forget = now + FORGET_EVERY;
             node.forget_heard(now);
-            node.view.borrow_mut().forget_silent_peers(now);
+            node.view.borrow_mut().remove_silent_peers(now);
             node.view.borrow_mut().forget_departures(now);
             node.suspicions.borrow_mut().forget(now);
             node.shares.borrow_mut().forget(now);
             node.view.borrow_mut().forget_limits(now);
-            node.view.borrow_mut().forget_rests(now);
+            node.view.borrow_mut().forget_cooldowns(now);
             node.forget_saturated(now);
             node.catch_up.borrow_mut().forget(now);
             node.poison.borrow_mut().forget(now);
@@ -479,13 +479,13 @@
     let is_total = around.is_many() && leads.is_some();
     node.has_untold_work.set(false);
     let Totals { work, is_part } = match is_total {
-        true => node.view.borrow_mut().tell_totals(),
+        true => node.view.borrow_mut().publish_totals(),
         false => {
-            let work = node.view.borrow_mut().tell_work();
+            let work = node.view.borrow_mut().publish_work();
             Totals { work, is_part: false }
         }
     };
-    let versions = node.view.borrow().versions_named();
+    let versions = node.view.borrow().versions_announced();
     let shares = node.shares.borrow();
     let asked_by_customers = match is_total {
         true => shares.asked_of_all(now),
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -14,7 +14,7 @@
     loader::Loader,
     note::{Note, Placed, Removed},
     order::{Order, Task},
-    view::AnsweredSend,
+    view::AnsweredRequest,
 };
 use sedgewall_platform::engine::{self, Holder, OrderAnswer, ReportError};
 use sedgewall_state::id::{EndpointId, Epoch};
@@ -151,13 +151,13 @@
                     event = "engine_synced",
                     endpoint = order.endpoint,
                     orders_taken = report.orders_taken,
-                    coming = report.coming.len(),
+                    coming = report.loading.len(),
                     born = report.born,
                 );
                 let now = Instant::now();
                 let mut view = self.node.view.borrow_mut();
                 let is_of_this_life =
-                    view.hear_report(&order.endpoint, &report, now);
+                    view.apply_report(&order.endpoint, &report, now);
                 taken.count = is_of_this_life.then_some(report.orders_taken);
             }
             Ok(_) => {
@@ -177,13 +177,13 @@
     }
 
     fn is_resting(&self, endpoint: &EndpointId) -> bool {
-        self.node.view.borrow().is_resting(endpoint, Instant::now())
+        self.node.view.borrow().is_cooling_down(endpoint, Instant::now())
     }
 
     fn hear_rest(&self, endpoint: &EndpointId, rest: Duration) {
-        let answered = AnsweredSend {
+        let answered = AnsweredRequest {
             endpoint: endpoint.clone(),
-            born: self.node.view.borrow().life(endpoint),
+            born: self.node.view.borrow().incarnation(endpoint),
             sent: Instant::now(),
         };
         announcements::hear_rest(&self.node, &answered, rest, "order");
@@ -204,7 +204,7 @@
         order: &Order,
         taken: u64,
     ) -> Option<u64> {
-        let born = self.node.view.borrow().life(&order.endpoint);
+        let born = self.node.view.borrow().incarnation(&order.endpoint);
         if let Task::Unload(key) = &order.task {
             let (endpoint, key) = (order.endpoint.clone(), key.clone());
             let removed = Removed { epoch, endpoint, key, born };
@@ -232,7 +232,7 @@
             took_ms = sent.elapsed().as_millis() as u64,
         );
         metrics::counter!("sedgewall_orders_total").increment(1);
-        if self.node.view.borrow().life(&order.endpoint) != born {
+        if self.node.view.borrow().incarnation(&order.endpoint) != born {
             // Whatever its engine said, it has started again since and forgotten it.
             tracing::info!(
                 event = "order_outlived",
@@ -298,15 +298,15 @@
         let Task::Load(key, _) = &order.task else { return };
         self.forget_load(order);
         let mut view = self.node.view.borrow_mut();
-        view.was_there(&order.endpoint, key, Instant::now());
+        view.mark_present(&order.endpoint, key, Instant::now());
     }
 
     fn tell_placed(&self, epoch: Epoch, order: &Order, is_cold: bool) {
         let Task::Load(key, version) = &order.task else { return };
         let now = Instant::now();
         let mut view = self.node.view.borrow_mut();
-        let ready_in = view.order_taken(&order.endpoint, key, now);
-        let born = view.life(&order.endpoint);
+        let ready_in = view.order_accepted(&order.endpoint, key, now);
+        let born = view.incarnation(&order.endpoint);
         drop(view);
         let ready_in = ready_in.unwrap_or_default();
         let placed = Placed {
--- a/crates/sedgewalld/src/fleet/permits.rs
+++ b/crates/sedgewalld/src/fleet/permits.rs
@@ -61,7 +61,7 @@
             let instances = node.known_instances();
             let mut view = node.view.borrow_mut();
             if !self.wanted.contains(&id) {
-                view.want(&id, now);
+                view.record_demand(&id, now);
                 self.wanted.push(id.clone());
             }
             let hash = xxh3_64_with_seed(id.as_bytes(), need.draw);
@@ -99,7 +99,7 @@
         key: &AdapterKey,
         now: Instant,
     ) -> Option<Duration> {
-        let resting = self.view.borrow().resting_holders(key, now);
+        let resting = self.view.borrow().holders_cooling_down(key, now);
         let first = resting.iter().map(|(_, left)| *left).min();
         let mut saturated = self.saturated.borrow_mut();
         for (id, left) in resting {
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -8,7 +8,7 @@
 
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    life::EndpointLife,
+    incarnation::EndpointIncarnation,
     note::Note,
     poison::{Condemned, Crash, Loss, TakenIn, Verdict},
     request_digest::RequestDigest,
@@ -90,7 +90,7 @@
 /// many callers send alike is at each endpoint that ends. Without that, such a read
 /// was condemned beside a request that ended all three endpoints of a service.
 pub(crate) fn run_lost(node: &FleetNode, call: &CallerRequest, loss: Loss) {
-    if node.good_runs.borrow().has(call.hash(&node.hash_key)) {
+    if node.recent_successes.borrow().contains(call.hash(&node.hash_key)) {
         return;
     }
     let Some(sent) = call.sent_to.borrow().clone() else { return };
@@ -105,7 +105,7 @@
 /// Notes that a run of a request ended well: it is none that ends endpoints.
 pub(crate) fn ended_well(node: &FleetNode, call: &CallerRequest) {
     let hash = call.hash(&node.hash_key);
-    node.good_runs.borrow_mut().note(hash, Instant::now());
+    node.recent_successes.borrow_mut().record(hash, Instant::now());
     if !node.poison.borrow().has_suspects() {
         return;
     }
@@ -159,7 +159,7 @@
     life_ended(node, &life_of(node, id));
 }
 
-fn life_ended(node: &FleetNode, life: &EndpointLife) {
+fn life_ended(node: &FleetNode, life: &EndpointIncarnation) {
     let now = Instant::now();
     let crash = node.poison.borrow_mut().endpoint_ended(life, now);
     tell(node, crash);
@@ -239,12 +239,12 @@
     node.notify_notes();
 }
 
-fn life_of(node: &FleetNode, id: &EndpointId) -> EndpointLife {
-    let born = node.view.borrow().life(id);
-    EndpointLife { id: id.clone(), born }
+fn life_of(node: &FleetNode, id: &EndpointId) -> EndpointIncarnation {
+    let born = node.view.borrow().incarnation(id);
+    EndpointIncarnation { id: id.clone(), born }
 }
 
-fn names(endpoints: &[EndpointLife]) -> String {
+fn names(endpoints: &[EndpointIncarnation]) -> String {
     let ids: Vec<&str> = endpoints.iter().map(|e| e.id.as_str()).collect();
     ids.join(" ")
 }
