--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -29,7 +29,7 @@
 pub mod note_schedule;
 pub mod order;
 pub mod pace;
-pub mod patience;
+pub mod wait_policy;
 pub mod poison;
 pub mod relays;
 pub mod request_digest;
--- a/crates/fleet/tests/patience_rules.rs
+++ b/crates/fleet/tests/wait_policy_rules.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use sedgewall_clock::Instant;
-use sedgewall_fleet::patience::{Held, Obstacle, come_back};
+use sedgewall_fleet::wait_policy::{Held, Obstacle, come_back};
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -17,7 +17,7 @@
 use sedgewall_fleet::{
     configuration::DecidedBy,
     customer::Customer,
-    patience::{Held, Obstacle, come_back},
+    wait_policy::{Held, Obstacle, come_back},
     poison::Loss,
     view::{Choice, Need, Target},
 };
