--- a/crates/fleet/src/wait_policy.rs
+++ b/crates/fleet/src/wait_policy.rs
@@ -31,7 +31,7 @@
 
 /// A request that cannot be sent now.
 #[derive(Clone, Copy, Debug)]
-pub struct Held {
+pub struct WaitingRequest {
     /// When it arrived.
     pub arrived: Instant,
     /// When its caller must have an answer.
@@ -62,10 +62,10 @@
     Limited(Duration),
 }
 
-impl Held {
+impl WaitingRequest {
     /// Returns until when it is held for an obstacle; it is rejected at once if
     /// that lies before now.
-    pub fn until(&self, obstacle: Obstacle, now: Instant) -> Instant {
+    pub fn wait_until(&self, obstacle: Obstacle, now: Instant) -> Instant {
         let last = self.last_send().min(self.arrived + LONGEST_HOLD);
         match obstacle {
             // An answer is certain to come; a new try would have it later.
--- a/crates/fleet/tests/wait_policy_rules.rs
+++ b/crates/fleet/tests/wait_policy_rules.rs
@@ -3,15 +3,15 @@
 use std::time::Duration;
 
 use sedgewall_clock::Instant;
-use sedgewall_fleet::wait_policy::{Held, Obstacle, come_back};
+use sedgewall_fleet::wait_policy::{WaitingRequest, Obstacle, come_back};
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
 /// A quick chat: 0.6 s to its first event, 5 s in all.
-fn chat(arrived: Instant) -> Held {
-    Held {
+fn chat(arrived: Instant) -> WaitingRequest {
+    WaitingRequest {
         arrived,
         end: arrived + ms(5_000),
         target: ms(600),
@@ -25,13 +25,13 @@
 #[test]
 fn an_absent_adapter_is_waited_for_while_a_load_would_be_in_time() {
     let now = Instant::now();
-    assert_eq!(chat(now).until(ABSENT, now), now + ms(260));
+    assert_eq!(chat(now).wait_until(ABSENT, now), now + ms(260));
     // A long prompt leaves less for the load.
-    let long = Held { engine_time: ms(300), ..chat(now) };
-    assert_eq!(long.until(ABSENT, now), now + ms(40));
+    let long = WaitingRequest { engine_time: ms(300), ..chat(now) };
+    assert_eq!(long.wait_until(ABSENT, now), now + ms(40));
     // Where loads take too long it is rejected at once.
     let slow = Obstacle::Absent { load_time: ms(900) };
-    assert_eq!(chat(now).until(slow, now), now);
+    assert_eq!(chat(now).wait_until(slow, now), now);
 }
 
 /// An adapter that is on its way comes; the caller has its answer sooner than
@@ -40,9 +40,9 @@
 fn what_is_on_its_way_is_waited_for_also_if_the_answer_is_late() {
     let now = Instant::now();
     let late = Obstacle::Coming(ms(900));
-    assert!(chat(now).until(late, now) >= now + ms(900));
+    assert!(chat(now).wait_until(late, now) >= now + ms(900));
     let never = Obstacle::Coming(ms(4_800));
-    assert!(chat(now).until(never, now) <= now);
+    assert!(chat(now).wait_until(never, now) <= now);
 }
 
 #[test]
@@ -52,8 +52,8 @@
         for left_ms in [50, 400, 1_000, 5_000, 60_000] {
             for is_later_try in [false, true] {
                 let end = now + ms(left_ms);
-                let held = Held { end, is_later_try, ..chat(now) };
-                assert!(held.until(obstacle, now) <= end);
+                let held = WaitingRequest { end, is_later_try, ..chat(now) };
+                assert!(held.wait_until(obstacle, now) <= end);
             }
         }
     }
@@ -83,7 +83,7 @@
 /// millisecond for a second, where the weight store brings 288 a second. Whoever
 /// asks first is loaded first, and hears so when its load begins; `until` says how
 /// long each is held. A rejected one is not loaded any more.
-fn burst(until: impl Fn(&Held, Obstacle, Instant) -> Instant) -> Outcome {
+fn burst(until: impl Fn(&WaitingRequest, Obstacle, Instant) -> Instant) -> Outcome {
     let (load, at_once) = (ms(250), 72);
     let start = Instant::now();
     let mut outcome = Outcome::default();
@@ -123,7 +123,7 @@
 /// that was late.
 #[test]
 fn a_burst_of_rare_adapters_serves_all_that_can_be_in_time() {
-    let derived = burst(|held, obstacle, now| held.until(obstacle, now));
+    let derived = burst(|held, obstacle, now| held.wait_until(obstacle, now));
     let fixed = burst(|held, _, _| held.arrived + held.target.mul_f64(0.22));
     // Nobody is loaded too late, and as many come in time as the store brings.
     assert_eq!(derived.late, 0);
@@ -139,9 +139,9 @@
 fn a_request_waits_for_a_limited_endpoint_only_if_that_is_in_time() {
     let now = Instant::now();
     let soon = Obstacle::Limited(ms(60));
-    assert!(chat(now).until(soon, now) >= now + ms(60));
+    assert!(chat(now).wait_until(soon, now) >= now + ms(60));
     let late = Obstacle::Limited(ms(900));
-    assert_eq!(chat(now).until(late, now), now);
-    let later_try = Held { is_later_try: true, ..chat(now) };
-    assert_eq!(later_try.until(late, now), now);
+    assert_eq!(chat(now).wait_until(late, now), now);
+    let later_try = WaitingRequest { is_later_try: true, ..chat(now) };
+    assert_eq!(later_try.wait_until(late, now), now);
 }
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -17,7 +17,7 @@
 use sedgewall_fleet::{
     configuration::DecidedBy,
     customer::Customer,
-    wait_policy::{Held, Obstacle, come_back},
+    wait_policy::{WaitingRequest, Obstacle, come_back},
     poison::Loss,
     view::{Choice, Need, Target},
 };
@@ -439,7 +439,7 @@
                 }
             }
         };
-        let until = held.until(obstacle, now);
+        let until = held.wait_until(obstacle, now);
         if now >= until {
             progress.gone_in = match obstacle {
                 Obstacle::Coming(ready_in) | Obstacle::Limited(ready_in) => {
@@ -465,13 +465,13 @@
 }
 
 /// Returns what is known of a request that may have to wait.
-fn held(node: &FleetNode, call: &CallerRequest) -> Held {
+fn held(node: &FleetNode, call: &CallerRequest) -> WaitingRequest {
     let tokens = call.facts.prompt_tokens;
     let engine_time = match call.key() {
         Some(_) => node.view.borrow().engine_time(&call.service, tokens),
         None => Duration::ZERO,
     };
-    Held {
+    WaitingRequest {
         arrived: call.arrived,
         end: call.end,
         target: call.route.target_latency,
