--- a/crates/fleet/src/wait_policy.rs
+++ b/crates/fleet/src/wait_policy.rs
@@ -47,41 +47,41 @@
 
 /// Why a request cannot be sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Obstacle {
+pub enum WaitReason {
     /// Its adapter is on its way and ready after this time.
-    Coming(Duration),
+    AdapterLoading(Duration),
     /// Its adapter is nowhere; a load takes this long from when it begins.
-    Absent {
+    AdapterNotLoaded {
         /// What a load takes now.
         load_time: Duration,
     },
     /// All endpoints that could take it are full, or none is usable.
-    NoPlace,
+    NoCapacity,
     /// All endpoints that could take it announce that they take no more, until this
     /// time has passed.
-    Limited(Duration),
+    Saturated(Duration),
 }
 
 impl WaitingRequest {
     /// Returns until when it is held for an obstacle; it is rejected at once if
     /// that lies before now.
-    pub fn wait_until(&self, obstacle: Obstacle, now: Instant) -> Instant {
+    pub fn wait_until(&self, obstacle: WaitReason, now: Instant) -> Instant {
         let last = self.last_send().min(self.arrived + LONGEST_HOLD);
         match obstacle {
             // An answer is certain to come; a new try would have it later.
-            Obstacle::Coming(ready_in) if now + ready_in <= last => last,
-            Obstacle::Coming(_) => self.arrived,
+            WaitReason::AdapterLoading(ready_in) if now + ready_in <= last => last,
+            WaitReason::AdapterLoading(_) => self.arrived,
             // What is known to come too late is rejected at once.
-            Obstacle::Limited(ready_in)
+            WaitReason::Saturated(ready_in)
                 if now + ready_in > self.for_place() =>
             {
                 self.arrived
             }
             _ if self.is_later_try => last,
-            Obstacle::Absent { load_time } => {
+            WaitReason::AdapterNotLoaded { load_time } => {
                 self.in_time(load_time).min(last)
             }
-            Obstacle::NoPlace | Obstacle::Limited(_) => {
+            WaitReason::NoCapacity | WaitReason::Saturated(_) => {
                 self.for_place().min(last)
             }
         }
--- a/crates/fleet/tests/wait_policy_rules.rs
+++ b/crates/fleet/tests/wait_policy_rules.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use sedgewall_clock::Instant;
-use sedgewall_fleet::wait_policy::{WaitingRequest, Obstacle, come_back};
+use sedgewall_fleet::wait_policy::{WaitingRequest, WaitReason, come_back};
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -20,17 +20,17 @@
     }
 }
 
-const ABSENT: Obstacle = Obstacle::Absent { load_time: ms(260) };
+const NOT_LOADED: WaitReason = WaitReason::AdapterNotLoaded { load_time: ms(260) };
 
 #[test]
 fn an_absent_adapter_is_waited_for_while_a_load_would_be_in_time() {
     let now = Instant::now();
-    assert_eq!(chat(now).wait_until(ABSENT, now), now + ms(260));
+    assert_eq!(chat(now).wait_until(NOT_LOADED, now), now + ms(260));
     // A long prompt leaves less for the load.
     let long = WaitingRequest { engine_time: ms(300), ..chat(now) };
-    assert_eq!(long.wait_until(ABSENT, now), now + ms(40));
+    assert_eq!(long.wait_until(NOT_LOADED, now), now + ms(40));
     // Where loads take too long it is rejected at once.
-    let slow = Obstacle::Absent { load_time: ms(900) };
+    let slow = WaitReason::AdapterNotLoaded { load_time: ms(900) };
     assert_eq!(chat(now).wait_until(slow, now), now);
 }
 
@@ -39,16 +39,16 @@
 #[test]
 fn what_is_on_its_way_is_waited_for_also_if_the_answer_is_late() {
     let now = Instant::now();
-    let late = Obstacle::Coming(ms(900));
+    let late = WaitReason::AdapterLoading(ms(900));
     assert!(chat(now).wait_until(late, now) >= now + ms(900));
-    let never = Obstacle::Coming(ms(4_800));
+    let never = WaitReason::AdapterLoading(ms(4_800));
     assert!(chat(now).wait_until(never, now) <= now);
 }
 
 #[test]
 fn no_request_is_held_beyond_its_end() {
     let now = Instant::now();
-    for obstacle in [ABSENT, Obstacle::Coming(ms(100)), Obstacle::NoPlace] {
+    for obstacle in [NOT_LOADED, WaitReason::AdapterLoading(ms(100)), WaitReason::NoCapacity] {
         for left_ms in [50, 400, 1_000, 5_000, 60_000] {
             for is_later_try in [false, true] {
                 let end = now + ms(left_ms);
@@ -83,7 +83,7 @@
 /// millisecond for a second, where the weight store brings 288 a second. Whoever
 /// asks first is loaded first, and hears so when its load begins; `until` says how
 /// long each is held. A rejected one is not loaded any more.
-fn burst(until: impl Fn(&WaitingRequest, Obstacle, Instant) -> Instant) -> Outcome {
+fn burst(until: impl Fn(&WaitingRequest, WaitReason, Instant) -> Instant) -> Outcome {
     let (load, at_once) = (ms(250), 72);
     let start = Instant::now();
     let mut outcome = Outcome::default();
@@ -98,7 +98,7 @@
         waiting.retain(|arrived| {
             let held = chat(*arrived);
             let is_held =
-                now < until(&held, Obstacle::Absent { load_time: load }, now);
+                now < until(&held, WaitReason::AdapterNotLoaded { load_time: load }, now);
             if !is_held {
                 outcome.rejected += 1;
                 outcome.held_in_vain += now - *arrived;
@@ -138,9 +138,9 @@
 #[test]
 fn a_request_waits_for_a_limited_endpoint_only_if_that_is_in_time() {
     let now = Instant::now();
-    let soon = Obstacle::Limited(ms(60));
+    let soon = WaitReason::Saturated(ms(60));
     assert!(chat(now).wait_until(soon, now) >= now + ms(60));
-    let late = Obstacle::Limited(ms(900));
+    let late = WaitReason::Saturated(ms(900));
     assert_eq!(chat(now).wait_until(late, now), now);
     let later_try = WaitingRequest { is_later_try: true, ..chat(now) };
     assert_eq!(later_try.wait_until(late, now), now);
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -17,7 +17,7 @@
 use sedgewall_fleet::{
     configuration::DecidedBy,
     customer::Customer,
-    wait_policy::{WaitingRequest, Obstacle, come_back},
+    wait_policy::{WaitingRequest, WaitReason, come_back},
     poison::Loss,
     view::{Choice, Need, Target},
 };
@@ -386,7 +386,7 @@
         let (reason, obstacle, pause) = match choice {
             Choice::Send(found) => return Ok(found),
             Choice::Coming(ready_in) => {
-                let obstacle = Obstacle::Coming(ready_in);
+                let obstacle = WaitReason::AdapterLoading(ready_in);
                 (Reason::AdapterAbsent, obstacle, ready_in)
             }
             Choice::Absent => {
@@ -396,7 +396,7 @@
                 let limited_for = limited_for.or(resting);
                 ask_for(node, call);
                 let load_time = node.view.borrow().load_time();
-                let obstacle = Obstacle::Absent { load_time };
+                let obstacle = WaitReason::AdapterNotLoaded { load_time };
                 match limited_for {
                     Some(ready_in) => {
                         let pause = ready_in.min(target);
@@ -407,7 +407,7 @@
             }
             Choice::Full => {
                 ask_for(node, call);
-                (Reason::Full, Obstacle::NoPlace, look_again)
+                (Reason::Full, WaitReason::NoCapacity, look_again)
             }
             Choice::Busy(ready_in) => {
                 if ready_in.is_none() {
@@ -429,12 +429,12 @@
                 };
                 match limited_for.or_else(resting) {
                     Some(ready_in) => {
-                        let obstacle = Obstacle::Limited(ready_in);
+                        let obstacle = WaitReason::Saturated(ready_in);
                         let pause = ready_in.max(look_again);
                         (Reason::EndpointsLimited, obstacle, pause)
                     }
                     None => {
-                        (Reason::NobodyThere, Obstacle::NoPlace, look_again)
+                        (Reason::NobodyThere, WaitReason::NoCapacity, look_again)
                     }
                 }
             }
@@ -442,10 +442,10 @@
         let until = held.wait_until(obstacle, now);
         if now >= until {
             progress.gone_in = match obstacle {
-                Obstacle::Coming(ready_in) | Obstacle::Limited(ready_in) => {
+                WaitReason::AdapterLoading(ready_in) | WaitReason::Saturated(ready_in) => {
                     Some(ready_in)
                 }
-                Obstacle::Absent { .. } | Obstacle::NoPlace => limited_for,
+                WaitReason::AdapterNotLoaded { .. } | WaitReason::NoCapacity => limited_for,
             };
             return Err(reason);
         }
