--- a/crates/fleet/src/wait_policy.rs
+++ b/crates/fleet/src/wait_policy.rs
@@ -109,7 +109,7 @@
 /// Returns when a caller may come back that has this much time left and whose
 /// obstacle is likely to be gone after another; `draw` is a number between 0 and
 /// 1.
-pub fn come_back(
+pub fn retry_delay(
     left: Duration,
     gone_in: Option<Duration>,
     draw: f64,
--- a/crates/fleet/tests/wait_policy_rules.rs
+++ b/crates/fleet/tests/wait_policy_rules.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use sedgewall_clock::Instant;
-use sedgewall_fleet::wait_policy::{WaitingRequest, WaitReason, come_back};
+use sedgewall_fleet::wait_policy::{WaitingRequest, WaitReason, retry_delay};
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -61,12 +61,12 @@
 
 #[test]
 fn callers_that_were_rejected_together_do_not_come_back_together() {
-    let after = |draw| come_back(ms(4_400), None, draw);
+    let after = |draw| retry_delay(ms(4_400), None, draw);
     let longest = after(0.0);
     assert!(longest <= ms(1_364));
     assert!(longest - after(1.0) >= ms(200));
     // One that is told when its adapter comes is not kept for longer.
-    assert!(come_back(ms(4_400), Some(ms(500)), 0.0) <= ms(500));
+    assert!(retry_delay(ms(4_400), Some(ms(500)), 0.0) <= ms(500));
 }
 
 /// What became of a burst.
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -17,7 +17,7 @@
 use sedgewall_fleet::{
     configuration::DecidedBy,
     customer::Customer,
-    wait_policy::{WaitingRequest, WaitReason, come_back},
+    wait_policy::{WaitingRequest, WaitReason, retry_delay},
     poison::Loss,
     view::{Choice, Need, Target},
 };
@@ -129,7 +129,7 @@
         back_in_ms = denied.map(|denied| ms(denied.back_in)),
     );
     let draw = draw_of(&refused.request_id);
-    let after = come_back(PATIENCE_UNSTATED, None, draw);
+    let after = retry_delay(PATIENCE_UNSTATED, None, draw);
     refusal::answer(refused.reason, after)
 }
 
@@ -456,7 +456,7 @@
 /// Returns when a caller whose request is rejected may come back.
 fn come_back_of(call: &CallerRequest, progress: &Progress) -> Duration {
     let draw = draw_of(&call.facts.request_id);
-    come_back(call.left(), progress.gone_in, draw)
+    retry_delay(call.left(), progress.gone_in, draw)
 }
 
 /// Returns a number between 0 and 1 that is drawn for a request.
