--- a/crates/fleet/benches/decisions.rs
+++ b/crates/fleet/benches/decisions.rs
@@ -13,7 +13,7 @@
     demand::Demand,
     endpoint::{Endpoint, EngineReport, HostedModel},
     load_times::LoadTimes,
-    loader::Loader,
+    placement::Loader,
     route::{BaseModel, CallerLimits, Deployment, EngineGroup, Service},
     store_rate::StoreRate,
     view::{FleetView, Need},
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Where no shard leader stands between a caller and an engine, each instance
 //! routes on its own table of endpoints ([`view::FleetView`]) and one instance
-//! at a time decides which adapters the engines hold ([`loader::Loader`]).
+//! at a time decides which adapters the engines hold ([`placement::Loader`]).
 //! Everything here is pure: time comes in as an argument, and nothing is sent.
 
 pub mod adapter;
@@ -24,7 +24,7 @@
 pub mod life;
 pub mod limit_share;
 pub mod load_times;
-pub mod loader;
+pub mod placement;
 pub mod note;
 pub mod note_schedule;
 pub mod order;
--- a/crates/fleet/tests/loader_rules.rs
+++ b/crates/fleet/tests/placement_rules.rs
@@ -14,7 +14,7 @@
     adapter::AdapterKey,
     demand::Demand,
     load_times::LoadTimes,
-    loader::Loader,
+    placement::Loader,
     order::{Order, Task},
     store_rate::StoreRate,
     view::FleetView,
--- a/crates/sedgewalld/src/fleet/leader.rs
+++ b/crates/sedgewalld/src/fleet/leader.rs
@@ -3,7 +3,7 @@
 use std::{rc::Rc, time::Duration};
 
 use sedgewall_clock::Instant;
-use sedgewall_fleet::{loader::Loader, store_rate::StoreRate};
+use sedgewall_fleet::{placement::Loader, store_rate::StoreRate};
 
 use super::{node::FleetNode, orders::Orders};
 use crate::process;
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -11,7 +11,7 @@
 use futures_util::StreamExt;
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    loader::Loader,
+    placement::Loader,
     note::{Note, Placed, Removed},
     order::{Order, Task},
     view::AnsweredSend,
