--- a/crates/fleet/benches/decisions.rs
+++ b/crates/fleet/benches/decisions.rs
@@ -13,7 +13,7 @@
     demand::Demand,
     endpoint::{Endpoint, EngineReport, HostedModel},
     load_times::LoadTimes,
-    placement::Loader,
+    placement::PlacementPlanner,
     route::{BaseModel, CallerLimits, Deployment, EngineGroup, Service},
     store_rate::StoreRate,
     view::{FleetView, Need},
@@ -126,7 +126,7 @@
     criterion.bench_function("plan, 300 waiting", |bench| {
         let rate = StoreRate::new(Duration::from_secs(5), 1.1);
         let fresh = || {
-            (Loader::new(1, rate.clone(), now), view.clone(), demand.clone())
+            (PlacementPlanner::new(1, rate.clone(), now), view.clone(), demand.clone())
         };
         bench.iter_batched(
             fresh,
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Where no shard leader stands between a caller and an engine, each instance
 //! routes on its own table of endpoints ([`view::FleetView`]) and one instance
-//! at a time decides which adapters the engines hold ([`placement::Loader`]).
+//! at a time decides which adapters the engines hold ([`placement::PlacementPlanner`]).
 //! Everything here is pure: time comes in as an argument, and nothing is sent.
 
 pub mod adapter;
--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -53,7 +53,7 @@
 
 /// Decides for all engines, while its instance holds the lease.
 #[derive(Clone, Debug)]
-pub struct Loader {
+pub struct PlacementPlanner {
     epoch: Epoch,
     store: StoreRate,
     ordered: HashMap<(EndpointId, AdapterKey), Instant>,
@@ -61,14 +61,14 @@
     looked: Option<Instant>,
 }
 
-impl Loader {
+impl PlacementPlanner {
     /// Returns the loader of a new epoch. Whoever held the lease before may
     /// have used the weight store's whole rate until now.
-    pub fn new(epoch: Epoch, mut store: StoreRate, now: Instant) -> Loader {
+    pub fn new(epoch: Epoch, mut store: StoreRate, now: Instant) -> PlacementPlanner {
         if epoch > 1 {
             store.assume_used(now);
         }
-        Loader { epoch, store, ordered: HashMap::new(), looked: None }
+        PlacementPlanner { epoch, store, ordered: HashMap::new(), looked: None }
     }
 
     /// Decides what to order now. The view is changed as if all orders were
@@ -122,7 +122,7 @@
 
 /// One look at the engines of one service.
 struct Turn<'a> {
-    loader: &'a mut Loader,
+    loader: &'a mut PlacementPlanner,
     service: &'a str,
     group: &'a EngineGroup,
     view: &'a mut FleetView,
--- a/crates/fleet/tests/placement_rules.rs
+++ b/crates/fleet/tests/placement_rules.rs
@@ -14,7 +14,7 @@
     adapter::AdapterKey,
     demand::Demand,
     load_times::LoadTimes,
-    placement::Loader,
+    placement::PlacementPlanner,
     order::{Order, Task},
     store_rate::StoreRate,
     view::FleetView,
@@ -23,13 +23,13 @@
 
 const WINDOW: Duration = Duration::from_secs(5);
 
-fn loader(epoch: u64, now: Instant) -> Loader {
-    Loader::new(epoch, StoreRate::new(WINDOW, 1.1), now)
+fn loader(epoch: u64, now: Instant) -> PlacementPlanner {
+    PlacementPlanner::new(epoch, StoreRate::new(WINDOW, 1.1), now)
 }
 
 /// Plans as a holder that knows nothing of load times yet.
 fn plan(
-    loader: &mut Loader,
+    loader: &mut PlacementPlanner,
     view: &mut FleetView,
     demand: &mut Demand,
     now: Instant,
--- a/crates/sedgewalld/src/fleet/leader.rs
+++ b/crates/sedgewalld/src/fleet/leader.rs
@@ -3,7 +3,7 @@
 use std::{rc::Rc, time::Duration};
 
 use sedgewall_clock::Instant;
-use sedgewall_fleet::{placement::Loader, store_rate::StoreRate};
+use sedgewall_fleet::{placement::PlacementPlanner, store_rate::StoreRate};
 
 use super::{node::FleetNode, orders::Orders};
 use crate::process;
@@ -51,7 +51,7 @@
             node.view.borrow_mut().stop_ordering(now);
             let window = Duration::from_secs_f64(node.fleet.store_window_s);
             let rate = StoreRate::new(window, node.fleet.store_overage);
-            let loader = Loader::new(held.epoch, rate, now);
+            let loader = PlacementPlanner::new(held.epoch, rate, now);
             *orders.loader.borrow_mut() = Some(loader);
         }
         let Some(deployment) = node.deployment() else { continue };
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -11,7 +11,7 @@
 use futures_util::StreamExt;
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    placement::Loader,
+    placement::PlacementPlanner,
     note::{Note, Placed, Removed},
     order::{Order, Task},
     view::AnsweredSend,
@@ -46,7 +46,7 @@
 pub(crate) struct Orders {
     node: Rc<FleetNode>,
     sender: Rc<NoteSender>,
-    pub(crate) loader: Rc<RefCell<Option<Loader>>>,
+    pub(crate) loader: Rc<RefCell<Option<PlacementPlanner>>>,
     queues: Rc<RefCell<HashMap<EndpointId, mpsc::UnboundedSender<Batch>>>>,
 }
 
