--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -7,7 +7,7 @@
 //! adapters than it has places, and none before it is known what it holds; and
 //! loads of base models stay within the weight store's rate.
 
-mod homes;
+mod target;
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -281,7 +281,7 @@
         if !may_begin && self.view.warm(key).is_empty() {
             return false;
         }
-        let Some(home) = self.find_home(key) else { return false };
+        let Some(home) = self.find_target(key) else { return false };
         if !home.is_warm && !may_begin {
             return false;
         }
--- a/crates/fleet/src/placement/homes.rs
+++ b/crates/fleet/src/placement/target.rs
@@ -22,14 +22,14 @@
 const IN_USE_FOR: Duration = Duration::from_millis(300);
 
 /// The engine that an adapter goes to.
-pub(super) struct Home {
+pub(super) struct PlacementTarget {
     pub(super) endpoint: EndpointId,
     address: SocketAddr,
     pub(super) victim: Option<AdapterKey>,
     pub(super) is_warm: bool,
 }
 
-impl Home {
+impl PlacementTarget {
     pub(super) fn order(&self, task: Task, is_cold: bool) -> Order {
         Order {
             endpoint: self.endpoint.clone(),
@@ -49,18 +49,18 @@
     /// were refused beside 160 free places. Making way for it elsewhere
     /// removes what is asked for there: where places are scarce that costs more than it
     /// brings (`docs/DECISIONS.md`).
-    pub(super) fn find_home(&mut self, key: &AdapterKey) -> Option<Home> {
+    pub(super) fn find_target(&mut self, key: &AdapterKey) -> Option<PlacementTarget> {
         let engines = self.engines.take().unwrap_or_else(|| self.rooms());
-        let home = self.cheapest_home(key, &engines);
+        let home = self.cheapest_target(key, &engines);
         self.engines = Some(engines);
         home
     }
 
-    fn cheapest_home(
+    fn cheapest_target(
         &self,
         key: &AdapterKey,
         engines: &[EngineRoom],
-    ) -> Option<Home> {
+    ) -> Option<PlacementTarget> {
         let zone = self.demand.get(key).map(|d| d.zone.as_str());
         let holds: Vec<&EndpointId> =
             self.view.holders(key).map(EndpointState::id).collect();
@@ -104,7 +104,7 @@
             Place::Of(victim, _) => Some(victim.clone()),
             Place::None | Place::Free => None,
         };
-        Some(Home {
+        Some(PlacementTarget {
             endpoint: engine.endpoint.clone(),
             address: engine.address,
             victim,
