--- a/crates/fleet/benches/decisions.rs
+++ b/crates/fleet/benches/decisions.rs
@@ -15,7 +15,7 @@
     load_times::LoadTimes,
     placement::PlacementPlanner,
     route::{BaseModel, CallerLimits, Deployment, EngineGroup, Service},
-    store_rate::StoreRate,
+    load_rate_limiter::LoadRateLimiter,
     view::{FleetView, Need},
 };
 
@@ -124,7 +124,7 @@
         bench.iter(|| black_box(view.choose(black_box(need), now)));
     });
     criterion.bench_function("plan, 300 waiting", |bench| {
-        let rate = StoreRate::new(Duration::from_secs(5), 1.1);
+        let rate = LoadRateLimiter::new(Duration::from_secs(5), 1.1);
         let fresh = || {
             (PlacementPlanner::new(1, rate.clone(), now), view.clone(), demand.clone())
         };
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -39,7 +39,7 @@
 pub mod route;
 pub mod stay;
 pub mod store_contact;
-pub mod store_rate;
+pub mod load_rate_limiter;
 pub mod suspicion;
 pub mod view;
 pub mod vouch;
--- a/crates/fleet/src/store_rate.rs
+++ b/crates/fleet/src/load_rate_limiter.rs
@@ -10,7 +10,7 @@
 
 /// Counts the loads of a sliding window.
 #[derive(Clone, Debug)]
-pub struct StoreRate {
+pub struct LoadRateLimiter {
     window: Duration,
     /// What a window allows, as a multiple of the rate.
     overage: f64,
@@ -20,12 +20,12 @@
     inherited: Option<(Instant, f64)>,
 }
 
-impl StoreRate {
+impl LoadRateLimiter {
     /// Returns a count for windows of this length, in which loads may begin
     /// this many times as fast as the rate says.
-    pub fn new(window: Duration, overage: f64) -> StoreRate {
+    pub fn new(window: Duration, overage: f64) -> LoadRateLimiter {
         let (begun, inherited) = (VecDeque::new(), None);
-        StoreRate { window, overage, begun, inherited }
+        LoadRateLimiter { window, overage, begun, inherited }
     }
 
     /// Assumes that somebody else used the whole rate until now.
--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -23,7 +23,7 @@
     note::{Placed, Removed},
     order::{Order, Task},
     route::{Deployment, EngineGroup},
-    store_rate::StoreRate,
+    load_rate_limiter::LoadRateLimiter,
     view::{BUSY_BACKLOG, FleetView},
 };
 
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug)]
 pub struct PlacementPlanner {
     epoch: Epoch,
-    store: StoreRate,
+    store: LoadRateLimiter,
     ordered: HashMap<(EndpointId, AdapterKey), Instant>,
     /// When all was looked at, not only what requests wait for.
     looked: Option<Instant>,
@@ -64,7 +64,7 @@
 impl PlacementPlanner {
     /// Returns the loader of a new epoch. Whoever held the lease before may
     /// have used the weight store's whole rate until now.
-    pub fn new(epoch: Epoch, mut store: StoreRate, now: Instant) -> PlacementPlanner {
+    pub fn new(epoch: Epoch, mut store: LoadRateLimiter, now: Instant) -> PlacementPlanner {
         if epoch > 1 {
             store.assume_used(now);
         }
--- a/crates/fleet/tests/budget_rules.rs
+++ b/crates/fleet/tests/budget_rules.rs
@@ -8,7 +8,7 @@
     events::EventCutter,
     health::Health,
     retry_budget::{RetryAllowance, RetryBudget},
-    store_rate::StoreRate,
+    load_rate_limiter::LoadRateLimiter,
 };
 
 const ALLOWANCE: RetryAllowance = RetryAllowance {
@@ -105,7 +105,7 @@
     ) {
         let window = Duration::from_secs(5);
         let mut now = Instant::now();
-        let mut rate = StoreRate::new(window, 1.1);
+        let mut rate = LoadRateLimiter::new(window, 1.1);
         let mut begun: Vec<Instant> = Vec::new();
         for ms in steps {
             now += Duration::from_millis(ms);
--- a/crates/fleet/tests/placement_rules.rs
+++ b/crates/fleet/tests/placement_rules.rs
@@ -16,7 +16,7 @@
     load_times::LoadTimes,
     placement::PlacementPlanner,
     order::{Order, Task},
-    store_rate::StoreRate,
+    load_rate_limiter::LoadRateLimiter,
     view::FleetView,
     work::Work,
 };
@@ -24,7 +24,7 @@
 const WINDOW: Duration = Duration::from_secs(5);
 
 fn loader(epoch: u64, now: Instant) -> PlacementPlanner {
-    PlacementPlanner::new(epoch, StoreRate::new(WINDOW, 1.1), now)
+    PlacementPlanner::new(epoch, LoadRateLimiter::new(WINDOW, 1.1), now)
 }
 
 /// Plans as a holder that knows nothing of load times yet.
--- a/crates/sedgewalld/src/fleet/leader.rs
+++ b/crates/sedgewalld/src/fleet/leader.rs
@@ -3,7 +3,7 @@
 use std::{rc::Rc, time::Duration};
 
 use sedgewall_clock::Instant;
-use sedgewall_fleet::{placement::PlacementPlanner, store_rate::StoreRate};
+use sedgewall_fleet::{placement::PlacementPlanner, load_rate_limiter::LoadRateLimiter};
 
 use super::{node::FleetNode, orders::Orders};
 use crate::process;
@@ -50,7 +50,7 @@
             epoch = Some(held.epoch);
             node.view.borrow_mut().stop_ordering(now);
             let window = Duration::from_secs_f64(node.fleet.store_window_s);
-            let rate = StoreRate::new(window, node.fleet.store_overage);
+            let rate = LoadRateLimiter::new(window, node.fleet.store_overage);
             let loader = PlacementPlanner::new(held.epoch, rate, now);
             *orders.loader.borrow_mut() = Some(loader);
         }
