--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -7,7 +7,7 @@
 
 pub mod adapter;
 mod adapter_index;
-pub mod allowance;
+pub mod rate_limiter;
 pub mod announcement;
 pub mod back_off;
 pub mod catch_up;
--- a/crates/fleet/src/note.rs
+++ b/crates/fleet/src/note.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     adapter::{AdapterKey, WeightVersion},
-    allowance,
+    rate_limiter,
     departure::Departure,
     endpoint::{Endpoint, Revision},
     life::Born,
@@ -155,7 +155,7 @@
     pub is_leaving: bool,
     /// What customers ask of the sender, or of all if the work is a total.
     #[serde(default)]
-    pub asked_by_customers: Vec<allowance::Asked>,
+    pub asked_by_customers: Vec<rate_limiter::Asked>,
     /// Endpoints that left lately. An instance of the release before says none.
     #[serde(default)]
     pub departures: Vec<Departure>,
--- a/crates/fleet/src/allowance.rs
+++ b/crates/fleet/src/rate_limiter.rs
@@ -64,7 +64,7 @@
 
 /// One instance's part of all allowances.
 #[derive(Clone, Debug, Default)]
-pub struct Shares {
+pub struct RateLimiter {
     buckets: HashMap<CustomerName, Bucket>,
     peers: HashMap<InstanceId, Heard>,
     /// What the holder of the lease says that all ask for.
@@ -89,7 +89,7 @@
     part: Option<f64>,
 }
 
-impl Shares {
+impl RateLimiter {
     /// Takes units of a customer's allowance for a request, or returns when some
     /// are there again.
     ///
@@ -142,14 +142,14 @@
     }
 
     /// Gives back what a request took that did not run.
-    pub fn give_back(&mut self, customer: &Customer, units: f64) {
+    pub fn refund(&mut self, customer: &Customer, units: f64) {
         if let Some(bucket) = self.buckets.get_mut(&customer.name) {
             bucket.balance += units;
         }
     }
 
     /// Returns what each customer asks of this instance.
-    pub fn asked(&self, now: Instant) -> Vec<Asked> {
+    pub fn local_demand(&self, now: Instant) -> Vec<Asked> {
         let asked = self.buckets.iter().map(|(name, bucket)| Asked {
             customer: name.clone(),
             per_s: bucket.per_s(now).round(),
@@ -158,11 +158,11 @@
     }
 
     /// Returns what each customer asks of all instances, as far as we hear.
-    pub fn asked_of_all(&self, now: Instant) -> Vec<Asked> {
+    pub fn total_demand(&self, now: Instant) -> Vec<Asked> {
         let mut sums: HashMap<CustomerName, f64> = HashMap::new();
         let heard = self.peers.values().filter(|heard| now < heard.until);
         let of_peers = heard.flat_map(|heard| heard.asked.clone());
-        for asked in of_peers.chain(self.asked(now)) {
+        for asked in of_peers.chain(self.local_demand(now)) {
             *sums.entry(asked.customer).or_default() += asked.per_s;
         }
         sums.into_iter()
@@ -172,7 +172,7 @@
 
     /// Takes in what customers ask of another instance, which was heard at a moment
     /// and counts until another.
-    pub fn hear(
+    pub fn record_peer(
         &mut self,
         from: &InstanceId,
         asked: Vec<Asked>,
@@ -183,7 +183,7 @@
     }
 
     /// Takes in what customers ask of all instances.
-    pub fn hear_totals(
+    pub fn record_totals(
         &mut self,
         asked: Vec<Asked>,
         at: Instant,
--- a/crates/fleet/tests/allowance_rules.rs
+++ b/crates/fleet/tests/rate_limiter_rules.rs
@@ -7,7 +7,7 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    allowance::Shares,
+    rate_limiter::RateLimiter,
     customer::{Allowance, Customer, Unit},
 };
 
@@ -50,7 +50,7 @@
 fn play(instances: usize, load: Load, cut: usize, seed: u64) -> Taken {
     let mut rng = StdRng::seed_from_u64(seed);
     let customer = customer();
-    let mut all: Vec<Shares> = vec![Shares::default(); instances];
+    let mut all: Vec<RateLimiter> = vec![RateLimiter::default(); instances];
     let weights: Vec<f64> = (0..instances)
         .map(|n| load.skew.powf(1.0 - 2.0 * n as f64 / instances as f64))
         .collect();
@@ -61,14 +61,14 @@
         let now = start + Duration::from_millis(ms);
         let is_cut = |n: usize| ms >= 6_000 && n + cut >= instances;
         if ms % HEARD_EVERY_MS == 0 {
-            let said: Vec<_> = all.iter().map(|s| s.asked(now)).collect();
+            let said: Vec<_> = all.iter().map(|s| s.local_demand(now)).collect();
             let until = now + Duration::from_millis(HEARD_EVERY_MS * 6);
             for (n, shares) in all.iter_mut().enumerate() {
                 shares.forget(now);
                 for (from, asked) in said.iter().enumerate() {
                     if from != n && !is_cut(n) && !is_cut(from) {
                         let from = format!("i{from}");
-                        shares.hear(&from, asked.clone(), now, until);
+                        shares.record_peer(&from, asked.clone(), now, until);
                     }
                 }
             }
--- a/crates/sedgewalld/src/fleet/admit.rs
+++ b/crates/sedgewalld/src/fleet/admit.rs
@@ -105,5 +105,5 @@
     let Some(allowance) = customer.allowance else { return };
     let tokens = call.facts.prompt_tokens + call.facts.answer_tokens;
     let units = allowance.unit.count(tokens);
-    node.shares.borrow_mut().give_back(customer, units);
+    node.shares.borrow_mut().refund(customer, units);
 }
--- a/crates/sedgewalld/src/fleet/node.rs
+++ b/crates/sedgewalld/src/fleet/node.rs
@@ -14,7 +14,7 @@
 use sedgewall_coordination::lease::{NotedLease, WriteAnswer};
 use sedgewall_fleet::{
     adapter::AdapterKey,
-    allowance::Shares,
+    rate_limiter::RateLimiter,
     catch_up::CatchUp,
     demand::Demand,
     good_runs::GoodRuns,
@@ -148,7 +148,7 @@
     pub(crate) asked: RefCell<HashMap<AdapterKey, u32>>,
     pub(crate) waiting: RefCell<HashMap<AdapterKey, u8>>,
     /// Our part of what customers may use.
-    pub(crate) shares: RefCell<Shares>,
+    pub(crate) shares: RefCell<RateLimiter>,
     /// Whether keys that were taken away are sure to be known.
     pub(crate) keys: Keys,
     /// Whether the store answers us.
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -268,8 +268,8 @@
     let asked = status.asked_by_customers.clone();
     let mut shares = node.shares.borrow_mut();
     match status.is_total {
-        true => shares.hear_totals(asked, now, until),
-        false => shares.hear(&status.from, asked, now, until),
+        true => shares.record_totals(asked, now, until),
+        false => shares.record_peer(&status.from, asked, now, until),
     }
 }
 
@@ -488,8 +488,8 @@
     let versions = node.view.borrow().versions_named();
     let shares = node.shares.borrow();
     let asked_by_customers = match is_total {
-        true => shares.asked_of_all(now),
-        false => shares.asked(now),
+        true => shares.total_demand(now),
+        false => shares.local_demand(now),
     };
     Status {
         from: node.id().clone(),
--- a/crates/sedgewalld/src/fleet/refusal.rs
+++ b/crates/sedgewalld/src/fleet/refusal.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use http::{HeaderValue, Response, StatusCode, header};
-use sedgewall_fleet::allowance::Denied;
+use sedgewall_fleet::rate_limiter::Denied;
 use sedgewall_protocol::{Problem, RunState};
 use sedgewall_transport::LocalBody;
 
