--- a/crates/fleet/src/note.rs
+++ b/crates/fleet/src/note.rs
@@ -155,7 +155,7 @@
     pub is_leaving: bool,
     /// What customers ask of the sender, or of all if the work is a total.
     #[serde(default)]
-    pub asked_by_customers: Vec<rate_limiter::Asked>,
+    pub asked_by_customers: Vec<rate_limiter::CustomerDemand>,
     /// Endpoints that left lately. An instance of the release before says none.
     #[serde(default)]
     pub departures: Vec<Departure>,
--- a/crates/fleet/src/rate_limiter.rs
+++ b/crates/fleet/src/rate_limiter.rs
@@ -40,7 +40,7 @@
 
 /// What a customer asks of an instance, or of all.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Asked {
+pub struct CustomerDemand {
     /// The customer.
     pub customer: CustomerName,
     /// Units a second.
@@ -73,7 +73,7 @@
 
 #[derive(Clone, Debug)]
 struct Heard {
-    asked: Vec<Asked>,
+    asked: Vec<CustomerDemand>,
     at: Instant,
     until: Instant,
 }
@@ -149,8 +149,8 @@
     }
 
     /// Returns what each customer asks of this instance.
-    pub fn local_demand(&self, now: Instant) -> Vec<Asked> {
-        let asked = self.buckets.iter().map(|(name, bucket)| Asked {
+    pub fn local_demand(&self, now: Instant) -> Vec<CustomerDemand> {
+        let asked = self.buckets.iter().map(|(name, bucket)| CustomerDemand {
             customer: name.clone(),
             per_s: bucket.per_s(now).round(),
         });
@@ -158,7 +158,7 @@
     }
 
     /// Returns what each customer asks of all instances, as far as we hear.
-    pub fn total_demand(&self, now: Instant) -> Vec<Asked> {
+    pub fn total_demand(&self, now: Instant) -> Vec<CustomerDemand> {
         let mut sums: HashMap<CustomerName, f64> = HashMap::new();
         let heard = self.peers.values().filter(|heard| now < heard.until);
         let of_peers = heard.flat_map(|heard| heard.asked.clone());
@@ -166,7 +166,7 @@
             *sums.entry(asked.customer).or_default() += asked.per_s;
         }
         sums.into_iter()
-            .map(|(customer, per_s)| Asked { customer, per_s })
+            .map(|(customer, per_s)| CustomerDemand { customer, per_s })
             .collect()
     }
 
@@ -175,7 +175,7 @@
     pub fn record_peer(
         &mut self,
         from: &InstanceId,
-        asked: Vec<Asked>,
+        asked: Vec<CustomerDemand>,
         at: Instant,
         until: Instant,
     ) {
@@ -185,7 +185,7 @@
     /// Takes in what customers ask of all instances.
     pub fn record_totals(
         &mut self,
-        asked: Vec<Asked>,
+        asked: Vec<CustomerDemand>,
         at: Instant,
         until: Instant,
     ) {
