--- a/crates/fleet/src/rate_limiter.rs
+++ b/crates/fleet/src/rate_limiter.rs
@@ -49,9 +49,9 @@
 
 /// Why units are not given, and what that was decided by.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Denied {
+pub struct LimitExceeded {
     /// When some are there again.
-    pub back_in: Duration,
+    pub retry_in: Duration,
     /// What may be taken; below zero, what has to come back first.
     pub balance: f64,
     /// This instance's part of the allowance.
@@ -102,7 +102,7 @@
         units: f64,
         instances: usize,
         now: Instant,
-    ) -> Result<(), Denied> {
+    ) -> Result<(), LimitExceeded> {
         let Some(allowance) = customer.allowance else { return Ok(()) };
         let bucket = self.buckets.entry(customer.name.clone());
         let bucket = bucket.or_insert_with(|| Bucket::new(now));
@@ -132,8 +132,8 @@
         let missing_s = -bucket.balance / rate(allowance, part).max(1e-9);
         let missing_s = missing_s.clamp(0.0, LARGEST_DEBT_S);
         let heard = self.totals.as_ref();
-        Err(Denied {
-            back_in: Duration::from_secs_f64(missing_s),
+        Err(LimitExceeded {
+            retry_in: Duration::from_secs_f64(missing_s),
             balance: bucket.balance,
             part,
             total_per_s,
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -126,7 +126,7 @@
         part = denied.map(|denied| denied.part),
         total_per_s = denied.and_then(|denied| denied.total_per_s),
         total_age_ms = denied.and_then(|d| d.total_age).map(ms),
-        back_in_ms = denied.map(|denied| ms(denied.back_in)),
+        back_in_ms = denied.map(|denied| ms(denied.retry_in)),
     );
     let draw = draw_of(&refused.request_id);
     let after = retry_delay(PATIENCE_UNSTATED, None, draw);
--- a/crates/sedgewalld/src/fleet/refusal.rs
+++ b/crates/sedgewalld/src/fleet/refusal.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use http::{HeaderValue, Response, StatusCode, header};
-use sedgewall_fleet::rate_limiter::Denied;
+use sedgewall_fleet::rate_limiter::LimitExceeded;
 use sedgewall_protocol::{Problem, RunState};
 use sedgewall_transport::LocalBody;
 
@@ -31,7 +31,7 @@
     /// This instance cannot know whether the key was taken away.
     KeysUnsure,
     /// Its customer has used what all instances may take of it.
-    OverAllowance(Denied),
+    OverAllowance(LimitExceeded),
     /// The body is longer than the configuration allows.
     BodyTooLong,
     /// The body did not come in time, or broke off.
@@ -122,7 +122,7 @@
             | Reason::NobodyThere
             | Reason::EndpointsLimited
             | Reason::RetriesSpent => Some(most),
-            Reason::OverAllowance(denied) => Some(most.min(denied.back_in)),
+            Reason::OverAllowance(denied) => Some(most.min(denied.retry_in)),
             // Whatever the caller's time: before that nobody sends it on.
             Reason::CrashesEndpoints(back_in) => Some(back_in),
             // Another instance may know.
