--- a/crates/fleet/src/poison.rs
+++ b/crates/fleet/src/poison.rs
@@ -113,7 +113,7 @@
 
 /// What was seen of requests whose endpoints ended.
 #[derive(Clone, Debug, Default)]
-pub struct Poison {
+pub struct PoisonDetector {
     /// Runs that wait for what becomes of their endpoint.
     broken: HashMap<EndpointLife, Vec<BrokenRun>>,
     /// Endpoints that ended lately.
@@ -170,7 +170,7 @@
     No,
 }
 
-impl Poison {
+impl PoisonDetector {
     /// Notes that a run was lost at an endpoint. If that is known to have ended,
     /// returns what others are to be told.
     pub fn lost(
--- a/crates/fleet/tests/poison_model.rs
+++ b/crates/fleet/tests/poison_model.rs
@@ -1,7 +1,7 @@
 //! Instances that together stop a request which ends endpoints, in virtual time:
 //! with notes that are lost, cuts between instances and to the store, and restarts.
 //!
-//! What an instance does around [`Poison`] is written down here a second time, without
+//! What an instance does around [`PoisonDetector`] is written down here a second time, without
 //! I/O: it tells of a crash at once and again with its regular notes, asks whoever has
 //! condemned more, writes what is condemned to the store, and reads what stands there.
 
@@ -12,7 +12,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
     life::EndpointLife,
-    poison::{Condemned, Crash, Loss, Poison},
+    poison::{Condemned, Crash, Loss, PoisonDetector},
     request_digest::{RequestDigest, RequestParts},
 };
 
@@ -98,7 +98,7 @@
 
 #[derive(Default)]
 struct Instance {
-    poison: Poison,
+    poison: PoisonDetector,
     heard_ms: HashMap<usize, u64>,
     ask_at: Option<(u64, usize)>,
     write_at: Option<u64>,
--- a/crates/fleet/tests/poison_rules.rs
+++ b/crates/fleet/tests/poison_rules.rs
@@ -6,7 +6,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
     life::EndpointLife,
-    poison::{CONDEMNED_FOR, Crash, Loss, Poison, TakenIn},
+    poison::{CONDEMNED_FOR, Crash, Loss, PoisonDetector, TakenIn},
     request_digest::{RequestDigest, RequestParts},
 };
 
@@ -34,7 +34,7 @@
 
 /// A run at an endpoint that ends at a moment, as its instance sees it.
 fn crash(
-    poison: &mut Poison,
+    poison: &mut PoisonDetector,
     endpoint: u32,
     of: RequestDigest,
     began: Instant,
@@ -46,7 +46,7 @@
 
 /// Ends endpoints one after the other; returns when the last one ended.
 fn crash_in_turn(
-    poison: &mut Poison,
+    poison: &mut PoisonDetector,
     endpoints: std::ops::Range<u32>,
     of: RequestDigest,
     start: Instant,
@@ -59,13 +59,13 @@
     at
 }
 
-fn is_condemned(poison: &Poison, of: RequestDigest, now: Instant) -> bool {
+fn is_condemned(poison: &PoisonDetector, of: RequestDigest, now: Instant) -> bool {
     poison.verdict(of, now).is_some()
 }
 
 #[test]
 fn three_ends_one_after_the_other_condemn() {
-    let (mut poison, of) = (Poison::default(), digest(1));
+    let (mut poison, of) = (PoisonDetector::default(), digest(1));
     let at = crash_in_turn(&mut poison, 0..2, of, Instant::now());
     assert!(!is_condemned(&poison, of, at));
     let at = crash_in_turn(&mut poison, 2..3, of, at);
@@ -77,7 +77,7 @@
 
 #[test]
 fn endpoints_that_end_together_are_one_cause() {
-    let (mut poison, of) = (Poison::default(), digest(1));
+    let (mut poison, of) = (PoisonDetector::default(), digest(1));
     let began = Instant::now();
     let at = began + RUNS;
     for endpoint in 0..9 {
@@ -91,7 +91,7 @@
 
 #[test]
 fn a_connection_that_breaks_at_a_live_endpoint_counts_for_nothing() {
-    let (mut poison, of) = (Poison::default(), digest(1));
+    let (mut poison, of) = (PoisonDetector::default(), digest(1));
     let mut at = Instant::now();
     for endpoint in 0..6 {
         poison.lost(&life(endpoint), of, at, Loss::Broken, at + RUNS);
@@ -105,7 +105,7 @@
 
 #[test]
 fn a_run_whose_caller_left_counts_if_its_endpoint_ends_at_once() {
-    let (mut poison, of) = (Poison::default(), digest(1));
+    let (mut poison, of) = (PoisonDetector::default(), digest(1));
     let at = Instant::now();
     let (soon, late) = (at + RUNS, at + 2 * TRIES);
     poison.lost(&life(0), of, at, Loss::CallerLeft, at);
@@ -116,7 +116,7 @@
 
 #[test]
 fn another_instance_that_sees_the_end_settles_what_broke_here() {
-    let (mut near, mut far) = (Poison::default(), Poison::default());
+    let (mut near, mut far) = (PoisonDetector::default(), PoisonDetector::default());
     let (one, other) = (digest(1), digest(2));
     let at = Instant::now();
     // Nothing answered here when it was looked whether the endpoint listens.
@@ -132,7 +132,7 @@
 
 #[test]
 fn a_run_that_ends_well_clears_what_was_held_against_it() {
-    let (mut poison, of) = (Poison::default(), digest(1));
+    let (mut poison, of) = (PoisonDetector::default(), digest(1));
     let at = crash_in_turn(&mut poison, 0..2, of, Instant::now());
     assert!(poison.clear(of, at));
     assert!(!poison.clear(of, at));
@@ -147,7 +147,7 @@
 
 #[test]
 fn what_was_condemned_before_a_good_run_is_refuted() {
-    let (mut poison, mut other) = (Poison::default(), Poison::default());
+    let (mut poison, mut other) = (PoisonDetector::default(), PoisonDetector::default());
     let of = digest(1);
     let at = crash_in_turn(&mut poison, 0..3, of, Instant::now());
     let [condemned] = &poison.condemned(at)[..] else { panic!("one") };
@@ -161,7 +161,7 @@
 
 #[test]
 fn it_is_tried_again_after_a_time_and_one_more_end_condemns_it_anew() {
-    let (mut poison, of) = (Poison::default(), digest(1));
+    let (mut poison, of) = (PoisonDetector::default(), digest(1));
     let at = crash_in_turn(&mut poison, 0..3, of, Instant::now());
     let back_in = poison.verdict(of, at).expect("a verdict").back_in;
     assert!(back_in <= CONDEMNED_FOR);
@@ -177,7 +177,7 @@
 
 #[test]
 fn what_is_known_is_bounded() {
-    let mut poison = Poison::default();
+    let mut poison = PoisonDetector::default();
     let mut at = Instant::now();
     for n in 0..2_000 {
         at = crash_in_turn(&mut poison, 3 * n..3 * n + 3, digest(n), at);
@@ -217,7 +217,7 @@
         events in events(),
         order in any::<proptest::sample::Index>(),
     ) {
-        let mut instances = vec![Poison::default(); 3];
+        let mut instances = vec![PoisonDetector::default(); 3];
         let mut notes = Vec::new();
         let mut at = Instant::now();
         for event in &events {
@@ -255,7 +255,7 @@
     ) {
         let poisoned = digest(0);
         let popular = digest(100);
-        let mut instances = vec![Poison::default(); 6];
+        let mut instances = vec![PoisonDetector::default(); 6];
         let mut at = Instant::now();
         let mut ended = 0;
         for (n, by) in tries.iter().enumerate() {
--- a/crates/sedgewalld/src/fleet/node.rs
+++ b/crates/sedgewalld/src/fleet/node.rs
@@ -20,7 +20,7 @@
     good_runs::GoodRuns,
     load_times::LoadTimes,
     note::{Lead, Note},
-    poison::Poison,
+    poison::PoisonDetector,
     retry_budget::{RetryAllowance, RetryBudget},
     route::Deployment,
     store_contact::{CallFailure, StoreContact},
@@ -183,7 +183,7 @@
     pub(crate) held: Cell<Option<HeldLease>>,
     pub(crate) pool: EndpointPool,
     /// What was seen of requests that end endpoints.
-    pub(crate) poison: RefCell<Poison>,
+    pub(crate) poison: RefCell<PoisonDetector>,
     /// What ended well here lately, by hashes that this process keys.
     pub(crate) good_runs: RefCell<GoodRuns>,
     pub(crate) hash_key: RandomState,
