--- a/crates/fleet/src/poison.rs
+++ b/crates/fleet/src/poison.rs
@@ -155,11 +155,11 @@
 
 /// What became of word that a request was condemned elsewhere.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum TakenIn {
+pub enum MergeOutcome {
     /// It is condemned here now too.
-    News,
+    Added,
     /// It was known, or is over.
-    Known,
+    AlreadyKnown,
     /// A run of it has ended well since; others are to hear so.
     Refuted,
 }
@@ -278,18 +278,18 @@
     }
 
     /// Takes in that a request was condemned elsewhere.
-    pub fn take_in(&mut self, condemned: &Condemned, now: Instant) -> TakenIn {
+    pub fn merge_condemned(&mut self, condemned: &Condemned, now: Instant) -> MergeOutcome {
         let ago = Duration::from_millis(condemned.ms_ago);
         if ago >= CONDEMNED_FOR {
-            return TakenIn::Known;
+            return MergeOutcome::AlreadyKnown;
         }
         let at = now.checked_sub(ago).unwrap_or(now);
         let suspect = self.suspects.entry(condemned.digest).or_default();
         if suspect.condemned_at.is_some() {
-            return TakenIn::Known;
+            return MergeOutcome::AlreadyKnown;
         }
         if suspect.cleared_at.is_some_and(|cleared| cleared >= at) {
-            return TakenIn::Refuted;
+            return MergeOutcome::Refuted;
         }
         let end = End { began: at, broke: at };
         for endpoint in &condemned.endpoints {
@@ -299,7 +299,7 @@
         suspect.condemned_at = Some(at);
         suspect.last = Some(now);
         self.bound(condemned.digest);
-        TakenIn::News
+        MergeOutcome::Added
     }
 
     /// Returns all requests that are condemned now.
--- a/crates/fleet/tests/poison_model.rs
+++ b/crates/fleet/tests/poison_model.rs
@@ -306,7 +306,7 @@
         if self.hears(n, whom, now) {
             let at = self.at(now);
             for condemned in self.instances[whom].poison.condemned(at) {
-                let _ = self.instances[n].poison.take_in(&condemned, at);
+                let _ = self.instances[n].poison.merge_condemned(&condemned, at);
             }
         }
     }
@@ -328,7 +328,7 @@
                 if reads {
                     let ms_ago = condemned.ms_ago + now - since;
                     let condemned = Condemned { ms_ago, ..condemned.clone() };
-                    let _ = instance.poison.take_in(&condemned, at);
+                    let _ = instance.poison.merge_condemned(&condemned, at);
                 }
             }
             (None, Some(own)) => {
--- a/crates/fleet/tests/poison_rules.rs
+++ b/crates/fleet/tests/poison_rules.rs
@@ -6,7 +6,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
     life::EndpointLife,
-    poison::{CONDEMNED_FOR, Crash, Loss, PoisonDetector, TakenIn},
+    poison::{CONDEMNED_FOR, Crash, Loss, PoisonDetector, MergeOutcome},
     request_digest::{RequestDigest, RequestParts},
 };
 
@@ -151,11 +151,11 @@
     let of = digest(1);
     let at = crash_in_turn(&mut poison, 0..3, of, Instant::now());
     let [condemned] = &poison.condemned(at)[..] else { panic!("one") };
-    assert_eq!(other.take_in(condemned, at), TakenIn::News);
-    assert_eq!(other.take_in(condemned, at), TakenIn::Known);
+    assert_eq!(other.merge_condemned(condemned, at), MergeOutcome::Added);
+    assert_eq!(other.merge_condemned(condemned, at), MergeOutcome::AlreadyKnown);
     assert!(is_condemned(&other, of, at));
     other.clear(of, at);
-    assert_eq!(other.take_in(condemned, at), TakenIn::Refuted);
+    assert_eq!(other.merge_condemned(condemned, at), MergeOutcome::Refuted);
     assert!(!is_condemned(&other, of, at));
 }
 
--- a/crates/sedgewalld/src/fleet/follow_poison.rs
+++ b/crates/sedgewalld/src/fleet/follow_poison.rs
@@ -15,7 +15,7 @@
 use sedgewall_fleet::{
     back_off::{BackOff, Calls},
     life::EndpointLife,
-    poison::{CONDEMNED_FOR, Condemned, TakenIn},
+    poison::{CONDEMNED_FOR, Condemned, MergeOutcome},
     request_digest::RequestDigest,
 };
 use sedgewall_platform::{
@@ -171,7 +171,7 @@
         let known = KnownRecord {
             revision: object.revision,
             over_at: Instant::now() + left + RECORD_MARGIN,
-            is_refuted: taken_in == TakenIn::Refuted,
+            is_refuted: taken_in == MergeOutcome::Refuted,
         };
         self.node.poison_records.borrow_mut().0.insert(digest, known);
         notify(&self.node);
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -10,7 +10,7 @@
 use sedgewall_fleet::{
     life::EndpointLife,
     note::Note,
-    poison::{Condemned, Crash, Loss, TakenIn, Verdict},
+    poison::{Condemned, Crash, Loss, MergeOutcome, Verdict},
     request_digest::RequestDigest,
     view::Target,
 };
@@ -183,20 +183,20 @@
     node: &FleetNode,
     condemned: &Condemned,
     from: &str,
-) -> TakenIn {
+) -> MergeOutcome {
     let now = Instant::now();
-    let taken_in = node.poison.borrow_mut().take_in(condemned, now);
+    let taken_in = node.poison.borrow_mut().merge_condemned(condemned, now);
     let digest = condemned.digest;
     match taken_in {
-        TakenIn::News => tracing::info!(
+        MergeOutcome::Added => tracing::info!(
             event = "poison_heard",
             %digest,
             ended = names(&condemned.endpoints),
             condemned_ms_ago = condemned.ms_ago,
             from,
         ),
-        TakenIn::Known => {}
-        TakenIn::Refuted => tell_cleared(node, digest),
+        MergeOutcome::AlreadyKnown => {}
+        MergeOutcome::Refuted => tell_cleared(node, digest),
     }
     taken_in
 }
