--- a/crates/fleet/src/poison.rs
+++ b/crates/fleet/src/poison.rs
@@ -173,7 +173,7 @@
 impl PoisonDetector {
     /// Notes that a run was lost at an endpoint. If that is known to have ended,
     /// returns what others are to be told.
-    pub fn lost(
+    pub fn record_lost_run(
         &mut self,
         endpoint: &EndpointLife,
         digest: RequestDigest,
@@ -210,7 +210,7 @@
 
     /// Notes that an endpoint was there at a moment: what broke off before was no end
     /// of it.
-    pub fn endpoint_listens(&mut self, endpoint: &EndpointLife, at: Instant) {
+    pub fn endpoint_alive(&mut self, endpoint: &EndpointLife, at: Instant) {
         self.ended.remove(endpoint);
         let Some(broken) = self.broken.get_mut(endpoint) else { return };
         broken.retain(|run| run.broke > at);
@@ -221,7 +221,7 @@
 
     /// Takes in which runs of another instance ended with an endpoint; returns what
     /// others are to be told of ours.
-    pub fn hear(&mut self, crash: &Crash, now: Instant) -> Option<Crash> {
+    pub fn record_crash(&mut self, crash: &Crash, now: Instant) -> Option<Crash> {
         let ago = |ms| {
             let time = Duration::from_millis(ms);
             now.checked_sub(time).unwrap_or(now)
@@ -322,12 +322,12 @@
     }
 
     /// Returns the requests that were condemned by what was seen since the last call.
-    pub fn take_untold(&mut self) -> Vec<RequestDigest> {
+    pub fn take_newly_condemned(&mut self) -> Vec<RequestDigest> {
         std::mem::take(&mut self.untold)
     }
 
     /// Returns what others are told again of our runs, the newest first.
-    pub fn told(&self, now: Instant) -> Vec<Crash> {
+    pub fn recent_crashes(&self, now: Instant) -> Vec<Crash> {
         let mut crashes: Vec<Crash> = Vec::new();
         for (endpoint, end, digest) in self.told.iter().rev().take(TOLD_RUNS) {
             let run = end.told(*digest, now);
--- a/crates/fleet/tests/poison_model.rs
+++ b/crates/fleet/tests/poison_model.rs
@@ -256,7 +256,7 @@
             let (began, at) = (self.at(began), self.at(now));
             let poison = &mut self.instances[n].poison;
             let of = life(endpoint);
-            poison.lost(&of, digest(), began, Loss::Broken, at);
+            poison.record_lost_run(&of, digest(), began, Loss::Broken, at);
             let crash = poison.endpoint_ended(&of, at);
             if let Some(crash) = crash {
                 self.tell(n, &[crash], now);
@@ -275,13 +275,13 @@
             }
             let at = self.at(now);
             for crash in crashes {
-                let _ = self.instances[m].poison.hear(crash, at);
+                let _ = self.instances[m].poison.record_crash(crash, at);
             }
         }
     }
 
     fn tell_status(&mut self, n: usize, now: u64) {
-        let crashes = self.instances[n].poison.told(self.at(now));
+        let crashes = self.instances[n].poison.recent_crashes(self.at(now));
         self.tell(n, &crashes, now);
         let known = self.instances[n].poison.condemned_len();
         for m in (0..INSTANCES).filter(|m| *m != n) {
--- a/crates/fleet/tests/poison_rules.rs
+++ b/crates/fleet/tests/poison_rules.rs
@@ -40,7 +40,7 @@
     began: Instant,
     at: Instant,
 ) -> Option<Crash> {
-    let early = poison.lost(&life(endpoint), of, began, Loss::Broken, at);
+    let early = poison.record_lost_run(&life(endpoint), of, began, Loss::Broken, at);
     early.or_else(|| poison.endpoint_ended(&life(endpoint), at))
 }
 
@@ -71,7 +71,7 @@
     let at = crash_in_turn(&mut poison, 2..3, of, at);
     let verdict = poison.verdict(of, at).expect("a verdict");
     assert_eq!(verdict.endpoints, [life(0), life(1), life(2)]);
-    assert_eq!(poison.take_untold(), [of]);
+    assert_eq!(poison.take_newly_condemned(), [of]);
     assert!(!is_condemned(&poison, digest(2), at));
 }
 
@@ -94,8 +94,8 @@
     let (mut poison, of) = (PoisonDetector::default(), digest(1));
     let mut at = Instant::now();
     for endpoint in 0..6 {
-        poison.lost(&life(endpoint), of, at, Loss::Broken, at + RUNS);
-        poison.endpoint_listens(&life(endpoint), at + RUNS);
+        poison.record_lost_run(&life(endpoint), of, at, Loss::Broken, at + RUNS);
+        poison.endpoint_alive(&life(endpoint), at + RUNS);
         at += TRIES;
         // It ends later, for another reason.
         assert_eq!(poison.endpoint_ended(&life(endpoint), at), None);
@@ -108,9 +108,9 @@
     let (mut poison, of) = (PoisonDetector::default(), digest(1));
     let at = Instant::now();
     let (soon, late) = (at + RUNS, at + 2 * TRIES);
-    poison.lost(&life(0), of, at, Loss::CallerLeft, at);
+    poison.record_lost_run(&life(0), of, at, Loss::CallerLeft, at);
     assert!(poison.endpoint_ended(&life(0), soon).is_some());
-    poison.lost(&life(1), of, at, Loss::CallerLeft, at);
+    poison.record_lost_run(&life(1), of, at, Loss::CallerLeft, at);
     assert_eq!(poison.endpoint_ended(&life(1), late), None);
 }
 
@@ -120,13 +120,13 @@
     let (one, other) = (digest(1), digest(2));
     let at = Instant::now();
     // Nothing answered here when it was looked whether the endpoint listens.
-    near.lost(&life(0), one, at, Loss::Broken, at + RUNS);
+    near.record_lost_run(&life(0), one, at, Loss::Broken, at + RUNS);
     let told = crash(&mut far, 0, other, at, at + RUNS).expect("a crash");
-    let ours = near.hear(&told, at + RUNS).expect("a crash of ours too");
+    let ours = near.record_crash(&told, at + RUNS).expect("a crash of ours too");
     assert_eq!(ours.runs.len(), 1);
     assert_eq!(ours.runs[0].digest, one);
     // What breaks off a little later is settled at once.
-    let late = near.lost(&life(0), other, at, Loss::Broken, at + 2 * RUNS);
+    let late = near.record_lost_run(&life(0), other, at, Loss::Broken, at + 2 * RUNS);
     assert!(late.is_some());
 }
 
@@ -185,7 +185,7 @@
     let condemned = poison.condemned(at);
     assert!(condemned.len() <= 1_024);
     assert!(is_condemned(&poison, digest(1_999), at));
-    let told: usize = poison.told(at).iter().map(|c| c.runs.len()).sum();
+    let told: usize = poison.recent_crashes(at).iter().map(|c| c.runs.len()).sum();
     assert!(told <= 64);
     poison.forget(at + 3 * CONDEMNED_FOR);
     poison.forget(at + 6 * CONDEMNED_FOR);
@@ -234,7 +234,7 @@
                 notes.rotate_left(by);
             }
             for (note, told_at) in notes.iter().chain(&notes) {
-                let _ = instance.hear(note, *told_at);
+                let _ = instance.record_crash(note, *told_at);
             }
         }
         for n in 0..3 {
@@ -277,7 +277,7 @@
             }
             for note in &notes {
                 for instance in &mut instances {
-                    let _ = instance.hear(note, at + RUNS);
+                    let _ = instance.record_crash(note, at + RUNS);
                 }
             }
         }
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -505,7 +505,7 @@
         work,
         is_total,
         is_part,
-        crashes: node.poison.borrow().told(now),
+        crashes: node.poison.borrow().recent_crashes(now),
         condemned: node.poison.borrow().condemned_len() as u64,
         limits: node.view.borrow().limit_reports(is_total, now),
     }
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -97,7 +97,7 @@
     let life = life_of(node, &sent.endpoint);
     let now = Instant::now();
     let mut poison = node.poison.borrow_mut();
-    let crash = poison.lost(&life, call.digest(), sent.at, loss, now);
+    let crash = poison.record_lost_run(&life, call.digest(), sent.at, loss, now);
     drop(poison);
     tell(node, crash);
 }
@@ -139,7 +139,7 @@
         match presence {
             Presence::Listens => {
                 let mut poison = node.poison.borrow_mut();
-                poison.endpoint_listens(&life, began);
+                poison.endpoint_alive(&life, began);
             }
             Presence::Refuses => life_ended(&node, &life),
             // Its entry will go, or another instance can tell.
@@ -167,7 +167,7 @@
 
 /// Hears which runs of another instance ended with an endpoint.
 pub(crate) fn hear(node: &FleetNode, crash: &Crash) {
-    let ours = node.poison.borrow_mut().hear(crash, Instant::now());
+    let ours = node.poison.borrow_mut().record_crash(crash, Instant::now());
     tell(node, ours);
 }
 
@@ -218,7 +218,7 @@
         node.outbox.borrow_mut().push(Note::Crashed(crash));
         node.notify_notes();
     }
-    let condemned = node.poison.borrow_mut().take_untold();
+    let condemned = node.poison.borrow_mut().take_newly_condemned();
     for digest in &condemned {
         let verdict = node.poison.borrow().verdict(*digest, Instant::now());
         let endpoints = verdict.map_or(Vec::new(), |v| v.endpoints);
