--- a/crates/fleet/src/poison.rs
+++ b/crates/fleet/src/poison.rs
@@ -97,9 +97,9 @@
     /// The endpoints that ended under it.
     pub endpoints: Vec<EndpointLife>,
     /// How long ago it was condemned.
-    pub ago: Duration,
+    pub condemned_ago: Duration,
     /// When it is tried again.
-    pub back_in: Duration,
+    pub released_in: Duration,
 }
 
 /// How a run was lost.
@@ -242,8 +242,8 @@
     ) -> Option<Verdict> {
         let suspect = self.suspects.get(&digest)?;
         let ago = now.saturating_duration_since(suspect.condemned_at?);
-        let back_in = CONDEMNED_FOR.checked_sub(ago)?;
-        Some(Verdict { endpoints: suspect.endpoints(), ago, back_in })
+        let released_in = CONDEMNED_FOR.checked_sub(ago)?;
+        Some(Verdict { endpoints: suspect.endpoints(), condemned_ago, released_in })
     }
 
     /// Returns whether anything is held against any request. Without that, nobody
--- a/crates/fleet/tests/poison_rules.rs
+++ b/crates/fleet/tests/poison_rules.rs
@@ -163,9 +163,9 @@
 fn it_is_tried_again_after_a_time_and_one_more_end_condemns_it_anew() {
     let (mut poison, of) = (PoisonDetector::default(), digest(1));
     let at = crash_in_turn(&mut poison, 0..3, of, Instant::now());
-    let back_in = poison.verdict(of, at).expect("a verdict").back_in;
-    assert!(back_in <= CONDEMNED_FOR);
-    let later = at + back_in + Duration::from_millis(1);
+    let released_in = poison.verdict(of, at).expect("a verdict").released_in;
+    assert!(released_in <= CONDEMNED_FOR);
+    let later = at + released_in + Duration::from_millis(1);
     poison.forget(later);
     assert!(!is_condemned(&poison, of, later));
     crash(&mut poison, 9, of, later, later + RUNS);
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -44,7 +44,7 @@
     };
     log_refused(call, &verdict);
     Err(match runs {
-        0 => Reason::CrashesEndpoints(verdict.back_in),
+        0 => Reason::CrashesEndpoints(verdict.released_in),
         _ => Reason::OutcomeUnknown,
     })
 }
@@ -59,7 +59,7 @@
         customer = call.customer.as_ref().map(|c| c.name.as_str()),
         ended = names(&verdict.endpoints),
         condemned_ms_ago = verdict.ago.as_millis() as u64,
-        back_in_ms = verdict.back_in.as_millis() as u64,
+        back_in_ms = verdict.released_in.as_millis() as u64,
     );
 }
 
