--- a/crates/fleet/src/revocation.rs
+++ b/crates/fleet/src/revocation.rs
@@ -36,7 +36,7 @@
 
 /// How sure an instance is to know which keys are in force.
 #[derive(Clone, Copy, Debug)]
-pub struct KeysKnown {
+pub struct KeyFreshness {
     /// Within this time after a key was taken away it must stop; none if that is
     /// not asked for.
     within: Option<Duration>,
@@ -44,10 +44,10 @@
     known_until: Option<Instant>,
 }
 
-impl KeysKnown {
+impl KeyFreshness {
     /// Returns the state of an instance that knows no configuration.
-    pub fn new(within: Option<Duration>) -> KeysKnown {
-        KeysKnown { within, known_until: None }
+    pub fn new(within: Option<Duration>) -> KeyFreshness {
+        KeyFreshness { within, known_until: None }
     }
 
     /// Takes in that all changes before a moment are known.
@@ -56,7 +56,7 @@
     }
 
     /// Returns whether keyed requests may be served now.
-    pub fn is_sure(&self, now: Instant) -> bool {
+    pub fn is_fresh(&self, now: Instant) -> bool {
         let Some(within) = self.within else { return true };
         let most = within.saturating_sub(MARGIN);
         self.known_until
--- a/crates/fleet/tests/customer_rules.rs
+++ b/crates/fleet/tests/customer_rules.rs
@@ -5,7 +5,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
     customer::{Customer, Customers, KeyDigest, Unit},
-    revocation::KeysKnown,
+    revocation::KeyFreshness,
 };
 
 const SECRET: &str = "asnmgkcuyj8pjbvk9m68";
@@ -66,13 +66,13 @@
 fn keys_are_sure_for_a_time_after_the_newest_was_known() {
     let within = Duration::from_secs(5);
     let start = Instant::now();
-    let mut known = KeysKnown::new(Some(within));
-    assert!(!known.is_sure(start));
+    let mut known = KeyFreshness::new(Some(within));
+    assert!(!known.is_fresh(start));
     known.confirm(start);
     // What is heard late says nothing new.
     known.confirm(start - Duration::from_secs(1));
-    assert!(known.is_sure(start + Duration::from_millis(4_600)));
-    assert!(!known.is_sure(start + Duration::from_millis(4_800)));
+    assert!(known.is_fresh(start + Duration::from_millis(4_600)));
+    assert!(!known.is_fresh(start + Duration::from_millis(4_800)));
     // After a watch, a third of the time is left for calls that fail.
     let wait = known.watch_time(start).expect("it is bounded");
     assert!(wait < within * 2 / 3);
@@ -80,7 +80,7 @@
 
 #[test]
 fn without_a_bound_keys_are_always_sure() {
-    let known = KeysKnown::new(None);
-    assert!(known.is_sure(Instant::now()));
+    let known = KeyFreshness::new(None);
+    assert!(known.is_fresh(Instant::now()));
     assert_eq!(known.watch_time(Instant::now()), None);
 }
--- a/crates/fleet/tests/revocation_rules.rs
+++ b/crates/fleet/tests/revocation_rules.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use sedgewall_clock::Instant;
-use sedgewall_fleet::revocation::{Asking, KeysKnown};
+use sedgewall_fleet::revocation::{Asking, KeyFreshness};
 
 /// Within this time a key that was taken away must stop.
 const WITHIN: Duration = Duration::from_millis(5_000);
@@ -81,7 +81,7 @@
     store: &'a Store,
     way: Way,
     start: Instant,
-    known: KeysKnown,
+    known: KeyFreshness,
     known_until_ms: u64,
     /// Changes until then were heard.
     heard_ms: u64,
@@ -96,7 +96,7 @@
 impl<'a> Play<'a> {
     fn new(store: &'a Store, way: Way) -> Play<'a> {
         let start = Instant::now();
-        let mut known = KeysKnown::new(Some(WITHIN));
+        let mut known = KeyFreshness::new(Some(WITHIN));
         known.confirm(start);
         Play {
             store,
@@ -220,7 +220,7 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
-    let mut known = KeysKnown::new(Some(WITHIN));
+    let mut known = KeyFreshness::new(Some(WITHIN));
     known.confirm(start);
     let mut asking = Asking::default();
     let mut cost = Cost::default();
@@ -261,7 +261,7 @@
                 }
             }
         }
-        cost.unsure_ms += if known.is_sure(now) { 0 } else { LOOK_MS };
+        cost.unsure_ms += if known.is_fresh(now) { 0 } else { LOOK_MS };
         now_ms += LOOK_MS;
     }
     cost
--- a/crates/sedgewalld/src/fleet/keys.rs
+++ b/crates/sedgewalld/src/fleet/keys.rs
@@ -18,7 +18,7 @@
     catch_up::Knowledge,
     configuration::ConfigurationVersion,
     note::Note,
-    revocation::{Asking, KeysKnown},
+    revocation::{Asking, KeyFreshness},
 };
 use sedgewall_state::id::InstanceId;
 
@@ -36,7 +36,7 @@
 
 /// What an instance knows of the keys in force.
 pub(crate) struct Keys {
-    known: Cell<KeysKnown>,
+    known: Cell<KeyFreshness>,
     asking: RefCell<Asking>,
     /// Whom the last question went to.
     asked: RefCell<Option<InstanceId>>,
@@ -50,7 +50,7 @@
 impl Keys {
     pub(crate) fn new(within: Option<Duration>) -> Keys {
         Keys {
-            known: Cell::new(KeysKnown::new(within)),
+            known: Cell::new(KeyFreshness::new(within)),
             asking: RefCell::default(),
             asked: RefCell::default(),
             is_watching: Cell::new(false),
@@ -64,7 +64,7 @@
         let mut known = self.known.get();
         known.confirm(until);
         self.known.set(known);
-        let is_sure = known.is_sure(Instant::now());
+        let is_sure = known.is_fresh(Instant::now());
         if is_sure && self.has_told_unsure.replace(false) {
             tracing::info!(event = "keys_sure");
         }
@@ -75,7 +75,7 @@
     pub(crate) fn are_sure(&self) -> bool {
         let known = self.known.get();
         let now = Instant::now();
-        let is_sure = known.is_sure(now);
+        let is_sure = known.is_fresh(now);
         if !is_sure && !self.has_told_unsure.replace(true) {
             let known_ms_ago =
                 known.age(now).map(|age| age.as_millis() as u64);
