--- a/crates/fleet/src/revocation.rs
+++ b/crates/fleet/src/revocation.rs
@@ -86,7 +86,7 @@
 
     /// Returns when another instance is to be asked, none if nothing bounds what is
     /// known; one that does not answer is followed by the next soon.
-    pub fn ask_in(&self, asking: &Asking, now: Instant) -> Option<Duration> {
+    pub fn next_poll_in(&self, asking: &FreshnessPoll, now: Instant) -> Option<Duration> {
         let most = self.most()?;
         let pause = match asking.is_answered {
             true => most.mul_f64(ASK_PART),
@@ -117,16 +117,16 @@
 /// asked. So what an answer says to be known for so long is known since the
 /// question, less that time, on our own clock.
 #[derive(Clone, Debug, Default)]
-pub struct Asking {
+pub struct FreshnessPoll {
     number: u64,
     /// The last question and when it was sent.
     asked: Option<(u64, Instant)>,
     is_answered: bool,
 }
 
-impl Asking {
+impl FreshnessPoll {
     /// Notes that a question goes out now; returns its number.
-    pub fn ask(&mut self, now: Instant) -> u64 {
+    pub fn start(&mut self, now: Instant) -> u64 {
         self.number += 1;
         self.asked = Some((self.number, now));
         self.is_answered = false;
@@ -134,7 +134,7 @@
     }
 
     /// Returns whom to ask of so many: another one after each that did not answer.
-    pub fn whom(&self, others: usize) -> usize {
+    pub fn next_target(&self, others: usize) -> usize {
         match others {
             0 => 0,
             others => (self.number % others as u64) as usize,
@@ -143,7 +143,7 @@
 
     /// Takes in an answer; returns up to when all changes are known by it. An
     /// answer to an earlier question says nothing more.
-    pub fn answered(&mut self, number: u64, age: Duration) -> Option<Instant> {
+    pub fn record_answer(&mut self, number: u64, age: Duration) -> Option<Instant> {
         let (asked, sent) = self.asked?;
         if asked != number {
             return None;
--- a/crates/fleet/tests/revocation_rules.rs
+++ b/crates/fleet/tests/revocation_rules.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use sedgewall_clock::Instant;
-use sedgewall_fleet::revocation::{Asking, KeyFreshness};
+use sedgewall_fleet::revocation::{FreshnessPoll, KeyFreshness};
 
 /// Within this time a key that was taken away must stop.
 const WITHIN: Duration = Duration::from_millis(5_000);
@@ -222,7 +222,7 @@
     let at = |ms: u64| start + Duration::from_millis(ms);
     let mut known = KeyFreshness::new(Some(WITHIN));
     known.confirm(start);
-    let mut asking = Asking::default();
+    let mut asking = FreshnessPoll::default();
     let mut cost = Cost::default();
     let mut read_again_ms = 0;
     // Changes until then are in force here.
@@ -238,9 +238,9 @@
                 has_ms = now_ms;
             }
         }
-        if known.ask_in(&asking, now) == Some(Duration::ZERO) {
-            let watcher = &watchers[asking.whom(watchers.len())];
-            let number = asking.ask(now);
+        if known.next_poll_in(&asking, now) == Some(Duration::ZERO) {
+            let watcher = &watchers[asking.next_target(watchers.len())];
+            let number = asking.start(now);
             let heard = watcher.confirmed.iter().rev();
             let until = heard.copied().find(|c| c.0 <= now_ms);
             let age_ms = until.map(|(_, until)| now_ms - until);
@@ -248,7 +248,7 @@
                 && !rng.random_bool(lost)
             {
                 let age = Duration::from_millis(age_ms);
-                let until = asking.answered(number, age);
+                let until = asking.record_answer(number, age);
                 let until = until.expect("the answer is to the question");
                 // Another version is in force there: it is read first.
                 let newer = store.next_change(has_ms);
@@ -325,12 +325,12 @@
 fn a_late_answer_says_nothing_newer_than_its_question() {
     let start = Instant::now();
     let ms = Duration::from_millis;
-    let mut asking = Asking::default();
-    let first = asking.ask(start + ms(1_000));
-    assert_eq!(asking.answered(first, ms(300)), Some(start + ms(700)));
-    let second = asking.ask(start + ms(2_000));
-    assert_eq!(asking.answered(first, ms(0)), None);
-    assert_eq!(asking.answered(second, ms(0)), Some(start + ms(2_000)));
+    let mut asking = FreshnessPoll::default();
+    let first = asking.start(start + ms(1_000));
+    assert_eq!(asking.record_answer(first, ms(300)), Some(start + ms(700)));
+    let second = asking.start(start + ms(2_000));
+    assert_eq!(asking.record_answer(first, ms(0)), None);
+    assert_eq!(asking.record_answer(second, ms(0)), Some(start + ms(2_000)));
 }
 
 /// What a cut takes, wherever it falls between watches: less than with watches of
--- a/crates/sedgewalld/src/fleet/keys.rs
+++ b/crates/sedgewalld/src/fleet/keys.rs
@@ -18,7 +18,7 @@
     catch_up::Knowledge,
     configuration::ConfigurationVersion,
     note::Note,
-    revocation::{Asking, KeyFreshness},
+    revocation::{FreshnessPoll, KeyFreshness},
 };
 use sedgewall_state::id::InstanceId;
 
@@ -37,7 +37,7 @@
 /// What an instance knows of the keys in force.
 pub(crate) struct Keys {
     known: Cell<KeyFreshness>,
-    asking: RefCell<Asking>,
+    asking: RefCell<FreshnessPoll>,
     /// Whom the last question went to.
     asked: RefCell<Option<InstanceId>>,
     /// Whether this instance watches for all.
@@ -114,7 +114,7 @@
 fn ask_in(node: &FleetNode) -> Option<Duration> {
     let asks = node.has_customers() && !node.keys.is_watching.get();
     let asking = node.keys.asking.borrow();
-    let due = node.keys.known.get().ask_in(&asking, Instant::now());
+    let due = node.keys.known.get().next_poll_in(&asking, Instant::now());
     due.filter(|_| asks)
 }
 
@@ -132,8 +132,8 @@
 fn ask(node: &FleetNode, sender: &NoteSender, now: Instant) {
     let watchers = node.largest_peers(WATCHERS);
     let mut asking = node.keys.asking.borrow_mut();
-    let number = asking.ask(now);
-    let Some(whom) = watchers.get(asking.whom(watchers.len())) else { return };
+    let number = asking.start(now);
+    let Some(whom) = watchers.get(asking.next_target(watchers.len())) else { return };
     let from = node.id().clone();
     *node.keys.asked.borrow_mut() = Some(whom.clone());
     sender.send_to_peer(node, whom, &Note::AskFresh { from, number });
@@ -184,7 +184,7 @@
         return behind(node, whom.as_ref(), configuration, now);
     }
     let age = Duration::from_millis(age_ms);
-    let until = node.keys.asking.borrow_mut().answered(number, age);
+    let until = node.keys.asking.borrow_mut().record_answer(number, age);
     if let Some(until) = until {
         node.keys.confirm(until);
     }
