--- a/crates/fleet/src/catch_up.rs
+++ b/crates/fleet/src/catch_up.rs
@@ -44,7 +44,7 @@
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize,
 )]
-pub struct Knowledge {
+pub struct StateSummary {
     /// The version of its configuration.
     pub configuration: ConfigurationVersion,
     /// How many versions of weights were named, counting each rise.
@@ -82,7 +82,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Told {
-    knows: Knowledge,
+    knows: StateSummary,
     at: Instant,
     is_own_zone: bool,
 }
@@ -96,17 +96,17 @@
     avoided: HashMap<InstanceId, Instant>,
 }
 
-impl Knowledge {
+impl StateSummary {
     /// Returns whether there is anything that the other one has not.
-    pub fn has_more_than(self, other: Knowledge) -> bool {
+    pub fn has_more_than(self, other: StateSummary) -> bool {
         self.configuration > other.configuration
             || self.versions > other.versions
             || self.condemned > other.condemned
     }
 
     /// Returns the most that either has.
-    fn most(self, other: Knowledge) -> Knowledge {
-        Knowledge {
+    fn most(self, other: StateSummary) -> StateSummary {
+        StateSummary {
             configuration: self.configuration.max(other.configuration),
             versions: self.versions.max(other.versions),
             condemned: self.condemned.max(other.condemned),
@@ -119,7 +119,7 @@
     pub fn hear(
         &mut self,
         from: &InstanceId,
-        knows: Knowledge,
+        knows: StateSummary,
         is_own_zone: bool,
         now: Instant,
     ) {
@@ -133,18 +133,18 @@
     }
 
     /// Returns the most that was heard of lately.
-    pub fn newest_heard(&self, now: Instant) -> Knowledge {
+    pub fn newest_heard(&self, now: Instant) -> StateSummary {
         let recent = self.told.values().filter(|told| told.is_recent(now));
         recent
             .map(|told| told.knows)
-            .fold(Knowledge::default(), Knowledge::most)
+            .fold(StateSummary::default(), StateSummary::most)
     }
 
     /// Returns what to do now for an instance that knows so much, before so many
     /// others. `draw` is a random number.
     pub fn step(
         &mut self,
-        own: Knowledge,
+        own: StateSummary,
         others: usize,
         draw: u64,
         now: Instant,
@@ -203,7 +203,7 @@
     /// another.
     fn whom(
         &self,
-        own: Knowledge,
+        own: StateSummary,
         draw: u64,
         now: Instant,
     ) -> Option<InstanceId> {
--- a/crates/fleet/tests/catch_up_rules.rs
+++ b/crates/fleet/tests/catch_up_rules.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use sedgewall_clock::Instant;
-use sedgewall_fleet::catch_up::{CatchUp, Knowledge, Step};
+use sedgewall_fleet::catch_up::{CatchUp, StateSummary, Step};
 
 const OTHERS: usize = 6;
 
-fn knows(configuration: u64) -> Knowledge {
-    Knowledge { configuration, ..Knowledge::default() }
+fn knows(configuration: u64) -> StateSummary {
+    StateSummary { configuration, ..StateSummary::default() }
 }
 
 fn ms(ms: u64) -> Duration {
@@ -16,7 +16,7 @@
 }
 
 /// Plays on until somebody is asked.
-fn asked(catch_up: &mut CatchUp, own: Knowledge, now: &mut Instant) -> String {
+fn asked(catch_up: &mut CatchUp, own: StateSummary, now: &mut Instant) -> String {
     for draw in 0..100 {
         match catch_up.step(own, OTHERS, draw, *now) {
             Step::Ask(whom) => return whom,
--- a/crates/fleet/tests/in_force_model.rs
+++ b/crates/fleet/tests/in_force_model.rs
@@ -8,7 +8,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
     back_off::{BackOff, Calls},
-    catch_up::{CatchUp, Knowledge, Step},
+    catch_up::{CatchUp, StateSummary, Step},
 };
 
 /// One step of the model.
@@ -211,9 +211,9 @@
         if !(tick + idx as u32).is_multiple_of(NOTE_EVERY) {
             return;
         }
-        let knows = Knowledge {
+        let knows = StateSummary {
             configuration: self.instances[idx].version,
-            ..Knowledge::default()
+            ..StateSummary::default()
         };
         let now = self.at(tick);
         for other in 0..self.day.instances {
@@ -253,9 +253,9 @@
         let draw = self.rng.random();
         let others = self.day.instances - 1;
         let instance = &mut self.instances[idx];
-        let own = Knowledge {
+        let own = StateSummary {
             configuration: instance.version,
-            ..Knowledge::default()
+            ..StateSummary::default()
         };
         match instance.catch_up.step(own, others, draw, now) {
             Step::Rest => instance.next_step = u32::MAX,
--- a/crates/sedgewalld/src/fleet/catch_up.rs
+++ b/crates/sedgewalld/src/fleet/catch_up.rs
@@ -11,7 +11,7 @@
 use http::{Request, Response, StatusCode, header};
 use hyper::body::Incoming;
 use sedgewall_clock::Instant;
-use sedgewall_fleet::catch_up::{Knowledge, Missed, Step};
+use sedgewall_fleet::catch_up::{StateSummary, Missed, Step};
 use sedgewall_state::id::InstanceId;
 use sedgewall_transport::{
     Handler, LocalBody, SendError, ServerLimits, serve, server::read_body,
@@ -76,13 +76,13 @@
     }
 }
 
-fn next_step(node: &FleetNode, own: Knowledge) -> Step {
+fn next_step(node: &FleetNode, own: StateSummary) -> Step {
     let others = node.peers.borrow().len();
     let mut catch_up = node.catch_up.borrow_mut();
     catch_up.step(own, others, rand::random(), Instant::now())
 }
 
-async fn ask_one(node: &FleetNode, whom: &InstanceId, own: Knowledge) {
+async fn ask_one(node: &FleetNode, whom: &InstanceId, own: StateSummary) {
     let began = Instant::now();
     let asked = compio::time::timeout(ANSWER_TIME, ask(node, whom, own));
     let answer = asked.await.unwrap_or(Err(AskError::Unanswered));
@@ -122,7 +122,7 @@
 async fn ask(
     node: &FleetNode,
     whom: &InstanceId,
-    own: Knowledge,
+    own: StateSummary,
 ) -> Result<(Missed, usize), AskError> {
     let address = node.address_of(whom).ok_or(AskError::Unknown)?;
     let request = question(address, own)?;
@@ -139,7 +139,7 @@
 
 fn question(
     address: SocketAddr,
-    own: Knowledge,
+    own: StateSummary,
 ) -> Result<Request<http_body_util::Full<Bytes>>, AskError> {
     let unreadable = |cause: String| AskError::Unreadable(cause);
     let body = rmp_serde::to_vec(&own);
@@ -214,7 +214,7 @@
 }
 
 /// Returns what an instance misses that knows so much.
-fn missed_by(node: &FleetNode, known: Knowledge) -> Missed {
+fn missed_by(node: &FleetNode, known: StateSummary) -> Missed {
     let newer = |version| version > known.configuration;
     let deployment = node.deployment().filter(|d| newer(d.version));
     let condemned = node.poison.borrow().condemned(Instant::now());
--- a/crates/sedgewalld/src/fleet/keys.rs
+++ b/crates/sedgewalld/src/fleet/keys.rs
@@ -15,7 +15,7 @@
 
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    catch_up::Knowledge,
+    catch_up::StateSummary,
     configuration::ConfigurationVersion,
     note::Note,
     revocation::{FreshnessPoll, KeyFreshness},
@@ -148,7 +148,7 @@
     now: Instant,
 ) {
     let Some(whom) = whom else { return read_anew(node, now) };
-    let told = Knowledge { configuration, ..node.knowledge() };
+    let told = StateSummary { configuration, ..node.knowledge() };
     notes::hear_knowledge(node, whom, told, now);
     node.notify_catch_up();
 }
--- a/crates/sedgewalld/src/fleet/knowledge.rs
+++ b/crates/sedgewalld/src/fleet/knowledge.rs
@@ -7,7 +7,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
     adapter::{AdapterKey, WeightVersion},
-    catch_up::Knowledge,
+    catch_up::StateSummary,
     configuration::{ConfigurationVersion, DecidedBy},
     route::Deployment,
 };
@@ -46,8 +46,8 @@
     }
 
     /// Returns how much we have of what all must know.
-    pub(crate) fn knowledge(&self) -> Knowledge {
-        Knowledge {
+    pub(crate) fn knowledge(&self) -> StateSummary {
+        StateSummary {
             configuration: self.configuration_version().unwrap_or(0),
             versions: self.view.borrow().versions_named(),
             condemned: self.poison.borrow().condemned_len() as u64,
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -9,7 +9,7 @@
 use compio::BufResult;
 use sedgewall_clock::{Instant, SuspensionWatch};
 use sedgewall_fleet::{
-    catch_up::Knowledge,
+    catch_up::StateSummary,
     departure::Departure,
     load_times::Arrival,
     note::{Arrived, Asked, Lead, Note, Status},
@@ -178,7 +178,7 @@
 /// watch of ours may be on a channel that says nothing further.
 fn hear_newer(node: &FleetNode, status: &Status, now: Instant) {
     let Status { configuration, versions, condemned, .. } = *status;
-    let told = Knowledge { configuration, versions, condemned };
+    let told = StateSummary { configuration, versions, condemned };
     hear_knowledge(node, &status.from, told, now);
     let own = node.knowledge();
     if !told.has_more_than(own) {
@@ -221,7 +221,7 @@
 pub(crate) fn hear_knowledge(
     node: &FleetNode,
     from: &InstanceId,
-    told: Knowledge,
+    told: StateSummary,
     now: Instant,
 ) {
     let peers = node.peers.borrow();
