--- a/crates/fleet/src/catch_up.rs
+++ b/crates/fleet/src/catch_up.rs
@@ -57,7 +57,7 @@
 
 /// What one instance has and another misses.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Missed {
+pub struct StateDelta {
     /// The configuration in force there, if it is newer.
     pub deployment: Option<Deployment>,
     /// The named versions of weights, if there are more.
--- a/crates/sedgewalld/src/fleet/catch_up.rs
+++ b/crates/sedgewalld/src/fleet/catch_up.rs
@@ -11,7 +11,7 @@
 use http::{Request, Response, StatusCode, header};
 use hyper::body::Incoming;
 use sedgewall_clock::Instant;
-use sedgewall_fleet::catch_up::{StateSummary, Missed, Step};
+use sedgewall_fleet::catch_up::{StateSummary, StateDelta, Step};
 use sedgewall_state::id::InstanceId;
 use sedgewall_transport::{
     Handler, LocalBody, SendError, ServerLimits, serve, server::read_body,
@@ -123,7 +123,7 @@
     node: &FleetNode,
     whom: &InstanceId,
     own: StateSummary,
-) -> Result<(Missed, usize), AskError> {
+) -> Result<(StateDelta, usize), AskError> {
     let address = node.address_of(whom).ok_or(AskError::Unknown)?;
     let request = question(address, own)?;
     let sent = node.peer_pool.send(address, request, CONNECT_TIME).await;
@@ -151,7 +151,7 @@
 }
 
 /// Takes in what another instance has; returns whether any of it is news.
-fn take_in(node: &FleetNode, missed: Missed) -> bool {
+fn take_in(node: &FleetNode, missed: StateDelta) -> bool {
     let before = node.knowledge();
     let now = Instant::now();
     if let Some(deployment) = missed.deployment {
@@ -214,7 +214,7 @@
 }
 
 /// Returns what an instance misses that knows so much.
-fn missed_by(node: &FleetNode, known: StateSummary) -> Missed {
+fn missed_by(node: &FleetNode, known: StateSummary) -> StateDelta {
     let newer = |version| version > known.configuration;
     let deployment = node.deployment().filter(|d| newer(d.version));
     let condemned = node.poison.borrow().condemned(Instant::now());
@@ -223,7 +223,7 @@
         true => view.named_versions().map(|(k, v)| (k.clone(), v)).collect(),
         false => Vec::new(),
     };
-    Missed {
+    StateDelta {
         deployment: deployment.map(|deployment| (*deployment).clone()),
         versions,
         departures: view.all_departures(),
