--- a/crates/fleet/src/catch_up.rs
+++ b/crates/fleet/src/catch_up.rs
@@ -73,11 +73,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Nothing is missed.
-    Rest,
+    Idle,
     /// To look again then, or when more is heard.
     Wait(Instant),
     /// To ask this instance.
-    Ask(InstanceId),
+    Fetch(InstanceId),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -116,7 +116,7 @@
 
 impl CatchUp {
     /// Takes in what an instance says that it knows.
-    pub fn hear(
+    pub fn record_peer(
         &mut self,
         from: &InstanceId,
         knows: StateSummary,
@@ -152,7 +152,7 @@
         if !self.newest_heard(now).has_more_than(own) {
             self.behind_since = None;
             self.ask_from = None;
-            return Step::Rest;
+            return Step::Idle;
         }
         self.behind_since.get_or_insert(now);
         let first = || {
@@ -166,13 +166,13 @@
         }
         self.ask_from = Some(now + ASK_NEXT);
         match self.whom(own, draw, now) {
-            Some(whom) => Step::Ask(whom),
+            Some(whom) => Step::Fetch(whom),
             None => Step::Wait(now + ASK_NEXT),
         }
     }
 
     /// Makes the next step ask at once: a request waits for what is missed.
-    pub fn hurry(&mut self, now: Instant) {
+    pub fn fetch_now(&mut self, now: Instant) {
         // After a question that brought nothing, the pause before the next holds.
         let is_first = self
             .ask_from
@@ -183,7 +183,7 @@
     }
 
     /// Takes in that an instance did not answer, or had no more than we.
-    pub fn brought_nothing(&mut self, whom: &InstanceId, now: Instant) {
+    pub fn fetch_failed(&mut self, whom: &InstanceId, now: Instant) {
         self.avoided.insert(whom.clone(), now);
     }
 
--- a/crates/fleet/tests/catch_up_rules.rs
+++ b/crates/fleet/tests/catch_up_rules.rs
@@ -19,9 +19,9 @@
 fn asked(catch_up: &mut CatchUp, own: StateSummary, now: &mut Instant) -> String {
     for draw in 0..100 {
         match catch_up.step(own, OTHERS, draw, *now) {
-            Step::Ask(whom) => return whom,
+            Step::Fetch(whom) => return whom,
             Step::Wait(until) => *now = until.max(*now + ms(1)),
-            Step::Rest => panic!("nothing is missed"),
+            Step::Idle => panic!("nothing is missed"),
         }
     }
     panic!("nobody was asked");
@@ -33,11 +33,11 @@
 fn what_the_own_watch_brings_soon_is_not_asked_for() {
     let mut now = Instant::now();
     let mut catch_up = CatchUp::default();
-    catch_up.hear(&"a".to_owned(), knows(2), true, now);
+    catch_up.record_peer(&"a".to_owned(), knows(2), true, now);
     let step = catch_up.step(knows(1), OTHERS, 0, now);
     assert!(matches!(step, Step::Wait(until) if until >= now + ms(150)));
     now += ms(20);
-    assert_eq!(catch_up.step(knows(2), OTHERS, 0, now), Step::Rest);
+    assert_eq!(catch_up.step(knows(2), OTHERS, 0, now), Step::Idle);
     assert_eq!(catch_up.behind_for(now), None);
 }
 
@@ -47,9 +47,9 @@
     let mut now = Instant::now();
     let mut catch_up = CatchUp::default();
     for (id, is_own_zone) in [("far", false), ("near", true), ("off", false)] {
-        catch_up.hear(&id.to_owned(), knows(2), is_own_zone, now);
+        catch_up.record_peer(&id.to_owned(), knows(2), is_own_zone, now);
     }
-    catch_up.hear(&"older".to_owned(), knows(1), true, now);
+    catch_up.record_peer(&"older".to_owned(), knows(1), true, now);
     assert_eq!(asked(&mut catch_up, knows(1), &mut now), "near");
 }
 
@@ -59,13 +59,13 @@
 fn one_that_brings_nothing_is_followed_by_another() {
     let mut now = Instant::now();
     let mut catch_up = CatchUp::default();
-    catch_up.hear(&"a".to_owned(), knows(2), true, now);
-    catch_up.hear(&"b".to_owned(), knows(2), false, now);
+    catch_up.record_peer(&"a".to_owned(), knows(2), true, now);
+    catch_up.record_peer(&"b".to_owned(), knows(2), false, now);
     let first = asked(&mut catch_up, knows(1), &mut now);
-    catch_up.brought_nothing(&first, now);
+    catch_up.fetch_failed(&first, now);
     let second = asked(&mut catch_up, knows(1), &mut now);
     assert_eq!((first.as_str(), second.as_str()), ("a", "b"));
-    catch_up.brought_nothing(&second, now);
+    catch_up.fetch_failed(&second, now);
     assert_eq!(asked(&mut catch_up, knows(1), &mut now), "a");
 }
 
@@ -75,7 +75,7 @@
     let now = Instant::now();
     let first_question = |draw| {
         let mut catch_up = CatchUp::default();
-        catch_up.hear(&"a".to_owned(), knows(2), true, now);
+        catch_up.record_peer(&"a".to_owned(), knows(2), true, now);
         match catch_up.step(knows(1), 300, draw, now) {
             Step::Wait(until) => until - now,
             step => panic!("{step:?}"),
@@ -91,11 +91,11 @@
 fn what_was_said_long_ago_counts_no_longer() {
     let now = Instant::now();
     let mut catch_up = CatchUp::default();
-    catch_up.hear(&"a".to_owned(), knows(99), true, now);
+    catch_up.record_peer(&"a".to_owned(), knows(99), true, now);
     assert_eq!(catch_up.newest_heard(now + ms(4_900)), knows(99));
     assert_eq!(catch_up.newest_heard(now + ms(5_100)), knows(0));
     let step = catch_up.step(knows(1), OTHERS, 0, now + ms(5_100));
-    assert_eq!(step, Step::Rest);
+    assert_eq!(step, Step::Idle);
 }
 
 /// A request that waits for a newer version does not wait for the own watch.
@@ -103,12 +103,12 @@
 fn a_request_that_waits_makes_it_ask_at_once() {
     let now = Instant::now();
     let mut catch_up = CatchUp::default();
-    catch_up.hear(&"a".to_owned(), knows(2), true, now);
-    catch_up.hurry(now);
+    catch_up.record_peer(&"a".to_owned(), knows(2), true, now);
+    catch_up.fetch_now(now);
     let step = catch_up.step(knows(1), OTHERS, 0, now);
-    assert_eq!(step, Step::Ask("a".to_owned()));
+    assert_eq!(step, Step::Fetch("a".to_owned()));
     // A second request does not make it ask more often.
-    catch_up.hurry(now + ms(1));
+    catch_up.fetch_now(now + ms(1));
     let step = catch_up.step(knows(1), OTHERS, 0, now + ms(1));
     assert!(matches!(step, Step::Wait(_)), "{step:?}");
 }
--- a/crates/fleet/tests/in_force_model.rs
+++ b/crates/fleet/tests/in_force_model.rs
@@ -222,7 +222,7 @@
                 continue;
             }
             let heard = &mut self.instances[other];
-            heard.catch_up.hear(&idx.to_string(), knows, true, now);
+            heard.catch_up.record_peer(&idx.to_string(), knows, true, now);
             heard.next_step = tick;
         }
     }
@@ -239,11 +239,11 @@
                 if theirs > instance.version {
                     instance.version = theirs;
                 } else {
-                    instance.catch_up.brought_nothing(&whom.to_string(), now);
+                    instance.catch_up.fetch_failed(&whom.to_string(), now);
                 }
             } else if tick >= until {
                 instance.asking = None;
-                instance.catch_up.brought_nothing(&whom.to_string(), now);
+                instance.catch_up.fetch_failed(&whom.to_string(), now);
             }
             return;
         }
@@ -258,12 +258,12 @@
             ..StateSummary::default()
         };
         match instance.catch_up.step(own, others, draw, now) {
-            Step::Rest => instance.next_step = u32::MAX,
+            Step::Idle => instance.next_step = u32::MAX,
             Step::Wait(until) => {
                 let wait = until.saturating_duration_since(now).as_millis();
                 instance.next_step = tick + 1 + (wait / 10) as u32;
             }
-            Step::Ask(whom) => {
+            Step::Fetch(whom) => {
                 let whom = whom.parse().expect("an index");
                 instance.asking = Some((tick + ASK_TICKS, whom));
                 instance.next_step = tick;
--- a/crates/sedgewalld/src/fleet/catch_up.rs
+++ b/crates/sedgewalld/src/fleet/catch_up.rs
@@ -65,13 +65,13 @@
     loop {
         let own = node.knowledge();
         match next_step(&node, own) {
-            Step::Rest => node.catch_up_notified(REST).await,
+            Step::Idle => node.catch_up_notified(REST).await,
             Step::Wait(until) => {
                 let now = Instant::now();
                 let pause = until.saturating_duration_since(now);
                 node.catch_up_notified(pause).await;
             }
-            Step::Ask(whom) => ask_one(&node, &whom, own).await,
+            Step::Fetch(whom) => ask_one(&node, &whom, own).await,
         }
     }
 }
@@ -116,7 +116,7 @@
         }
     }
     let mut catch_up = node.catch_up.borrow_mut();
-    catch_up.brought_nothing(whom, Instant::now());
+    catch_up.fetch_failed(whom, Instant::now());
 }
 
 async fn ask(
--- a/crates/sedgewalld/src/fleet/knowledge.rs
+++ b/crates/sedgewalld/src/fleet/knowledge.rs
@@ -81,7 +81,7 @@
     pub(crate) async fn newer_configuration(&self, within: Duration) {
         let (tx, rx) = oneshot::channel();
         self.configuration_waiters.borrow_mut().push(tx);
-        self.catch_up.borrow_mut().hurry(Instant::now());
+        self.catch_up.borrow_mut().fetch_now(Instant::now());
         self.catch_up_notify.notify();
         // Either way the request is looked at again.
         let _ = compio::time::timeout(within, rx).await;
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -227,7 +227,7 @@
     let peers = node.peers.borrow();
     let zone = peers.get(from).map(|peer| &peer.zone);
     let is_own_zone = zone == Some(&node.settings.zone);
-    node.catch_up.borrow_mut().hear(from, told, is_own_zone, now);
+    node.catch_up.borrow_mut().record_peer(from, told, is_own_zone, now);
 }
 
 fn hear_asked(
