--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -38,7 +38,7 @@
 pub mod revocation;
 pub mod route;
 pub mod stay;
-pub mod store_contact;
+pub mod store_reachability;
 pub mod load_rate_limiter;
 pub mod suspicion;
 pub mod view;
--- a/crates/fleet/src/store_contact.rs
+++ b/crates/fleet/src/store_reachability.rs
@@ -51,7 +51,7 @@
 
 /// What this instance's calls show of the store.
 #[derive(Clone, Debug, Default)]
-pub struct StoreContact {
+pub struct StoreReachability {
     is_out: bool,
     failed: Option<CallFailure>,
     answered: Option<Instant>,
@@ -60,7 +60,7 @@
     is_news: bool,
 }
 
-impl StoreContact {
+impl StoreReachability {
     /// Notes that a call was answered; returns whether that is news.
     pub fn reached(&mut self, now: Instant) -> bool {
         self.answered = Some(now);
--- a/crates/fleet/tests/store_contact_rules.rs
+++ b/crates/fleet/tests/store_reachability_rules.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use sedgewall_clock::Instant;
-use sedgewall_fleet::store_contact::{CallFailure, CountedOut, StoreContact};
+use sedgewall_fleet::store_reachability::{CallFailure, CountedOut, StoreReachability};
 
 /// An instance that reaches the store again is held to what it lists after
 /// this long (the platform's pages).
@@ -24,7 +24,7 @@
 #[test]
 fn a_missing_entry_is_not_waited_for_beyond_contact_regained() {
     let sent = Instant::now();
-    let mut contact = StoreContact::default();
+    let mut contact = StoreReachability::default();
     contact.failed(unanswered(sent, 1_200));
     let in_touch = sent + IN_TOUCH_AFTER;
     assert_eq!(contact.entries_return_within(in_touch), Duration::ZERO);
@@ -36,7 +36,7 @@
 #[test]
 fn a_call_lost_before_another_was_answered_does_not_put_the_store_out() {
     let sent = Instant::now();
-    let mut contact = StoreContact::default();
+    let mut contact = StoreReachability::default();
     contact.reached(sent + Duration::from_secs(3));
     assert!(!contact.failed(unanswered(sent, 5_000)));
     assert!(!contact.is_out());
@@ -47,7 +47,7 @@
 #[test]
 fn a_missing_entry_is_waited_for_after_an_outage() {
     let now = Instant::now();
-    let mut contact = StoreContact::default();
+    let mut contact = StoreReachability::default();
     assert_eq!(contact.entries_return_within(now), Duration::ZERO);
     let turned_away =
         CallFailure { sent: now, noticed: now, is_unanswered: false };
@@ -63,7 +63,7 @@
 fn our_word_that_the_store_is_out_ends_soon_after_it_is_regained() {
     let now = Instant::now();
     let word = Duration::from_secs(1);
-    let mut contact = StoreContact::default();
+    let mut contact = StoreReachability::default();
     assert_eq!(contact.counted_out_until(word), CountedOut::Never);
     contact.failed(unanswered(now, 100));
     assert_eq!(contact.counted_out_until(word), CountedOut::Now);
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -16,7 +16,7 @@
     turn::{Takeover, Turns},
 };
 use sedgewall_fleet::{
-    note::Note, store_contact::CountedOut, vouch::WORD_HOLDS,
+    note::Note, store_reachability::CountedOut, vouch::WORD_HOLDS,
 };
 
 use super::{
--- a/crates/sedgewalld/src/fleet/node.rs
+++ b/crates/sedgewalld/src/fleet/node.rs
@@ -23,7 +23,7 @@
     poison::PoisonDetector,
     retry_budget::{RetryAllowance, RetryBudget},
     route::Deployment,
-    store_contact::{CallFailure, StoreContact},
+    store_reachability::{CallFailure, StoreReachability},
     suspicion::Suspicions,
     view::FleetView,
     vouch::{LastWords, WORD_HOLDS},
@@ -152,7 +152,7 @@
     /// Whether keys that were taken away are sure to be known.
     pub(crate) keys: Keys,
     /// Whether the store answers us.
-    pub(crate) store_contact: RefCell<StoreContact>,
+    pub(crate) store_contact: RefCell<StoreReachability>,
     /// What the other instances say of themselves.
     pub(crate) last_words: RefCell<LastWords>,
     /// Endpoints that take no more from us, and until when, for the holder to hear.
