--- a/crates/fleet/src/store_reachability.rs
+++ b/crates/fleet/src/store_reachability.rs
@@ -40,13 +40,13 @@
 
 /// Until when others may count on our word that the store is out.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum CountedOut {
+pub enum ReportedOutage {
     /// It was never out.
     Never,
     /// It was regained; our word before that holds until then.
     Until(Instant),
     /// It is out.
-    Now,
+    Ongoing,
 }
 
 /// What this instance's calls show of the store.
@@ -106,11 +106,11 @@
     /// Returns until when somebody may count on our word that the store is out,
     /// if we ever gave it: as long as such a word holds after the store was
     /// regained, and for ever while it is out.
-    pub fn counted_out_until(&self, word_holds: Duration) -> CountedOut {
+    pub fn reported_outage(&self, word_holds: Duration) -> ReportedOutage {
         match (self.is_out, self.regained) {
-            (true, _) => CountedOut::Now,
-            (false, Some(at)) => CountedOut::Until(at + word_holds),
-            (false, None) => CountedOut::Never,
+            (true, _) => ReportedOutage::Ongoing,
+            (false, Some(at)) => ReportedOutage::Until(at + word_holds),
+            (false, None) => ReportedOutage::Never,
         }
     }
 
--- a/crates/fleet/tests/store_reachability_rules.rs
+++ b/crates/fleet/tests/store_reachability_rules.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use sedgewall_clock::Instant;
-use sedgewall_fleet::store_reachability::{CallFailure, CountedOut, StoreReachability};
+use sedgewall_fleet::store_reachability::{CallFailure, ReportedOutage, StoreReachability};
 
 /// An instance that reaches the store again is held to what it lists after
 /// this long (the platform's pages).
@@ -64,13 +64,13 @@
     let now = Instant::now();
     let word = Duration::from_secs(1);
     let mut contact = StoreReachability::default();
-    assert_eq!(contact.counted_out_until(word), CountedOut::Never);
+    assert_eq!(contact.reported_outage(word), ReportedOutage::Never);
     contact.failed(unanswered(now, 100));
-    assert_eq!(contact.counted_out_until(word), CountedOut::Now);
+    assert_eq!(contact.reported_outage(word), ReportedOutage::Ongoing);
     let back = now + Duration::from_secs(3);
     contact.reached(back);
     assert_eq!(
-        contact.counted_out_until(word),
-        CountedOut::Until(back + word)
+        contact.reported_outage(word),
+        ReportedOutage::Until(back + word)
     );
 }
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -16,7 +16,7 @@
     turn::{Takeover, Turns},
 };
 use sedgewall_fleet::{
-    note::Note, store_reachability::CountedOut, vouch::WORD_HOLDS,
+    note::Note, store_reachability::ReportedOutage, vouch::WORD_HOLDS,
 };
 
 use super::{
@@ -202,13 +202,13 @@
     // what it said before that has not ended its lease. Waiting for the record
     // alone, for 30 s after an outage, let 2 s more pass without orders.
     let contact = node.store_contact.borrow();
-    let noted = match contact.counted_out_until(WORD_HOLDS + WORD_TRAVELS) {
-        CountedOut::Never => noted,
-        CountedOut::Until(end) => noted.map(|noted| NotedLease {
+    let noted = match contact.reported_outage(WORD_HOLDS + WORD_TRAVELS) {
+        ReportedOutage::Never => noted,
+        ReportedOutage::Until(end) => noted.map(|noted| NotedLease {
             ends_by: noted.ends_by.max(end),
             ..noted
         }),
-        CountedOut::Now => None,
+        ReportedOutage::Ongoing => None,
     };
     watching.ended_by(noted).unwrap_or(now)
 }
