--- a/crates/fleet/src/store_reachability.rs
+++ b/crates/fleet/src/store_reachability.rs
@@ -30,7 +30,7 @@
 impl CallFailure {
     /// Returns when the store is known not to have answered. A call without an
     /// answer may be lost on a path that has worked again ever since.
-    pub fn known_out_at(&self) -> Instant {
+    pub fn unreachable_at(&self) -> Instant {
         match self.is_unanswered {
             true => self.sent,
             false => self.noticed,
@@ -52,62 +52,62 @@
 /// What this instance's calls show of the store.
 #[derive(Clone, Debug, Default)]
 pub struct StoreReachability {
-    is_out: bool,
+    is_unreachable: bool,
     failed: Option<CallFailure>,
     answered: Option<Instant>,
     regained: Option<Instant>,
     is_probing: bool,
-    is_news: bool,
+    has_unreported_change: bool,
 }
 
 impl StoreReachability {
     /// Notes that a call was answered; returns whether that is news.
-    pub fn reached(&mut self, now: Instant) -> bool {
+    pub fn record_answer(&mut self, now: Instant) -> bool {
         self.answered = Some(now);
-        if !std::mem::take(&mut self.is_out) {
+        if !std::mem::take(&mut self.is_unreachable) {
             return false;
         }
         self.regained = Some(now);
-        self.is_news = true;
+        self.has_unreported_change = true;
         true
     }
 
     /// Notes that a call failed; returns whether that is news. The holder of
     /// the lease counts on our word, so a call that was lost before another was
     /// answered does not put the store out again.
-    pub fn failed(&mut self, failure: CallFailure) -> bool {
-        let out_at = failure.known_out_at();
+    pub fn record_failure(&mut self, failure: CallFailure) -> bool {
+        let out_at = failure.unreachable_at();
         let is_newest =
-            self.failed.is_none_or(|last| last.known_out_at() <= out_at);
+            self.failed.is_none_or(|last| last.unreachable_at() <= out_at);
         if is_newest {
             self.failed = Some(failure);
         }
         if self.answered.is_some_and(|at| at >= out_at) {
             return false;
         }
-        if std::mem::replace(&mut self.is_out, true) {
+        if std::mem::replace(&mut self.is_unreachable, true) {
             return false;
         }
-        self.is_news = true;
+        self.has_unreported_change = true;
         true
     }
 
     /// Returns whether the store did not answer our last call.
-    pub fn is_out(&self) -> bool {
-        self.is_out
+    pub fn is_unreachable(&self) -> bool {
+        self.is_unreachable
     }
 
     /// Returns whether it is out, or was regained within this time.
-    pub fn was_out_within(&self, time: Duration, now: Instant) -> bool {
+    pub fn was_unreachable_within(&self, time: Duration, now: Instant) -> bool {
         let is_recent = |at: Instant| now - at < time;
-        self.is_out || self.regained.is_some_and(is_recent)
+        self.is_unreachable || self.regained.is_some_and(is_recent)
     }
 
     /// Returns until when somebody may count on our word that the store is out,
     /// if we ever gave it: as long as such a word holds after the store was
     /// regained, and for ever while it is out.
     pub fn reported_outage(&self, word_holds: Duration) -> ReportedOutage {
-        match (self.is_out, self.regained) {
+        match (self.is_unreachable, self.regained) {
             (true, _) => ReportedOutage::Ongoing,
             (false, Some(at)) => ReportedOutage::Until(at + word_holds),
             (false, None) => ReportedOutage::Never,
@@ -118,7 +118,7 @@
     /// was out may still come back.
     pub fn entries_return_within(&self, now: Instant) -> Duration {
         let Some(failed) = self.failed else { return Duration::ZERO };
-        ENTRIES_RETURN.saturating_sub(now - failed.known_out_at())
+        ENTRIES_RETURN.saturating_sub(now - failed.unreachable_at())
     }
 
     /// Returns the last call that failed.
@@ -127,18 +127,18 @@
     }
 
     /// Returns whether others have yet to hear of a change.
-    pub fn has_news(&self) -> bool {
-        self.is_news
+    pub fn has_change(&self) -> bool {
+        self.has_unreported_change
     }
 
     /// Returns whether others have yet to hear of a change, once.
-    pub fn take_news(&mut self) -> bool {
-        std::mem::take(&mut self.is_news)
+    pub fn take_change(&mut self) -> bool {
+        std::mem::take(&mut self.has_unreported_change)
     }
 
     /// Begins to probe the store, unless that is under way.
     pub fn begin_probe(&mut self) -> bool {
-        !self.is_out && !std::mem::replace(&mut self.is_probing, true)
+        !self.is_unreachable && !std::mem::replace(&mut self.is_probing, true)
     }
 
     /// Ends the probe.
--- a/crates/fleet/tests/store_reachability_rules.rs
+++ b/crates/fleet/tests/store_reachability_rules.rs
@@ -25,7 +25,7 @@
 fn a_missing_entry_is_not_waited_for_beyond_contact_regained() {
     let sent = Instant::now();
     let mut contact = StoreReachability::default();
-    contact.failed(unanswered(sent, 1_200));
+    contact.record_failure(unanswered(sent, 1_200));
     let in_touch = sent + IN_TOUCH_AFTER;
     assert_eq!(contact.entries_return_within(in_touch), Duration::ZERO);
 }
@@ -37,11 +37,11 @@
 fn a_call_lost_before_another_was_answered_does_not_put_the_store_out() {
     let sent = Instant::now();
     let mut contact = StoreReachability::default();
-    contact.reached(sent + Duration::from_secs(3));
-    assert!(!contact.failed(unanswered(sent, 5_000)));
-    assert!(!contact.is_out());
-    assert!(contact.failed(unanswered(sent + Duration::from_secs(4), 1_200)));
-    assert!(contact.is_out());
+    contact.record_answer(sent + Duration::from_secs(3));
+    assert!(!contact.record_failure(unanswered(sent, 5_000)));
+    assert!(!contact.is_unreachable());
+    assert!(contact.record_failure(unanswered(sent + Duration::from_secs(4), 1_200)));
+    assert!(contact.is_unreachable());
 }
 
 #[test]
@@ -51,8 +51,8 @@
     assert_eq!(contact.entries_return_within(now), Duration::ZERO);
     let turned_away =
         CallFailure { sent: now, noticed: now, is_unanswered: false };
-    contact.failed(turned_away);
-    contact.reached(now + Duration::from_millis(200));
+    contact.record_failure(turned_away);
+    contact.record_answer(now + Duration::from_millis(200));
     let entries_back = now + Duration::from_secs(2);
     assert!(contact.entries_return_within(entries_back) > Duration::ZERO);
 }
@@ -65,10 +65,10 @@
     let word = Duration::from_secs(1);
     let mut contact = StoreReachability::default();
     assert_eq!(contact.reported_outage(word), ReportedOutage::Never);
-    contact.failed(unanswered(now, 100));
+    contact.record_failure(unanswered(now, 100));
     assert_eq!(contact.reported_outage(word), ReportedOutage::Ongoing);
     let back = now + Duration::from_secs(3);
-    contact.reached(back);
+    contact.record_answer(back);
     assert_eq!(
         contact.reported_outage(word),
         ReportedOutage::Until(back + word)
--- a/crates/sedgewalld/src/fleet/follow.rs
+++ b/crates/sedgewalld/src/fleet/follow.rs
@@ -237,7 +237,7 @@
             Freshness::SecondsOld if F::TRIES_FIRST => Calls::First,
             Freshness::SecondsOld => Calls::Rung,
         };
-        let is_out = self.node.store_contact.borrow().is_out();
+        let is_out = self.node.store_contact.borrow().is_unreachable();
         let pause = self.back_off.failed(calls, is_out);
         tracing::info!(
             event = "store_call_failed",
@@ -259,7 +259,7 @@
         loop {
             let left = until.saturating_duration_since(Instant::now());
             let is_notified = notify.wait(left).await;
-            let is_out = self.node.store_contact.borrow().is_out();
+            let is_out = self.node.store_contact.borrow().is_unreachable();
             if !is_notified || !is_out {
                 return;
             }
@@ -313,7 +313,7 @@
             };
             node.store_failed(sent, &err);
             compio::time::sleep(PROBE_AGAIN).await;
-            if !node.store_contact.borrow().is_out() {
+            if !node.store_contact.borrow().is_unreachable() {
                 break;
             }
         }
--- a/crates/sedgewalld/src/fleet/follow_endpoints.rs
+++ b/crates/sedgewalld/src/fleet/follow_endpoints.rs
@@ -155,7 +155,7 @@
             endpoint = id,
             revision,
             left_ms = left.as_millis() as u64,
-            known_out_ms_ago = last.map(|last| ms_ago(last.known_out_at())),
+            known_out_ms_ago = last.map(|last| ms_ago(last.unreachable_at())),
         );
         let (node, lapsed) = (self.node.clone(), self.lapsed.clone());
         let id = id.clone();
@@ -176,7 +176,7 @@
 fn take_out(node: &FleetNode, id: &EndpointId, revision: Revision) {
     let now = Instant::now();
     let contact = node.store_contact.borrow();
-    let is_sure = !contact.was_out_within(IN_DOUBT_FOR, now);
+    let is_sure = !contact.was_unreachable_within(IN_DOUBT_FOR, now);
     tracing::info!(event = "endpoint_gone", endpoint = id, revision, is_sure);
     if is_sure {
         poison::endpoint_ended(node, id);
--- a/crates/sedgewalld/src/fleet/lease_store.rs
+++ b/crates/sedgewalld/src/fleet/lease_store.rs
@@ -113,7 +113,7 @@
     node: &FleetNode,
     renewal: &LeaseWrite,
 ) -> (WriteAnswer, Way) {
-    if !node.store_contact.borrow().is_out() {
+    if !node.store_contact.borrow().is_unreachable() {
         let answer = renew_own_way(node, renewal).await;
         if answer != WriteAnswer::Unclear {
             return (answer, Way::Own);
--- a/crates/sedgewalld/src/fleet/node.rs
+++ b/crates/sedgewalld/src/fleet/node.rs
@@ -351,7 +351,7 @@
 
     /// Notes that the store answered; others hear at once what changed.
     pub(crate) fn store_reached(&self) {
-        if self.store_contact.borrow_mut().reached(Instant::now()) {
+        if self.store_contact.borrow_mut().record_answer(Instant::now()) {
             self.notify_notes();
         }
     }
@@ -363,7 +363,7 @@
             noticed: Instant::now(),
             is_unanswered: matches!(err, StoreError::Unanswered),
         };
-        if self.store_contact.borrow_mut().failed(failure) {
+        if self.store_contact.borrow_mut().record_failure(failure) {
             self.notify_notes();
         }
     }
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -356,7 +356,7 @@
         }
         let due = schedule.take(pending(&node), around, now);
         if due.status {
-            node.store_contact.borrow_mut().take_news();
+            node.store_contact.borrow_mut().take_change();
             sequence += 1;
             tell_status(&node, &sender, sequence, around);
         }
@@ -390,7 +390,7 @@
 
 fn pending(node: &FleetNode) -> Pending {
     Pending {
-        has_news: node.store_contact.borrow().has_news(),
+        has_news: node.store_contact.borrow().has_change(),
         has_large_prompt: node.has_untold_work.get(),
         has_batch: !node.outbox.borrow().is_empty(),
         has_waiting: !node.waiting.borrow().is_empty()
@@ -498,7 +498,7 @@
         leads,
         configuration: node.configuration_version().unwrap_or(0),
         versions,
-        store_is_out: node.store_contact.borrow().is_out(),
+        store_is_out: node.store_contact.borrow().is_unreachable(),
         is_leaving: node.stage.get() == Stage::Leaving,
         asked_by_customers,
         departures: node.view.borrow().departures(now),
