--- a/crates/fleet/src/note.rs
+++ b/crates/fleet/src/note.rs
@@ -205,7 +205,7 @@
     pub unreachable: Vec<EndpointId>,
     /// Whether adapters were there when requests were sent to them.
     #[serde(default)]
-    pub arrivals: Vec<Arrived>,
+    pub arrivals: Vec<LoadObservationReport>,
     /// Endpoints that take no more from the sender, and for how long, in
     /// milliseconds.
     #[serde(default)]
@@ -214,7 +214,7 @@
 
 /// What a request showed that was sent to an adapter on its way.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Arrived {
+pub struct LoadObservationReport {
     /// The engine.
     pub endpoint: EndpointId,
     /// The adapter.
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -12,7 +12,7 @@
     catch_up::StateSummary,
     departure::Departure,
     load_times::Arrival,
-    note::{Arrived, Asked, Lead, Note, Status},
+    note::{LoadObservationReport, Asked, Lead, Note, Status},
     note_schedule::{NoteSchedule, Pending, Role, Surroundings},
     view::Totals,
 };
@@ -273,11 +273,11 @@
     }
 }
 
-fn hear_arrivals(node: &FleetNode, arrivals: &[Arrived], now: Instant) {
+fn hear_arrivals(node: &FleetNode, arrivals: &[LoadObservationReport], now: Instant) {
     let mut times = node.load_times.borrow_mut();
     let mut view = node.view.borrow_mut();
     for arrived in arrivals {
-        let Arrived { endpoint, key, is_there, ago_ms } = arrived;
+        let LoadObservationReport { endpoint, key, is_there, ago_ms } = arrived;
         // Its engine may take another load now.
         view.prove(endpoint, key, *is_there);
         let Some(at) = now.checked_sub(Duration::from_millis(*ago_ms)) else {
@@ -511,10 +511,10 @@
     }
 }
 
-fn arrived(seen: SeenArrival) -> Arrived {
+fn arrived(seen: SeenArrival) -> LoadObservationReport {
     let SeenArrival { endpoint, key, is_there, sent } = seen;
     let ago_ms = sent.elapsed().as_millis() as u64;
-    Arrived { endpoint, key, is_there, ago_ms }
+    LoadObservationReport { endpoint, key, is_there, ago_ms }
 }
 
 fn tell_asked(node: &FleetNode, sender: &NoteSender) {
