--- a/crates/fleet/src/load_times.rs
+++ b/crates/fleet/src/load_times.rs
@@ -109,11 +109,11 @@
 
 /// An answer to a request that was sent to an adapter on its way.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Arrival {
+pub struct LoadObservation {
     /// When the request was at the engine.
     pub at: Instant,
     /// Whether the adapter was there.
-    pub is_there: bool,
+    pub is_loaded: bool,
 }
 
 /// What is believed of a load's time.
@@ -203,12 +203,12 @@
         &mut self,
         endpoint: &EndpointId,
         key: &AdapterKey,
-        arrival: Arrival,
+        arrival: LoadObservation,
         now: Instant,
     ) {
         let id = (endpoint.clone(), key.clone());
         let Some(load) = self.loads.get_mut(&id) else { return };
-        if !arrival.is_there {
+        if !arrival.is_loaded {
             load.missing = load.missing.max(Some(arrival.at));
             return;
         }
--- a/crates/fleet/tests/load_times_rules.rs
+++ b/crates/fleet/tests/load_times_rules.rs
@@ -10,7 +10,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
     adapter::AdapterKey,
-    load_times::{Arrival, LoadTimes},
+    load_times::{LoadObservation, LoadTimes},
 };
 
 /// A weight store that shares its speed among all loads beyond some number.
@@ -96,7 +96,7 @@
         for n in due {
             let key = AdapterKey::new("m", &format!("a{n}"));
             let is_there = !store.on_way.contains_key(&n);
-            let arrival = Arrival { at: now, is_there };
+            let arrival = LoadObservation { at: now, is_loaded: is_there };
             times.observe(&endpoint, &key, arrival, now);
             if !is_there {
                 let began = starts[&n];
@@ -198,7 +198,7 @@
         times.begin(&endpoint, &key, now);
         for _ in 0..20 {
             now += Duration::from_millis(50);
-            let arrival = Arrival { at: now, is_there: false };
+            let arrival = LoadObservation { at: now, is_loaded: false };
             times.observe(&endpoint, &key, arrival, now);
         }
         times.forget(now);
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -11,7 +11,7 @@
 use sedgewall_fleet::{
     catch_up::StateSummary,
     departure::Departure,
-    load_times::Arrival,
+    load_times::LoadObservation,
     note::{LoadObservationReport, Asked, Lead, Note, Status},
     note_schedule::{NoteSchedule, Pending, Role, Surroundings},
     view::Totals,
@@ -283,7 +283,7 @@
         let Some(at) = now.checked_sub(Duration::from_millis(*ago_ms)) else {
             continue;
         };
-        let arrival = Arrival { at, is_there: *is_there };
+        let arrival = LoadObservation { at, is_loaded: *is_there };
         times.observe(endpoint, key, arrival, now);
     }
 }
