--- a/crates/fleet/src/load_times.rs
+++ b/crates/fleet/src/load_times.rs
@@ -118,11 +118,11 @@
 
 /// What is believed of a load's time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LoadPace {
+pub struct LoadEstimate {
     /// What one takes at full speed.
-    pub full_speed: Duration,
+    pub load_time: Duration,
     /// How many come at full speed side by side.
-    pub at_once: f64,
+    pub concurrency: f64,
 }
 
 /// One number of loads that may come at full speed, and what the answers say if
@@ -175,7 +175,7 @@
 
     /// Takes in that an engine has taken the order for a load: it begins now, and
     /// not when it was planned.
-    pub fn order_taken(
+    pub fn order_accepted(
         &mut self,
         endpoint: &EndpointId,
         key: &AdapterKey,
@@ -236,7 +236,7 @@
 
     /// Returns how many loads began lately, a millisecond.
     fn joins_per_ms(&self, now: Instant) -> f64 {
-        let window = self.pace().full_speed.mul_f64(COUNTED_PART);
+        let window = self.estimate().load_time.mul_f64(COUNTED_PART);
         let window = window.max(LEAST_COUNTED);
         let since = self.begins.iter().rev();
         let joined = since.take_while(|at| now - **at < window).count();
@@ -256,32 +256,32 @@
     /// another one would only make all of them later.
     pub fn may_begin(&mut self, rate_per_s: f64, now: Instant) -> bool {
         let most = self.most_on_way(rate_per_s);
-        (self.on_way(now) as f64) < most
+        (self.in_flight(now) as f64) < most
     }
 
     /// Returns how long an adapter takes from an engine's own memory.
     pub fn warm(&self) -> Duration {
-        self.pace().full_speed.mul_f64(WARM_PART)
+        self.estimate().load_time.mul_f64(WARM_PART)
     }
 
     /// Returns how many loads are on their way.
-    pub fn on_way(&mut self, now: Instant) -> usize {
+    pub fn in_flight(&mut self, now: Instant) -> usize {
         let candidate = &mut self.candidates[self.believed];
         candidate.advance(now);
         candidate.on_way.len()
     }
 
     /// Returns what is believed now.
-    pub fn pace(&self) -> LoadPace {
+    pub fn estimate(&self) -> LoadEstimate {
         let candidate = &self.candidates[self.believed];
-        LoadPace {
-            full_speed: millis(candidate.full_speed_ms),
-            at_once: candidate.at_once,
+        LoadEstimate {
+            load_time: millis(candidate.full_speed_ms),
+            concurrency: candidate.at_once,
         }
     }
 
     /// Returns how many answers were taken in.
-    pub fn answers(&self) -> u64 {
+    pub fn observations(&self) -> u64 {
         self.answers
     }
 
--- a/crates/fleet/tests/load_times_rules.rs
+++ b/crates/fleet/tests/load_times_rules.rs
@@ -192,7 +192,7 @@
     let mut times = LoadTimes::default();
     let mut now = Instant::now();
     let endpoint = "e1".to_owned();
-    let before = times.pace();
+    let before = times.estimate();
     for n in 0..60 {
         let key = AdapterKey::new("m", &format!("a{n}"));
         times.begin(&endpoint, &key, now);
@@ -203,5 +203,5 @@
         }
         times.forget(now);
     }
-    assert_eq!(times.pace(), before);
+    assert_eq!(times.estimate(), before);
 }
--- a/crates/sedgewalld/src/fleet/leader.rs
+++ b/crates/sedgewalld/src/fleet/leader.rs
@@ -88,7 +88,7 @@
     let demand = node.demand.borrow();
     let view = node.view.borrow();
     let mut times = node.load_times.borrow_mut();
-    let (pace, on_way) = (times.pace(), times.on_way(now));
+    let (pace, on_way) = (times.estimate(), times.in_flight(now));
     for (service, group) in deployment.engines() {
         let engines =
             || view.endpoints().filter(|s| s.endpoint.service == service);
@@ -111,10 +111,10 @@
             waiting =
                 demand.iter().filter(|(_, d)| d.is_waited_for(now)).count(),
             loads_left,
-            load_ms = pace.full_speed.as_millis() as u64,
-            loads_at_once = pace.at_once,
+            load_ms = pace.load_time.as_millis() as u64,
+            loads_at_once = pace.concurrency,
             loads_on_way = on_way,
-            load_answers = times.answers(),
+            load_answers = times.observations(),
             notes_heard = node.work.notes_heard.get(),
             asked_heard = node.work.asked_heard.get(),
             cpu_ms = process::cpu_ms(),
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -289,7 +289,7 @@
     fn note_taken(&self, order: &Order) {
         let Task::Load(key, _) = &order.task else { return };
         let mut times = self.node.load_times.borrow_mut();
-        times.order_taken(&order.endpoint, key, Instant::now());
+        times.order_accepted(&order.endpoint, key, Instant::now());
     }
 
     /// Notes that an engine held the adapter already: nothing is loaded, so that
