--- a/crates/fleet/src/note.rs
+++ b/crates/fleet/src/note.rs
@@ -33,7 +33,8 @@
     Status(Status),
     /// What was asked for since the last such note, to the holder of the
     /// lease.
-    Asked(Asked),
+    #[serde(rename = "Asked")]
+    DemandReport(DemandReport),
     /// An adapter is being loaded.
     Placed(Placed),
     /// An adapter is being removed.
@@ -192,7 +193,7 @@
 
 /// Requests for adapters.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Asked {
+pub struct DemandReport {
     /// Who says so, and is to hear what became of it.
     pub from: InstanceId,
     /// Where they were asked for.
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -12,7 +12,7 @@
     catch_up::StateSummary,
     departure::Departure,
     load_times::LoadObservation,
-    note::{LoadObservationReport, Asked, Lead, Note, Status},
+    note::{LoadObservationReport, DemandReport, Lead, Note, Status},
     note_schedule::{NoteSchedule, Pending, Role, Surroundings},
     view::Totals,
 };
@@ -128,7 +128,7 @@
         Note::Fresh { number, age_ms, configuration } => {
             keys::hear(node, number, age_ms, configuration);
         }
-        Note::Asked(asked) => hear_asked(node, sender, &asked, now),
+        Note::DemandReport(asked) => hear_asked(node, sender, &asked, now),
         Note::Batch(notes) => {
             for note in notes {
                 hear(node, sender, note);
@@ -233,7 +233,7 @@
 fn hear_asked(
     node: &FleetNode,
     sender: &NoteSender,
-    asked: &Asked,
+    asked: &DemandReport,
     now: Instant,
 ) {
     node.work.asked_heard.set(node.work.asked_heard.get() + 1);
@@ -293,7 +293,7 @@
 fn hear_unreachable(
     node: &FleetNode,
     endpoint: &EndpointId,
-    asked: &Asked,
+    asked: &DemandReport,
     now: Instant,
 ) {
     let mut suspicions = node.suspicions.borrow_mut();
@@ -314,7 +314,7 @@
 fn answer_asker(
     node: &FleetNode,
     sender: &NoteSender,
-    asked: &Asked,
+    asked: &DemandReport,
     now: Instant,
 ) {
     let Some(held) = node.current_lease(now) else { return };
@@ -538,7 +538,7 @@
         true => Vec::new(),
         false => node.saturated_for(Instant::now()),
     };
-    let asked = Asked {
+    let asked = DemandReport {
         from,
         zone,
         counts,
@@ -552,5 +552,5 @@
         return;
     }
     let Some(leader) = node.live_leader(Instant::now()) else { return };
-    sender.send_to_peer(node, &leader.instance, &Note::Asked(asked));
+    sender.send_to_peer(node, &leader.instance, &Note::DemandReport(asked));
 }
