--- a/crates/fleet/src/note.rs
+++ b/crates/fleet/src/note.rs
@@ -47,7 +47,8 @@
     Cleared(RequestDigest),
     /// The store did not answer the holder of the lease: all see whether it
     /// answers them, and say so.
-    StoreFails,
+    #[serde(rename = "StoreFails")]
+    ProbeStore,
     /// The holder of the lease cannot reach the store; whoever gets this renews
     /// the lease for it.
     RenewForMe(RenewalRequest),
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -358,7 +358,7 @@
     }
     // All see whether the store answers them: while it answers nobody, nobody
     // can take the lease.
-    node.outbox.borrow_mut().push(Note::StoreFails);
+    node.outbox.borrow_mut().push(Note::ProbeStore);
     node.notify_notes();
     compio::time::sleep(FAILED_PAUSE).await;
     let renewal_sent = Some(first_sent);
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -108,7 +108,7 @@
         Note::Departed(departure) => hear_departure(node, &departure, now),
         Note::Crashed(crash) => poison::hear(node, &crash),
         Note::Cleared(digest) => poison::hear_cleared(node, digest),
-        Note::StoreFails => follow::probe_store(node),
+        Note::ProbeStore => follow::probe_store(node),
         Note::RenewForMe(request) => {
             let (node, sender) = (node.clone(), sender.clone());
             compio::runtime::spawn(async move {
