--- a/crates/fleet/src/note.rs
+++ b/crates/fleet/src/note.rs
@@ -51,7 +51,8 @@
     ProbeStore,
     /// The holder of the lease cannot reach the store; whoever gets this renews
     /// the lease for it.
-    RenewForMe(RenewalRequest),
+    #[serde(rename = "RenewForMe")]
+    RenewalRequest(RenewalRequest),
     /// What the store answered to such a renewal.
     Renewed(RenewalAnswer),
     /// Several instances cannot reach an engine: all leave it out for a while.
--- a/crates/sedgewalld/src/fleet/lease_store.rs
+++ b/crates/sedgewalld/src/fleet/lease_store.rs
@@ -186,7 +186,7 @@
         known_revision: node.view.borrow().newest_revision(),
     };
     for peer in peers {
-        let note = Note::RenewForMe(request.clone());
+        let note = Note::RenewalRequest(request.clone());
         node.letters.borrow_mut().push((peer.clone(), note));
     }
     node.notify_notes();
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -109,7 +109,7 @@
         Note::Crashed(crash) => poison::hear(node, &crash),
         Note::Cleared(digest) => poison::hear_cleared(node, digest),
         Note::ProbeStore => follow::probe_store(node),
-        Note::RenewForMe(request) => {
+        Note::RenewalRequest(request) => {
             let (node, sender) = (node.clone(), sender.clone());
             compio::runtime::spawn(async move {
                 lease_store::renew_for(&node, &sender, request).await;
