--- a/crates/fleet/src/note.rs
+++ b/crates/fleet/src/note.rs
@@ -54,7 +54,8 @@
     #[serde(rename = "RenewForMe")]
     RenewalRequest(RenewalRequest),
     /// What the store answered to such a renewal.
-    Renewed(RenewalAnswer),
+    #[serde(rename = "Renewed")]
+    RenewalAnswer(RenewalAnswer),
     /// Several instances cannot reach an engine: all leave it out for a while.
     Suspect {
         /// The engine.
--- a/crates/sedgewalld/src/fleet/lease_store.rs
+++ b/crates/sedgewalld/src/fleet/lease_store.rs
@@ -219,7 +219,7 @@
         endpoints: view.entries_since(known_revision),
         versions: versions.map(|(key, v)| (key.clone(), v)).collect(),
     };
-    sender.send_to_peer(node, &from, &Note::Renewed(answer));
+    sender.send_to_peer(node, &from, &Note::RenewalAnswer(answer));
 }
 
 /// Takes in what the store answered to another instance. An answer to an older
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -116,7 +116,7 @@
             })
             .detach();
         }
-        Note::Renewed(answer) => lease_store::hear_answer(node, answer),
+        Note::RenewalAnswer(answer) => lease_store::hear_answer(node, answer),
         Note::Suspect { endpoint, for_ms } => {
             let time = Duration::from_millis(for_ms);
             node.view.borrow_mut().hear_suspect(&endpoint, time, now);
