--- a/crates/fleet/src/note.rs
+++ b/crates/fleet/src/note.rs
@@ -64,7 +64,8 @@
         for_ms: u64,
     },
     /// Up to when does whoever gets this know all changes of the configuration?
-    AskFresh {
+    #[serde(rename = "AskFresh")]
+    FreshnessQuery {
         /// Who asks.
         from: InstanceId,
         /// The number of the question.
--- a/crates/sedgewalld/src/fleet/keys.rs
+++ b/crates/sedgewalld/src/fleet/keys.rs
@@ -136,7 +136,7 @@
     let Some(whom) = watchers.get(asking.next_target(watchers.len())) else { return };
     let from = node.id().clone();
     *node.keys.asked.borrow_mut() = Some(whom.clone());
-    sender.send_to_peer(node, whom, &Note::AskFresh { from, number });
+    sender.send_to_peer(node, whom, &Note::FreshnessQuery { from, number });
 }
 
 /// Gets a newer configuration from an instance that has it; the next question says
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -122,7 +122,7 @@
             node.view.borrow_mut().hear_suspect(&endpoint, time, now);
             node.wake_all();
         }
-        Note::AskFresh { from, number } => {
+        Note::FreshnessQuery { from, number } => {
             keys::answer(node, sender, &from, number);
         }
         Note::Fresh { number, age_ms, configuration } => {
