--- a/crates/fleet/src/note.rs
+++ b/crates/fleet/src/note.rs
@@ -72,7 +72,8 @@
         number: u64,
     },
     /// The answer.
-    Fresh {
+    #[serde(rename = "Fresh")]
+    FreshnessAnswer {
         /// The number of the question.
         number: u64,
         /// How long ago all changes were known, in milliseconds.
--- a/crates/sedgewalld/src/fleet/keys.rs
+++ b/crates/sedgewalld/src/fleet/keys.rs
@@ -161,7 +161,7 @@
     number: u64,
 ) {
     let Some(age) = node.keys.known.get().age(Instant::now()) else { return };
-    let answer = Note::Fresh {
+    let answer = Note::FreshnessAnswer {
         number,
         // Rounded up: what is said to be known must be.
         age_ms: age.as_millis() as u64 + 1,
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -125,7 +125,7 @@
         Note::FreshnessQuery { from, number } => {
             keys::answer(node, sender, &from, number);
         }
-        Note::Fresh { number, age_ms, configuration } => {
+        Note::FreshnessAnswer { number, age_ms, configuration } => {
             keys::hear(node, number, age_ms, configuration);
         }
         Note::DemandReport(asked) => hear_asked(node, sender, &asked, now),
