--- a/crates/fleet/src/note.rs
+++ b/crates/fleet/src/note.rs
@@ -86,7 +86,8 @@
     /// A note to all, on its way through one instance of a group.
     Relayed(Relayed),
     /// A note to all, on its way through one instance of a zone.
-    ForZone(Box<Note>),
+    #[serde(rename = "ForZone")]
+    ZoneRelay(Box<Note>),
 }
 
 /// A renewal of the lease that another instance is to send to the store.
--- a/crates/sedgewalld/src/fleet/note_sender.rs
+++ b/crates/sedgewalld/src/fleet/note_sender.rs
@@ -71,7 +71,7 @@
         let zones = peers.iter().map(|(id, peer)| (id, &peer.zone));
         let own = &node.settings.zone;
         for id in heads(zones, own, |id| view.hears(id, now), turn) {
-            let for_zone = Note::ForZone(note.clone().into());
+            let for_zone = Note::ZoneRelay(note.clone().into());
             self.send_to(peers[id].address, &for_zone);
         }
         drop(view);
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -134,7 +134,7 @@
                 hear(node, sender, note);
             }
         }
-        Note::ForZone(note) => {
+        Note::ZoneRelay(note) => {
             sender.spread_in_zone(node, &note);
             hear(node, sender, *note);
         }
