--- a/crates/fleet/src/note.rs
+++ b/crates/fleet/src/note.rs
@@ -84,7 +84,8 @@
     /// Several notes in one datagram.
     Batch(Vec<Note>),
     /// A note to all, on its way through one instance of a group.
-    Relayed(Relayed),
+    #[serde(rename = "Relayed")]
+    GroupRelay(GroupRelay),
     /// A note to all, on its way through one instance of a zone.
     #[serde(rename = "ForZone")]
     ZoneRelay(Box<Note>),
@@ -121,7 +122,7 @@
 
 /// A note that whoever gets it hears, and passes on to its group.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Relayed {
+pub struct GroupRelay {
     /// The number of the group ([`crate::relays::Group`]).
     pub index: u32,
     /// How many groups the zone has.
--- a/crates/sedgewalld/src/fleet/note_sender.rs
+++ b/crates/sedgewalld/src/fleet/note_sender.rs
@@ -14,7 +14,7 @@
 
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    note::{FEW_PEERS, Note, Relayed},
+    note::{FEW_PEERS, Note, GroupRelay},
     relays::{Group, heads, relays},
 };
 use sedgewall_state::id::InstanceId;
@@ -88,8 +88,8 @@
         let zones = zones.filter(|(_, zone)| *zone == own);
         for (id, group) in relays(zones, |id| view.hears(id, now), turn) {
             let Group { index, count } = group;
-            let relayed = Relayed { index, count, note: note.clone().into() };
-            self.send_to(peers[id].address, &Note::Relayed(relayed));
+            let relayed = GroupRelay { index, count, note: note.clone().into() };
+            self.send_to(peers[id].address, &Note::GroupRelay(relayed));
         }
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// Passes a note on to the rest of its group.
-    pub(crate) fn pass_on(&self, node: &FleetNode, relayed: &Relayed) {
+    pub(crate) fn pass_on(&self, node: &FleetNode, relayed: &GroupRelay) {
         let Some(bytes) = encode(&relayed.note) else { return };
         let group = Group { index: relayed.index, count: relayed.count };
         for (id, peer) in node.peers.borrow().iter() {
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -138,7 +138,7 @@
             sender.spread_in_zone(node, &note);
             hear(node, sender, *note);
         }
-        Note::Relayed(relayed) => {
+        Note::GroupRelay(relayed) => {
             sender.pass_on(node, &relayed);
             hear(node, sender, *relayed.note);
         }
