--- a/crates/fleet/src/note.rs
+++ b/crates/fleet/src/note.rs
@@ -133,7 +133,7 @@
 
 /// The lease on orders, as its holder knows it.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Lead {
+pub struct LeaderLease {
     /// Its epoch.
     pub epoch: Epoch,
     /// The last renewal that the store has answered.
@@ -152,7 +152,7 @@
     /// When the next such note is due, in milliseconds.
     pub next_in_ms: u64,
     /// The lease, while its holder is sure to hold it.
-    pub leads: Option<Lead>,
+    pub leads: Option<LeaderLease>,
     /// The version of the configuration that is in force there.
     pub configuration: u64,
     /// How many versions of weights were named, as far as it knows.
--- a/crates/sedgewalld/src/fleet/node.rs
+++ b/crates/sedgewalld/src/fleet/node.rs
@@ -19,7 +19,7 @@
     demand::Demand,
     good_runs::GoodRuns,
     load_times::LoadTimes,
-    note::{Lead, Note},
+    note::{LeaderLease, Note},
     poison::PoisonDetector,
     retry_budget::{RetryAllowance, RetryBudget},
     route::Deployment,
@@ -378,7 +378,7 @@
     pub(crate) fn hear_leader(
         &self,
         instance: &str,
-        lead: Lead,
+        lead: LeaderLease,
         next_in: Duration,
     ) {
         let epoch = lead.epoch;
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -12,7 +12,7 @@
     catch_up::StateSummary,
     departure::Departure,
     load_times::LoadObservation,
-    note::{LoadObservationReport, DemandReport, Lead, Note, Status},
+    note::{LoadObservationReport, DemandReport, LeaderLease, Note, Status},
     note_schedule::{NoteSchedule, Pending, Role, Surroundings},
     view::Totals,
 };
@@ -471,7 +471,7 @@
 /// Returns what this instance says of itself now.
 fn status(node: &FleetNode, sequence: u64, around: Surroundings) -> Status {
     let now = Instant::now();
-    let leads = node.current_lease(now).map(|held| Lead {
+    let leads = node.current_lease(now).map(|held| LeaderLease {
         epoch: held.epoch,
         renewal: held.renewal,
         left_ms: held.left(now).as_millis() as u64 + 1,
