--- a/crates/fleet/src/note.rs
+++ b/crates/fleet/src/note.rs
@@ -24,7 +24,7 @@
 
 /// Up to so many other instances hear each note from its sender, and know well
 /// what each has under way. More take relays, and sums of the holder's.
-pub const FEW_PEERS: usize = 12;
+pub const MAX_DIRECT_PEERS: usize = 12;
 
 /// One datagram.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
--- a/crates/fleet/src/note_schedule.rs
+++ b/crates/fleet/src/note_schedule.rs
@@ -11,7 +11,7 @@
 
 use sedgewall_clock::Instant;
 
-use crate::note::FEW_PEERS;
+use crate::note::MAX_DIRECT_PEERS;
 
 /// How often each instance says what it has under way, at the least.
 const STATUS_EVERY: Duration = Duration::from_millis(150);
@@ -104,7 +104,7 @@
 impl Surroundings {
     /// Returns whether notes to all go through relays and sums.
     pub fn is_many(self) -> bool {
-        self.peers > FEW_PEERS
+        self.peers > MAX_DIRECT_PEERS
     }
 
     /// Returns the pause between two notes of what an instance has under way.
--- a/crates/fleet/src/view/choice.rs
+++ b/crates/fleet/src/view/choice.rs
@@ -15,7 +15,7 @@
 use crate::{
     adapter::{AdapterKey, WeightVersion},
     endpoint_state::EndpointState,
-    note::FEW_PEERS,
+    note::MAX_DIRECT_PEERS,
     pace::Pace,
 };
 
@@ -235,7 +235,7 @@
         let hash = xxh3_64(state.endpoint.id.as_bytes()) ^ need.draw;
         let spread = xxh3_64(&hash.to_le_bytes()) as f64 / u64::MAX as f64;
         let failures = state.health.failed_share() * FAILURE_COST;
-        let doubt = match self.peers.len() > FEW_PEERS {
+        let doubt = match self.peers.len() > MAX_DIRECT_PEERS {
             true => MANY_DOUBT,
             false => FEW_DOUBT,
         };
--- a/crates/fleet/tests/limit_model.rs
+++ b/crates/fleet/tests/limit_model.rs
@@ -14,7 +14,7 @@
     limit_share::{
         LimitReport, LimitShares, Permit, PermitRequest, ReportSource,
     },
-    note::FEW_PEERS,
+    note::MAX_DIRECT_PEERS,
 };
 
 const ENDPOINT: &str = "e1";
@@ -105,7 +105,7 @@
     let count = run.instances;
     let mut shares = vec![LimitShares::default(); count];
     let mut buckets = vec![EqualBucket { tokens: 0.0, filled_ms: 0 }; count];
-    let is_many = count - 1 > FEW_PEERS;
+    let is_many = count - 1 > MAX_DIRECT_PEERS;
     let weights: Vec<f64> = (0..count)
         .map(|n| match run.load {
             Load::Skewed => 9.0 - 8.0 * n as f64 / count as f64,
--- a/crates/sedgewalld/src/fleet/note_sender.rs
+++ b/crates/sedgewalld/src/fleet/note_sender.rs
@@ -14,7 +14,7 @@
 
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    note::{FEW_PEERS, Note, GroupRelay},
+    note::{MAX_DIRECT_PEERS, Note, GroupRelay},
     relays::{Group, heads, relays},
 };
 use sedgewall_state::id::InstanceId;
@@ -54,7 +54,7 @@
     /// Sends a note to all other instances, through relays if there are many.
     pub(crate) fn broadcast(&self, node: &FleetNode, note: &Note) {
         let peers = node.peers.borrow();
-        if peers.len() <= FEW_PEERS {
+        if peers.len() <= MAX_DIRECT_PEERS {
             let Some(bytes) = encode(note) else { return };
             if peers.is_empty() {
                 for address in node.heard_addresses() {
--- a/crates/sedgewalld/src/heartbeat.rs
+++ b/crates/sedgewalld/src/heartbeat.rs
@@ -12,7 +12,7 @@
 const HEARTBEAT_EVERY: Duration = Duration::from_millis(250);
 
 /// So many peers count as few; with more, heartbeats go out more seldom.
-const FEW_PEERS: u32 = 8;
+const MAX_DIRECT_PEERS: u32 = 8;
 
 /// The longest time between heartbeats. An entry counts as lost after 3 s.
 const LONGEST_GAP: Duration = Duration::from_secs(1);
@@ -42,7 +42,7 @@
 /// A leader that a hundred entries use would spend its allowance on
 /// heartbeats alone, four times a second each.
 fn gap(peers: u32) -> Duration {
-    let gap = HEARTBEAT_EVERY * peers.div_ceil(FEW_PEERS).max(1);
+    let gap = HEARTBEAT_EVERY * peers.div_ceil(MAX_DIRECT_PEERS).max(1);
     gap.min(LONGEST_GAP)
 }
 
