--- a/crates/fleet/src/note.rs
+++ b/crates/fleet/src/note.rs
@@ -193,7 +193,7 @@
 
 impl Status {
     /// Returns how long this note counts without another one.
-    pub fn counts_for(&self) -> Duration {
+    pub fn valid_for(&self) -> Duration {
         Duration::from_millis(self.next_in_ms) * STATUS_LOSSES
     }
 }
--- a/crates/fleet/src/view/under_way.rs
+++ b/crates/fleet/src/view/under_way.rs
@@ -58,7 +58,7 @@
             return;
         }
         let pause = Duration::from_millis(status.next_in_ms);
-        let holds = status.counts_for();
+        let holds = status.valid_for();
         if status.is_total {
             let until = now + holds;
             self.totals = Some(HeardTotals { at: now, pause, until });
--- a/crates/sedgewalld/src/fleet/announcements.rs
+++ b/crates/sedgewalld/src/fleet/announcements.rs
@@ -124,7 +124,7 @@
 
 /// Takes in what another instance reports of limits.
 pub(crate) fn hear_reports(node: &FleetNode, status: &Status, now: Instant) {
-    let until = now + status.counts_for();
+    let until = now + status.valid_for();
     let (from, is_total) = (&status.from, status.is_total);
     let source = ReportSource { from, is_total, until };
     let mut view = node.view.borrow_mut();
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -264,7 +264,7 @@
 
 /// Takes in what customers ask of another instance, or of all.
 fn hear_customers(node: &FleetNode, status: &Status, now: Instant) {
-    let until = now + status.counts_for();
+    let until = now + status.valid_for();
     let asked = status.asked_by_customers.clone();
     let mut shares = node.shares.borrow_mut();
     match status.is_total {
