--- a/crates/fleet/src/note_schedule.rs
+++ b/crates/fleet/src/note_schedule.rs
@@ -57,7 +57,7 @@
 
 /// The fleet around an instance.
 #[derive(Clone, Copy, Debug)]
-pub struct Surroundings {
+pub struct Topology {
     /// The other instances.
     pub peers: usize,
     /// What this one is to them.
@@ -101,9 +101,9 @@
     asked: Option<Instant>,
 }
 
-impl Surroundings {
+impl Topology {
     /// Returns whether notes to all go through relays and sums.
-    pub fn is_many(self) -> bool {
+    pub fn uses_relays(self) -> bool {
         self.peers > MAX_DIRECT_PEERS
     }
 
@@ -112,7 +112,7 @@
     /// Without a holder each tells all, less often.
     pub fn status_pause(self) -> Duration {
         match self.role {
-            _ if !self.is_many() => STATUS_EVERY,
+            _ if !self.uses_relays() => STATUS_EVERY,
             Role::Holder => STATUS_EVERY,
             Role::Follower => STATUS_EVERY * 2,
             Role::Leaderless => STATUS_EVERY.max(HEARD_EVERY * self.count()),
@@ -122,13 +122,13 @@
     /// A few instances hear at once what engines get and lose. Many hear it a
     /// little later; who waits for an adapter is told at once in any case.
     fn batch_pause(self) -> Duration {
-        if self.is_many() { BATCH_PAUSE } else { Duration::ZERO }
+        if self.uses_relays() { BATCH_PAUSE } else { Duration::ZERO }
     }
 
     /// The pause between two notes on what was sent: the holder hears those of
     /// all.
     fn sent_pause(self) -> Duration {
-        if self.is_many() { SENT_PAUSE * self.count() } else { Duration::ZERO }
+        if self.uses_relays() { SENT_PAUSE * self.count() } else { Duration::ZERO }
     }
 
     /// Among a few instances, all hear soon what was sent; among many, only
@@ -139,7 +139,7 @@
 
     fn asked_pause(self, pending: Pending) -> Duration {
         match pending {
-            Pending { has_waiting: true, .. } if self.is_many() => {
+            Pending { has_waiting: true, .. } if self.uses_relays() => {
                 WAITING_PAUSE
             }
             Pending { has_waiting: true, .. } => Duration::ZERO,
@@ -158,7 +158,7 @@
     pub fn wait(
         &self,
         pending: Pending,
-        around: Surroundings,
+        around: Topology,
         now: Instant,
     ) -> Duration {
         let left = |last: Option<Instant>, pause: Duration| match last {
@@ -183,7 +183,7 @@
     pub fn take(
         &mut self,
         pending: Pending,
-        around: Surroundings,
+        around: Topology,
         now: Instant,
     ) -> Due {
         let is_over = |last: Option<Instant>, pause: Duration| {
--- a/crates/fleet/tests/note_schedule_rules.rs
+++ b/crates/fleet/tests/note_schedule_rules.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use sedgewall_clock::Instant;
 use sedgewall_fleet::note_schedule::{
-    NoteSchedule, Pending, Role, Surroundings,
+    NoteSchedule, Pending, Role, Topology,
 };
 
 const MANY: usize = 194;
@@ -19,8 +19,8 @@
     has_sent: false,
 };
 
-fn around(peers: usize, role: Role) -> Surroundings {
-    Surroundings { peers, role }
+fn around(peers: usize, role: Role) -> Topology {
+    Topology { peers, role }
 }
 
 /// Symptom: 3.8 s after the lease was taken, nobody asked its holder for
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -13,7 +13,7 @@
     departure::Departure,
     load_times::LoadObservation,
     note::{LoadObservationReport, DemandReport, LeaderLease, Note, Status},
-    note_schedule::{NoteSchedule, Pending, Role, Surroundings},
+    note_schedule::{NoteSchedule, Pending, Role, Topology},
     view::Totals,
 };
 
@@ -400,13 +400,13 @@
     }
 }
 
-fn surroundings(node: &FleetNode, now: Instant) -> Surroundings {
+fn surroundings(node: &FleetNode, now: Instant) -> Topology {
     let role = match (node.current_lease(now), node.live_leader(now)) {
         (Some(_), _) => Role::Holder,
         (None, Some(_)) => Role::Follower,
         (None, None) => Role::Leaderless,
     };
-    Surroundings { peers: node.peers.borrow().len(), role }
+    Topology { peers: node.peers.borrow().len(), role }
 }
 
 /// A restart begins above what its last life can have reached.
@@ -424,14 +424,14 @@
     node: &FleetNode,
     sender: &NoteSender,
     sequence: &mut u64,
-    around: Surroundings,
+    around: Topology,
 ) {
-    if around.is_many() && around.role == Role::Holder {
+    if around.uses_relays() && around.role == Role::Holder {
         // What the holder sends itself is in the sums that it tells anyway.
         node.has_untold_work.set(false);
         return;
     }
-    if !around.is_many() {
+    if !around.uses_relays() {
         *sequence += 1;
         return tell_status(node, sender, *sequence, around);
     }
@@ -446,12 +446,12 @@
     node: &FleetNode,
     sender: &NoteSender,
     sequence: u64,
-    around: Surroundings,
+    around: Topology,
 ) {
     let mut status = status(node, sequence, around);
     let holder = node
         .live_leader(Instant::now())
-        .filter(|_| around.is_many() && status.leads.is_none());
+        .filter(|_| around.uses_relays() && status.leads.is_none());
     if let Some(holder) = holder {
         // The holder alone needs to know of adapters in use. Of two notes with
         // one number it keeps the first.
@@ -469,14 +469,14 @@
 }
 
 /// Returns what this instance says of itself now.
-fn status(node: &FleetNode, sequence: u64, around: Surroundings) -> Status {
+fn status(node: &FleetNode, sequence: u64, around: Topology) -> Status {
     let now = Instant::now();
     let leads = node.current_lease(now).map(|held| LeaderLease {
         epoch: held.epoch,
         renewal: held.renewal,
         left_ms: held.left(now).as_millis() as u64 + 1,
     });
-    let is_total = around.is_many() && leads.is_some();
+    let is_total = around.uses_relays() && leads.is_some();
     node.has_untold_work.set(false);
     let Totals { work, is_part } = match is_total {
         true => node.view.borrow_mut().tell_totals(),
