--- a/crates/fleet/src/note_schedule.rs
+++ b/crates/fleet/src/note_schedule.rs
@@ -68,7 +68,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pending {
     /// Whether the store was lost or regained.
-    pub has_news: bool,
+    pub has_store_change: bool,
     /// Whether a large prompt was sent to an engine.
     pub has_large_prompt: bool,
     /// Whether notes wait to go to all.
@@ -85,7 +85,7 @@
     /// What is under way, to all who are told so regularly.
     pub status: bool,
     /// The same between two regular notes.
-    pub work_soon: bool,
+    pub interim_work: bool,
     /// The notes that wait to go to all.
     pub batch: bool,
     /// What was asked for and what requests wait for.
@@ -165,7 +165,7 @@
             Some(last) => (last + pause).saturating_duration_since(now),
             None => Duration::ZERO,
         };
-        if pending.has_news {
+        if pending.has_store_change {
             return Duration::ZERO;
         }
         let mut wait = left(self.status, around.status_pause())
@@ -190,8 +190,8 @@
             last.is_none_or(|last| now >= last + pause)
         };
         let status =
-            pending.has_news || is_over(self.status, around.status_pause());
-        let work_soon = !status
+            pending.has_store_change || is_over(self.status, around.status_pause());
+        let interim_work = !status
             && pending.has_large_prompt
             && is_over(self.work, around.soon_pause());
         let batch =
@@ -203,9 +203,9 @@
             }
         };
         note(&mut self.status, status);
-        note(&mut self.work, status || work_soon);
+        note(&mut self.work, status || interim_work);
         note(&mut self.batch, batch);
         note(&mut self.asked, asked);
-        Due { status, work_soon, batch, asked }
+        Due { status, interim_work, batch, asked }
     }
 }
--- a/crates/fleet/tests/note_schedule_rules.rs
+++ b/crates/fleet/tests/note_schedule_rules.rs
@@ -12,7 +12,7 @@
 const MANY: usize = 194;
 
 const NOTHING: Pending = Pending {
-    has_news: false,
+    has_store_change: false,
     has_large_prompt: false,
     has_batch: false,
     has_waiting: false,
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -360,7 +360,7 @@
             sequence += 1;
             tell_status(&node, &sender, sequence, around);
         }
-        if due.work_soon {
+        if due.interim_work {
             tell_work_soon(&node, &sender, &mut sequence, around);
         }
         if due.batch {
@@ -390,7 +390,7 @@
 
 fn pending(node: &FleetNode) -> Pending {
     Pending {
-        has_news: node.store_contact.borrow().has_change(),
+        has_store_change: node.store_contact.borrow().has_change(),
         has_large_prompt: node.has_untold_work.get(),
         has_batch: !node.outbox.borrow().is_empty(),
         has_waiting: !node.waiting.borrow().is_empty()
