--- a/crates/fleet/src/events.rs
+++ b/crates/fleet/src/event_framer.rs
@@ -6,15 +6,15 @@
 
 /// Cuts a stream into whole events and remembers the last one's id.
 #[derive(Clone, Debug, Default)]
-pub struct EventCutter {
+pub struct EventFramer {
     pending: Vec<u8>,
     last_id: Option<String>,
 }
 
-impl EventCutter {
+impl EventFramer {
     /// Returns a cutter for a stream that goes on after this event.
-    pub fn after(last_id: Option<String>) -> EventCutter {
-        EventCutter { pending: Vec::new(), last_id }
+    pub fn after(last_id: Option<String>) -> EventFramer {
+        EventFramer { pending: Vec::new(), last_id }
     }
 
     /// Takes in bytes and returns all events that are now whole.
@@ -32,12 +32,12 @@
     }
 
     /// Throws away an event that is not whole.
-    pub fn restart(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.pending.clear();
     }
 
     /// Returns what came after the last whole event.
-    pub fn rest(&mut self) -> Vec<u8> {
+    pub fn take_partial(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.pending)
     }
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod endpoint;
 pub mod endpoint_state;
 mod engine_room;
-pub mod events;
+pub mod event_framer;
 pub mod good_runs;
 pub mod health;
 pub mod life;
--- a/crates/fleet/tests/budget_rules.rs
+++ b/crates/fleet/tests/budget_rules.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    events::EventCutter,
+    event_framer::EventFramer,
     health::Health,
     retry_budget::{RetryAllowance, RetryBudget},
     load_rate_limiter::LoadRateLimiter,
@@ -125,7 +125,7 @@
     ) {
         let stream: String =
             (1..=8).map(|n| format!("id: {n}\ndata: t{n}\n\n")).collect();
-        let mut cutter = EventCutter::default();
+        let mut cutter = EventFramer::default();
         let mut rest = stream.as_bytes();
         let mut out = Vec::new();
         for cut in cuts {
@@ -145,11 +145,11 @@
 
 #[test]
 fn what_a_broken_stream_left_unfinished_is_thrown_away() {
-    let mut cutter = EventCutter::after(Some("4".to_owned()));
+    let mut cutter = EventFramer::after(Some("4".to_owned()));
     assert_eq!(cutter.push(b"id: 5\ndata: x\n\nid: 6\nda"), {
         b"id: 5\ndata: x\n\n".to_vec()
     });
-    cutter.restart();
+    cutter.discard_partial();
     assert_eq!(cutter.last_id(), Some("5"));
     assert_eq!(cutter.push(b"id: 6\ndata: y\n\n"), b"id: 6\ndata: y\n\n");
 }
--- a/crates/sedgewalld/src/fleet/relay.rs
+++ b/crates/sedgewalld/src/fleet/relay.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use futures_util::stream;
 use sedgewall_clock::Instant;
-use sedgewall_fleet::{events::EventCutter, poison::Loss, view::Target};
+use sedgewall_fleet::{event_framer::EventFramer, poison::Loss, view::Target};
 use sedgewall_transport::{LocalBody, PooledBody, SendError};
 
 use super::{
@@ -37,7 +37,7 @@
     body: PooledBody,
     _under_way: UnderWay,
     _open: OpenRequest,
-    cutter: Option<EventCutter>,
+    cutter: Option<EventFramer>,
     head: Duration,
     bytes: usize,
     /// When the last bytes came, and the longest time without any.
@@ -65,7 +65,7 @@
     let cutter = call
         .route
         .is_resumable
-        .then(|| EventCutter::after(call.facts.last_event.clone()));
+        .then(|| EventFramer::after(call.facts.last_event.clone()));
     let relay = Relay {
         head: call.arrived.elapsed(),
         node,
@@ -154,7 +154,7 @@
                 longest_pause: self.longest_pause,
             },
         );
-        let rest = self.cutter.as_mut().map(EventCutter::rest)?;
+        let rest = self.cutter.as_mut().map(EventFramer::take_partial)?;
         (!rest.is_empty()).then(|| Ok(rest.into()))
     }
 
@@ -170,7 +170,7 @@
             return false;
         }
         let Some(cutter) = self.cutter.as_mut() else { return false };
-        cutter.restart();
+        cutter.discard_partial();
         let last_event = cutter.last_id().map(str::to_owned);
         let call = self.call.clone();
         let found = caller::obtain(
