--- a/crates/fleet/benches/decisions.rs
+++ b/crates/fleet/benches/decisions.rs
@@ -76,7 +76,7 @@
     }
     for n in ASKED_FOR - WAITED_FOR..ASKED_FOR {
         demand.add(&key(n), 1, "z1", now);
-        demand.wait(&key(n), 1);
+        demand.mark_waiting(&key(n), 1);
     }
     demand
 }
--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -61,7 +61,7 @@
     }
 
     /// Returns whether requests wait for it, or will come back for it.
-    pub fn is_waited_for(&self, now: Instant) -> bool {
+    pub fn has_waiting(&self, now: Instant) -> bool {
         self.waiting.is_some() && now - self.last_asked < WAITED_FOR
     }
 
@@ -98,7 +98,7 @@
     }
 
     /// Notes that a request waits for an adapter.
-    pub fn wait(&mut self, key: &AdapterKey, priority: u8) {
+    pub fn mark_waiting(&mut self, key: &AdapterKey, priority: u8) {
         let Some(entry) = self.adapters.get_mut(key) else { return };
         let rank = entry.waiting.unwrap_or(priority);
         entry.waiting = Some(rank.min(priority));
--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -227,7 +227,7 @@
         let mut wanted: Vec<(f64, AdapterKey)> = Vec::new();
         for (key, demand) in self.demand.iter() {
             if self.is_ours(key)
-                && demand.is_waited_for(self.now)
+                && demand.has_waiting(self.now)
                 && !self.can_be_served(key)
             {
                 wanted.push((demand.standing(self.now), key.clone()));
--- a/crates/fleet/tests/placement_rules.rs
+++ b/crates/fleet/tests/placement_rules.rs
@@ -40,7 +40,7 @@
 
 fn asked(demand: &mut Demand, n: u32, times: u32, now: Instant) {
     demand.add(&key(n), times, "z1", now);
-    demand.wait(&key(n), 1);
+    demand.mark_waiting(&key(n), 1);
 }
 
 /// A table of engines that have all reported.
@@ -453,7 +453,7 @@
     let mut demand = Demand::default();
     for n in 1..=100 {
         asked(&mut demand, n, 1, now);
-        demand.wait(&key(n), 1);
+        demand.mark_waiting(&key(n), 1);
     }
     let orders = plan(&mut loader(1, now), &mut view, &mut demand, now);
     let placed = loads(&orders);
--- a/crates/sedgewalld/src/fleet/leader.rs
+++ b/crates/sedgewalld/src/fleet/leader.rs
@@ -75,7 +75,7 @@
 fn forget_askers(node: &FleetNode, now: Instant) {
     let demand = node.demand.borrow();
     node.askers.borrow_mut().retain(|key, _| {
-        demand.get(key).is_some_and(|d| d.is_waited_for(now))
+        demand.get(key).is_some_and(|d| d.has_waiting(now))
     });
 }
 
@@ -109,7 +109,7 @@
             places = group.adapter_places() * engines().count(),
             asked_for = demand.iter().count(),
             waiting =
-                demand.iter().filter(|(_, d)| d.is_waited_for(now)).count(),
+                demand.iter().filter(|(_, d)| d.has_waiting(now)).count(),
             loads_left,
             load_ms = pace.load_time.as_millis() as u64,
             loads_at_once = pace.concurrency,
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -242,7 +242,7 @@
         demand.add(key, *count, &asked.zone, now);
     }
     for (key, rank) in &asked.waiting {
-        demand.wait(key, *rank);
+        demand.mark_waiting(key, *rank);
     }
     drop(demand);
     for endpoint in &asked.unreachable {
