--- a/crates/fleet/src/order.rs
+++ b/crates/fleet/src/order.rs
@@ -40,7 +40,7 @@
     /// Takes back what the table believes of an order that was not carried
     /// out, or may not have been. What its engine holds is known again once it
     /// reports: an adapter that was to leave is still there.
-    pub fn take_back(&self, view: &mut FleetView) {
+    pub fn revert(&self, view: &mut FleetView) {
         if let Task::Load(key, _) = &self.task {
             view.take_back(&self.endpoint, key);
         }
--- a/crates/fleet/tests/placement_rules.rs
+++ b/crates/fleet/tests/placement_rules.rs
@@ -385,7 +385,7 @@
     assert_eq!(loads(&orders), [("e1", key(9))]);
 
     for order in &orders {
-        order.take_back(&mut view);
+        order.revert(&mut view);
     }
     let later = now + Duration::from_secs(1);
     asked(&mut demand, 10, 1, later);
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -133,7 +133,7 @@
             epoch,
             lease_is_current = self.may_order(epoch),
         );
-        order.take_back(&mut self.node.view.borrow_mut());
+        order.revert(&mut self.node.view.borrow_mut());
         self.forget_load(order);
     }
 
@@ -239,7 +239,7 @@
                 endpoint = order.endpoint
             );
             self.forget_load(order);
-            order.take_back(&mut self.node.view.borrow_mut());
+            order.revert(&mut self.node.view.borrow_mut());
             return None;
         }
         let count = match (&answer, &order.task) {
@@ -272,7 +272,7 @@
             }
         }
         if count.is_none() {
-            order.take_back(&mut self.node.view.borrow_mut());
+            order.revert(&mut self.node.view.borrow_mut());
         }
         count
     }
