--- a/crates/fleet/src/configuration.rs
+++ b/crates/fleet/src/configuration.rs
@@ -7,7 +7,7 @@
 
 /// By which configuration a request was decided, for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct DecidedBy {
+pub struct ConfigurationStatus {
     /// The version in force here; none if no configuration is known.
     pub version: Option<ConfigurationVersion>,
     /// How long ago it was last read, from the store or another instance.
@@ -16,7 +16,7 @@
     pub newest_heard: ConfigurationVersion,
 }
 
-impl DecidedBy {
+impl ConfigurationStatus {
     /// Returns how long ago it was last read, in milliseconds.
     pub fn read_ms_ago(&self) -> Option<u64> {
         self.read_ago.map(|ago| ago.as_millis() as u64)
--- a/crates/sedgewalld/src/fleet/admit.rs
+++ b/crates/sedgewalld/src/fleet/admit.rs
@@ -5,7 +5,7 @@
 
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    configuration::DecidedBy,
+    configuration::ConfigurationStatus,
     customer::{Customer, KeyDigest},
     route::{Deployment, Route},
 };
@@ -28,7 +28,7 @@
     pub(super) deployment: Rc<Deployment>,
     pub(super) route: Route,
     pub(super) customer: Option<Rc<Customer>>,
-    pub(super) decided_by: DecidedBy,
+    pub(super) decided_by: ConfigurationStatus,
 }
 
 /// Decides by the configuration in force; where that refuses for good and a newer one
--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -12,7 +12,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
     adapter::AdapterKey,
-    configuration::DecidedBy,
+    configuration::ConfigurationStatus,
     customer::Customer,
     good_runs::RequestHash,
     poison::Loss,
@@ -47,7 +47,7 @@
     pub(crate) body: Bytes,
     pub(crate) route: Route,
     /// By which configuration it was routed.
-    pub(crate) decided_by: DecidedBy,
+    pub(crate) decided_by: ConfigurationStatus,
     pub(crate) service: String,
     pub(crate) is_engine: bool,
     pub(crate) arrived: Instant,
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -15,7 +15,7 @@
 use hyper::body::Incoming;
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    configuration::DecidedBy,
+    configuration::ConfigurationStatus,
     customer::Customer,
     wait_policy::{WaitingRequest, WaitReason, retry_delay},
     poison::Loss,
@@ -100,7 +100,7 @@
     request_id: String,
     path: String,
     customer: Option<Rc<Customer>>,
-    decided_by: DecidedBy,
+    decided_by: ConfigurationStatus,
 }
 
 fn refuse_unread(refused: Unread, arrived: Instant) -> Response<LocalBody> {
--- a/crates/sedgewalld/src/fleet/knowledge.rs
+++ b/crates/sedgewalld/src/fleet/knowledge.rs
@@ -8,7 +8,7 @@
 use sedgewall_fleet::{
     adapter::{AdapterKey, WeightVersion},
     catch_up::StateSummary,
-    configuration::{ConfigurationVersion, DecidedBy},
+    configuration::{ConfigurationVersion, ConfigurationStatus},
     route::Deployment,
 };
 
@@ -33,12 +33,12 @@
     }
 
     /// Returns by which configuration a request is decided that comes now.
-    pub(crate) fn decides(&self) -> DecidedBy {
+    pub(crate) fn decides(&self) -> ConfigurationStatus {
         let now = Instant::now();
         let version = self.configuration_version();
         let read = self.configuration_read.get();
         let heard = self.catch_up.borrow().newest_heard(now).configuration;
-        DecidedBy {
+        ConfigurationStatus {
             version,
             read_ago: read.map(|at| now.saturating_duration_since(at)),
             newest_heard: heard.max(version.unwrap_or(0)),
