--- a/crates/fleet/src/customer.rs
+++ b/crates/fleet/src/customer.rs
@@ -178,7 +178,7 @@
     }
 
     /// Returns whose a key is.
-    pub fn of_key(&self, key: &KeyDigest) -> Option<&Rc<Customer>> {
+    pub fn find_by_key(&self, key: &KeyDigest) -> Option<&Rc<Customer>> {
         self.by_key.get(key)
     }
 }
--- a/crates/fleet/tests/customer_rules.rs
+++ b/crates/fleet/tests/customer_rules.rs
@@ -22,7 +22,7 @@
     customers.add(customer("one", 0), keys);
     customers.add(customer("two", 1), [KeyDigest::of(b"other")]);
     let of = |key: &[u8]| {
-        let found = customers.of_key(&KeyDigest::of(key));
+        let found = customers.find_by_key(&KeyDigest::of(key));
         found.map(|customer| customer.name.clone())
     };
     assert_eq!(of(SECRET.as_bytes()).as_deref(), Some("one"));
--- a/crates/sedgewalld/src/fleet/admit.rs
+++ b/crates/sedgewalld/src/fleet/admit.rs
@@ -81,7 +81,7 @@
     if !node.keys.are_sure() {
         return Err(Reason::KeysUnsure);
     }
-    let known = customers.of_key(credential).cloned();
+    let known = customers.find_by_key(credential).cloned();
     known.map(Some).ok_or(Reason::UnknownKey)
 }
 
