--- a/crates/fleet/src/wait_policy.rs
+++ b/crates/fleet/src/wait_policy.rs
@@ -35,7 +35,7 @@
     /// When it arrived.
     pub arrived: Instant,
     /// When its caller must have an answer.
-    pub end: Instant,
+    pub deadline: Instant,
     /// Within this time its answer should begin.
     pub target: Duration,
     /// What an engine is likely to take until its answer begins.
@@ -101,7 +101,7 @@
 
     /// Returns the last moment at which it can be sent and be answered.
     fn last_send(&self) -> Instant {
-        let left = self.end.saturating_duration_since(self.arrived);
+        let left = self.deadline.saturating_duration_since(self.arrived);
         self.arrived + left.saturating_sub(self.engine_time.max(self.target))
     }
 }
--- a/crates/fleet/tests/wait_policy_rules.rs
+++ b/crates/fleet/tests/wait_policy_rules.rs
@@ -13,7 +13,7 @@
 fn chat(arrived: Instant) -> WaitingRequest {
     WaitingRequest {
         arrived,
-        end: arrived + ms(5_000),
+        deadline: arrived + ms(5_000),
         target: ms(600),
         engine_time: ms(80),
         is_later_try: false,
@@ -52,7 +52,7 @@
         for left_ms in [50, 400, 1_000, 5_000, 60_000] {
             for is_later_try in [false, true] {
                 let end = now + ms(left_ms);
-                let held = WaitingRequest { end, is_later_try, ..chat(now) };
+                let held = WaitingRequest { deadline: end, is_later_try, ..chat(now) };
                 assert!(held.wait_until(obstacle, now) <= end);
             }
         }
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -473,7 +473,7 @@
     };
     WaitingRequest {
         arrived: call.arrived,
-        end: call.end,
+        deadline: call.end,
         target: call.route.target_latency,
         engine_time,
         is_later_try: call.is_later_try && call.is_engine,
