--- a/crates/fleet/src/rate_limiter.rs
+++ b/crates/fleet/src/rate_limiter.rs
@@ -55,7 +55,7 @@
     /// What may be taken; below zero, what has to come back first.
     pub balance: f64,
     /// This instance's part of the allowance.
-    pub part: f64,
+    pub share: f64,
     /// What the customer asks of all instances, in units a second, if it is known.
     pub total_per_s: Option<f64>,
     /// How old the sum of the holder of the lease is, if it was heard.
@@ -135,7 +135,7 @@
         Err(LimitExceeded {
             retry_in: Duration::from_secs_f64(missing_s),
             balance: bucket.balance,
-            part,
+            share: part,
             total_per_s,
             total_age: heard.map(|h| now.saturating_duration_since(h.at)),
         })
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -123,7 +123,7 @@
         held_ms = ms(arrived.elapsed()),
         allowed_per_s = denied.and(allowance).map(|a| a.per_s),
         balance = denied.map(|denied| denied.balance.round()),
-        part = denied.map(|denied| denied.part),
+        part = denied.map(|denied| denied.share),
         total_per_s = denied.and_then(|denied| denied.total_per_s),
         total_age_ms = denied.and_then(|d| d.total_age).map(ms),
         back_in_ms = denied.map(|denied| ms(denied.retry_in)),
