--- a/crates/fleet/src/store_reachability.rs
+++ b/crates/fleet/src/store_reachability.rs
@@ -116,7 +116,7 @@
 
     /// Returns for how long entries of endpoints that lapsed while the store
     /// was out may still come back.
-    pub fn entries_return_within(&self, now: Instant) -> Duration {
+    pub fn missing_entry_grace(&self, now: Instant) -> Duration {
         let Some(failed) = self.failed else { return Duration::ZERO };
         ENTRIES_RETURN.saturating_sub(now - failed.unreachable_at())
     }
--- a/crates/fleet/tests/store_reachability_rules.rs
+++ b/crates/fleet/tests/store_reachability_rules.rs
@@ -27,7 +27,7 @@
     let mut contact = StoreReachability::default();
     contact.record_failure(unanswered(sent, 1_200));
     let in_touch = sent + IN_TOUCH_AFTER;
-    assert_eq!(contact.entries_return_within(in_touch), Duration::ZERO);
+    assert_eq!(contact.missing_entry_grace(in_touch), Duration::ZERO);
 }
 
 /// Many watches that were lost together would have all instances say that the
@@ -48,13 +48,13 @@
 fn a_missing_entry_is_waited_for_after_an_outage() {
     let now = Instant::now();
     let mut contact = StoreReachability::default();
-    assert_eq!(contact.entries_return_within(now), Duration::ZERO);
+    assert_eq!(contact.missing_entry_grace(now), Duration::ZERO);
     let turned_away =
         CallFailure { sent: now, noticed: now, is_unanswered: false };
     contact.record_failure(turned_away);
     contact.record_answer(now + Duration::from_millis(200));
     let entries_back = now + Duration::from_secs(2);
-    assert!(contact.entries_return_within(entries_back) > Duration::ZERO);
+    assert!(contact.missing_entry_grace(entries_back) > Duration::ZERO);
 }
 
 /// A holder may count on our word for as long as one holds, and no longer: for
--- a/crates/sedgewalld/src/fleet/follow_endpoints.rs
+++ b/crates/sedgewalld/src/fleet/follow_endpoints.rs
@@ -139,7 +139,7 @@
     fn entry_gone(&self, id: &EndpointId, revision: Revision) {
         let now = Instant::now();
         let contact = self.node.store_contact.borrow();
-        let left = contact.entries_return_within(now);
+        let left = contact.missing_entry_grace(now);
         if left.is_zero() {
             take_out(&self.node, id, revision);
             return;
