--- a/crates/fleet/src/revocation.rs
+++ b/crates/fleet/src/revocation.rs
@@ -76,7 +76,7 @@
     /// one waits two thirds of what is left then. Two watches of a fixed two
     /// thirds took 4/3 of the time, and each change of the configuration made
     /// all instances turn keyed requests away for 0.8 s.
-    pub fn watch_time(&self, now: Instant) -> Option<Duration> {
+    pub fn watch_timeout(&self, now: Instant) -> Option<Duration> {
         let most = self.most()?;
         let age = self.age(now).unwrap_or(most);
         let left = most.saturating_sub(age);
--- a/crates/fleet/tests/customer_rules.rs
+++ b/crates/fleet/tests/customer_rules.rs
@@ -74,7 +74,7 @@
     assert!(known.is_fresh(start + Duration::from_millis(4_600)));
     assert!(!known.is_fresh(start + Duration::from_millis(4_800)));
     // After a watch, a third of the time is left for calls that fail.
-    let wait = known.watch_time(start).expect("it is bounded");
+    let wait = known.watch_timeout(start).expect("it is bounded");
     assert!(wait < within * 2 / 3);
 }
 
@@ -82,5 +82,5 @@
 fn without_a_bound_keys_are_always_sure() {
     let known = KeyFreshness::new(None);
     assert!(known.is_fresh(Instant::now()));
-    assert_eq!(known.watch_time(Instant::now()), None);
+    assert_eq!(known.watch_timeout(Instant::now()), None);
 }
--- a/crates/sedgewalld/src/fleet/keys.rs
+++ b/crates/sedgewalld/src/fleet/keys.rs
@@ -90,7 +90,7 @@
 pub(crate) fn own_watch(node: &FleetNode) -> Option<Duration> {
     let is_watching = node.has_customers() && node.rank(0) < WATCHERS;
     node.keys.is_watching.set(is_watching);
-    let wait = node.keys.known.get().watch_time(Instant::now());
+    let wait = node.keys.known.get().watch_timeout(Instant::now());
     wait.filter(|_| is_watching)
 }
 
