--- a/crates/fleet/src/customer.rs
+++ b/crates/fleet/src/customer.rs
@@ -135,7 +135,7 @@
 
 impl Customer {
     /// Returns the rank of a request on a route of this rank.
-    pub fn rank(&self, route_priority: u8) -> u8 {
+    pub fn effective_priority(&self, route_priority: u8) -> u8 {
         let own = self.priority.saturating_mul(ROUTE_RANKS);
         own.saturating_add(route_priority.min(ROUTE_RANKS - 1)).min(LAST_RANK)
     }
--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -159,7 +159,7 @@
     /// Returns the rank: the customer's comes before the route's.
     pub(crate) fn rank(&self) -> u8 {
         let route = self.route.priority;
-        self.customer.as_ref().map_or(route, |c| c.rank(route))
+        self.customer.as_ref().map_or(route, |c| c.effective_priority(route))
     }
 
     /// Returns whether the request may run more than once.
