--- a/crates/fleet/src/note_schedule.rs
+++ b/crates/fleet/src/note_schedule.rs
@@ -89,7 +89,7 @@
     /// The notes that wait to go to all.
     pub batch: bool,
     /// What was asked for and what requests wait for.
-    pub asked: bool,
+    pub demand: bool,
 }
 
 /// Knows when an instance last said what.
@@ -206,6 +206,6 @@
         note(&mut self.work, status || interim_work);
         note(&mut self.batch, batch);
         note(&mut self.asked, asked);
-        Due { status, interim_work, batch, asked }
+        Due { status, interim_work, batch, demand: asked }
     }
 }
--- a/crates/fleet/tests/note_schedule_rules.rs
+++ b/crates/fleet/tests/note_schedule_rules.rs
@@ -65,12 +65,12 @@
     let follower = around(MANY, Role::Follower);
     let mut schedule = NoteSchedule::default();
     let sent = Pending { has_sent: true, ..NOTHING };
-    assert!(schedule.take(sent, follower, start).asked);
+    assert!(schedule.take(sent, follower, start).demand);
     let later = start + Duration::from_millis(20);
-    assert!(!schedule.take(sent, follower, later).asked);
+    assert!(!schedule.take(sent, follower, later).demand);
     let waiting = Pending { has_waiting: true, ..NOTHING };
     assert_eq!(schedule.wait(waiting, follower, later), Duration::ZERO);
-    assert!(schedule.take(waiting, follower, later).asked);
+    assert!(schedule.take(waiting, follower, later).demand);
 }
 
 /// Replays ten calm seconds of 195 instances with 720 requests a second, a fifth
@@ -116,7 +116,7 @@
                 pending.has_sent = true;
             }
         }
-        if schedule.take(pending, follower, now).asked {
+        if schedule.take(pending, follower, now).demand {
             notes += u64::from(pending.has_waiting || pending.has_sent);
             if let Some(since) = waits_since.take() {
                 longest = longest.max(now - since);
@@ -135,5 +135,5 @@
     let sent = Pending { has_sent: true, has_batch: true, ..NOTHING };
     let _ = schedule.take(sent, few, start);
     let due = schedule.take(sent, few, start + Duration::from_millis(1));
-    assert!(due.asked && due.batch && !due.status);
+    assert!(due.demand && due.batch && !due.status);
 }
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -368,7 +368,7 @@
                 sender.broadcast(&node, &Note::Batch(notes.to_vec()));
             }
         }
-        if due.asked {
+        if due.demand {
             tell_asked(&node, &sender);
         }
         if now >= next_forget {
