--- a/crates/fleet/benches/decisions.rs
+++ b/crates/fleet/benches/decisions.rs
@@ -12,10 +12,10 @@
     customer::Customers,
     demand::Demand,
     endpoint::{Endpoint, EngineReport, HostedModel},
+    load_rate_limiter::LoadRateLimiter,
     load_times::LoadTimes,
     placement::PlacementPlanner,
     route::{BaseModel, CallerLimits, Deployment, EngineGroup, Service},
-    load_rate_limiter::LoadRateLimiter,
     view::{FleetView, Need},
 };
 
@@ -126,7 +126,11 @@
     criterion.bench_function("plan, 300 waiting", |bench| {
         let rate = LoadRateLimiter::new(Duration::from_secs(5), 1.1);
         let fresh = || {
-            (PlacementPlanner::new(1, rate.clone(), now), view.clone(), demand.clone())
+            (
+                PlacementPlanner::new(1, rate.clone(), now),
+                view.clone(),
+                demand.clone(),
+            )
         };
         bench.iter_batched(
             fresh,
--- a/crates/fleet/src/note.rs
+++ b/crates/fleet/src/note.rs
@@ -12,12 +12,12 @@
 
 use crate::{
     adapter::{AdapterKey, WeightVersion},
-    rate_limiter,
     departure::Departure,
     endpoint::{Endpoint, Revision},
     life::Born,
     limit_share::LimitReport,
     poison::Crash,
+    rate_limiter,
     request_digest::RequestDigest,
     work::Work,
 };
--- a/crates/fleet/src/note_schedule.rs
+++ b/crates/fleet/src/note_schedule.rs
@@ -128,7 +128,11 @@
     /// The pause between two notes on what was sent: the holder hears those of
     /// all.
     fn sent_pause(self) -> Duration {
-        if self.uses_relays() { SENT_PAUSE * self.count() } else { Duration::ZERO }
+        if self.uses_relays() {
+            SENT_PAUSE * self.count()
+        } else {
+            Duration::ZERO
+        }
     }
 
     /// Among a few instances, all hear soon what was sent; among many, only
@@ -189,8 +193,8 @@
         let is_over = |last: Option<Instant>, pause: Duration| {
             last.is_none_or(|last| now >= last + pause)
         };
-        let status =
-            pending.has_store_change || is_over(self.status, around.status_pause());
+        let status = pending.has_store_change
+            || is_over(self.status, around.status_pause());
         let interim_work = !status
             && pending.has_large_prompt
             && is_over(self.work, around.soon_pause());
--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -19,11 +19,11 @@
     demand::Demand,
     endpoint_state::EndpointState,
     engine_room::EngineRoom,
+    load_rate_limiter::LoadRateLimiter,
     load_times::LoadTimes,
     note::{Placed, Removed},
     order::{Order, Task},
     route::{Deployment, EngineGroup},
-    load_rate_limiter::LoadRateLimiter,
     view::{BUSY_BACKLOG, FleetView},
 };
 
@@ -64,11 +64,20 @@
 impl PlacementPlanner {
     /// Returns the loader of a new epoch. Whoever held the lease before may
     /// have used the weight store's whole rate until now.
-    pub fn new(epoch: Epoch, mut store: LoadRateLimiter, now: Instant) -> PlacementPlanner {
+    pub fn new(
+        epoch: Epoch,
+        mut store: LoadRateLimiter,
+        now: Instant,
+    ) -> PlacementPlanner {
         if epoch > 1 {
             store.assume_used(now);
         }
-        PlacementPlanner { epoch, store, ordered: HashMap::new(), looked: None }
+        PlacementPlanner {
+            epoch,
+            store,
+            ordered: HashMap::new(),
+            looked: None,
+        }
     }
 
     /// Decides what to order now. The view is changed as if all orders were
--- a/crates/fleet/src/placement/target.rs
+++ b/crates/fleet/src/placement/target.rs
@@ -49,7 +49,10 @@
     /// were refused beside 160 free places. Making way for it elsewhere
     /// removes what is asked for there: where places are scarce that costs more than it
     /// brings (`docs/DECISIONS.md`).
-    pub(super) fn find_target(&mut self, key: &AdapterKey) -> Option<PlacementTarget> {
+    pub(super) fn find_target(
+        &mut self,
+        key: &AdapterKey,
+    ) -> Option<PlacementTarget> {
         let engines = self.engines.take().unwrap_or_else(|| self.rooms());
         let home = self.cheapest_target(key, &engines);
         self.engines = Some(engines);
--- a/crates/fleet/src/poison.rs
+++ b/crates/fleet/src/poison.rs
@@ -221,7 +221,11 @@
 
     /// Takes in which runs of another instance ended with an endpoint; returns what
     /// others are to be told of ours.
-    pub fn record_crash(&mut self, crash: &Crash, now: Instant) -> Option<Crash> {
+    pub fn record_crash(
+        &mut self,
+        crash: &Crash,
+        now: Instant,
+    ) -> Option<Crash> {
         let ago = |ms| {
             let time = Duration::from_millis(ms);
             now.checked_sub(time).unwrap_or(now)
@@ -241,9 +245,14 @@
         now: Instant,
     ) -> Option<Verdict> {
         let suspect = self.suspects.get(&digest)?;
-        let ago = now.saturating_duration_since(suspect.condemned_at?);
-        let released_in = CONDEMNED_FOR.checked_sub(ago)?;
-        Some(Verdict { endpoints: suspect.endpoints(), condemned_ago, released_in })
+        let condemned_ago =
+            now.saturating_duration_since(suspect.condemned_at?);
+        let released_in = CONDEMNED_FOR.checked_sub(condemned_ago)?;
+        Some(Verdict {
+            endpoints: suspect.endpoints(),
+            condemned_ago,
+            released_in,
+        })
     }
 
     /// Returns whether anything is held against any request. Without that, nobody
@@ -278,7 +287,11 @@
     }
 
     /// Takes in that a request was condemned elsewhere.
-    pub fn merge_condemned(&mut self, condemned: &Condemned, now: Instant) -> MergeOutcome {
+    pub fn merge_condemned(
+        &mut self,
+        condemned: &Condemned,
+        now: Instant,
+    ) -> MergeOutcome {
         let ago = Duration::from_millis(condemned.ms_ago);
         if ago >= CONDEMNED_FOR {
             return MergeOutcome::AlreadyKnown;
--- a/crates/fleet/src/revocation.rs
+++ b/crates/fleet/src/revocation.rs
@@ -86,7 +86,11 @@
 
     /// Returns when another instance is to be asked, none if nothing bounds what is
     /// known; one that does not answer is followed by the next soon.
-    pub fn next_poll_in(&self, asking: &FreshnessPoll, now: Instant) -> Option<Duration> {
+    pub fn next_poll_in(
+        &self,
+        asking: &FreshnessPoll,
+        now: Instant,
+    ) -> Option<Duration> {
         let most = self.most()?;
         let pause = match asking.is_answered {
             true => most.mul_f64(ASK_PART),
@@ -143,7 +147,11 @@
 
     /// Takes in an answer; returns up to when all changes are known by it. An
     /// answer to an earlier question says nothing more.
-    pub fn record_answer(&mut self, number: u64, age: Duration) -> Option<Instant> {
+    pub fn record_answer(
+        &mut self,
+        number: u64,
+        age: Duration,
+    ) -> Option<Instant> {
         let (asked, sent) = self.asked?;
         if asked != number {
             return None;
--- a/crates/fleet/src/store_reachability.rs
+++ b/crates/fleet/src/store_reachability.rs
@@ -98,7 +98,11 @@
     }
 
     /// Returns whether it is out, or was regained within this time.
-    pub fn was_unreachable_within(&self, time: Duration, now: Instant) -> bool {
+    pub fn was_unreachable_within(
+        &self,
+        time: Duration,
+        now: Instant,
+    ) -> bool {
         let is_recent = |at: Instant| now - at < time;
         self.is_unreachable || self.regained.is_some_and(is_recent)
     }
--- a/crates/fleet/src/wait_policy.rs
+++ b/crates/fleet/src/wait_policy.rs
@@ -69,7 +69,9 @@
         let last = self.last_send().min(self.arrived + LONGEST_HOLD);
         match obstacle {
             // An answer is certain to come; a new try would have it later.
-            WaitReason::AdapterLoading(ready_in) if now + ready_in <= last => last,
+            WaitReason::AdapterLoading(ready_in) if now + ready_in <= last => {
+                last
+            }
             WaitReason::AdapterLoading(_) => self.arrived,
             // What is known to come too late is rejected at once.
             WaitReason::Saturated(ready_in)
--- a/crates/fleet/tests/budget_rules.rs
+++ b/crates/fleet/tests/budget_rules.rs
@@ -7,8 +7,8 @@
 use sedgewall_fleet::{
     event_framer::EventFramer,
     health::Health,
-    retry_budget::{RetryAllowance, RetryBudget},
     load_rate_limiter::LoadRateLimiter,
+    retry_budget::{RetryAllowance, RetryBudget},
 };
 
 const ALLOWANCE: RetryAllowance = RetryAllowance {
--- a/crates/fleet/tests/catch_up_rules.rs
+++ b/crates/fleet/tests/catch_up_rules.rs
@@ -16,7 +16,11 @@
 }
 
 /// Plays on until somebody is asked.
-fn asked(catch_up: &mut CatchUp, own: StateSummary, now: &mut Instant) -> String {
+fn asked(
+    catch_up: &mut CatchUp,
+    own: StateSummary,
+    now: &mut Instant,
+) -> String {
     for draw in 0..100 {
         match catch_up.step(own, OTHERS, draw, *now) {
             Step::Fetch(whom) => return whom,
--- a/crates/fleet/tests/customer_rules.rs
+++ b/crates/fleet/tests/customer_rules.rs
@@ -46,7 +46,9 @@
 fn a_customers_rank_comes_before_its_routes() {
     let (first, second) = (customer("one", 0), customer("two", 1));
     for route in 0..10 {
-        assert!(first.effective_priority(route) < second.effective_priority(0));
+        assert!(
+            first.effective_priority(route) < second.effective_priority(0)
+        );
         assert!(second.effective_priority(route) <= 9);
     }
     assert!(first.effective_priority(0) < first.effective_priority(1));
--- a/crates/fleet/tests/note_schedule_rules.rs
+++ b/crates/fleet/tests/note_schedule_rules.rs
@@ -5,9 +5,7 @@
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use sedgewall_clock::Instant;
-use sedgewall_fleet::note_schedule::{
-    NoteSchedule, Pending, Role, Topology,
-};
+use sedgewall_fleet::note_schedule::{NoteSchedule, Pending, Role, Topology};
 
 const MANY: usize = 194;
 
--- a/crates/fleet/tests/placement_rules.rs
+++ b/crates/fleet/tests/placement_rules.rs
@@ -13,10 +13,10 @@
 use sedgewall_fleet::{
     adapter::AdapterKey,
     demand::Demand,
+    load_rate_limiter::LoadRateLimiter,
     load_times::LoadTimes,
-    placement::PlacementPlanner,
     order::{Order, Task},
-    load_rate_limiter::LoadRateLimiter,
+    placement::PlacementPlanner,
     view::FleetView,
     work::Work,
 };
--- a/crates/fleet/tests/poison_model.rs
+++ b/crates/fleet/tests/poison_model.rs
@@ -306,7 +306,8 @@
         if self.hears(n, whom, now) {
             let at = self.at(now);
             for condemned in self.instances[whom].poison.condemned(at) {
-                let _ = self.instances[n].poison.merge_condemned(&condemned, at);
+                let _ =
+                    self.instances[n].poison.merge_condemned(&condemned, at);
             }
         }
     }
--- a/crates/fleet/tests/poison_rules.rs
+++ b/crates/fleet/tests/poison_rules.rs
@@ -6,7 +6,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
     life::EndpointLife,
-    poison::{CONDEMNED_FOR, Crash, Loss, PoisonDetector, MergeOutcome},
+    poison::{CONDEMNED_FOR, Crash, Loss, MergeOutcome, PoisonDetector},
     request_digest::{RequestDigest, RequestParts},
 };
 
@@ -40,7 +40,8 @@
     began: Instant,
     at: Instant,
 ) -> Option<Crash> {
-    let early = poison.record_lost_run(&life(endpoint), of, began, Loss::Broken, at);
+    let early =
+        poison.record_lost_run(&life(endpoint), of, began, Loss::Broken, at);
     early.or_else(|| poison.endpoint_ended(&life(endpoint), at))
 }
 
@@ -59,7 +60,11 @@
     at
 }
 
-fn is_condemned(poison: &PoisonDetector, of: RequestDigest, now: Instant) -> bool {
+fn is_condemned(
+    poison: &PoisonDetector,
+    of: RequestDigest,
+    now: Instant,
+) -> bool {
     poison.verdict(of, now).is_some()
 }
 
@@ -94,7 +99,13 @@
     let (mut poison, of) = (PoisonDetector::default(), digest(1));
     let mut at = Instant::now();
     for endpoint in 0..6 {
-        poison.record_lost_run(&life(endpoint), of, at, Loss::Broken, at + RUNS);
+        poison.record_lost_run(
+            &life(endpoint),
+            of,
+            at,
+            Loss::Broken,
+            at + RUNS,
+        );
         poison.endpoint_alive(&life(endpoint), at + RUNS);
         at += TRIES;
         // It ends later, for another reason.
@@ -116,17 +127,20 @@
 
 #[test]
 fn another_instance_that_sees_the_end_settles_what_broke_here() {
-    let (mut near, mut far) = (PoisonDetector::default(), PoisonDetector::default());
+    let (mut near, mut far) =
+        (PoisonDetector::default(), PoisonDetector::default());
     let (one, other) = (digest(1), digest(2));
     let at = Instant::now();
     // Nothing answered here when it was looked whether the endpoint listens.
     near.record_lost_run(&life(0), one, at, Loss::Broken, at + RUNS);
     let told = crash(&mut far, 0, other, at, at + RUNS).expect("a crash");
-    let ours = near.record_crash(&told, at + RUNS).expect("a crash of ours too");
+    let ours =
+        near.record_crash(&told, at + RUNS).expect("a crash of ours too");
     assert_eq!(ours.runs.len(), 1);
     assert_eq!(ours.runs[0].digest, one);
     // What breaks off a little later is settled at once.
-    let late = near.record_lost_run(&life(0), other, at, Loss::Broken, at + 2 * RUNS);
+    let late =
+        near.record_lost_run(&life(0), other, at, Loss::Broken, at + 2 * RUNS);
     assert!(late.is_some());
 }
 
@@ -147,12 +161,16 @@
 
 #[test]
 fn what_was_condemned_before_a_good_run_is_refuted() {
-    let (mut poison, mut other) = (PoisonDetector::default(), PoisonDetector::default());
+    let (mut poison, mut other) =
+        (PoisonDetector::default(), PoisonDetector::default());
     let of = digest(1);
     let at = crash_in_turn(&mut poison, 0..3, of, Instant::now());
     let [condemned] = &poison.condemned(at)[..] else { panic!("one") };
     assert_eq!(other.merge_condemned(condemned, at), MergeOutcome::Added);
-    assert_eq!(other.merge_condemned(condemned, at), MergeOutcome::AlreadyKnown);
+    assert_eq!(
+        other.merge_condemned(condemned, at),
+        MergeOutcome::AlreadyKnown
+    );
     assert!(is_condemned(&other, of, at));
     other.clear(of, at);
     assert_eq!(other.merge_condemned(condemned, at), MergeOutcome::Refuted);
@@ -185,7 +203,8 @@
     let condemned = poison.condemned(at);
     assert!(condemned.len() <= 1_024);
     assert!(is_condemned(&poison, digest(1_999), at));
-    let told: usize = poison.recent_crashes(at).iter().map(|c| c.runs.len()).sum();
+    let told: usize =
+        poison.recent_crashes(at).iter().map(|c| c.runs.len()).sum();
     assert!(told <= 64);
     poison.forget(at + 3 * CONDEMNED_FOR);
     poison.forget(at + 6 * CONDEMNED_FOR);
--- a/crates/fleet/tests/rate_limiter_rules.rs
+++ b/crates/fleet/tests/rate_limiter_rules.rs
@@ -7,8 +7,8 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    rate_limiter::RateLimiter,
     customer::{Allowance, Customer, Unit},
+    rate_limiter::RateLimiter,
 };
 
 const PER_S: f64 = 50_000.0;
@@ -61,7 +61,8 @@
         let now = start + Duration::from_millis(ms);
         let is_cut = |n: usize| ms >= 6_000 && n + cut >= instances;
         if ms % HEARD_EVERY_MS == 0 {
-            let said: Vec<_> = all.iter().map(|s| s.local_demand(now)).collect();
+            let said: Vec<_> =
+                all.iter().map(|s| s.local_demand(now)).collect();
             let until = now + Duration::from_millis(HEARD_EVERY_MS * 6);
             for (n, shares) in all.iter_mut().enumerate() {
                 shares.forget(now);
--- a/crates/fleet/tests/revocation_rules.rs
+++ b/crates/fleet/tests/revocation_rules.rs
@@ -137,7 +137,8 @@
                 (MOST_MS - MOST_MS.min(age.as_millis() as u64)) * 2 / 3 + 1
             }
             Way::Watcher => {
-                self.known.watch_timeout(now).expect("bounded").as_millis() as u64
+                self.known.watch_timeout(now).expect("bounded").as_millis()
+                    as u64
             }
         }
     }
--- a/crates/fleet/tests/store_reachability_rules.rs
+++ b/crates/fleet/tests/store_reachability_rules.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use sedgewall_clock::Instant;
-use sedgewall_fleet::store_reachability::{CallFailure, ReportedOutage, StoreReachability};
+use sedgewall_fleet::store_reachability::{
+    CallFailure, ReportedOutage, StoreReachability,
+};
 
 /// An instance that reaches the store again is held to what it lists after
 /// this long (the platform's pages).
@@ -40,7 +42,10 @@
     contact.record_answer(sent + Duration::from_secs(3));
     assert!(!contact.record_failure(unanswered(sent, 5_000)));
     assert!(!contact.is_unreachable());
-    assert!(contact.record_failure(unanswered(sent + Duration::from_secs(4), 1_200)));
+    assert!(
+        contact
+            .record_failure(unanswered(sent + Duration::from_secs(4), 1_200))
+    );
     assert!(contact.is_unreachable());
 }
 
--- a/crates/fleet/tests/wait_policy_rules.rs
+++ b/crates/fleet/tests/wait_policy_rules.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use sedgewall_clock::Instant;
-use sedgewall_fleet::wait_policy::{WaitingRequest, WaitReason, retry_delay};
+use sedgewall_fleet::wait_policy::{WaitReason, WaitingRequest, retry_delay};
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -20,7 +20,8 @@
     }
 }
 
-const NOT_LOADED: WaitReason = WaitReason::AdapterNotLoaded { load_time: ms(260) };
+const NOT_LOADED: WaitReason =
+    WaitReason::AdapterNotLoaded { load_time: ms(260) };
 
 #[test]
 fn an_absent_adapter_is_waited_for_while_a_load_would_be_in_time() {
@@ -48,11 +49,19 @@
 #[test]
 fn no_request_is_held_beyond_its_end() {
     let now = Instant::now();
-    for obstacle in [NOT_LOADED, WaitReason::AdapterLoading(ms(100)), WaitReason::NoCapacity] {
+    for obstacle in [
+        NOT_LOADED,
+        WaitReason::AdapterLoading(ms(100)),
+        WaitReason::NoCapacity,
+    ] {
         for left_ms in [50, 400, 1_000, 5_000, 60_000] {
             for is_later_try in [false, true] {
                 let end = now + ms(left_ms);
-                let held = WaitingRequest { deadline: end, is_later_try, ..chat(now) };
+                let held = WaitingRequest {
+                    deadline: end,
+                    is_later_try,
+                    ..chat(now)
+                };
                 assert!(held.wait_until(obstacle, now) <= end);
             }
         }
@@ -83,7 +92,9 @@
 /// millisecond for a second, where the weight store brings 288 a second. Whoever
 /// asks first is loaded first, and hears so when its load begins; `until` says how
 /// long each is held. A rejected one is not loaded any more.
-fn burst(until: impl Fn(&WaitingRequest, WaitReason, Instant) -> Instant) -> Outcome {
+fn burst(
+    until: impl Fn(&WaitingRequest, WaitReason, Instant) -> Instant,
+) -> Outcome {
     let (load, at_once) = (ms(250), 72);
     let start = Instant::now();
     let mut outcome = Outcome::default();
@@ -97,8 +108,12 @@
         ends.retain(|end| *end > now);
         waiting.retain(|arrived| {
             let held = chat(*arrived);
-            let is_held =
-                now < until(&held, WaitReason::AdapterNotLoaded { load_time: load }, now);
+            let is_held = now
+                < until(
+                    &held,
+                    WaitReason::AdapterNotLoaded { load_time: load },
+                    now,
+                );
             if !is_held {
                 outcome.rejected += 1;
                 outcome.held_in_vain += now - *arrived;
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -17,9 +17,9 @@
 use sedgewall_fleet::{
     configuration::ConfigurationStatus,
     customer::Customer,
-    wait_policy::{WaitingRequest, WaitReason, retry_delay},
     poison::Loss,
     view::{Choice, Need, Target},
+    wait_policy::{WaitReason, WaitingRequest, retry_delay},
 };
 use sedgewall_platform::{CallFacts, call::to_caller};
 use sedgewall_state::id::EndpointId;
@@ -433,19 +433,21 @@
                         let pause = ready_in.max(look_again);
                         (Reason::EndpointsLimited, obstacle, pause)
                     }
-                    None => {
-                        (Reason::NobodyThere, WaitReason::NoCapacity, look_again)
-                    }
+                    None => (
+                        Reason::NobodyThere,
+                        WaitReason::NoCapacity,
+                        look_again,
+                    ),
                 }
             }
         };
         let until = held.wait_until(obstacle, now);
         if now >= until {
             progress.gone_in = match obstacle {
-                WaitReason::AdapterLoading(ready_in) | WaitReason::Saturated(ready_in) => {
-                    Some(ready_in)
-                }
-                WaitReason::AdapterNotLoaded { .. } | WaitReason::NoCapacity => limited_for,
+                WaitReason::AdapterLoading(ready_in)
+                | WaitReason::Saturated(ready_in) => Some(ready_in),
+                WaitReason::AdapterNotLoaded { .. }
+                | WaitReason::NoCapacity => limited_for,
             };
             return Err(reason);
         }
--- a/crates/sedgewalld/src/fleet/catch_up.rs
+++ b/crates/sedgewalld/src/fleet/catch_up.rs
@@ -11,7 +11,7 @@
 use http::{Request, Response, StatusCode, header};
 use hyper::body::Incoming;
 use sedgewall_clock::Instant;
-use sedgewall_fleet::catch_up::{StateSummary, StateDelta, Step};
+use sedgewall_fleet::catch_up::{StateDelta, StateSummary, Step};
 use sedgewall_state::id::InstanceId;
 use sedgewall_transport::{
     Handler, LocalBody, SendError, ServerLimits, serve, server::read_body,
--- a/crates/sedgewalld/src/fleet/keys.rs
+++ b/crates/sedgewalld/src/fleet/keys.rs
@@ -133,7 +133,9 @@
     let watchers = node.largest_peers(WATCHERS);
     let mut asking = node.keys.asking.borrow_mut();
     let number = asking.start(now);
-    let Some(whom) = watchers.get(asking.next_target(watchers.len())) else { return };
+    let Some(whom) = watchers.get(asking.next_target(watchers.len())) else {
+        return;
+    };
     let from = node.id().clone();
     *node.keys.asked.borrow_mut() = Some(whom.clone());
     sender.send_to_peer(node, whom, &Note::FreshnessQuery { from, number });
--- a/crates/sedgewalld/src/fleet/knowledge.rs
+++ b/crates/sedgewalld/src/fleet/knowledge.rs
@@ -8,7 +8,7 @@
 use sedgewall_fleet::{
     adapter::{AdapterKey, WeightVersion},
     catch_up::StateSummary,
-    configuration::{ConfigurationVersion, ConfigurationStatus},
+    configuration::{ConfigurationStatus, ConfigurationVersion},
     route::Deployment,
 };
 
--- a/crates/sedgewalld/src/fleet/leader.rs
+++ b/crates/sedgewalld/src/fleet/leader.rs
@@ -3,7 +3,9 @@
 use std::{rc::Rc, time::Duration};
 
 use sedgewall_clock::Instant;
-use sedgewall_fleet::{placement::PlacementPlanner, load_rate_limiter::LoadRateLimiter};
+use sedgewall_fleet::{
+    load_rate_limiter::LoadRateLimiter, placement::PlacementPlanner,
+};
 
 use super::{node::FleetNode, orders::Orders};
 use crate::process;
@@ -74,9 +76,9 @@
 /// Forgets who asked for what nobody waits for any more.
 fn forget_askers(node: &FleetNode, now: Instant) {
     let demand = node.demand.borrow();
-    node.askers.borrow_mut().retain(|key, _| {
-        demand.get(key).is_some_and(|d| d.has_waiting(now))
-    });
+    node.askers
+        .borrow_mut()
+        .retain(|key, _| demand.get(key).is_some_and(|d| d.has_waiting(now)));
 }
 
 /// One line a second: what is asked for and what the engines hold.
--- a/crates/sedgewalld/src/fleet/node.rs
+++ b/crates/sedgewalld/src/fleet/node.rs
@@ -14,13 +14,13 @@
 use sedgewall_coordination::lease::{NotedLease, WriteAnswer};
 use sedgewall_fleet::{
     adapter::AdapterKey,
-    rate_limiter::RateLimiter,
     catch_up::CatchUp,
     demand::Demand,
     good_runs::GoodRuns,
     load_times::LoadTimes,
     note::{LeaderLease, Note},
     poison::PoisonDetector,
+    rate_limiter::RateLimiter,
     retry_budget::{RetryAllowance, RetryBudget},
     route::Deployment,
     store_reachability::{CallFailure, StoreReachability},
--- a/crates/sedgewalld/src/fleet/note_sender.rs
+++ b/crates/sedgewalld/src/fleet/note_sender.rs
@@ -14,7 +14,7 @@
 
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    note::{MAX_DIRECT_PEERS, Note, GroupRelay},
+    note::{GroupRelay, MAX_DIRECT_PEERS, Note},
     relays::{Group, heads, relays},
 };
 use sedgewall_state::id::InstanceId;
@@ -88,7 +88,8 @@
         let zones = zones.filter(|(_, zone)| *zone == own);
         for (id, group) in relays(zones, |id| view.hears(id, now), turn) {
             let Group { index, count } = group;
-            let relayed = GroupRelay { index, count, note: note.clone().into() };
+            let relayed =
+                GroupRelay { index, count, note: note.clone().into() };
             self.send_to(peers[id].address, &Note::GroupRelay(relayed));
         }
     }
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -12,7 +12,7 @@
     catch_up::StateSummary,
     departure::Departure,
     load_times::LoadObservation,
-    note::{LoadObservationReport, DemandReport, LeaderLease, Note, Status},
+    note::{DemandReport, LeaderLease, LoadObservationReport, Note, Status},
     note_schedule::{NoteSchedule, Pending, Role, Topology},
     view::Totals,
 };
@@ -273,11 +273,16 @@
     }
 }
 
-fn hear_arrivals(node: &FleetNode, arrivals: &[LoadObservationReport], now: Instant) {
+fn hear_arrivals(
+    node: &FleetNode,
+    arrivals: &[LoadObservationReport],
+    now: Instant,
+) {
     let mut times = node.load_times.borrow_mut();
     let mut view = node.view.borrow_mut();
     for arrived in arrivals {
-        let LoadObservationReport { endpoint, key, is_there, ago_ms } = arrived;
+        let LoadObservationReport { endpoint, key, is_there, ago_ms } =
+            arrived;
         // Its engine may take another load now.
         view.prove(endpoint, key, *is_there);
         let Some(at) = now.checked_sub(Duration::from_millis(*ago_ms)) else {
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -11,9 +11,9 @@
 use futures_util::StreamExt;
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    placement::PlacementPlanner,
     note::{Note, Placed, Removed},
     order::{Order, Task},
+    placement::PlacementPlanner,
     view::AnsweredSend,
 };
 use sedgewall_platform::engine::{self, Holder, OrderAnswer, ReportError};
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -58,7 +58,7 @@
         path = call.uri.path(),
         customer = call.customer.as_ref().map(|c| c.name.as_str()),
         ended = names(&verdict.endpoints),
-        condemned_ms_ago = verdict.ago.as_millis() as u64,
+        condemned_ms_ago = verdict.condemned_ago.as_millis() as u64,
         back_in_ms = verdict.released_in.as_millis() as u64,
     );
 }
@@ -97,7 +97,8 @@
     let life = life_of(node, &sent.endpoint);
     let now = Instant::now();
     let mut poison = node.poison.borrow_mut();
-    let crash = poison.record_lost_run(&life, call.digest(), sent.at, loss, now);
+    let crash =
+        poison.record_lost_run(&life, call.digest(), sent.at, loss, now);
     drop(poison);
     tell(node, crash);
 }
