--- a/crates/fleet/src/store_reachability.rs
+++ b/crates/fleet/src/store_reachability.rs
@@ -62,7 +62,7 @@
 
 impl StoreReachability {
     /// Notes that a call was answered; returns whether that is news.
-    pub fn record_answer(&mut self, now: Instant) -> bool {
+    pub fn record_success(&mut self, now: Instant) -> bool {
         self.answered = Some(now);
         if !std::mem::take(&mut self.is_unreachable) {
             return false;
--- a/crates/fleet/tests/store_reachability_rules.rs
+++ b/crates/fleet/tests/store_reachability_rules.rs
@@ -39,7 +39,7 @@
 fn a_call_lost_before_another_was_answered_does_not_put_the_store_out() {
     let sent = Instant::now();
     let mut contact = StoreReachability::default();
-    contact.record_answer(sent + Duration::from_secs(3));
+    contact.record_success(sent + Duration::from_secs(3));
     assert!(!contact.record_failure(unanswered(sent, 5_000)));
     assert!(!contact.is_unreachable());
     assert!(
@@ -57,7 +57,7 @@
     let turned_away =
         CallFailure { sent: now, noticed: now, is_unanswered: false };
     contact.record_failure(turned_away);
-    contact.record_answer(now + Duration::from_millis(200));
+    contact.record_success(now + Duration::from_millis(200));
     let entries_back = now + Duration::from_secs(2);
     assert!(contact.missing_entry_grace(entries_back) > Duration::ZERO);
 }
@@ -73,7 +73,7 @@
     contact.record_failure(unanswered(now, 100));
     assert_eq!(contact.reported_outage(word), ReportedOutage::Ongoing);
     let back = now + Duration::from_secs(3);
-    contact.record_answer(back);
+    contact.record_success(back);
     assert_eq!(
         contact.reported_outage(word),
         ReportedOutage::Until(back + word)
--- a/crates/sedgewalld/src/fleet/node.rs
+++ b/crates/sedgewalld/src/fleet/node.rs
@@ -351,7 +351,7 @@
 
     /// Notes that the store answered; others hear at once what changed.
     pub(crate) fn store_reached(&self) {
-        if self.store_contact.borrow_mut().record_answer(Instant::now()) {
+        if self.store_contact.borrow_mut().record_success(Instant::now()) {
             self.notify_notes();
         }
     }
