--- a/crates/fleet/benches/decisions.rs
+++ b/crates/fleet/benches/decisions.rs
@@ -12,12 +12,12 @@
     customer::Customers,
     demand::Demand,
     endpoint::{Endpoint, EngineReport, HostedModel},
+    load_rate_limiter::LoadRateLimiter,
     load_times::LoadTimes,
-    loader::Loader,
+    placement::PlacementPlanner,
     route::{
         BaseModel, CallerLimits, EngineGroup, RoutingConfiguration, Service,
     },
-    store_rate::StoreRate,
     view::{FleetView, Need},
 };
 
@@ -78,7 +78,7 @@
     }
     for n in ASKED_FOR - WAITED_FOR..ASKED_FOR {
         demand.add(&key(n), 1, "z1", now);
-        demand.wait(&key(n), 1);
+        demand.mark_waiting(&key(n), 1);
     }
     demand
 }
@@ -126,9 +126,13 @@
         bench.iter(|| black_box(view.choose(black_box(need), now)));
     });
     criterion.bench_function("plan, 300 waiting", |bench| {
-        let rate = StoreRate::new(Duration::from_secs(5), 1.1);
+        let rate = LoadRateLimiter::new(Duration::from_secs(5), 1.1);
         let fresh = || {
-            (Loader::new(1, rate.clone(), now), view.clone(), demand.clone())
+            (
+                PlacementPlanner::new(1, rate.clone(), now),
+                view.clone(),
+                demand.clone(),
+            )
         };
         bench.iter_batched(
             fresh,
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -2,12 +2,11 @@
 //!
 //! Where no shard leader stands between a caller and an engine, each instance
 //! routes on its own table of endpoints ([`view::FleetView`]) and one instance
-//! at a time decides which adapters the engines hold ([`loader::Loader`]).
+//! at a time decides which adapters the engines hold ([`placement::PlacementPlanner`]).
 //! Everything here is pure: time comes in as an argument, and nothing is sent.
 
 pub mod adapter;
 mod adapter_index;
-pub mod allowance;
 pub mod announcement;
 pub mod back_off;
 pub mod catch_up;
@@ -19,18 +18,19 @@
 pub mod endpoint;
 pub mod endpoint_state;
 mod engine_headroom;
-pub mod events;
+pub mod event_framer;
 pub mod health;
 pub mod incarnation;
 pub mod latency_regression;
 pub mod limit_share;
+pub mod load_rate_limiter;
 pub mod load_times;
-pub mod loader;
 pub mod note;
 pub mod note_schedule;
 pub mod order;
-pub mod patience;
+pub mod placement;
 pub mod poison;
+pub mod rate_limiter;
 pub mod recent_successes;
 pub mod relays;
 pub mod request_digest;
@@ -38,9 +38,9 @@
 pub mod retry_budget;
 pub mod revocation;
 pub mod route;
-pub mod store_contact;
-pub mod store_rate;
+pub mod store_reachability;
 pub mod store_reports;
 pub mod suspicion;
 pub mod view;
+pub mod wait_policy;
 pub mod work;
--- a/crates/fleet/src/loader.rs
+++ b/crates/fleet/src/placement.rs
@@ -7,7 +7,7 @@
 //! adapters than it has places, and none before it is known what it holds; and
 //! loads of base models stay within the weight store's rate.
 
-mod homes;
+mod target;
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -19,11 +19,11 @@
     demand::Demand,
     endpoint_state::EndpointState,
     engine_headroom::EngineHeadroom,
+    load_rate_limiter::LoadRateLimiter,
     load_times::LoadTimes,
     note::{Placed, Removed},
     order::{Order, Task},
     route::{EngineGroup, RoutingConfiguration},
-    store_rate::StoreRate,
     view::{BUSY_BACKLOG, FleetView},
 };
 
@@ -53,22 +53,31 @@
 
 /// Decides for all engines, while its instance holds the lease.
 #[derive(Clone, Debug)]
-pub struct Loader {
+pub struct PlacementPlanner {
     epoch: Epoch,
-    store: StoreRate,
+    store: LoadRateLimiter,
     ordered: HashMap<(EndpointId, AdapterKey), Instant>,
     /// When all was looked at, not only what requests wait for.
     looked: Option<Instant>,
 }
 
-impl Loader {
+impl PlacementPlanner {
     /// Returns the loader of a new epoch. Whoever held the lease before may
     /// have used the weight store's whole rate until now.
-    pub fn new(epoch: Epoch, mut store: StoreRate, now: Instant) -> Loader {
+    pub fn new(
+        epoch: Epoch,
+        mut store: LoadRateLimiter,
+        now: Instant,
+    ) -> PlacementPlanner {
         if epoch > 1 {
             store.assume_used(now);
         }
-        Loader { epoch, store, ordered: HashMap::new(), looked: None }
+        PlacementPlanner {
+            epoch,
+            store,
+            ordered: HashMap::new(),
+            looked: None,
+        }
     }
 
     /// Decides what to order now. The view is changed as if all orders were
@@ -122,7 +131,7 @@
 
 /// One look at the engines of one service.
 struct Turn<'a> {
-    loader: &'a mut Loader,
+    loader: &'a mut PlacementPlanner,
     service: &'a str,
     group: &'a EngineGroup,
     view: &'a mut FleetView,
@@ -227,7 +236,7 @@
         let mut wanted: Vec<(f64, AdapterKey)> = Vec::new();
         for (key, demand) in self.demand.iter() {
             if self.is_ours(key)
-                && demand.is_waited_for(self.now)
+                && demand.has_waiting(self.now)
                 && !self.can_be_served(key)
             {
                 wanted.push((demand.standing(self.now), key.clone()));
@@ -281,7 +290,7 @@
         if !may_begin && self.view.warm(key).is_empty() {
             return false;
         }
-        let Some(home) = self.find_home(key) else { return false };
+        let Some(home) = self.find_target(key) else { return false };
         if !home.is_warm && !may_begin {
             return false;
         }
--- a/crates/fleet/src/poison.rs
+++ b/crates/fleet/src/poison.rs
@@ -97,9 +97,9 @@
     /// The endpoints that ended under it.
     pub endpoints: Vec<EndpointIncarnation>,
     /// How long ago it was condemned.
-    pub ago: Duration,
+    pub condemned_ago: Duration,
     /// When it is tried again.
-    pub back_in: Duration,
+    pub released_in: Duration,
 }
 
 /// How a run was lost.
@@ -113,7 +113,7 @@
 
 /// What was seen of requests whose endpoints ended.
 #[derive(Clone, Debug, Default)]
-pub struct Poison {
+pub struct PoisonDetector {
     /// Runs that wait for what becomes of their endpoint.
     broken: HashMap<EndpointIncarnation, Vec<BrokenRun>>,
     /// Endpoints that ended lately.
@@ -155,11 +155,11 @@
 
 /// What became of word that a request was condemned elsewhere.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum TakenIn {
+pub enum MergeOutcome {
     /// It is condemned here now too.
-    News,
+    Added,
     /// It was known, or is over.
-    Known,
+    AlreadyKnown,
     /// A run of it has ended well since; others are to hear so.
     Refuted,
 }
@@ -170,10 +170,10 @@
     No,
 }
 
-impl Poison {
+impl PoisonDetector {
     /// Notes that a run was lost at an endpoint. If that is known to have ended,
     /// returns what others are to be told.
-    pub fn lost(
+    pub fn record_lost_run(
         &mut self,
         endpoint: &EndpointIncarnation,
         digest: RequestDigest,
@@ -210,7 +210,7 @@
 
     /// Notes that an endpoint was there at a moment: what broke off before was no end
     /// of it.
-    pub fn endpoint_listens(
+    pub fn endpoint_alive(
         &mut self,
         endpoint: &EndpointIncarnation,
         at: Instant,
@@ -225,7 +225,11 @@
 
     /// Takes in which runs of another instance ended with an endpoint; returns what
     /// others are to be told of ours.
-    pub fn hear(&mut self, crash: &Crash, now: Instant) -> Option<Crash> {
+    pub fn record_crash(
+        &mut self,
+        crash: &Crash,
+        now: Instant,
+    ) -> Option<Crash> {
         let ago = |ms| {
             let time = Duration::from_millis(ms);
             now.checked_sub(time).unwrap_or(now)
@@ -245,9 +249,14 @@
         now: Instant,
     ) -> Option<Verdict> {
         let suspect = self.suspects.get(&digest)?;
-        let ago = now.saturating_duration_since(suspect.condemned_at?);
-        let back_in = CONDEMNED_FOR.checked_sub(ago)?;
-        Some(Verdict { endpoints: suspect.endpoints(), ago, back_in })
+        let condemned_ago =
+            now.saturating_duration_since(suspect.condemned_at?);
+        let released_in = CONDEMNED_FOR.checked_sub(condemned_ago)?;
+        Some(Verdict {
+            endpoints: suspect.endpoints(),
+            condemned_ago,
+            released_in,
+        })
     }
 
     /// Returns whether anything is held against any request. Without that, nobody
@@ -282,18 +291,22 @@
     }
 
     /// Takes in that a request was condemned elsewhere.
-    pub fn take_in(&mut self, condemned: &Condemned, now: Instant) -> TakenIn {
+    pub fn merge_condemned(
+        &mut self,
+        condemned: &Condemned,
+        now: Instant,
+    ) -> MergeOutcome {
         let ago = Duration::from_millis(condemned.ms_ago);
         if ago >= CONDEMNED_FOR {
-            return TakenIn::Known;
+            return MergeOutcome::AlreadyKnown;
         }
         let at = now.checked_sub(ago).unwrap_or(now);
         let suspect = self.suspects.entry(condemned.digest).or_default();
         if suspect.condemned_at.is_some() {
-            return TakenIn::Known;
+            return MergeOutcome::AlreadyKnown;
         }
         if suspect.cleared_at.is_some_and(|cleared| cleared >= at) {
-            return TakenIn::Refuted;
+            return MergeOutcome::Refuted;
         }
         let end = End { began: at, broke: at };
         for endpoint in &condemned.endpoints {
@@ -303,7 +316,7 @@
         suspect.condemned_at = Some(at);
         suspect.last = Some(now);
         self.bound(condemned.digest);
-        TakenIn::News
+        MergeOutcome::Added
     }
 
     /// Returns all requests that are condemned now.
@@ -326,12 +339,12 @@
     }
 
     /// Returns the requests that were condemned by what was seen since the last call.
-    pub fn take_untold(&mut self) -> Vec<RequestDigest> {
+    pub fn take_newly_condemned(&mut self) -> Vec<RequestDigest> {
         std::mem::take(&mut self.untold)
     }
 
     /// Returns what others are told again of our runs, the newest first.
-    pub fn told(&self, now: Instant) -> Vec<Crash> {
+    pub fn recent_crashes(&self, now: Instant) -> Vec<Crash> {
         let mut crashes: Vec<Crash> = Vec::new();
         for (endpoint, end, digest) in self.told.iter().rev().take(TOLD_RUNS) {
             let run = end.told(*digest, now);
--- a/crates/fleet/src/allowance.rs
+++ b/crates/fleet/src/rate_limiter.rs
@@ -40,7 +40,7 @@
 
 /// What a customer asks of an instance, or of all.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Asked {
+pub struct CustomerDemand {
     /// The customer.
     pub customer: CustomerName,
     /// Units a second.
@@ -49,13 +49,13 @@
 
 /// Why units are not given, and what that was decided by.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Denied {
+pub struct LimitExceeded {
     /// When some are there again.
-    pub back_in: Duration,
+    pub retry_in: Duration,
     /// What may be taken; below zero, what has to come back first.
     pub balance: f64,
     /// This instance's part of the allowance.
-    pub part: f64,
+    pub share: f64,
     /// What the customer asks of all instances, in units a second, if it is known.
     pub total_per_s: Option<f64>,
     /// How old the sum of the holder of the lease is, if it was heard.
@@ -64,7 +64,7 @@
 
 /// One instance's part of all allowances.
 #[derive(Clone, Debug, Default)]
-pub struct Shares {
+pub struct RateLimiter {
     buckets: HashMap<CustomerName, Bucket>,
     peers: HashMap<InstanceId, Heard>,
     /// What the holder of the lease says that all ask for.
@@ -73,7 +73,7 @@
 
 #[derive(Clone, Debug)]
 struct Heard {
-    asked: Vec<Asked>,
+    asked: Vec<CustomerDemand>,
     at: Instant,
     until: Instant,
 }
@@ -89,7 +89,7 @@
     part: Option<f64>,
 }
 
-impl Shares {
+impl RateLimiter {
     /// Takes units of a customer's allowance for a request, or returns when some
     /// are there again.
     ///
@@ -102,7 +102,7 @@
         units: f64,
         instances: usize,
         now: Instant,
-    ) -> Result<(), Denied> {
+    ) -> Result<(), LimitExceeded> {
         let Some(allowance) = customer.allowance else { return Ok(()) };
         let bucket = self.buckets.entry(customer.name.clone());
         let bucket = bucket.or_insert_with(|| Bucket::new(now));
@@ -132,25 +132,25 @@
         let missing_s = -bucket.balance / rate(allowance, part).max(1e-9);
         let missing_s = missing_s.clamp(0.0, LARGEST_DEBT_S);
         let heard = self.totals.as_ref();
-        Err(Denied {
-            back_in: Duration::from_secs_f64(missing_s),
+        Err(LimitExceeded {
+            retry_in: Duration::from_secs_f64(missing_s),
             balance: bucket.balance,
-            part,
+            share: part,
             total_per_s,
             total_age: heard.map(|h| now.saturating_duration_since(h.at)),
         })
     }
 
     /// Gives back what a request took that did not run.
-    pub fn give_back(&mut self, customer: &Customer, units: f64) {
+    pub fn refund(&mut self, customer: &Customer, units: f64) {
         if let Some(bucket) = self.buckets.get_mut(&customer.name) {
             bucket.balance += units;
         }
     }
 
     /// Returns what each customer asks of this instance.
-    pub fn asked(&self, now: Instant) -> Vec<Asked> {
-        let asked = self.buckets.iter().map(|(name, bucket)| Asked {
+    pub fn local_demand(&self, now: Instant) -> Vec<CustomerDemand> {
+        let asked = self.buckets.iter().map(|(name, bucket)| CustomerDemand {
             customer: name.clone(),
             per_s: bucket.per_s(now).round(),
         });
@@ -158,24 +158,24 @@
     }
 
     /// Returns what each customer asks of all instances, as far as we hear.
-    pub fn asked_of_all(&self, now: Instant) -> Vec<Asked> {
+    pub fn total_demand(&self, now: Instant) -> Vec<CustomerDemand> {
         let mut sums: HashMap<CustomerName, f64> = HashMap::new();
         let heard = self.peers.values().filter(|heard| now < heard.until);
         let of_peers = heard.flat_map(|heard| heard.asked.clone());
-        for asked in of_peers.chain(self.asked(now)) {
+        for asked in of_peers.chain(self.local_demand(now)) {
             *sums.entry(asked.customer).or_default() += asked.per_s;
         }
         sums.into_iter()
-            .map(|(customer, per_s)| Asked { customer, per_s })
+            .map(|(customer, per_s)| CustomerDemand { customer, per_s })
             .collect()
     }
 
     /// Takes in what customers ask of another instance, which was heard at a moment
     /// and counts until another.
-    pub fn hear(
+    pub fn record_peer(
         &mut self,
         from: &InstanceId,
-        asked: Vec<Asked>,
+        asked: Vec<CustomerDemand>,
         at: Instant,
         until: Instant,
     ) {
@@ -183,9 +183,9 @@
     }
 
     /// Takes in what customers ask of all instances.
-    pub fn hear_totals(
+    pub fn record_totals(
         &mut self,
-        asked: Vec<Asked>,
+        asked: Vec<CustomerDemand>,
         at: Instant,
         until: Instant,
     ) {
--- a/crates/fleet/src/revocation.rs
+++ b/crates/fleet/src/revocation.rs
@@ -36,7 +36,7 @@
 
 /// How sure an instance is to know which keys are in force.
 #[derive(Clone, Copy, Debug)]
-pub struct KeysKnown {
+pub struct KeyFreshness {
     /// Within this time after a key was taken away it must stop; none if that is
     /// not asked for.
     within: Option<Duration>,
@@ -44,10 +44,10 @@
     known_until: Option<Instant>,
 }
 
-impl KeysKnown {
+impl KeyFreshness {
     /// Returns the state of an instance that knows no configuration.
-    pub fn new(within: Option<Duration>) -> KeysKnown {
-        KeysKnown { within, known_until: None }
+    pub fn new(within: Option<Duration>) -> KeyFreshness {
+        KeyFreshness { within, known_until: None }
     }
 
     /// Takes in that all changes before a moment are known.
@@ -56,7 +56,7 @@
     }
 
     /// Returns whether keyed requests may be served now.
-    pub fn is_sure(&self, now: Instant) -> bool {
+    pub fn is_fresh(&self, now: Instant) -> bool {
         let Some(within) = self.within else { return true };
         let most = within.saturating_sub(MARGIN);
         self.known_until
@@ -76,7 +76,7 @@
     /// one waits two thirds of what is left then. Two watches of a fixed two
     /// thirds took 4/3 of the time, and each change of the configuration made
     /// all instances turn keyed requests away for 0.8 s.
-    pub fn watch_time(&self, now: Instant) -> Option<Duration> {
+    pub fn watch_timeout(&self, now: Instant) -> Option<Duration> {
         let most = self.most()?;
         let age = self.age(now).unwrap_or(most);
         let left = most.saturating_sub(age);
@@ -86,7 +86,11 @@
 
     /// Returns when another instance is to be asked, none if nothing bounds what is
     /// known; one that does not answer is followed by the next soon.
-    pub fn ask_in(&self, asking: &Asking, now: Instant) -> Option<Duration> {
+    pub fn next_poll_in(
+        &self,
+        asking: &FreshnessPoll,
+        now: Instant,
+    ) -> Option<Duration> {
         let most = self.most()?;
         let pause = match asking.is_answered {
             true => most.mul_f64(ASK_PART),
@@ -117,16 +121,16 @@
 /// asked. So what an answer says to be known for so long is known since the
 /// question, less that time, on our own clock.
 #[derive(Clone, Debug, Default)]
-pub struct Asking {
+pub struct FreshnessPoll {
     number: u64,
     /// The last question and when it was sent.
     asked: Option<(u64, Instant)>,
     is_answered: bool,
 }
 
-impl Asking {
+impl FreshnessPoll {
     /// Notes that a question goes out now; returns its number.
-    pub fn ask(&mut self, now: Instant) -> u64 {
+    pub fn start(&mut self, now: Instant) -> u64 {
         self.number += 1;
         self.asked = Some((self.number, now));
         self.is_answered = false;
@@ -134,7 +138,7 @@
     }
 
     /// Returns whom to ask of so many: another one after each that did not answer.
-    pub fn whom(&self, others: usize) -> usize {
+    pub fn next_target(&self, others: usize) -> usize {
         match others {
             0 => 0,
             others => (self.number % others as u64) as usize,
@@ -143,7 +147,11 @@
 
     /// Takes in an answer; returns up to when all changes are known by it. An
     /// answer to an earlier question says nothing more.
-    pub fn answered(&mut self, number: u64, age: Duration) -> Option<Instant> {
+    pub fn record_answer(
+        &mut self,
+        number: u64,
+        age: Duration,
+    ) -> Option<Instant> {
         let (asked, sent) = self.asked?;
         if asked != number {
             return None;
--- a/crates/fleet/tests/customer_rules.rs
+++ b/crates/fleet/tests/customer_rules.rs
@@ -5,7 +5,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
     customer::{Customer, Customers, KeyDigest, Unit},
-    revocation::KeysKnown,
+    revocation::KeyFreshness,
 };
 
 const SECRET: &str = "asnmgkcuyj8pjbvk9m68";
@@ -22,7 +22,7 @@
     customers.add(customer("one", 0), keys);
     customers.add(customer("two", 1), [KeyDigest::of(b"other")]);
     let of = |key: &[u8]| {
-        let found = customers.of_key(&KeyDigest::of(key));
+        let found = customers.find_by_key(&KeyDigest::of(key));
         found.map(|customer| customer.name.clone())
     };
     assert_eq!(of(SECRET.as_bytes()).as_deref(), Some("one"));
@@ -46,11 +46,13 @@
 fn a_customers_rank_comes_before_its_routes() {
     let (first, second) = (customer("one", 0), customer("two", 1));
     for route in 0..10 {
-        assert!(first.rank(route) < second.rank(0));
-        assert!(second.rank(route) <= 9);
+        assert!(
+            first.effective_priority(route) < second.effective_priority(0)
+        );
+        assert!(second.effective_priority(route) <= 9);
     }
-    assert!(first.rank(0) < first.rank(1));
-    assert_eq!(customer("last", 200).rank(9), 9);
+    assert!(first.effective_priority(0) < first.effective_priority(1));
+    assert_eq!(customer("last", 200).effective_priority(9), 9);
 }
 
 #[test]
@@ -66,21 +68,21 @@
 fn keys_are_sure_for_a_time_after_the_newest_was_known() {
     let within = Duration::from_secs(5);
     let start = Instant::now();
-    let mut known = KeysKnown::new(Some(within));
-    assert!(!known.is_sure(start));
+    let mut known = KeyFreshness::new(Some(within));
+    assert!(!known.is_fresh(start));
     known.confirm(start);
     // What is heard late says nothing new.
     known.confirm(start - Duration::from_secs(1));
-    assert!(known.is_sure(start + Duration::from_millis(4_600)));
-    assert!(!known.is_sure(start + Duration::from_millis(4_800)));
+    assert!(known.is_fresh(start + Duration::from_millis(4_600)));
+    assert!(!known.is_fresh(start + Duration::from_millis(4_800)));
     // After a watch, a third of the time is left for calls that fail.
-    let wait = known.watch_time(start).expect("it is bounded");
+    let wait = known.watch_timeout(start).expect("it is bounded");
     assert!(wait < within * 2 / 3);
 }
 
 #[test]
 fn without_a_bound_keys_are_always_sure() {
-    let known = KeysKnown::new(None);
-    assert!(known.is_sure(Instant::now()));
-    assert_eq!(known.watch_time(Instant::now()), None);
+    let known = KeyFreshness::new(None);
+    assert!(known.is_fresh(Instant::now()));
+    assert_eq!(known.watch_timeout(Instant::now()), None);
 }
--- a/crates/fleet/tests/loader_rules.rs
+++ b/crates/fleet/tests/placement_rules.rs
@@ -12,23 +12,23 @@
 use sedgewall_fleet::{
     adapter::AdapterKey,
     demand::Demand,
+    load_rate_limiter::LoadRateLimiter,
     load_times::LoadTimes,
-    loader::Loader,
     order::{Order, Task},
-    store_rate::StoreRate,
+    placement::PlacementPlanner,
     view::FleetView,
     work::Work,
 };
 
 const WINDOW: Duration = Duration::from_secs(5);
 
-fn loader(epoch: u64, now: Instant) -> Loader {
-    Loader::new(epoch, StoreRate::new(WINDOW, 1.1), now)
+fn loader(epoch: u64, now: Instant) -> PlacementPlanner {
+    PlacementPlanner::new(epoch, LoadRateLimiter::new(WINDOW, 1.1), now)
 }
 
 /// Plans as a holder that knows nothing of load times yet.
 fn plan(
-    loader: &mut Loader,
+    loader: &mut PlacementPlanner,
     view: &mut FleetView,
     demand: &mut Demand,
     now: Instant,
@@ -39,7 +39,7 @@
 
 fn asked(demand: &mut Demand, n: u32, times: u32, now: Instant) {
     demand.add(&key(n), times, "z1", now);
-    demand.wait(&key(n), 1);
+    demand.mark_waiting(&key(n), 1);
 }
 
 /// A table of engines that have all reported.
@@ -384,7 +384,7 @@
     assert_eq!(loads(&orders), [("e1", key(9))]);
 
     for order in &orders {
-        order.take_back(&mut view);
+        order.revert(&mut view);
     }
     let later = now + Duration::from_secs(1);
     asked(&mut demand, 10, 1, later);
@@ -452,7 +452,7 @@
     let mut demand = Demand::default();
     for n in 1..=100 {
         asked(&mut demand, n, 1, now);
-        demand.wait(&key(n), 1);
+        demand.mark_waiting(&key(n), 1);
     }
     let orders = plan(&mut loader(1, now), &mut view, &mut demand, now);
     let placed = loads(&orders);
--- a/crates/fleet/tests/poison_rules.rs
+++ b/crates/fleet/tests/poison_rules.rs
@@ -6,7 +6,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
     incarnation::EndpointIncarnation,
-    poison::{CONDEMNED_FOR, Crash, Loss, Poison, TakenIn},
+    poison::{CONDEMNED_FOR, Crash, Loss, MergeOutcome, PoisonDetector},
     request_digest::{RequestDigest, RequestParts},
 };
 
@@ -34,19 +34,20 @@
 
 /// A run at an endpoint that ends at a moment, as its instance sees it.
 fn crash(
-    poison: &mut Poison,
+    poison: &mut PoisonDetector,
     endpoint: u32,
     of: RequestDigest,
     began: Instant,
     at: Instant,
 ) -> Option<Crash> {
-    let early = poison.lost(&life(endpoint), of, began, Loss::Broken, at);
+    let early =
+        poison.record_lost_run(&life(endpoint), of, began, Loss::Broken, at);
     early.or_else(|| poison.endpoint_ended(&life(endpoint), at))
 }
 
 /// Ends endpoints one after the other; returns when the last one ended.
 fn crash_in_turn(
-    poison: &mut Poison,
+    poison: &mut PoisonDetector,
     endpoints: std::ops::Range<u32>,
     of: RequestDigest,
     start: Instant,
@@ -59,25 +60,29 @@
     at
 }
 
-fn is_condemned(poison: &Poison, of: RequestDigest, now: Instant) -> bool {
+fn is_condemned(
+    poison: &PoisonDetector,
+    of: RequestDigest,
+    now: Instant,
+) -> bool {
     poison.verdict(of, now).is_some()
 }
 
 #[test]
 fn three_ends_one_after_the_other_condemn() {
-    let (mut poison, of) = (Poison::default(), digest(1));
+    let (mut poison, of) = (PoisonDetector::default(), digest(1));
     let at = crash_in_turn(&mut poison, 0..2, of, Instant::now());
     assert!(!is_condemned(&poison, of, at));
     let at = crash_in_turn(&mut poison, 2..3, of, at);
     let verdict = poison.verdict(of, at).expect("a verdict");
     assert_eq!(verdict.endpoints, [life(0), life(1), life(2)]);
-    assert_eq!(poison.take_untold(), [of]);
+    assert_eq!(poison.take_newly_condemned(), [of]);
     assert!(!is_condemned(&poison, digest(2), at));
 }
 
 #[test]
 fn endpoints_that_end_together_are_one_cause() {
-    let (mut poison, of) = (Poison::default(), digest(1));
+    let (mut poison, of) = (PoisonDetector::default(), digest(1));
     let began = Instant::now();
     let at = began + RUNS;
     for endpoint in 0..9 {
@@ -91,11 +96,17 @@
 
 #[test]
 fn a_connection_that_breaks_at_a_live_endpoint_counts_for_nothing() {
-    let (mut poison, of) = (Poison::default(), digest(1));
+    let (mut poison, of) = (PoisonDetector::default(), digest(1));
     let mut at = Instant::now();
     for endpoint in 0..6 {
-        poison.lost(&life(endpoint), of, at, Loss::Broken, at + RUNS);
-        poison.endpoint_listens(&life(endpoint), at + RUNS);
+        poison.record_lost_run(
+            &life(endpoint),
+            of,
+            at,
+            Loss::Broken,
+            at + RUNS,
+        );
+        poison.endpoint_alive(&life(endpoint), at + RUNS);
         at += TRIES;
         // It ends later, for another reason.
         assert_eq!(poison.endpoint_ended(&life(endpoint), at), None);
@@ -105,34 +116,37 @@
 
 #[test]
 fn a_run_whose_caller_left_counts_if_its_endpoint_ends_at_once() {
-    let (mut poison, of) = (Poison::default(), digest(1));
+    let (mut poison, of) = (PoisonDetector::default(), digest(1));
     let at = Instant::now();
     let (soon, late) = (at + RUNS, at + 2 * TRIES);
-    poison.lost(&life(0), of, at, Loss::CallerLeft, at);
+    poison.record_lost_run(&life(0), of, at, Loss::CallerLeft, at);
     assert!(poison.endpoint_ended(&life(0), soon).is_some());
-    poison.lost(&life(1), of, at, Loss::CallerLeft, at);
+    poison.record_lost_run(&life(1), of, at, Loss::CallerLeft, at);
     assert_eq!(poison.endpoint_ended(&life(1), late), None);
 }
 
 #[test]
 fn another_instance_that_sees_the_end_settles_what_broke_here() {
-    let (mut near, mut far) = (Poison::default(), Poison::default());
+    let (mut near, mut far) =
+        (PoisonDetector::default(), PoisonDetector::default());
     let (one, other) = (digest(1), digest(2));
     let at = Instant::now();
     // Nothing answered here when it was looked whether the endpoint listens.
-    near.lost(&life(0), one, at, Loss::Broken, at + RUNS);
+    near.record_lost_run(&life(0), one, at, Loss::Broken, at + RUNS);
     let told = crash(&mut far, 0, other, at, at + RUNS).expect("a crash");
-    let ours = near.hear(&told, at + RUNS).expect("a crash of ours too");
+    let ours =
+        near.record_crash(&told, at + RUNS).expect("a crash of ours too");
     assert_eq!(ours.runs.len(), 1);
     assert_eq!(ours.runs[0].digest, one);
     // What breaks off a little later is settled at once.
-    let late = near.lost(&life(0), other, at, Loss::Broken, at + 2 * RUNS);
+    let late =
+        near.record_lost_run(&life(0), other, at, Loss::Broken, at + 2 * RUNS);
     assert!(late.is_some());
 }
 
 #[test]
 fn a_run_that_ends_well_clears_what_was_held_against_it() {
-    let (mut poison, of) = (Poison::default(), digest(1));
+    let (mut poison, of) = (PoisonDetector::default(), digest(1));
     let at = crash_in_turn(&mut poison, 0..2, of, Instant::now());
     assert!(poison.clear(of, at));
     assert!(!poison.clear(of, at));
@@ -147,25 +161,29 @@
 
 #[test]
 fn what_was_condemned_before_a_good_run_is_refuted() {
-    let (mut poison, mut other) = (Poison::default(), Poison::default());
+    let (mut poison, mut other) =
+        (PoisonDetector::default(), PoisonDetector::default());
     let of = digest(1);
     let at = crash_in_turn(&mut poison, 0..3, of, Instant::now());
     let [condemned] = &poison.condemned(at)[..] else { panic!("one") };
-    assert_eq!(other.take_in(condemned, at), TakenIn::News);
-    assert_eq!(other.take_in(condemned, at), TakenIn::Known);
+    assert_eq!(other.merge_condemned(condemned, at), MergeOutcome::Added);
+    assert_eq!(
+        other.merge_condemned(condemned, at),
+        MergeOutcome::AlreadyKnown
+    );
     assert!(is_condemned(&other, of, at));
     other.clear(of, at);
-    assert_eq!(other.take_in(condemned, at), TakenIn::Refuted);
+    assert_eq!(other.merge_condemned(condemned, at), MergeOutcome::Refuted);
     assert!(!is_condemned(&other, of, at));
 }
 
 #[test]
 fn it_is_tried_again_after_a_time_and_one_more_end_condemns_it_anew() {
-    let (mut poison, of) = (Poison::default(), digest(1));
+    let (mut poison, of) = (PoisonDetector::default(), digest(1));
     let at = crash_in_turn(&mut poison, 0..3, of, Instant::now());
-    let back_in = poison.verdict(of, at).expect("a verdict").back_in;
-    assert!(back_in <= CONDEMNED_FOR);
-    let later = at + back_in + Duration::from_millis(1);
+    let released_in = poison.verdict(of, at).expect("a verdict").released_in;
+    assert!(released_in <= CONDEMNED_FOR);
+    let later = at + released_in + Duration::from_millis(1);
     poison.forget(later);
     assert!(!is_condemned(&poison, of, later));
     crash(&mut poison, 9, of, later, later + RUNS);
@@ -177,7 +195,7 @@
 
 #[test]
 fn what_is_known_is_bounded() {
-    let mut poison = Poison::default();
+    let mut poison = PoisonDetector::default();
     let mut at = Instant::now();
     for n in 0..2_000 {
         at = crash_in_turn(&mut poison, 3 * n..3 * n + 3, digest(n), at);
@@ -185,7 +203,8 @@
     let condemned = poison.condemned(at);
     assert!(condemned.len() <= 1_024);
     assert!(is_condemned(&poison, digest(1_999), at));
-    let told: usize = poison.told(at).iter().map(|c| c.runs.len()).sum();
+    let told: usize =
+        poison.recent_crashes(at).iter().map(|c| c.runs.len()).sum();
     assert!(told <= 64);
     poison.forget(at + 3 * CONDEMNED_FOR);
     poison.forget(at + 6 * CONDEMNED_FOR);
@@ -217,7 +236,7 @@
         events in events(),
         order in any::<proptest::sample::Index>(),
     ) {
-        let mut instances = vec![Poison::default(); 3];
+        let mut instances = vec![PoisonDetector::default(); 3];
         let mut notes = Vec::new();
         let mut at = Instant::now();
         for event in &events {
@@ -234,7 +253,7 @@
                 notes.rotate_left(by);
             }
             for (note, told_at) in notes.iter().chain(&notes) {
-                let _ = instance.hear(note, *told_at);
+                let _ = instance.record_crash(note, *told_at);
             }
         }
         for n in 0..3 {
@@ -255,7 +274,7 @@
     ) {
         let poisoned = digest(0);
         let popular = digest(100);
-        let mut instances = vec![Poison::default(); 6];
+        let mut instances = vec![PoisonDetector::default(); 6];
         let mut at = Instant::now();
         let mut ended = 0;
         for (n, by) in tries.iter().enumerate() {
@@ -277,7 +296,7 @@
             }
             for note in &notes {
                 for instance in &mut instances {
-                    let _ = instance.hear(note, at + RUNS);
+                    let _ = instance.record_crash(note, at + RUNS);
                 }
             }
         }
--- a/crates/fleet/tests/store_contact_rules.rs
+++ b/crates/fleet/tests/store_reachability_rules.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use sedgewall_clock::Instant;
-use sedgewall_fleet::store_contact::{CallFailure, CountedOut, StoreContact};
+use sedgewall_fleet::store_reachability::{
+    CallFailure, ReportedOutage, StoreReachability,
+};
 
 /// An instance that reaches the store again is held to what it lists after
 /// this long (the platform's pages).
@@ -24,10 +26,10 @@
 #[test]
 fn a_missing_entry_is_not_waited_for_beyond_contact_regained() {
     let sent = Instant::now();
-    let mut contact = StoreContact::default();
-    contact.failed(unanswered(sent, 1_200));
+    let mut contact = StoreReachability::default();
+    contact.record_failure(unanswered(sent, 1_200));
     let in_touch = sent + IN_TOUCH_AFTER;
-    assert_eq!(contact.entries_return_within(in_touch), Duration::ZERO);
+    assert_eq!(contact.missing_entry_grace(in_touch), Duration::ZERO);
 }
 
 /// Many watches that were lost together would have all instances say that the
@@ -36,25 +38,28 @@
 #[test]
 fn a_call_lost_before_another_was_answered_does_not_put_the_store_out() {
     let sent = Instant::now();
-    let mut contact = StoreContact::default();
-    contact.reached(sent + Duration::from_secs(3));
-    assert!(!contact.failed(unanswered(sent, 5_000)));
-    assert!(!contact.is_out());
-    assert!(contact.failed(unanswered(sent + Duration::from_secs(4), 1_200)));
-    assert!(contact.is_out());
+    let mut contact = StoreReachability::default();
+    contact.record_success(sent + Duration::from_secs(3));
+    assert!(!contact.record_failure(unanswered(sent, 5_000)));
+    assert!(!contact.is_unreachable());
+    assert!(
+        contact
+            .record_failure(unanswered(sent + Duration::from_secs(4), 1_200))
+    );
+    assert!(contact.is_unreachable());
 }
 
 #[test]
 fn a_missing_entry_is_waited_for_after_an_outage() {
     let now = Instant::now();
-    let mut contact = StoreContact::default();
-    assert_eq!(contact.entries_return_within(now), Duration::ZERO);
+    let mut contact = StoreReachability::default();
+    assert_eq!(contact.missing_entry_grace(now), Duration::ZERO);
     let turned_away =
         CallFailure { sent: now, noticed: now, is_unanswered: false };
-    contact.failed(turned_away);
-    contact.reached(now + Duration::from_millis(200));
+    contact.record_failure(turned_away);
+    contact.record_success(now + Duration::from_millis(200));
     let entries_back = now + Duration::from_secs(2);
-    assert!(contact.entries_return_within(entries_back) > Duration::ZERO);
+    assert!(contact.missing_entry_grace(entries_back) > Duration::ZERO);
 }
 
 /// A holder may count on our word for as long as one holds, and no longer: for
@@ -63,14 +68,14 @@
 fn our_word_that_the_store_is_out_ends_soon_after_it_is_regained() {
     let now = Instant::now();
     let word = Duration::from_secs(1);
-    let mut contact = StoreContact::default();
-    assert_eq!(contact.counted_out_until(word), CountedOut::Never);
-    contact.failed(unanswered(now, 100));
-    assert_eq!(contact.counted_out_until(word), CountedOut::Now);
+    let mut contact = StoreReachability::default();
+    assert_eq!(contact.reported_outage(word), ReportedOutage::Never);
+    contact.record_failure(unanswered(now, 100));
+    assert_eq!(contact.reported_outage(word), ReportedOutage::Ongoing);
     let back = now + Duration::from_secs(3);
-    contact.reached(back);
+    contact.record_success(back);
     assert_eq!(
-        contact.counted_out_until(word),
-        CountedOut::Until(back + word)
+        contact.reported_outage(word),
+        ReportedOutage::Until(back + word)
     );
 }
--- a/crates/sedgewalld/src/fleet/admit.rs
+++ b/crates/sedgewalld/src/fleet/admit.rs
@@ -5,7 +5,7 @@
 
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    configuration::DecidedBy,
+    configuration::ConfigurationStatus,
     customer::{Customer, KeyDigest},
     route::{Route, RoutingConfiguration},
 };
@@ -28,7 +28,7 @@
     pub(super) routing: Rc<RoutingConfiguration>,
     pub(super) route: Route,
     pub(super) customer: Option<Rc<Customer>>,
-    pub(super) decided_by: DecidedBy,
+    pub(super) decided_by: ConfigurationStatus,
 }
 
 /// Decides by the configuration in force; where that refuses for good and a newer one
@@ -81,7 +81,7 @@
     if !node.keys.are_sure() {
         return Err(Reason::KeysUnsure);
     }
-    let known = customers.of_key(credential).cloned();
+    let known = customers.find_by_key(credential).cloned();
     known.map(Some).ok_or(Reason::UnknownKey)
 }
 
@@ -105,5 +105,5 @@
     let Some(allowance) = customer.allowance else { return };
     let tokens = call.facts.prompt_tokens + call.facts.answer_tokens;
     let units = allowance.unit.count(tokens);
-    node.shares.borrow_mut().give_back(customer, units);
+    node.shares.borrow_mut().refund(customer, units);
 }
--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -12,7 +12,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
     adapter::AdapterKey,
-    configuration::DecidedBy,
+    configuration::ConfigurationStatus,
     customer::Customer,
     poison::Loss,
     recent_successes::RequestHash,
@@ -47,7 +47,7 @@
     pub(crate) body: Bytes,
     pub(crate) route: Route,
     /// By which configuration it was routed.
-    pub(crate) decided_by: DecidedBy,
+    pub(crate) decided_by: ConfigurationStatus,
     pub(crate) service: String,
     pub(crate) is_engine: bool,
     pub(crate) arrived: Instant,
@@ -159,7 +159,7 @@
     /// Returns the rank: the customer's comes before the route's.
     pub(crate) fn rank(&self) -> u8 {
         let route = self.route.priority;
-        self.customer.as_ref().map_or(route, |c| c.rank(route))
+        self.customer.as_ref().map_or(route, |c| c.effective_priority(route))
     }
 
     /// Returns whether the request may run more than once.
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -15,11 +15,11 @@
 use hyper::body::Incoming;
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    configuration::DecidedBy,
+    configuration::ConfigurationStatus,
     customer::Customer,
-    patience::{Held, Obstacle, come_back},
     poison::Loss,
     view::{Choice, Need, Target},
+    wait_policy::{WaitReason, WaitingRequest, retry_delay},
 };
 use sedgewall_platform::{CallFacts, call::to_caller};
 use sedgewall_state::id::EndpointId;
@@ -100,7 +100,7 @@
     request_id: String,
     path: String,
     customer: Option<Rc<Customer>>,
-    decided_by: DecidedBy,
+    decided_by: ConfigurationStatus,
 }
 
 fn refuse_unread(refused: Unread, arrived: Instant) -> Response<LocalBody> {
@@ -123,13 +123,13 @@
         held_ms = ms(arrived.elapsed()),
         allowed_per_s = denied.and(allowance).map(|a| a.per_s),
         balance = denied.map(|denied| denied.balance.round()),
-        part = denied.map(|denied| denied.part),
+        part = denied.map(|denied| denied.share),
         total_per_s = denied.and_then(|denied| denied.total_per_s),
         total_age_ms = denied.and_then(|d| d.total_age).map(ms),
-        back_in_ms = denied.map(|denied| ms(denied.back_in)),
+        back_in_ms = denied.map(|denied| ms(denied.retry_in)),
     );
     let draw = draw_of(&refused.request_id);
-    let after = come_back(PATIENCE_UNSTATED, None, draw);
+    let after = retry_delay(PATIENCE_UNSTATED, None, draw);
     refusal::answer(refused.reason, after)
 }
 
@@ -386,7 +386,7 @@
         let (reason, obstacle, pause) = match choice {
             Choice::Send(found) => return Ok(found),
             Choice::Loading(ready_in) => {
-                let obstacle = Obstacle::Coming(ready_in);
+                let obstacle = WaitReason::AdapterLoading(ready_in);
                 (Reason::AdapterAbsent, obstacle, ready_in)
             }
             Choice::Absent => {
@@ -396,7 +396,7 @@
                 let limited_for = limited_for.or(resting);
                 ask_for(node, call);
                 let load_time = node.view.borrow().load_time();
-                let obstacle = Obstacle::Absent { load_time };
+                let obstacle = WaitReason::AdapterNotLoaded { load_time };
                 match limited_for {
                     Some(ready_in) => {
                         let pause = ready_in.min(target);
@@ -407,7 +407,7 @@
             }
             Choice::Full => {
                 ask_for(node, call);
-                (Reason::Full, Obstacle::NoPlace, look_again)
+                (Reason::Full, WaitReason::NoCapacity, look_again)
             }
             Choice::Busy(ready_in) => {
                 if ready_in.is_none() {
@@ -429,23 +429,25 @@
                 };
                 match limited_for.or_else(resting) {
                     Some(ready_in) => {
-                        let obstacle = Obstacle::Limited(ready_in);
+                        let obstacle = WaitReason::Saturated(ready_in);
                         let pause = ready_in.max(look_again);
                         (Reason::EndpointsLimited, obstacle, pause)
                     }
-                    None => {
-                        (Reason::NobodyThere, Obstacle::NoPlace, look_again)
-                    }
+                    None => (
+                        Reason::NobodyThere,
+                        WaitReason::NoCapacity,
+                        look_again,
+                    ),
                 }
             }
         };
-        let until = held.until(obstacle, now);
+        let until = held.wait_until(obstacle, now);
         if now >= until {
             progress.gone_in = match obstacle {
-                Obstacle::Coming(ready_in) | Obstacle::Limited(ready_in) => {
-                    Some(ready_in)
-                }
-                Obstacle::Absent { .. } | Obstacle::NoPlace => limited_for,
+                WaitReason::AdapterLoading(ready_in)
+                | WaitReason::Saturated(ready_in) => Some(ready_in),
+                WaitReason::AdapterNotLoaded { .. }
+                | WaitReason::NoCapacity => limited_for,
             };
             return Err(reason);
         }
@@ -456,7 +458,7 @@
 /// Returns when a caller whose request is rejected may come back.
 fn come_back_of(call: &CallerRequest, progress: &Progress) -> Duration {
     let draw = draw_of(&call.facts.request_id);
-    come_back(call.left(), progress.gone_in, draw)
+    retry_delay(call.left(), progress.gone_in, draw)
 }
 
 /// Returns a number between 0 and 1 that is drawn for a request.
@@ -465,7 +467,7 @@
 }
 
 /// Returns what is known of a request that may have to wait.
-fn held(node: &FleetNode, call: &CallerRequest) -> Held {
+fn held(node: &FleetNode, call: &CallerRequest) -> WaitingRequest {
     let tokens = call.facts.prompt_tokens;
     let engine_time = match call.key() {
         Some(_) => {
@@ -473,9 +475,9 @@
         }
         None => Duration::ZERO,
     };
-    Held {
+    WaitingRequest {
         arrived: call.arrived,
-        end: call.end,
+        deadline: call.end,
         target: call.route.target_latency,
         engine_time,
         is_later_try: call.is_later_try && call.is_engine,
--- a/crates/sedgewalld/src/fleet/knowledge.rs
+++ b/crates/sedgewalld/src/fleet/knowledge.rs
@@ -7,8 +7,8 @@
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
     adapter::{AdapterKey, WeightVersion},
-    catch_up::Knowledge,
-    configuration::{ConfigurationVersion, DecidedBy},
+    catch_up::StateSummary,
+    configuration::{ConfigurationStatus, ConfigurationVersion},
     route::RoutingConfiguration,
 };
 
@@ -33,12 +33,12 @@
     }
 
     /// Returns by which configuration a request is decided that comes now.
-    pub(crate) fn decides(&self) -> DecidedBy {
+    pub(crate) fn decides(&self) -> ConfigurationStatus {
         let now = Instant::now();
         let version = self.configuration_version();
         let read = self.configuration_read.get();
         let heard = self.catch_up.borrow().newest_heard(now).configuration;
-        DecidedBy {
+        ConfigurationStatus {
             version,
             read_ago: read.map(|at| now.saturating_duration_since(at)),
             newest_heard: heard.max(version.unwrap_or(0)),
@@ -46,8 +46,8 @@
     }
 
     /// Returns how much we have of what all must know.
-    pub(crate) fn knowledge(&self) -> Knowledge {
-        Knowledge {
+    pub(crate) fn knowledge(&self) -> StateSummary {
+        StateSummary {
             configuration: self.configuration_version().unwrap_or(0),
             versions: self.view.borrow().versions_announced(),
             condemned: self.poison.borrow().condemned_len() as u64,
@@ -81,7 +81,7 @@
     pub(crate) async fn newer_configuration(&self, within: Duration) {
         let (tx, rx) = oneshot::channel();
         self.configuration_waiters.borrow_mut().push(tx);
-        self.catch_up.borrow_mut().hurry(Instant::now());
+        self.catch_up.borrow_mut().fetch_now(Instant::now());
         self.catch_up_notify.notify();
         // Either way the request is looked at again.
         let _ = compio::time::timeout(within, rx).await;
--- a/crates/sedgewalld/src/fleet/leader.rs
+++ b/crates/sedgewalld/src/fleet/leader.rs
@@ -3,7 +3,9 @@
 use std::{rc::Rc, time::Duration};
 
 use sedgewall_clock::Instant;
-use sedgewall_fleet::{loader::Loader, store_rate::StoreRate};
+use sedgewall_fleet::{
+    load_rate_limiter::LoadRateLimiter, placement::PlacementPlanner,
+};
 
 use super::{node::FleetNode, orders::Orders};
 use crate::process;
@@ -50,8 +52,8 @@
             epoch = Some(held.epoch);
             node.view.borrow_mut().stop_ordering(now);
             let window = Duration::from_secs_f64(node.fleet.store_window_s);
-            let rate = StoreRate::new(window, node.fleet.store_overage);
-            let loader = Loader::new(held.epoch, rate, now);
+            let rate = LoadRateLimiter::new(window, node.fleet.store_overage);
+            let loader = PlacementPlanner::new(held.epoch, rate, now);
             *orders.loader.borrow_mut() = Some(loader);
         }
         let Some(routing) = node.routing() else { continue };
@@ -74,9 +76,9 @@
 /// Forgets who asked for what nobody waits for any more.
 fn forget_askers(node: &FleetNode, now: Instant) {
     let demand = node.demand.borrow();
-    node.askers.borrow_mut().retain(|key, _| {
-        demand.get(key).is_some_and(|d| d.is_waited_for(now))
-    });
+    node.askers
+        .borrow_mut()
+        .retain(|key, _| demand.get(key).is_some_and(|d| d.has_waiting(now)));
 }
 
 /// One line a second: what is asked for and what the engines hold.
@@ -88,7 +90,7 @@
     let demand = node.demand.borrow();
     let view = node.view.borrow();
     let mut times = node.load_times.borrow_mut();
-    let (pace, on_way) = (times.pace(), times.on_way(now));
+    let (pace, on_way) = (times.estimate(), times.in_flight(now));
     for (service, group) in routing.engines() {
         let engines =
             || view.endpoints().filter(|s| s.endpoint.service == service);
@@ -111,12 +113,12 @@
             places = group.adapter_places() * engines().count(),
             asked_for = demand.iter().count(),
             waiting =
-                demand.iter().filter(|(_, d)| d.is_waited_for(now)).count(),
+                demand.iter().filter(|(_, d)| d.has_waiting(now)).count(),
             loads_left,
-            load_ms = pace.full_speed.as_millis() as u64,
-            loads_at_once = pace.at_once,
+            load_ms = pace.load_time.as_millis() as u64,
+            loads_at_once = pace.concurrency,
             loads_on_way = on_way,
-            load_answers = times.answers(),
+            load_answers = times.observations(),
             notes_heard = node.work.notes_heard.get(),
             asked_heard = node.work.asked_heard.get(),
             cpu_ms = process::cpu_ms(),
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -16,7 +16,8 @@
     turn::{Takeover, Turns},
 };
 use sedgewall_fleet::{
-    note::Note, store_contact::CountedOut, store_reports::REPORT_VALID_FOR,
+    note::Note, store_reachability::ReportedOutage,
+    store_reports::REPORT_VALID_FOR,
 };
 
 use super::{
@@ -202,15 +203,15 @@
     // what it said before that has not ended its lease. Waiting for the record
     // alone, for 30 s after an outage, let 2 s more pass without orders.
     let contact = node.store_contact.borrow();
-    let noted =
-        match contact.counted_out_until(REPORT_VALID_FOR + WORD_TRAVELS) {
-            CountedOut::Never => noted,
-            CountedOut::Until(end) => noted.map(|noted| NotedLease {
-                ends_by: noted.ends_by.max(end),
-                ..noted
-            }),
-            CountedOut::Now => None,
-        };
+    let noted = match contact.reported_outage(REPORT_VALID_FOR + WORD_TRAVELS)
+    {
+        ReportedOutage::Never => noted,
+        ReportedOutage::Until(end) => noted.map(|noted| NotedLease {
+            ends_by: noted.ends_by.max(end),
+            ..noted
+        }),
+        ReportedOutage::Ongoing => None,
+    };
     watching.ended_by(noted).unwrap_or(now)
 }
 
@@ -359,7 +360,7 @@
     }
     // All see whether the store answers them: while it answers nobody, nobody
     // can take the lease.
-    node.outbox.borrow_mut().push(Note::StoreFails);
+    node.outbox.borrow_mut().push(Note::ProbeStore);
     node.notify_notes();
     compio::time::sleep(FAILED_PAUSE).await;
     let renewal_sent = Some(first_sent);
--- a/crates/sedgewalld/src/fleet/lease_store.rs
+++ b/crates/sedgewalld/src/fleet/lease_store.rs
@@ -113,7 +113,7 @@
     node: &FleetNode,
     renewal: &LeaseWrite,
 ) -> (WriteAnswer, Way) {
-    if !node.store_contact.borrow().is_out() {
+    if !node.store_contact.borrow().is_unreachable() {
         let answer = renew_own_way(node, renewal).await;
         if answer != WriteAnswer::Unclear {
             return (answer, Way::Own);
@@ -190,7 +190,7 @@
         known_revision: node.view.borrow().newest_revision(),
     };
     for peer in peers {
-        let note = Note::RenewForMe(request.clone());
+        let note = Note::RenewalRequest(request.clone());
         node.letters.borrow_mut().push((peer.clone(), note));
     }
     node.notify_notes();
@@ -223,7 +223,7 @@
         endpoints: view.entries_since(known_revision),
         versions: versions.map(|(key, v)| (key.clone(), v)).collect(),
     };
-    sender.send_to_peer(node, &from, &Note::Renewed(answer));
+    sender.send_to_peer(node, &from, &Note::RenewalAnswer(answer));
 }
 
 /// Takes in what the store answered to another instance. An answer to an older
--- a/crates/sedgewalld/src/fleet/node.rs
+++ b/crates/sedgewalld/src/fleet/node.rs
@@ -14,16 +14,16 @@
 use sedgewall_coordination::lease::{NotedLease, WriteAnswer};
 use sedgewall_fleet::{
     adapter::AdapterKey,
-    allowance::Shares,
     catch_up::CatchUp,
     demand::Demand,
     load_times::LoadTimes,
-    note::{Lead, Note},
-    poison::Poison,
+    note::{LeaderLease, Note},
+    poison::PoisonDetector,
+    rate_limiter::RateLimiter,
     recent_successes::RecentSuccesses,
     retry_budget::{RetryAllowance, RetryBudget},
     route::RoutingConfiguration,
-    store_contact::{CallFailure, StoreContact},
+    store_reachability::{CallFailure, StoreReachability},
     store_reports::{REPORT_VALID_FOR, StoreReports},
     suspicion::Suspicions,
     view::FleetView,
@@ -148,11 +148,11 @@
     pub(crate) asked: RefCell<HashMap<AdapterKey, u32>>,
     pub(crate) waiting: RefCell<HashMap<AdapterKey, u8>>,
     /// Our part of what customers may use.
-    pub(crate) shares: RefCell<Shares>,
+    pub(crate) shares: RefCell<RateLimiter>,
     /// Whether keys that were taken away are sure to be known.
     pub(crate) keys: Keys,
     /// Whether the store answers us.
-    pub(crate) store_contact: RefCell<StoreContact>,
+    pub(crate) store_contact: RefCell<StoreReachability>,
     /// What the other instances say of themselves.
     pub(crate) store_reports: RefCell<StoreReports>,
     /// Endpoints that take no more from us, and until when, for the holder to hear.
@@ -183,7 +183,7 @@
     pub(crate) held: Cell<Option<HeldLease>>,
     pub(crate) pool: EndpointPool,
     /// What was seen of requests that end endpoints.
-    pub(crate) poison: RefCell<Poison>,
+    pub(crate) poison: RefCell<PoisonDetector>,
     /// What ended well here lately, by hashes that this process keys.
     pub(crate) recent_successes: RefCell<RecentSuccesses>,
     pub(crate) hash_key: RandomState,
@@ -353,7 +353,7 @@
 
     /// Notes that the store answered; others hear at once what changed.
     pub(crate) fn store_reached(&self) {
-        if self.store_contact.borrow_mut().reached(Instant::now()) {
+        if self.store_contact.borrow_mut().record_success(Instant::now()) {
             self.notify_notes();
         }
     }
@@ -365,7 +365,7 @@
             noticed: Instant::now(),
             is_unanswered: matches!(err, StoreError::Unanswered),
         };
-        if self.store_contact.borrow_mut().failed(failure) {
+        if self.store_contact.borrow_mut().record_failure(failure) {
             self.notify_notes();
         }
     }
@@ -380,7 +380,7 @@
     pub(crate) fn hear_leader(
         &self,
         instance: &str,
-        lead: Lead,
+        lead: LeaderLease,
         next_in: Duration,
     ) {
         let epoch = lead.epoch;
--- a/crates/sedgewalld/src/fleet/note_sender.rs
+++ b/crates/sedgewalld/src/fleet/note_sender.rs
@@ -14,7 +14,7 @@
 
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    note::{FEW_PEERS, Note, Relayed},
+    note::{GroupRelay, MAX_DIRECT_PEERS, Note},
     relays::{Group, relays, zone_relays},
 };
 use sedgewall_state::id::InstanceId;
@@ -54,7 +54,7 @@
     /// Sends a note to all other instances, through relays if there are many.
     pub(crate) fn broadcast(&self, node: &FleetNode, note: &Note) {
         let peers = node.peers.borrow();
-        if peers.len() <= FEW_PEERS {
+        if peers.len() <= MAX_DIRECT_PEERS {
             let Some(bytes) = encode(note) else { return };
             if peers.is_empty() {
                 for address in node.heard_addresses() {
@@ -73,7 +73,7 @@
         for id in
             zone_relays(zones, own, |id| view.is_live_peer(id, now), turn)
         {
-            let for_zone = Note::ForZone(note.clone().into());
+            let for_zone = Note::ZoneRelay(note.clone().into());
             self.send_to(peers[id].address, &for_zone);
         }
         drop(view);
@@ -91,8 +91,9 @@
         for (id, group) in relays(zones, |id| view.is_live_peer(id, now), turn)
         {
             let Group { index, count } = group;
-            let relayed = Relayed { index, count, note: note.clone().into() };
-            self.send_to(peers[id].address, &Note::Relayed(relayed));
+            let relayed =
+                GroupRelay { index, count, note: note.clone().into() };
+            self.send_to(peers[id].address, &Note::GroupRelay(relayed));
         }
     }
 
@@ -104,7 +105,7 @@
     }
 
     /// Passes a note on to the rest of its group.
-    pub(crate) fn pass_on(&self, node: &FleetNode, relayed: &Relayed) {
+    pub(crate) fn pass_on(&self, node: &FleetNode, relayed: &GroupRelay) {
         let Some(bytes) = encode(&relayed.note) else { return };
         let group = Group { index: relayed.index, count: relayed.count };
         for (id, peer) in node.peers.borrow().iter() {
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -9,11 +9,11 @@
 use compio::BufResult;
 use sedgewall_clock::{Instant, SuspensionWatch};
 use sedgewall_fleet::{
-    catch_up::Knowledge,
+    catch_up::StateSummary,
     departure::Departure,
-    load_times::Arrival,
-    note::{Arrived, Asked, Lead, Note, Status},
-    note_schedule::{NoteSchedule, Pending, Role, Surroundings},
+    load_times::LoadObservation,
+    note::{DemandReport, LeaderLease, LoadObservationReport, Note, Status},
+    note_schedule::{NoteSchedule, Pending, Role, Topology},
     view::Totals,
 };
 
@@ -108,37 +108,37 @@
         Note::Departed(departure) => hear_departure(node, &departure, now),
         Note::Crashed(crash) => poison::hear(node, &crash),
         Note::Cleared(digest) => poison::hear_cleared(node, digest),
-        Note::StoreFails => follow::probe_store(node),
-        Note::RenewForMe(request) => {
+        Note::ProbeStore => follow::probe_store(node),
+        Note::RenewalRequest(request) => {
             let (node, sender) = (node.clone(), sender.clone());
             compio::runtime::spawn(async move {
                 lease_store::renew_for(&node, &sender, request).await;
             })
             .detach();
         }
-        Note::Renewed(answer) => lease_store::hear_answer(node, answer),
+        Note::RenewalAnswer(answer) => lease_store::hear_answer(node, answer),
         Note::Suspect { endpoint, for_ms } => {
             let time = Duration::from_millis(for_ms);
             node.view.borrow_mut().mark_suspect(&endpoint, time, now);
             node.wake_all();
         }
-        Note::AskFresh { from, number } => {
+        Note::FreshnessQuery { from, number } => {
             keys::answer(node, sender, &from, number);
         }
-        Note::Fresh { number, age_ms, configuration } => {
+        Note::FreshnessAnswer { number, age_ms, configuration } => {
             keys::hear(node, number, age_ms, configuration);
         }
-        Note::Asked(asked) => hear_asked(node, sender, &asked, now),
+        Note::DemandReport(asked) => hear_asked(node, sender, &asked, now),
         Note::Batch(notes) => {
             for note in notes {
                 hear(node, sender, note);
             }
         }
-        Note::ForZone(note) => {
+        Note::ZoneRelay(note) => {
             sender.spread_in_zone(node, &note);
             hear(node, sender, *note);
         }
-        Note::Relayed(relayed) => {
+        Note::GroupRelay(relayed) => {
             sender.pass_on(node, &relayed);
             hear(node, sender, *relayed.note);
         }
@@ -178,7 +178,7 @@
 /// watch of ours may be on a channel that says nothing further.
 fn hear_newer(node: &FleetNode, status: &Status, now: Instant) {
     let Status { configuration, versions, condemned, .. } = *status;
-    let told = Knowledge { configuration, versions, condemned };
+    let told = StateSummary { configuration, versions, condemned };
     hear_knowledge(node, &status.from, told, now);
     let own = node.knowledge();
     if !told.has_more_than(own) {
@@ -221,19 +221,19 @@
 pub(crate) fn hear_knowledge(
     node: &FleetNode,
     from: &InstanceId,
-    told: Knowledge,
+    told: StateSummary,
     now: Instant,
 ) {
     let peers = node.peers.borrow();
     let zone = peers.get(from).map(|peer| &peer.zone);
     let is_own_zone = zone == Some(&node.settings.zone);
-    node.catch_up.borrow_mut().hear(from, told, is_own_zone, now);
+    node.catch_up.borrow_mut().record_peer(from, told, is_own_zone, now);
 }
 
 fn hear_asked(
     node: &FleetNode,
     sender: &NoteSender,
-    asked: &Asked,
+    asked: &DemandReport,
     now: Instant,
 ) {
     node.work.asked_heard.set(node.work.asked_heard.get() + 1);
@@ -242,7 +242,7 @@
         demand.add(key, *count, &asked.zone, now);
     }
     for (key, rank) in &asked.waiting {
-        demand.wait(key, *rank);
+        demand.mark_waiting(key, *rank);
     }
     drop(demand);
     for endpoint in &asked.unreachable {
@@ -264,26 +264,31 @@
 
 /// Takes in what customers ask of another instance, or of all.
 fn hear_customers(node: &FleetNode, status: &Status, now: Instant) {
-    let until = now + status.counts_for();
+    let until = now + status.valid_for();
     let asked = status.asked_by_customers.clone();
     let mut shares = node.shares.borrow_mut();
     match status.is_total {
-        true => shares.hear_totals(asked, now, until),
-        false => shares.hear(&status.from, asked, now, until),
+        true => shares.record_totals(asked, now, until),
+        false => shares.record_peer(&status.from, asked, now, until),
     }
 }
 
-fn hear_arrivals(node: &FleetNode, arrivals: &[Arrived], now: Instant) {
+fn hear_arrivals(
+    node: &FleetNode,
+    arrivals: &[LoadObservationReport],
+    now: Instant,
+) {
     let mut times = node.load_times.borrow_mut();
     let mut view = node.view.borrow_mut();
     for arrived in arrivals {
-        let Arrived { endpoint, key, is_there, ago_ms } = arrived;
+        let LoadObservationReport { endpoint, key, is_there, ago_ms } =
+            arrived;
         // Its engine may take another load now.
         view.confirm_load(endpoint, key, *is_there);
         let Some(at) = now.checked_sub(Duration::from_millis(*ago_ms)) else {
             continue;
         };
-        let arrival = Arrival { at, is_there: *is_there };
+        let arrival = LoadObservation { at, is_loaded: *is_there };
         times.observe(endpoint, key, arrival, now);
     }
 }
@@ -293,7 +298,7 @@
 fn hear_unreachable(
     node: &FleetNode,
     endpoint: &EndpointId,
-    asked: &Asked,
+    asked: &DemandReport,
     now: Instant,
 ) {
     let mut suspicions = node.suspicions.borrow_mut();
@@ -314,7 +319,7 @@
 fn answer_asker(
     node: &FleetNode,
     sender: &NoteSender,
-    asked: &Asked,
+    asked: &DemandReport,
     now: Instant,
 ) {
     let Some(held) = node.current_lease(now) else { return };
@@ -356,11 +361,11 @@
         }
         let due = schedule.take(pending(&node), around, now);
         if due.status {
-            node.store_contact.borrow_mut().take_news();
+            node.store_contact.borrow_mut().take_change();
             sequence += 1;
             tell_status(&node, &sender, sequence, around);
         }
-        if due.work_soon {
+        if due.interim_work {
             tell_work_soon(&node, &sender, &mut sequence, around);
         }
         if due.batch {
@@ -368,7 +373,7 @@
                 sender.broadcast(&node, &Note::Batch(notes.to_vec()));
             }
         }
-        if due.asked {
+        if due.demand {
             tell_asked(&node, &sender);
         }
         if now >= next_forget {
@@ -390,7 +395,7 @@
 
 fn pending(node: &FleetNode) -> Pending {
     Pending {
-        has_news: node.store_contact.borrow().has_news(),
+        has_store_change: node.store_contact.borrow().has_change(),
         has_large_prompt: node.has_untold_work.get(),
         has_batch: !node.outbox.borrow().is_empty(),
         has_waiting: !node.waiting.borrow().is_empty()
@@ -400,13 +405,13 @@
     }
 }
 
-fn surroundings(node: &FleetNode, now: Instant) -> Surroundings {
+fn surroundings(node: &FleetNode, now: Instant) -> Topology {
     let role = match (node.current_lease(now), node.live_leader(now)) {
         (Some(_), _) => Role::Holder,
         (None, Some(_)) => Role::Follower,
         (None, None) => Role::Leaderless,
     };
-    Surroundings { peers: node.peers.borrow().len(), role }
+    Topology { peers: node.peers.borrow().len(), role }
 }
 
 /// A restart begins above what its last life can have reached.
@@ -424,14 +429,14 @@
     node: &FleetNode,
     sender: &NoteSender,
     sequence: &mut u64,
-    around: Surroundings,
+    around: Topology,
 ) {
-    if around.is_many() && around.role == Role::Holder {
+    if around.uses_relays() && around.role == Role::Holder {
         // What the holder sends itself is in the sums that it tells anyway.
         node.has_untold_work.set(false);
         return;
     }
-    if !around.is_many() {
+    if !around.uses_relays() {
         *sequence += 1;
         return tell_status(node, sender, *sequence, around);
     }
@@ -446,12 +451,12 @@
     node: &FleetNode,
     sender: &NoteSender,
     sequence: u64,
-    around: Surroundings,
+    around: Topology,
 ) {
     let mut status = status(node, sequence, around);
     let holder = node
         .live_leader(Instant::now())
-        .filter(|_| around.is_many() && status.leads.is_none());
+        .filter(|_| around.uses_relays() && status.leads.is_none());
     if let Some(holder) = holder {
         // The holder alone needs to know of adapters in use. Of two notes with
         // one number it keeps the first.
@@ -469,14 +474,14 @@
 }
 
 /// Returns what this instance says of itself now.
-fn status(node: &FleetNode, sequence: u64, around: Surroundings) -> Status {
+fn status(node: &FleetNode, sequence: u64, around: Topology) -> Status {
     let now = Instant::now();
-    let leads = node.current_lease(now).map(|held| Lead {
+    let leads = node.current_lease(now).map(|held| LeaderLease {
         epoch: held.epoch,
         renewal: held.renewal,
         left_ms: held.left(now).as_millis() as u64 + 1,
     });
-    let is_total = around.is_many() && leads.is_some();
+    let is_total = around.uses_relays() && leads.is_some();
     node.has_untold_work.set(false);
     let Totals { work, is_part } = match is_total {
         true => node.view.borrow_mut().publish_totals(),
@@ -488,8 +493,8 @@
     let versions = node.view.borrow().versions_announced();
     let shares = node.shares.borrow();
     let asked_by_customers = match is_total {
-        true => shares.asked_of_all(now),
-        false => shares.asked(now),
+        true => shares.total_demand(now),
+        false => shares.local_demand(now),
     };
     Status {
         from: node.id().clone(),
@@ -498,23 +503,23 @@
         leads,
         configuration: node.configuration_version().unwrap_or(0),
         versions,
-        store_is_out: node.store_contact.borrow().is_out(),
+        store_is_out: node.store_contact.borrow().is_unreachable(),
         is_leaving: node.stage.get() == Stage::Leaving,
         asked_by_customers,
         departures: node.view.borrow().departures(now),
         work,
         is_total,
         is_part,
-        crashes: node.poison.borrow().told(now),
+        crashes: node.poison.borrow().recent_crashes(now),
         condemned: node.poison.borrow().condemned_len() as u64,
         limits: node.view.borrow().limit_reports(is_total, now),
     }
 }
 
-fn arrived(seen: SeenArrival) -> Arrived {
+fn arrived(seen: SeenArrival) -> LoadObservationReport {
     let SeenArrival { endpoint, key, is_there, sent } = seen;
     let ago_ms = sent.elapsed().as_millis() as u64;
-    Arrived { endpoint, key, is_there, ago_ms }
+    LoadObservationReport { endpoint, key, is_there, ago_ms }
 }
 
 fn tell_asked(node: &FleetNode, sender: &NoteSender) {
@@ -538,7 +543,7 @@
         true => Vec::new(),
         false => node.saturated_for(Instant::now()),
     };
-    let asked = Asked {
+    let asked = DemandReport {
         from,
         zone,
         counts,
@@ -552,5 +557,5 @@
         return;
     }
     let Some(leader) = node.live_leader(Instant::now()) else { return };
-    sender.send_to_peer(node, &leader.instance, &Note::Asked(asked));
+    sender.send_to_peer(node, &leader.instance, &Note::DemandReport(asked));
 }
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -11,9 +11,9 @@
 use futures_util::StreamExt;
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    loader::Loader,
     note::{Note, Placed, Removed},
     order::{Order, Task},
+    placement::PlacementPlanner,
     view::AnsweredRequest,
 };
 use sedgewall_platform::engine::{self, Holder, OrderAnswer, ReportError};
@@ -46,7 +46,7 @@
 pub(crate) struct Orders {
     node: Rc<FleetNode>,
     sender: Rc<NoteSender>,
-    pub(crate) loader: Rc<RefCell<Option<Loader>>>,
+    pub(crate) loader: Rc<RefCell<Option<PlacementPlanner>>>,
     queues: Rc<RefCell<HashMap<EndpointId, mpsc::UnboundedSender<Batch>>>>,
 }
 
@@ -133,7 +133,7 @@
             epoch,
             lease_is_current = self.may_order(epoch),
         );
-        order.take_back(&mut self.node.view.borrow_mut());
+        order.revert(&mut self.node.view.borrow_mut());
         self.forget_load(order);
     }
 
@@ -239,7 +239,7 @@
                 endpoint = order.endpoint
             );
             self.forget_load(order);
-            order.take_back(&mut self.node.view.borrow_mut());
+            order.revert(&mut self.node.view.borrow_mut());
             return None;
         }
         let count = match (&answer, &order.task) {
@@ -272,7 +272,7 @@
             }
         }
         if count.is_none() {
-            order.take_back(&mut self.node.view.borrow_mut());
+            order.revert(&mut self.node.view.borrow_mut());
         }
         count
     }
@@ -289,7 +289,7 @@
     fn note_taken(&self, order: &Order) {
         let Task::Load(key, _) = &order.task else { return };
         let mut times = self.node.load_times.borrow_mut();
-        times.order_taken(&order.endpoint, key, Instant::now());
+        times.order_accepted(&order.endpoint, key, Instant::now());
     }
 
     /// Notes that an engine held the adapter already: nothing is loaded, so that
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -10,7 +10,7 @@
 use sedgewall_fleet::{
     incarnation::EndpointIncarnation,
     note::Note,
-    poison::{Condemned, Crash, Loss, TakenIn, Verdict},
+    poison::{Condemned, Crash, Loss, MergeOutcome, Verdict},
     request_digest::RequestDigest,
     view::Target,
 };
@@ -44,7 +44,7 @@
     };
     log_refused(call, &verdict);
     Err(match runs {
-        0 => Reason::CrashesEndpoints(verdict.back_in),
+        0 => Reason::CrashesEndpoints(verdict.released_in),
         _ => Reason::OutcomeUnknown,
     })
 }
@@ -58,8 +58,8 @@
         path = call.uri.path(),
         customer = call.customer.as_ref().map(|c| c.name.as_str()),
         ended = names(&verdict.endpoints),
-        condemned_ms_ago = verdict.ago.as_millis() as u64,
-        back_in_ms = verdict.back_in.as_millis() as u64,
+        condemned_ms_ago = verdict.condemned_ago.as_millis() as u64,
+        back_in_ms = verdict.released_in.as_millis() as u64,
     );
 }
 
@@ -97,7 +97,8 @@
     let life = life_of(node, &sent.endpoint);
     let now = Instant::now();
     let mut poison = node.poison.borrow_mut();
-    let crash = poison.lost(&life, call.digest(), sent.at, loss, now);
+    let crash =
+        poison.record_lost_run(&life, call.digest(), sent.at, loss, now);
     drop(poison);
     tell(node, crash);
 }
@@ -139,7 +140,7 @@
         match presence {
             Presence::Listens => {
                 let mut poison = node.poison.borrow_mut();
-                poison.endpoint_listens(&life, began);
+                poison.endpoint_alive(&life, began);
             }
             Presence::Refuses => life_ended(&node, &life),
             // Its entry will go, or another instance can tell.
@@ -167,7 +168,7 @@
 
 /// Hears which runs of another instance ended with an endpoint.
 pub(crate) fn hear(node: &FleetNode, crash: &Crash) {
-    let ours = node.poison.borrow_mut().hear(crash, Instant::now());
+    let ours = node.poison.borrow_mut().record_crash(crash, Instant::now());
     tell(node, ours);
 }
 
@@ -183,20 +184,20 @@
     node: &FleetNode,
     condemned: &Condemned,
     from: &str,
-) -> TakenIn {
+) -> MergeOutcome {
     let now = Instant::now();
-    let taken_in = node.poison.borrow_mut().take_in(condemned, now);
+    let taken_in = node.poison.borrow_mut().merge_condemned(condemned, now);
     let digest = condemned.digest;
     match taken_in {
-        TakenIn::News => tracing::info!(
+        MergeOutcome::Added => tracing::info!(
             event = "poison_heard",
             %digest,
             ended = names(&condemned.endpoints),
             condemned_ms_ago = condemned.ms_ago,
             from,
         ),
-        TakenIn::Known => {}
-        TakenIn::Refuted => tell_cleared(node, digest),
+        MergeOutcome::AlreadyKnown => {}
+        MergeOutcome::Refuted => tell_cleared(node, digest),
     }
     taken_in
 }
@@ -218,7 +219,7 @@
         node.outbox.borrow_mut().push(Note::Crashed(crash));
         node.notify_notes();
     }
-    let condemned = node.poison.borrow_mut().take_untold();
+    let condemned = node.poison.borrow_mut().take_newly_condemned();
     for digest in &condemned {
         let verdict = node.poison.borrow().verdict(*digest, Instant::now());
         let endpoints = verdict.map_or(Vec::new(), |v| v.endpoints);
