--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -18,23 +18,23 @@
 
 /// Notices that the machine was suspended: one clock went on and the other stood.
 #[derive(Clone, Copy, Debug)]
-pub struct SuspensionWatch {
+pub struct SuspendDetector {
     counting: Instant,
     standing: std::time::Instant,
 }
 
-impl SuspensionWatch {
+impl SuspendDetector {
     /// Begins to watch.
-    pub fn begin() -> SuspensionWatch {
-        SuspensionWatch {
+    pub fn start() -> SuspendDetector {
+        SuspendDetector {
             counting: Instant::now(),
             standing: std::time::Instant::now(),
         }
     }
 
     /// Returns for how long the machine was suspended since the last look, if it was.
-    pub fn look(&mut self) -> Option<Duration> {
-        let now = SuspensionWatch::begin();
+    pub fn check(&mut self) -> Option<Duration> {
+        let now = SuspendDetector::start();
         let counted = now.counting - self.counting;
         let stood = now.standing - self.standing;
         *self = now;
--- a/crates/clock/tests/boot_clock.rs
+++ b/crates/clock/tests/boot_clock.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use rustix::time::{ClockId, clock_gettime};
-use sedgewall_clock::{Instant, SuspensionWatch};
+use sedgewall_clock::{Instant, SuspendDetector};
 
 fn boot_ns() -> i128 {
     let time = clock_gettime(ClockId::Boottime);
@@ -34,7 +34,7 @@
 
 #[test]
 fn a_machine_that_was_not_suspended_is_none_that_was() {
-    let mut watch = SuspensionWatch::begin();
+    let mut watch = SuspendDetector::start();
     std::thread::sleep(Duration::from_millis(30));
-    assert_eq!(watch.look(), None);
+    assert_eq!(watch.check(), None);
 }
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -7,7 +7,7 @@
 use std::{rc::Rc, time::Duration};
 
 use compio::BufResult;
-use sedgewall_clock::{Instant, SuspensionWatch};
+use sedgewall_clock::{Instant, SuspendDetector};
 use sedgewall_fleet::{
     catch_up::Knowledge,
     departure::Departure,
@@ -339,9 +339,9 @@
     let mut sequence = start_sequence();
     let mut schedule = NoteSchedule::default();
     let mut next_forget = Instant::now();
-    let mut suspensions = SuspensionWatch::begin();
+    let mut suspensions = SuspendDetector::start();
     loop {
-        if let Some(time) = suspensions.look() {
+        if let Some(time) = suspensions.check() {
             let suspended_ms = time.as_millis() as u64;
             tracing::warn!(event = "woke", suspended_ms);
         }
