--- a/crates/bench/src/replay/ours.rs
+++ b/crates/bench/src/replay/ours.rs
@@ -5,7 +5,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_state::{
     AdapterIdx, RequestId, Shard, ShardAction,
-    allocation::{ASK_EVERY, Allocator, guaranteed},
+    allocation::{ALLOCATION_INTERVAL, Allocator, guaranteed},
     budget::StoreLimits,
     queue::Request,
     shard::{PolicySettings, ReportedSlot, RequestEnd},
@@ -122,7 +122,7 @@
         if now < self.ask_at {
             return;
         }
-        self.ask_at = now + ASK_EVERY;
+        self.ask_at = now + ALLOCATION_INTERVAL;
         for (model, shard) in self.shards.iter_mut().enumerate() {
             if let Some(limits) = shard.allotted.take() {
                 shard.shard.set_store_limits(limits);
--- a/crates/sedgewalld/src/upkeep.rs
+++ b/crates/sedgewalld/src/upkeep.rs
@@ -10,7 +10,7 @@
 use sedgewall_protocol::engine::{EngineAdapter, EngineReport};
 use sedgewall_state::{
     EngineIdx, Epoch, Incarnation, ShardAction, ShardId,
-    allocation::ASK_EVERY, shard::ReportedSlot,
+    allocation::ALLOCATION_INTERVAL, shard::ReportedSlot,
 };
 
 use crate::{
@@ -64,7 +64,7 @@
             Upkeep::Tick => TICK,
             Upkeep::Reports => report_every(node, shard_id),
             Upkeep::Slow => UPKEEP_EVERY,
-            Upkeep::Store => ASK_EVERY,
+            Upkeep::Store => ALLOCATION_INTERVAL,
         }
     }
 }
--- a/crates/state/src/allocation.rs
+++ b/crates/state/src/allocation.rs
@@ -126,7 +126,7 @@
 pub const ALLOTMENT_VALIDITY: Duration = Duration::from_millis(800);
 
 /// How often shards ask.
-pub const ASK_EVERY: Duration = Duration::from_millis(250);
+pub const ALLOCATION_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A part that was handed out.
 #[derive(Clone, Copy, Debug)]
