--- a/crates/bench/src/replay/ours.rs
+++ b/crates/bench/src/replay/ours.rs
@@ -129,7 +129,7 @@
             }
             let demand = shard.shard.store_demand();
             let name = model.to_string();
-            let limits = self.allocator.ask(&name, demand, now);
+            let limits = self.allocator.allocate(&name, demand, now);
             shard.allotted = Some(limits);
         }
     }
--- a/crates/sedgewalld/src/store.rs
+++ b/crates/sedgewalld/src/store.rs
@@ -80,7 +80,7 @@
         }
         let own = own.as_mut()?;
         own.allocator.reconfigure(total, view.config.shard_ids());
-        Some(own.allocator.ask(&demand.shard, demand.demand, now))
+        Some(own.allocator.allocate(&demand.shard, demand.demand, now))
     });
     let Some(limits) = limits else { return };
     let message = PeerMessage::Allotted(Allotment {
--- a/crates/state/src/allocation.rs
+++ b/crates/state/src/allocation.rs
@@ -198,7 +198,7 @@
 
     /// Takes in a shard's demand and returns its part, which holds for
     /// [`ALLOTMENT_VALIDITY`] from when the shard asked.
-    pub fn ask(
+    pub fn allocate(
         &mut self,
         shard: &str,
         demand: StoreDemand,
--- a/crates/state/tests/allocation_rules.rs
+++ b/crates/state/tests/allocation_rules.rs
@@ -71,7 +71,7 @@
             if is_replaced {
                 allocator = Allocator::new(limits, names(), now);
             }
-            let part = allocator.ask(&shard.to_string(), demand, now);
+            let part = allocator.allocate(&shard.to_string(), demand, now);
             if is_heard {
                 parts[shard] = (part, now + ALLOTMENT_VALIDITY);
             }
