--- a/crates/bench/src/replay/ours.rs
+++ b/crates/bench/src/replay/ours.rs
@@ -5,7 +5,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_state::{
     AdapterIdx, RequestId, Shard, ShardAction,
-    allocation::{ALLOCATION_INTERVAL, Allocator, guaranteed},
+    allocation::{ALLOCATION_INTERVAL, Allocator, guaranteed_limits},
     budget::StoreLimits,
     queue::Request,
     shard::{PolicySettings, ReportedSlot, RequestEnd},
@@ -48,7 +48,7 @@
         let allocator = Allocator::new(world.store, names, base);
         let share = match world.models {
             1 => world.store,
-            len => guaranteed(world.store, len),
+            len => guaranteed_limits(world.store, len),
         };
         let mut places = Vec::new();
         let mut shards = Vec::new();
--- a/crates/state/src/allocation.rs
+++ b/crates/state/src/allocation.rs
@@ -55,7 +55,7 @@
 }
 
 /// Returns what a shard may use without an allocator.
-pub fn guaranteed(limits: StoreLimits, shards_len: usize) -> StoreLimits {
+pub fn guaranteed_limits(limits: StoreLimits, shards_len: usize) -> StoreLimits {
     let share = limits.share(shards_len);
     StoreLimits {
         rate_per_s: share.rate_per_s * GUARANTEED,
@@ -204,7 +204,7 @@
         demand: StoreDemand,
         now: Instant,
     ) -> StoreLimits {
-        let floor = guaranteed(self.limits, self.shards.len());
+        let floor = guaranteed_limits(self.limits, self.shards.len());
         let Some(own) = self.shards.get_mut(shard) else { return floor };
         own.demand.blend(demand);
         if now < self.opens && self.shards.len() > 1 {
--- a/crates/state/src/config.rs
+++ b/crates/state/src/config.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    allocation::guaranteed,
+    allocation::guaranteed_limits,
     budget::StoreLimits,
     id::{
         AdapterName, AdapterVersion, GroupName, ModelName, ShardId, ZoneName,
@@ -268,7 +268,7 @@
         let len = self.shard_ids().len();
         match len {
             0 | 1 => self.store_limits(),
-            _ => guaranteed(self.store_limits(), len),
+            _ => guaranteed_limits(self.store_limits(), len),
         }
     }
 
--- a/crates/state/tests/allocation_rules.rs
+++ b/crates/state/tests/allocation_rules.rs
@@ -6,7 +6,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_state::{
     allocation::{
-        ALLOTMENT_VALIDITY, Allocator, StoreDemand, divide, guaranteed,
+        ALLOTMENT_VALIDITY, Allocator, StoreDemand, divide, guaranteed_limits,
     },
     budget::StoreLimits,
 };
@@ -31,7 +31,7 @@
         let at_once: f64 = parts.iter().map(|p| p.concurrency).sum();
         prop_assert!(rate <= rate_per_s * 1.000_001);
         prop_assert!(at_once <= concurrency * 1.000_001);
-        let least = guaranteed(limits, demands.len());
+        let least = guaranteed_limits(limits, demands.len());
         for part in &parts {
             prop_assert!(part.rate_per_s >= least.rate_per_s * 0.999_999);
         }
@@ -63,7 +63,7 @@
         let names = || (0..5).map(|idx| idx.to_string());
         let mut now = Instant::now();
         let mut allocator = Allocator::new(limits, names(), now);
-        let floor = guaranteed(limits, 5);
+        let floor = guaranteed_limits(limits, 5);
         // What each shard may use, and until when.
         let mut parts = [(floor, now); 5];
         for (shard, demand, pause_ms, is_heard, is_replaced) in steps {
