--- a/crates/sedgewalld/src/led_requests.rs
+++ b/crates/sedgewalld/src/led_requests.rs
@@ -100,7 +100,7 @@
                 leader.shard.first_token(engine, first.took, now);
             }
         }
-        leader.shard.settle_entry(
+        leader.shard.reconcile_entry(
             envelope.incarnation,
             &running.ids,
             now,
--- a/crates/state/src/entry.rs
+++ b/crates/state/src/entry.rs
@@ -41,7 +41,7 @@
     ///
     /// A grant that is older than its validity and that the entry does not run
     /// can never be used any more, so its seat is free.
-    pub fn settle_entry(
+    pub fn reconcile_entry(
         &mut self,
         entry: Incarnation,
         running: &[RequestId],
--- a/crates/state/tests/shard_rules.rs
+++ b/crates/state/tests/shard_rules.rs
@@ -259,7 +259,7 @@
             Step::Settle => {
                 let running: Vec<RequestId> =
                     self.granted.keys().copied().collect();
-                self.shard.settle_entry(
+                self.shard.reconcile_entry(
                     ENTRY,
                     &running,
                     self.now,
@@ -502,7 +502,7 @@
     submit(&mut shard, 1, 0, Priority::Normal, now);
     load(&mut shard, 0, now);
     let later = now + Duration::from_secs(3);
-    shard.settle_entry(ENTRY, &[], later, &mut Vec::new());
+    shard.reconcile_entry(ENTRY, &[], later, &mut Vec::new());
     assert_eq!(shard.granted_len(), 0);
 
     // Past the time for which any idle adapter stays.
