--- a/crates/sedgewalld/src/leader.rs
+++ b/crates/sedgewalld/src/leader.rs
@@ -319,7 +319,7 @@
             true => leader.guard_until,
             false => leader.guard_until + NOT_YET,
         };
-        leader.shard.guard_engine(idx as EngineIdx, until);
+        leader.shard.defer_evictions(idx as EngineIdx, until);
     }
 }
 
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -202,7 +202,7 @@
 
     /// Forbids evictions on an engine until a time, because requests that a
     /// previous leader granted may still arrive.
-    pub fn guard_engine(&mut self, idx: EngineIdx, until: Instant) {
+    pub fn defer_evictions(&mut self, idx: EngineIdx, until: Instant) {
         self.engines[idx as usize].evict_after = until;
     }
 
