--- a/crates/sedgewalld/src/leader.rs
+++ b/crates/sedgewalld/src/leader.rs
@@ -275,7 +275,7 @@
             let known = leader.shard.engine_idx(&instance.id);
             if instance.state == ListedState::Leaving {
                 if let Some(idx) = known {
-                    leader.shard.leave_engine(idx, now);
+                    leader.shard.mark_engine_leaving(idx, now);
                 }
                 continue;
             }
@@ -302,7 +302,7 @@
         }
         for idx in 0..leader.engines.len() {
             if !listed.contains(&leader.engines[idx].endpoint) {
-                leader.shard.leave_engine(idx as EngineIdx, now);
+                leader.shard.mark_engine_leaving(idx as EngineIdx, now);
             }
         }
         set_eviction_guard(leader);
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -207,7 +207,7 @@
     }
 
     /// Stops new work for an engine that is leaving.
-    pub fn leave_engine(&mut self, idx: EngineIdx, now: Instant) {
+    pub fn mark_engine_leaving(&mut self, idx: EngineIdx, now: Instant) {
         self.set_health(idx, Health::Leaving, now);
     }
 
--- a/crates/state/tests/shard_rules.rs
+++ b/crates/state/tests/shard_rules.rs
@@ -251,7 +251,7 @@
                     self.shard.finish(id, end, self.now, &mut actions);
                 }
             }
-            Step::Leave(engine) => self.shard.leave_engine(engine, self.now),
+            Step::Leave(engine) => self.shard.mark_engine_leaving(engine, self.now),
             Step::Join(engine) => {
                 let name = engine.to_string();
                 self.shard.add_engine(&name, SLOTS, SEATS, self.now);
@@ -539,7 +539,7 @@
     let (mut shard, now) = shard_of_one(4);
     submit(&mut shard, 1, 0, Priority::Normal, now);
     load(&mut shard, 0, now);
-    shard.leave_engine(0, now);
+    shard.mark_engine_leaving(0, now);
     let actions = submit(&mut shard, 2, 0, Priority::High, now);
     assert!(matches!(actions[0], ShardAction::Refuse { .. }));
 }
@@ -570,7 +570,7 @@
 #[test]
 fn refusals_spread_the_callers() {
     let (mut shard, now) = shard_of_one(4);
-    shard.leave_engine(0, now);
+    shard.mark_engine_leaving(0, now);
     let mut times = BTreeSet::new();
     for sequence in 0..50 {
         let actions = submit(&mut shard, sequence, 0, Priority::Normal, now);
@@ -608,7 +608,7 @@
         shard.report(1, &[], now, now, &mut Vec::new());
         let mut later = now;
         if leaves {
-            shard.leave_engine(0, now);
+            shard.mark_engine_leaving(0, now);
         } else {
             // Engine b reports, engine a is silent.
             later = now + Duration::from_secs(4);
