--- a/crates/sedgewalld/src/orders.rs
+++ b/crates/sedgewalld/src/orders.rs
@@ -80,7 +80,7 @@
         leader.is_deposed |= is_old && link.checks_fences;
         let LoadOrder { engine, adapter, .. } = order;
         if answer == OrderAnswer::Failed(OrderFailure::NoSlot) {
-            leader.shard.lacks_slot(engine);
+            leader.shard.record_slot_shortage(engine);
         }
         let now = Instant::now();
         leader.shard.load_finished(engine, adapter, is_loaded, now, actions);
--- a/crates/state/src/load.rs
+++ b/crates/state/src/load.rs
@@ -52,7 +52,7 @@
     /// configuration says that it has more.
     ///
     /// What it holds is believed until a report shows more.
-    pub fn lacks_slot(&mut self, idx: EngineIdx) {
+    pub fn record_slot_shortage(&mut self, idx: EngineIdx) {
         let engine = &mut self.engines[idx as usize];
         let held = engine
             .slots
--- a/crates/state/tests/shard_rules.rs
+++ b/crates/state/tests/shard_rules.rs
@@ -661,7 +661,7 @@
     load(&mut shard, 0, now);
     shard.cancel(request_id(ENTRY, 1), now, &mut Vec::new());
     submit(&mut shard, 2, 1, Priority::Normal, now);
-    shard.lacks_slot(0);
+    shard.record_slot_shortage(0);
     shard.load_finished(0, 1, false, now, &mut Vec::new());
 
     let later = now + Duration::from_secs(5);
