--- a/crates/sedgewalld/src/services.rs
+++ b/crates/sedgewalld/src/services.rs
@@ -73,7 +73,7 @@
                     outstanding: known.map_or(0, |e| e.outstanding),
                     takes_work: listed.state == ListedState::Live,
                     failures: known.map_or(0, |e| e.failures),
-                    rests_until: known.and_then(|e| e.rests_until),
+                    cooldown_until: known.and_then(|e| e.cooldown_until),
                 },
             );
             self.addresses.insert(listed.id.clone(), listed.address.clone());
@@ -93,8 +93,8 @@
     fn rests_for(&self, group: &str) -> Option<Duration> {
         let now = Instant::now();
         let endpoints = self.groups.get(group)?.iter();
-        let resting = endpoints.filter(|e| e.takes_work && e.is_resting(now));
-        let first = resting.filter_map(|e| e.rests_until).min()?;
+        let resting = endpoints.filter(|e| e.takes_work && e.is_cooling_down(now));
+        let first = resting.filter_map(|e| e.cooldown_until).min()?;
         Some(first.saturating_duration_since(now))
     }
 
@@ -102,8 +102,8 @@
     fn rest(&mut self, target: &Target, time: Duration) {
         if let Some(endpoint) = self.endpoint(target) {
             let until = Instant::now() + time;
-            let known = endpoint.rests_until.unwrap_or(until);
-            endpoint.rests_until = Some(known.max(until));
+            let known = endpoint.cooldown_until.unwrap_or(until);
+            endpoint.cooldown_until = Some(known.max(until));
         }
     }
 
--- a/crates/state/src/service.rs
+++ b/crates/state/src/service.rs
@@ -22,13 +22,13 @@
     pub failures: u32,
     /// Until when it wants no calls from this instance, as it said when it turned
     /// one away.
-    pub rests_until: Option<Instant>,
+    pub cooldown_until: Option<Instant>,
 }
 
 impl ServiceEndpoint {
     /// Returns whether it wants no calls now.
-    pub fn is_resting(&self, now: Instant) -> bool {
-        self.rests_until.is_some_and(|until| now < until)
+    pub fn is_cooling_down(&self, now: Instant) -> bool {
+        self.cooldown_until.is_some_and(|until| now < until)
     }
 }
 
@@ -44,7 +44,7 @@
         .filter(|(_, endpoint)| {
             endpoint.takes_work
                 && endpoint.outstanding < limit
-                && !endpoint.is_resting(now)
+                && !endpoint.is_cooling_down(now)
         })
         .min_by_key(|(_, endpoint)| (endpoint.failures, endpoint.outstanding))
         .map(|(idx, _)| idx)
