--- a/crates/protocol/src/file.rs
+++ b/crates/protocol/src/file.rs
@@ -128,7 +128,7 @@
         reader.read(file);
     }
     let Reader { config, mut faults, places, .. } = reader;
-    for fault in config.faults() {
+    for fault in config.validation_errors() {
         faults.push(place_fault(&places, &fault.path, fault.cause));
     }
     if faults.is_empty() { Ok(config) } else { Err(FileError { faults }) }
--- a/crates/state/src/config.rs
+++ b/crates/state/src/config.rs
@@ -2,7 +2,7 @@
 //!
 //! Reading files belongs to `sedgewall-protocol`, versions and agreement to
 //! `sedgewall-coordination`. The module keeps one invariant: a [`Config`] for
-//! which [`Config::faults`] is empty has no dangling reference and no name
+//! which [`Config::validation_errors`] is empty has no dangling reference and no name
 //! twice.
 
 use std::{
@@ -195,7 +195,7 @@
 
 /// A rule that a configuration breaks.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Fault {
+pub struct ValidationError {
     /// The field, such as `adapters[17].base_model`.
     pub path: String,
     /// What is wrong.
@@ -205,7 +205,7 @@
 impl Config {
     /// Returns every rule that the configuration breaks, in the order of its
     /// fields.
-    pub fn faults(&self) -> Vec<Fault> {
+    pub fn validation_errors(&self) -> Vec<ValidationError> {
         let mut check = Check::default();
         self.check_base_models(&mut check);
         self.check_adapters(&mut check);
@@ -437,12 +437,12 @@
 
 #[derive(Default)]
 struct Check {
-    faults: Vec<Fault>,
+    faults: Vec<ValidationError>,
 }
 
 impl Check {
     fn fault(&mut self, path: impl Into<String>, cause: impl Into<String>) {
-        self.faults.push(Fault { path: path.into(), cause: cause.into() });
+        self.faults.push(ValidationError { path: path.into(), cause: cause.into() });
     }
 
     fn name(&mut self, path: &str, name: &str) {
