--- a/crates/bench/src/replay/ours.rs
+++ b/crates/bench/src/replay/ours.rs
@@ -67,7 +67,7 @@
                 let idx =
                     shard.shard.add_engine(&name, world.slots, seats, base);
                 // It holds nothing, and has said so.
-                shard.shard.report(idx, &[], base, base, &mut Vec::new());
+                shard.shard.apply_report(idx, &[], base, base, &mut Vec::new());
                 shard.engines.push(engine);
                 places.push((model, idx));
                 engine += 1;
@@ -213,7 +213,7 @@
                     running_len: *running,
                 })
                 .collect();
-            s.shard.report(idx, &slots, made, now, actions);
+            s.shard.apply_report(idx, &slots, made, now, actions);
         })
     }
 
--- a/crates/sedgewalld/src/upkeep.rs
+++ b/crates/sedgewalld/src/upkeep.rs
@@ -170,7 +170,7 @@
             .collect();
         // Reports lag, so they only count for what is older than the lag.
         let made = asked.checked_sub(REPORT_LAG).unwrap_or(asked);
-        leader.shard.report(engine, &slots, made, now, actions);
+        leader.shard.apply_report(engine, &slots, made, now, actions);
     });
 }
 
--- a/crates/state/benches/decisions.rs
+++ b/crates/state/benches/decisions.rs
@@ -36,7 +36,7 @@
         for engine in 0..engines {
             let name = engine.to_string();
             let idx = shard.add_engine(&name, SLOTS, SEATS, now);
-            shard.report(idx, &[], now, now, &mut Vec::new());
+            shard.apply_report(idx, &[], now, now, &mut Vec::new());
         }
         let actions = Vec::new();
         let mut bench = Bench { shard, now, next: 0, adapters, actions };
--- a/crates/state/src/report.rs
+++ b/crates/state/src/report.rs
@@ -19,7 +19,7 @@
     /// Reports lag, so a report never contradicts a load that we ordered or a
     /// request that we granted after it was made; it only shows adapters that
     /// are gone, and running requests that we do not know.
-    pub fn report(
+    pub fn apply_report(
         &mut self,
         engine: EngineIdx,
         reported: &[ReportedSlot],
--- a/crates/state/tests/shard_rules.rs
+++ b/crates/state/tests/shard_rules.rs
@@ -100,7 +100,7 @@
         }
         for engine in 0..ENGINES {
             let idx = shard.add_engine(&engine.to_string(), SLOTS, SEATS, now);
-            shard.report(idx, &[], now, now, &mut Vec::new());
+            shard.apply_report(idx, &[], now, now, &mut Vec::new());
         }
         Harness {
             shard,
@@ -230,7 +230,7 @@
                     })
                     .collect();
                 let made = self.now - Duration::from_millis(lag_ms);
-                self.shard.report(
+                self.shard.apply_report(
                     engine,
                     &slots,
                     made,
@@ -431,7 +431,7 @@
         shard.add_adapter();
     }
     shard.add_engine("a", 1, seats, now);
-    shard.report(0, &[], now, now, &mut Vec::new());
+    shard.apply_report(0, &[], now, now, &mut Vec::new());
     (shard, now)
 }
 
@@ -484,7 +484,7 @@
 fn unload_waits_for_requests_of_a_previous_leader() {
     let (mut shard, now) = shard_of_one(4);
     let reported = [ReportedSlot { adapter: 0, running_len: 1 }];
-    shard.report(0, &reported, now, now, &mut Vec::new());
+    shard.apply_report(0, &reported, now, now, &mut Vec::new());
     let later = now + Duration::from_secs(2);
 
     let actions = submit(&mut shard, 1, 1, Priority::High, later);
@@ -492,7 +492,7 @@
 
     let idle = [ReportedSlot { adapter: 0, running_len: 0 }];
     let mut actions = Vec::new();
-    shard.report(0, &idle, later, later, &mut actions);
+    shard.apply_report(0, &idle, later, later, &mut actions);
     assert!(actions.iter().any(|a| matches!(a, ShardAction::Load(_))));
 }
 
@@ -516,7 +516,7 @@
     let idle = [ReportedSlot { adapter: 0, running_len: 0 }];
     let last = later + Duration::from_secs(2);
     let mut actions = Vec::new();
-    shard.report(0, &idle, last, last, &mut actions);
+    shard.apply_report(0, &idle, last, last, &mut actions);
     assert!(actions.iter().any(|a| matches!(a, ShardAction::Load(_))));
 }
 
@@ -555,7 +555,7 @@
     assert!(matches!(actions[0], ShardAction::Refuse { .. }));
 
     let reported = [ReportedSlot { adapter: 0, running_len: 1 }];
-    shard.report(0, &reported, now, later, &mut Vec::new());
+    shard.apply_report(0, &reported, now, later, &mut Vec::new());
     let mut granted = 0;
     for sequence in 3..20 {
         let actions = submit(&mut shard, sequence, 0, Priority::High, later);
@@ -605,14 +605,14 @@
         submit(&mut shard, 1, 0, Priority::Normal, now);
         load(&mut shard, 0, now);
         shard.add_engine("b", 1, 4, now);
-        shard.report(1, &[], now, now, &mut Vec::new());
+        shard.apply_report(1, &[], now, now, &mut Vec::new());
         let mut later = now;
         if leaves {
             shard.mark_engine_leaving(0, now);
         } else {
             // Engine b reports, engine a is silent.
             later = now + Duration::from_secs(4);
-            shard.report(1, &[], later, later, &mut Vec::new());
+            shard.apply_report(1, &[], later, later, &mut Vec::new());
             shard.tick(later, &mut Vec::new());
         }
         let actions = submit(&mut shard, 2, 0, Priority::Normal, later);
@@ -656,7 +656,7 @@
         shard.add_adapter();
     }
     shard.add_engine("a", 3, 4, now);
-    shard.report(0, &[], now, now, &mut Vec::new());
+    shard.apply_report(0, &[], now, now, &mut Vec::new());
     submit(&mut shard, 1, 0, Priority::Normal, now);
     load(&mut shard, 0, now);
     shard.cancel(request_id(ENTRY, 1), now, &mut Vec::new());
@@ -667,7 +667,7 @@
     let later = now + Duration::from_secs(5);
     let reported = [ReportedSlot { adapter: 0, running_len: 0 }];
     let mut actions = Vec::new();
-    shard.report(0, &reported, later, later, &mut actions);
+    shard.apply_report(0, &reported, later, later, &mut actions);
     let order = LoadOrder { engine: 0, adapter: 1, evict: Some(0) };
     assert!(actions.contains(&ShardAction::Load(order)), "{actions:?}");
 }
@@ -686,7 +686,7 @@
 
     let reported = [ReportedSlot { adapter: 0, running_len: 0 }];
     let mut actions = Vec::new();
-    shard.report(0, &reported, now, now, &mut actions);
+    shard.apply_report(0, &reported, now, now, &mut actions);
     assert!(matches!(actions[0], ShardAction::Grant { .. }), "{actions:?}");
 }
 
@@ -718,7 +718,7 @@
     assert!(actions.is_empty(), "{actions:?}");
 
     let reported = [ReportedSlot { adapter: 0, running_len: 0 }];
-    shard.report(0, &reported, now, now, &mut actions);
+    shard.apply_report(0, &reported, now, now, &mut actions);
     assert!(matches!(actions[0], ShardAction::Grant { .. }));
 }
 
@@ -732,7 +732,7 @@
         shard.add_adapter();
     }
     shard.add_engine("a", slots, 4, now);
-    shard.report(0, &[], now, now, &mut Vec::new());
+    shard.apply_report(0, &[], now, now, &mut Vec::new());
     let mut refused = 0;
     let mut at = now;
     for adapter in 0..50 {
