--- a/crates/sedgewalld/src/led_requests.rs
+++ b/crates/sedgewalld/src/led_requests.rs
@@ -97,7 +97,7 @@
         adopt_running(leader, running, now);
         for first in &running.first_tokens {
             if let Some(engine) = leader.shard.engine_idx(&first.endpoint) {
-                leader.shard.first_token(engine, first.took, now);
+                leader.shard.record_first_token(engine, first.took, now);
             }
         }
         leader.shard.reconcile_entry(
--- a/crates/state/src/health.rs
+++ b/crates/state/src/health.rs
@@ -25,7 +25,7 @@
 
 impl Shard {
     /// Notes a time to the first token that an entry saw at an engine.
-    pub fn first_token(
+    pub fn record_first_token(
         &mut self,
         idx: EngineIdx,
         took: Duration,
