--- a/crates/bench/src/replay/ours.rs
+++ b/crates/bench/src/replay/ours.rs
@@ -67,7 +67,13 @@
                 let idx =
                     shard.shard.add_engine(&name, world.slots, seats, base);
                 // It holds nothing, and has said so.
-                shard.shard.apply_report(idx, &[], base, base, &mut Vec::new());
+                shard.shard.apply_report(
+                    idx,
+                    &[],
+                    base,
+                    base,
+                    &mut Vec::new(),
+                );
                 shard.engines.push(engine);
                 places.push((model, idx));
                 engine += 1;
--- a/crates/sedgewalld/src/services.rs
+++ b/crates/sedgewalld/src/services.rs
@@ -93,7 +93,8 @@
     fn rests_for(&self, group: &str) -> Option<Duration> {
         let now = Instant::now();
         let endpoints = self.groups.get(group)?.iter();
-        let resting = endpoints.filter(|e| e.takes_work && e.is_cooling_down(now));
+        let resting =
+            endpoints.filter(|e| e.takes_work && e.is_cooling_down(now));
         let first = resting.filter_map(|e| e.cooldown_until).min()?;
         Some(first.saturating_duration_since(now))
     }
--- a/crates/state/src/allocation.rs
+++ b/crates/state/src/allocation.rs
@@ -55,7 +55,10 @@
 }
 
 /// Returns what a shard may use without an allocator.
-pub fn guaranteed_limits(limits: StoreLimits, shards_len: usize) -> StoreLimits {
+pub fn guaranteed_limits(
+    limits: StoreLimits,
+    shards_len: usize,
+) -> StoreLimits {
     let share = limits.share(shards_len);
     StoreLimits {
         rate_per_s: share.rate_per_s * GUARANTEED,
--- a/crates/state/src/config.rs
+++ b/crates/state/src/config.rs
@@ -442,7 +442,8 @@
 
 impl Check {
     fn fault(&mut self, path: impl Into<String>, cause: impl Into<String>) {
-        self.faults.push(ValidationError { path: path.into(), cause: cause.into() });
+        self.faults
+            .push(ValidationError { path: path.into(), cause: cause.into() });
     }
 
     fn name(&mut self, path: &str, name: &str) {
--- a/crates/state/tests/shard_rules.rs
+++ b/crates/state/tests/shard_rules.rs
@@ -251,7 +251,9 @@
                     self.shard.finish(id, end, self.now, &mut actions);
                 }
             }
-            Step::Leave(engine) => self.shard.mark_engine_leaving(engine, self.now),
+            Step::Leave(engine) => {
+                self.shard.mark_engine_leaving(engine, self.now)
+            }
             Step::Join(engine) => {
                 let name = engine.to_string();
                 self.shard.add_engine(&name, SLOTS, SEATS, self.now);
