--- a/crates/bench/src/replay/ours.rs
+++ b/crates/bench/src/replay/ours.rs
@@ -5,7 +5,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_state::{
     AdapterIdx, RequestId, Shard, ShardAction,
-    allocation::{ASK_EVERY, Allocator, guaranteed},
+    allocation::{ALLOCATION_INTERVAL, Allocator, guaranteed_limits},
     budget::StoreLimits,
     queue::Request,
     shard::{PolicySettings, ReportedSlot, RequestEnd},
@@ -48,7 +48,7 @@
         let allocator = Allocator::new(world.store, names, base);
         let share = match world.models {
             1 => world.store,
-            len => guaranteed(world.store, len),
+            len => guaranteed_limits(world.store, len),
         };
         let mut places = Vec::new();
         let mut shards = Vec::new();
@@ -67,7 +67,13 @@
                 let idx =
                     shard.shard.add_engine(&name, world.slots, seats, base);
                 // It holds nothing, and has said so.
-                shard.shard.report(idx, &[], base, base, &mut Vec::new());
+                shard.shard.apply_report(
+                    idx,
+                    &[],
+                    base,
+                    base,
+                    &mut Vec::new(),
+                );
                 shard.engines.push(engine);
                 places.push((model, idx));
                 engine += 1;
@@ -122,14 +128,14 @@
         if now < self.ask_at {
             return;
         }
-        self.ask_at = now + ASK_EVERY;
+        self.ask_at = now + ALLOCATION_INTERVAL;
         for (model, shard) in self.shards.iter_mut().enumerate() {
             if let Some(limits) = shard.allotted.take() {
                 shard.shard.set_store_limits(limits);
             }
             let demand = shard.shard.store_demand();
             let name = model.to_string();
-            let limits = self.allocator.ask(&name, demand, now);
+            let limits = self.allocator.allocate(&name, demand, now);
             shard.allotted = Some(limits);
         }
     }
@@ -213,7 +219,7 @@
                     running_len: *running,
                 })
                 .collect();
-            s.shard.report(idx, &slots, made, now, actions);
+            s.shard.apply_report(idx, &slots, made, now, actions);
         })
     }
 
--- a/crates/state/src/allocation.rs
+++ b/crates/state/src/allocation.rs
@@ -55,7 +55,10 @@
 }
 
 /// Returns what a shard may use without an allocator.
-pub fn guaranteed(limits: StoreLimits, shards_len: usize) -> StoreLimits {
+pub fn guaranteed_limits(
+    limits: StoreLimits,
+    shards_len: usize,
+) -> StoreLimits {
     let share = limits.share(shards_len);
     StoreLimits {
         rate_per_s: share.rate_per_s * GUARANTEED,
@@ -126,7 +129,7 @@
 pub const ALLOTMENT_VALIDITY: Duration = Duration::from_millis(800);
 
 /// How often shards ask.
-pub const ASK_EVERY: Duration = Duration::from_millis(250);
+pub const ALLOCATION_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A part that was handed out.
 #[derive(Clone, Copy, Debug)]
@@ -198,13 +201,13 @@
 
     /// Takes in a shard's demand and returns its part, which holds for
     /// [`ALLOTMENT_VALIDITY`] from when the shard asked.
-    pub fn ask(
+    pub fn allocate(
         &mut self,
         shard: &str,
         demand: StoreDemand,
         now: Instant,
     ) -> StoreLimits {
-        let floor = guaranteed(self.limits, self.shards.len());
+        let floor = guaranteed_limits(self.limits, self.shards.len());
         let Some(own) = self.shards.get_mut(shard) else { return floor };
         own.demand.blend(demand);
         if now < self.opens && self.shards.len() > 1 {
--- a/crates/state/src/config.rs
+++ b/crates/state/src/config.rs
@@ -2,7 +2,7 @@
 //!
 //! Reading files belongs to `sedgewall-protocol`, versions and agreement to
 //! `sedgewall-coordination`. The module keeps one invariant: a [`Config`] for
-//! which [`Config::faults`] is empty has no dangling reference and no name
+//! which [`Config::validation_errors`] is empty has no dangling reference and no name
 //! twice.
 
 use std::{
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    allocation::guaranteed,
+    allocation::guaranteed_limits,
     budget::StoreLimits,
     id::{
         AdapterName, AdapterVersion, GroupName, ModelName, ShardId, ZoneName,
@@ -195,7 +195,7 @@
 
 /// A rule that a configuration breaks.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Fault {
+pub struct ValidationError {
     /// The field, such as `adapters[17].base_model`.
     pub path: String,
     /// What is wrong.
@@ -205,7 +205,7 @@
 impl Config {
     /// Returns every rule that the configuration breaks, in the order of its
     /// fields.
-    pub fn faults(&self) -> Vec<Fault> {
+    pub fn validation_errors(&self) -> Vec<ValidationError> {
         let mut check = Check::default();
         self.check_base_models(&mut check);
         self.check_adapters(&mut check);
@@ -268,7 +268,7 @@
         let len = self.shard_ids().len();
         match len {
             0 | 1 => self.store_limits(),
-            _ => guaranteed(self.store_limits(), len),
+            _ => guaranteed_limits(self.store_limits(), len),
         }
     }
 
@@ -437,12 +437,13 @@
 
 #[derive(Default)]
 struct Check {
-    faults: Vec<Fault>,
+    faults: Vec<ValidationError>,
 }
 
 impl Check {
     fn fault(&mut self, path: impl Into<String>, cause: impl Into<String>) {
-        self.faults.push(Fault { path: path.into(), cause: cause.into() });
+        self.faults
+            .push(ValidationError { path: path.into(), cause: cause.into() });
     }
 
     fn name(&mut self, path: &str, name: &str) {
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -202,12 +202,12 @@
 
     /// Forbids evictions on an engine until a time, because requests that a
     /// previous leader granted may still arrive.
-    pub fn guard_engine(&mut self, idx: EngineIdx, until: Instant) {
+    pub fn defer_evictions(&mut self, idx: EngineIdx, until: Instant) {
         self.engines[idx as usize].evict_after = until;
     }
 
     /// Stops new work for an engine that is leaving.
-    pub fn leave_engine(&mut self, idx: EngineIdx, now: Instant) {
+    pub fn mark_engine_leaving(&mut self, idx: EngineIdx, now: Instant) {
         self.set_health(idx, Health::Leaving, now);
     }
 
