--- a/crates/sedgewalld/src/fleet/announcements.rs
+++ b/crates/sedgewalld/src/fleet/announcements.rs
@@ -16,7 +16,7 @@
 use sedgewall_platform::AnswerFacts;
 use sedgewall_state::id::EndpointId;
 
-use super::{attempt::CallerRequest, follow_endpoints, node::FleetNode};
+use super::{attempt::CallerRequest, node::FleetNode, watch_endpoints};
 
 /// A limit that changes by a smaller fraction is not worth a line in the log.
 const LOGGED_CHANGE: f64 = 0.05;
@@ -117,7 +117,7 @@
         .increment(1);
     let endpoint = &answered.endpoint;
     tracing::info!(event = "departure_announced", endpoint, request);
-    follow_endpoints::tell_departures(node);
+    watch_endpoints::tell_departures(node);
     node.wake_all();
     node.notify_loader();
 }
--- a/crates/sedgewalld/src/fleet/catch_up.rs
+++ b/crates/sedgewalld/src/fleet/catch_up.rs
@@ -18,9 +18,9 @@
 };
 
 use super::{
-    follow_configuration::{Source, put_in_force},
     node::FleetNode,
     notes, poison,
+    watch_configuration::{Source, put_in_force},
 };
 
 /// The path of what an instance misses.
--- a/crates/sedgewalld/src/fleet/daemon.rs
+++ b/crates/sedgewalld/src/fleet/daemon.rs
@@ -15,16 +15,15 @@
 };
 
 use super::{
-    caller, catch_up, follow,
-    follow_configuration::{Configuration, Versions},
-    follow_endpoints::Endpoints,
-    follow_instances::{Instances, announce},
-    follow_poison::{self, PoisonRequests},
-    keys, leader, lease,
+    caller, catch_up, keys, leader, lease, list_watch,
     log_buffer::LogBuffer,
     node::{FleetNode, Stage},
     note_sender, notes,
     orders::Orders,
+    watch_configuration::{Configuration, Versions},
+    watch_endpoints::Endpoints,
+    watch_instances::{Instances, announce},
+    watch_poison::{self, PoisonRequests},
 };
 use crate::{daemon::DaemonError, process, responses, signals::Signals};
 
@@ -117,12 +116,12 @@
 }
 
 fn start_to_follow(node: &Rc<FleetNode>) {
-    follow::spawn(node, Configuration(node.clone()));
-    follow::spawn(node, Endpoints::new(node));
-    follow::spawn(node, Versions(node.clone()));
-    follow::spawn(node, Instances(node.clone()));
-    follow::spawn(node, PoisonRequests::new(node));
-    compio::runtime::spawn(follow_poison::keep_records(node.clone())).detach();
+    list_watch::spawn(node, Configuration(node.clone()));
+    list_watch::spawn(node, Endpoints::new(node));
+    list_watch::spawn(node, Versions(node.clone()));
+    list_watch::spawn(node, Instances(node.clone()));
+    list_watch::spawn(node, PoisonRequests::new(node));
+    compio::runtime::spawn(watch_poison::keep_records(node.clone())).detach();
     compio::runtime::spawn(announce(node.clone())).detach();
 }
 
--- a/crates/sedgewalld/src/fleet/follow.rs
+++ b/crates/sedgewalld/src/fleet/list_watch.rs
@@ -71,7 +71,7 @@
 
 /// Starts to follow one kind.
 pub(crate) fn spawn<F: Follower + 'static>(node: &Rc<FleetNode>, follower: F) {
-    compio::runtime::spawn(follow(node.clone(), follower)).detach();
+    compio::runtime::spawn(run(node.clone(), follower)).detach();
 }
 
 /// How far the following of one kind has come.
@@ -89,7 +89,7 @@
     back_off: BackOff,
 }
 
-async fn follow<F: Follower>(node: Rc<FleetNode>, follower: F) {
+async fn run<F: Follower>(node: Rc<FleetNode>, follower: F) {
     let in_force_within = node.in_force_within();
     let mut following = Following {
         node,
--- a/crates/sedgewalld/src/fleet/mod.rs
+++ b/crates/sedgewalld/src/fleet/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Each instance dispatches by itself on a table of endpoints; one of them at
 //! a time holds the lease on orders to engines. [`node`] holds what all parts
-//! share; [`caller`], [`leader`], [`follow`] with its three kinds of followers,
+//! share; [`caller`], [`leader`], [`list_watch`] with its three kinds of followers,
 //! and [`notes`] stand beside each other above it, and [`daemon`] starts them.
 
 mod admit;
@@ -11,16 +11,12 @@
 mod caller;
 mod catch_up;
 pub(crate) mod daemon;
-mod follow;
-mod follow_configuration;
-mod follow_endpoints;
-mod follow_instances;
-mod follow_poison;
 mod keys;
 mod knowledge;
 mod leader;
 mod lease;
 mod lease_store;
+mod list_watch;
 mod log_buffer;
 mod node;
 mod note_sender;
@@ -34,3 +30,7 @@
 mod relay;
 mod request_log;
 mod under_way;
+mod watch_configuration;
+mod watch_endpoints;
+mod watch_instances;
+mod watch_poison;
--- a/crates/sedgewalld/src/fleet/node.rs
+++ b/crates/sedgewalld/src/fleet/node.rs
@@ -36,7 +36,7 @@
 use sedgewall_transport::EndpointPool;
 
 use super::{
-    follow_poison::PoisonRecords, keys::Keys, notify::Notify, peers::HeardAt,
+    keys::Keys, notify::Notify, peers::HeardAt, watch_poison::PoisonRecords,
 };
 
 /// Notes of the holder that may be lost in a row before it is missed.
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -20,10 +20,10 @@
 use sedgewall_state::id::{EndpointId, InstanceId};
 
 use super::{
-    announcements, follow, follow_poison, keys, lease_store,
+    announcements, keys, lease_store, list_watch,
     node::{FleetNode, SeenArrival, Stage},
     note_sender::{LARGEST_NOTE, NoteSender},
-    poison,
+    poison, watch_poison,
 };
 
 /// Where there are many, each so many-th note goes to all and not to the holder
@@ -108,7 +108,7 @@
         Note::Departed(departure) => hear_departure(node, &departure, now),
         Note::Crashed(crash) => poison::hear(node, &crash),
         Note::Cleared(digest) => poison::hear_cleared(node, digest),
-        Note::StoreFails => follow::probe_store(node),
+        Note::StoreFails => list_watch::probe_store(node),
         Note::RenewForMe(request) => {
             let (node, sender) = (node.clone(), sender.clone());
             compio::runtime::spawn(async move {
@@ -383,7 +383,7 @@
             node.forget_saturated(now);
             node.catch_up.borrow_mut().forget(now);
             node.poison.borrow_mut().forget(now);
-            follow_poison::note_rank(&node);
+            watch_poison::note_rank(&node);
         }
     }
 }
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -18,7 +18,7 @@
 use sedgewall_transport::Presence;
 
 use super::{
-    attempt::CallerRequest, follow_poison, node::FleetNode, refusal::Reason,
+    attempt::CallerRequest, node::FleetNode, refusal::Reason, watch_poison,
 };
 
 /// The longest time for an endpoint's machine to say whether it listens: within a
@@ -116,7 +116,7 @@
     let request = &call.facts.request_id;
     tracing::info!(event = "poison_cleared", %digest, request);
     tell_cleared(node, digest);
-    follow_poison::refute(node, digest);
+    watch_poison::refute(node, digest);
 }
 
 /// Looks whether an endpoint is still there, once at a time for each.
@@ -230,7 +230,7 @@
         );
     }
     if !condemned.is_empty() {
-        follow_poison::notify(node);
+        watch_poison::notify(node);
     }
 }
 
--- a/crates/sedgewalld/src/fleet/follow_configuration.rs
+++ b/crates/sedgewalld/src/fleet/watch_configuration.rs
@@ -7,8 +7,8 @@
 use sedgewall_clock::Instant;
 
 use super::{
-    follow::{Follower, QUIET_WATCH},
     keys,
+    list_watch::{Follower, QUIET_WATCH},
     node::{FleetNode, Stage},
     notify::Notify,
 };
--- a/crates/sedgewalld/src/fleet/follow_instances.rs
+++ b/crates/sedgewalld/src/fleet/watch_instances.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    follow::{Follower, QUIET_WATCH},
+    list_watch::{Follower, QUIET_WATCH},
     node::{FleetNode, Peer},
     notify::Notify,
 };
--- a/crates/sedgewalld/src/fleet/follow_poison.rs
+++ b/crates/sedgewalld/src/fleet/watch_poison.rs
@@ -25,7 +25,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    follow::{FRESH_WATCHERS, Follower, QUIET_WATCH},
+    list_watch::{FRESH_WATCHERS, Follower, QUIET_WATCH},
     node::FleetNode,
     notify::Notify,
     poison,
