--- a/crates/sedgewalld/src/fleet/admit.rs
+++ b/crates/sedgewalld/src/fleet/admit.rs
@@ -10,7 +10,7 @@
     route::{Deployment, Route},
 };
 
-use super::{attempt::CallerRequest, node::FleetNode, refusal::Reason};
+use super::{attempt::CallerRequest, instance::FleetNode, refusal::Reason};
 
 /// How long a request that the configuration refuses waits for a newer one that was
 /// heard of: two questions to other instances.
--- a/crates/sedgewalld/src/fleet/announcements.rs
+++ b/crates/sedgewalld/src/fleet/announcements.rs
@@ -16,7 +16,7 @@
 use sedgewall_platform::AnswerFacts;
 use sedgewall_state::id::EndpointId;
 
-use super::{attempt::CallerRequest, node::FleetNode, watch_endpoints};
+use super::{attempt::CallerRequest, instance::FleetNode, watch_endpoints};
 
 /// A limit that changes by a smaller fraction is not worth a line in the log.
 const LOGGED_CHANGE: f64 = 0.05;
--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -29,7 +29,7 @@
 
 use super::{
     announcements,
-    node::{FleetNode, SeenArrival},
+    instance::{FleetNode, SeenArrival},
     poison,
     under_way::UnderWay,
 };
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -36,7 +36,7 @@
     attempt::{
         self, AttemptError, CallerRequest, GoodAnswer, SendLimits, SentTo,
     },
-    node::{FleetNode, Stage},
+    instance::{FleetNode, Stage},
     permits::{Permits, PermittedChoice},
     poison,
     refusal::{self, Reason},
--- a/crates/sedgewalld/src/fleet/catch_up.rs
+++ b/crates/sedgewalld/src/fleet/catch_up.rs
@@ -18,7 +18,7 @@
 };
 
 use super::{
-    node::FleetNode,
+    instance::FleetNode,
     notes, poison,
     watch_configuration::{Source, put_in_force},
 };
--- a/crates/sedgewalld/src/fleet/daemon.rs
+++ b/crates/sedgewalld/src/fleet/daemon.rs
@@ -15,9 +15,10 @@
 };
 
 use super::{
-    caller, catch_up, keys, leader, lease, list_watch,
+    caller, catch_up,
+    instance::{FleetNode, Stage},
+    keys, leader, lease, list_watch,
     log_buffer::LogBuffer,
-    node::{FleetNode, Stage},
     note_sender, notes,
     orders::Orders,
     watch_configuration::{Configuration, Versions},
--- a/crates/sedgewalld/src/fleet/keys.rs
+++ b/crates/sedgewalld/src/fleet/keys.rs
@@ -22,7 +22,7 @@
 };
 use sedgewall_state::id::InstanceId;
 
-use super::{node::FleetNode, note_sender::NoteSender, notes};
+use super::{instance::FleetNode, note_sender::NoteSender, notes};
 
 /// Instances that watch for all. Three may be cut off at once and one still
 /// answers.
--- a/crates/sedgewalld/src/fleet/knowledge.rs
+++ b/crates/sedgewalld/src/fleet/knowledge.rs
@@ -12,7 +12,7 @@
     route::Deployment,
 };
 
-use super::node::FleetNode;
+use super::instance::FleetNode;
 
 impl FleetNode {
     /// Returns the time within which an acknowledged change must be in force.
--- a/crates/sedgewalld/src/fleet/leader.rs
+++ b/crates/sedgewalld/src/fleet/leader.rs
@@ -5,7 +5,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{loader::Loader, store_rate::StoreRate};
 
-use super::{node::FleetNode, orders::Orders};
+use super::{instance::FleetNode, orders::Orders};
 use crate::process;
 
 /// How often the holder looks at demand when nothing waits.
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -20,8 +20,8 @@
 };
 
 use super::{
+    instance::{FleetNode, HeldLease, Stage},
     lease_store::{self, Way},
-    node::{FleetNode, HeldLease, Stage},
 };
 
 /// How long the lease holds after its last renewal. A slow store answers in
--- a/crates/sedgewalld/src/fleet/lease_store.rs
+++ b/crates/sedgewalld/src/fleet/lease_store.rs
@@ -20,7 +20,7 @@
 use sedgewall_state::id::InstanceId;
 use serde::Deserialize;
 
-use super::{node::FleetNode, note_sender::NoteSender};
+use super::{instance::FleetNode, note_sender::NoteSender};
 
 /// The kind of leases in the store.
 const LEASES_KIND: &str = "sedgewall-leases";
--- a/crates/sedgewalld/src/fleet/list_watch.rs
+++ b/crates/sedgewalld/src/fleet/list_watch.rs
@@ -14,7 +14,7 @@
     store::{Change, Freshness, Listing, Revision},
 };
 
-use super::{node::FleetNode, notify::Notify};
+use super::{instance::FleetNode, notify::Notify};
 
 /// How long a watch waits, but for that of endpoints. Each call has a price, and what
 /// other instances know in a newer version is listed soon. It is well within the
--- a/crates/sedgewalld/src/fleet/mod.rs
+++ b/crates/sedgewalld/src/fleet/mod.rs
@@ -1,7 +1,7 @@
 //! An instance on an operator's platform.
 //!
 //! Each instance dispatches by itself on a table of endpoints; one of them at
-//! a time holds the lease on orders to engines. [`node`] holds what all parts
+//! a time holds the lease on orders to engines. [`instance`] holds what all parts
 //! share; [`caller`], [`leader`], [`list_watch`] with its three kinds of followers,
 //! and [`notes`] stand beside each other above it, and [`daemon`] starts them.
 
@@ -11,6 +11,7 @@
 mod caller;
 mod catch_up;
 pub(crate) mod daemon;
+mod instance;
 mod keys;
 mod knowledge;
 mod leader;
@@ -18,7 +19,6 @@
 mod lease_store;
 mod list_watch;
 mod log_buffer;
-mod node;
 mod note_sender;
 mod notes;
 mod notify;
--- a/crates/sedgewalld/src/fleet/note_sender.rs
+++ b/crates/sedgewalld/src/fleet/note_sender.rs
@@ -19,7 +19,7 @@
 };
 use sedgewall_state::id::InstanceId;
 
-use super::node::FleetNode;
+use super::instance::FleetNode;
 
 /// The longest datagram that IPv4 carries, less some room for its head.
 pub(crate) const LARGEST_NOTE: usize = 60_000;
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -20,8 +20,9 @@
 use sedgewall_state::id::{EndpointId, InstanceId};
 
 use super::{
-    announcements, keys, lease_store, list_watch,
-    node::{FleetNode, SeenArrival, Stage},
+    announcements,
+    instance::{FleetNode, SeenArrival, Stage},
+    keys, lease_store, list_watch,
     note_sender::{LARGEST_NOTE, NoteSender},
     poison, watch_poison,
 };
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -19,7 +19,7 @@
 use sedgewall_platform::engine::{self, Holder, OrderAnswer, ReportError};
 use sedgewall_state::id::{EndpointId, Epoch};
 
-use super::{announcements, node::FleetNode, note_sender::NoteSender};
+use super::{announcements, instance::FleetNode, note_sender::NoteSender};
 
 /// What must be left of the lease when an order goes out: an order travels,
 /// and its engine may hear it only while the lease holds.
--- a/crates/sedgewalld/src/fleet/peers.rs
+++ b/crates/sedgewalld/src/fleet/peers.rs
@@ -9,7 +9,7 @@
 use sedgewall_state::id::InstanceId;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::node::{FleetNode, Peer};
+use super::instance::{FleetNode, Peer};
 
 /// An instance that was not heard for this long after its entry was read is
 /// not there.
--- a/crates/sedgewalld/src/fleet/permits.rs
+++ b/crates/sedgewalld/src/fleet/permits.rs
@@ -12,7 +12,7 @@
 use sedgewall_state::id::EndpointId;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::node::FleetNode;
+use super::instance::FleetNode;
 
 /// The least time for which an endpoint without room for a request is no place for
 /// what requests wait for.
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -18,7 +18,7 @@
 use sedgewall_transport::Presence;
 
 use super::{
-    attempt::CallerRequest, node::FleetNode, refusal::Reason, watch_poison,
+    attempt::CallerRequest, instance::FleetNode, refusal::Reason, watch_poison,
 };
 
 /// The longest time for an endpoint's machine to say whether it listens: within a
--- a/crates/sedgewalld/src/fleet/relay.rs
+++ b/crates/sedgewalld/src/fleet/relay.rs
@@ -15,7 +15,7 @@
 use super::{
     attempt::{CallerRequest, GoodAnswer},
     caller::{self, Progress},
-    node::FleetNode,
+    instance::FleetNode,
     poison, request_log,
     under_way::{OpenRequest, UnderWay},
 };
--- a/crates/sedgewalld/src/fleet/request_log.rs
+++ b/crates/sedgewalld/src/fleet/request_log.rs
@@ -7,7 +7,7 @@
 use super::{
     attempt::{AttemptError, CallerRequest},
     caller::Progress,
-    node::FleetNode,
+    instance::FleetNode,
     poison,
     refusal::Reason,
 };
--- a/crates/sedgewalld/src/fleet/under_way.rs
+++ b/crates/sedgewalld/src/fleet/under_way.rs
@@ -6,7 +6,7 @@
 use sedgewall_fleet::adapter::AdapterKey;
 use sedgewall_state::id::EndpointId;
 
-use super::node::FleetNode;
+use super::instance::FleetNode;
 
 /// A prompt that an engine reads for this long is told of at once: with fewer
 /// notes, others send to the same engine; a note for each
--- a/crates/sedgewalld/src/fleet/watch_configuration.rs
+++ b/crates/sedgewalld/src/fleet/watch_configuration.rs
@@ -7,9 +7,9 @@
 use sedgewall_clock::Instant;
 
 use super::{
+    instance::{FleetNode, Stage},
     keys,
     list_watch::{Follower, QUIET_WATCH},
-    node::{FleetNode, Stage},
     notify::Notify,
 };
 use sedgewall_fleet::route::Deployment;
--- a/crates/sedgewalld/src/fleet/watch_endpoints.rs
+++ b/crates/sedgewalld/src/fleet/watch_endpoints.rs
@@ -19,7 +19,9 @@
 };
 use sedgewall_state::id::EndpointId;
 
-use super::{list_watch::Follower, node::FleetNode, notify::Notify, poison};
+use super::{
+    instance::FleetNode, list_watch::Follower, notify::Notify, poison,
+};
 
 /// How long a watch of endpoints waits for a change. A channel that went dead
 /// without a word is noticed after this time; then all is listed anew.
--- a/crates/sedgewalld/src/fleet/watch_instances.rs
+++ b/crates/sedgewalld/src/fleet/watch_instances.rs
@@ -12,8 +12,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
+    instance::{FleetNode, Peer},
     list_watch::{Follower, QUIET_WATCH},
-    node::{FleetNode, Peer},
     notify::Notify,
 };
 
--- a/crates/sedgewalld/src/fleet/watch_poison.rs
+++ b/crates/sedgewalld/src/fleet/watch_poison.rs
@@ -25,8 +25,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
+    instance::FleetNode,
     list_watch::{FRESH_WATCHERS, Follower, QUIET_WATCH},
-    node::FleetNode,
     notify::Notify,
     poison,
 };
