--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -29,9 +29,9 @@
 
 use super::{
     announcements,
+    in_flight::UnderWay,
     instance::{FleetNode, SeenArrival},
     poison,
-    under_way::UnderWay,
 };
 
 /// The longest time for a connection to an endpoint. Within a region a
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -36,12 +36,12 @@
     attempt::{
         self, AttemptError, CallerRequest, GoodAnswer, SendLimits, SentTo,
     },
+    in_flight::OpenRequest,
     instance::{FleetNode, Stage},
     permits::{Permits, PermittedChoice},
     poison,
     refusal::{self, Reason},
     relay, request_log,
-    under_way::OpenRequest,
 };
 
 /// How long a body may take to come in.
--- a/crates/sedgewalld/src/fleet/relay.rs
+++ b/crates/sedgewalld/src/fleet/relay.rs
@@ -15,9 +15,9 @@
 use super::{
     attempt::{CallerRequest, GoodAnswer},
     caller::{self, Progress},
+    in_flight::{OpenRequest, UnderWay},
     instance::FleetNode,
     poison, request_log,
-    under_way::{OpenRequest, UnderWay},
 };
 
 /// A caller gives a stream up after a pause of this long at the least.
