--- a/crates/sedgewalld/src/fleet/leader.rs
+++ b/crates/sedgewalld/src/fleet/leader.rs
@@ -7,7 +7,7 @@
     load_rate_limiter::LoadRateLimiter, placement::PlacementPlanner,
 };
 
-use super::{node::FleetNode, orders::Orders};
+use super::{instance::FleetNode, orders::Orders};
 use crate::process;
 
 /// How often the holder looks at demand when nothing waits.
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -20,10 +20,11 @@
 use sedgewall_state::id::{EndpointId, InstanceId};
 
 use super::{
-    announcements, follow, follow_poison, keys, lease_store,
-    node::{FleetNode, SeenArrival, Stage},
+    announcements,
+    instance::{FleetNode, SeenArrival, Stage},
+    keys, lease_store, list_watch,
     note_sender::{LARGEST_NOTE, NoteSender},
-    poison,
+    poison, watch_poison,
 };
 
 /// Where there are many, each so many-th note goes to all and not to the holder
@@ -108,7 +109,7 @@
         Note::Departed(departure) => hear_departure(node, &departure, now),
         Note::Crashed(crash) => poison::hear(node, &crash),
         Note::Cleared(digest) => poison::hear_cleared(node, digest),
-        Note::ProbeStore => follow::probe_store(node),
+        Note::ProbeStore => list_watch::probe_store(node),
         Note::RenewalRequest(request) => {
             let (node, sender) = (node.clone(), sender.clone());
             compio::runtime::spawn(async move {
@@ -388,7 +389,7 @@
             node.forget_saturated(now);
             node.catch_up.borrow_mut().forget(now);
             node.poison.borrow_mut().forget(now);
-            follow_poison::note_rank(&node);
+            watch_poison::note_rank(&node);
         }
     }
 }
--- a/crates/sedgewalld/src/fleet/follow_configuration.rs
+++ b/crates/sedgewalld/src/fleet/watch_configuration.rs
@@ -7,9 +7,9 @@
 use sedgewall_clock::Instant;
 
 use super::{
-    follow::{Follower, QUIET_WATCH},
+    instance::{FleetNode, Stage},
     keys,
-    node::{FleetNode, Stage},
+    list_watch::{Follower, QUIET_WATCH},
     notify::Notify,
 };
 use sedgewall_fleet::route::RoutingConfiguration;
