--- a/crates/state/src/allocation.rs
+++ b/crates/state/src/allocation.rs
@@ -15,7 +15,7 @@
 /// The part of the store that is guaranteed, over all shards together.
 ///
 /// A shard that hears nothing from the allocator lives on its part of this.
-pub const GUARANTEED: f64 = 0.25;
+pub const GUARANTEED_FRACTION: f64 = 0.25;
 
 /// What a shard would do with the weight store.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
@@ -61,8 +61,8 @@
 ) -> StoreLimits {
     let share = limits.share(shards_len);
     StoreLimits {
-        rate_per_s: share.rate_per_s * GUARANTEED,
-        concurrency: share.concurrency * GUARANTEED,
+        rate_per_s: share.rate_per_s * GUARANTEED_FRACTION,
+        concurrency: share.concurrency * GUARANTEED_FRACTION,
     }
 }
 
@@ -81,7 +81,7 @@
                 true => demand.score() / total,
                 false => equal,
             };
-            GUARANTEED * equal + (1.0 - GUARANTEED) * wanted
+            GUARANTEED_FRACTION * equal + (1.0 - GUARANTEED_FRACTION) * wanted
         })
         .collect();
     let concurrency = whole_parts(limits.concurrency, &parts);
