--- a/crates/state/src/allocation.rs
+++ b/crates/state/src/allocation.rs
@@ -84,7 +84,7 @@
             GUARANTEED_FRACTION * equal + (1.0 - GUARANTEED_FRACTION) * wanted
         })
         .collect();
-    let concurrency = whole_parts(limits.concurrency, &parts);
+    let concurrency = apportion(limits.concurrency, &parts);
     parts
         .iter()
         .zip(concurrency)
@@ -97,7 +97,7 @@
 
 /// Divides a number of loads into whole numbers, by the largest remainder; who
 /// gets none keeps a fraction, which is paid for in rate.
-fn whole_parts(total: f64, parts: &[f64]) -> Vec<f64> {
+fn apportion(total: f64, parts: &[f64]) -> Vec<f64> {
     let exact: Vec<f64> = parts.iter().map(|part| part * total).collect();
     let mut whole: Vec<f64> =
         exact.iter().map(|value| value.floor()).collect();
