--- a/crates/state/src/allocation.rs
+++ b/crates/state/src/allocation.rs
@@ -165,7 +165,7 @@
 pub struct Allocator {
     limits: StoreLimits,
     shards: BTreeMap<ShardId, Account>,
-    opens: Instant,
+    active_from: Instant,
 }
 
 impl Allocator {
@@ -179,7 +179,7 @@
         let mut allocator = Allocator {
             limits,
             shards: BTreeMap::new(),
-            opens: now + ALLOTMENT_VALIDITY,
+            active_from: now + ALLOTMENT_VALIDITY,
         };
         allocator.reconfigure(limits, shards);
         allocator
@@ -210,7 +210,7 @@
         let floor = guaranteed_limits(self.limits, self.shards.len());
         let Some(own) = self.shards.get_mut(shard) else { return floor };
         own.demand.blend(demand);
-        if now < self.opens && self.shards.len() > 1 {
+        if now < self.active_from && self.shards.len() > 1 {
             return floor;
         }
         let demands: Vec<StoreDemand> =
