--- a/crates/state/src/allocation.rs
+++ b/crates/state/src/allocation.rs
@@ -217,7 +217,7 @@
             self.shards.values().map(|account| account.demand).collect();
         let idx = self.shards.keys().position(|id| id == shard);
         let wanted = divide(self.limits, &demands)[idx.unwrap_or(0)];
-        let free = self.free_beside(shard, floor, now);
+        let free = self.unused_by_others(shard, floor, now);
         let limits = StoreLimits {
             rate_per_s: wanted.rate_per_s.min(free.rate_per_s),
             concurrency: wanted.concurrency.min(free.concurrency),
@@ -235,7 +235,7 @@
     }
 
     /// What the other shards leave, by what each may still use.
-    fn free_beside(
+    fn unused_by_others(
         &self,
         shard: &str,
         floor: StoreLimits,
