--- a/crates/state/src/allocation.rs
+++ b/crates/state/src/allocation.rs
@@ -141,12 +141,12 @@
 /// What a shard asked for last, and all that it may still use: an answer can
 /// be lost, and the shard then keeps to an earlier one.
 #[derive(Clone, Debug, Default)]
-struct Account {
+struct ShardRecord {
     demand: StoreDemand,
     parts: Vec<Part>,
 }
 
-impl Account {
+impl ShardRecord {
     /// Returns the most that the shard may use now.
     fn most(&self, floor: StoreLimits, now: Instant) -> StoreLimits {
         let valid = self.parts.iter().filter(|part| part.until > now);
@@ -164,7 +164,7 @@
 #[derive(Clone, Debug)]
 pub struct Allocator {
     limits: StoreLimits,
-    shards: BTreeMap<ShardId, Account>,
+    shards: BTreeMap<ShardId, ShardRecord>,
     active_from: Instant,
 }
 
