--- a/crates/state/src/allocation.rs
+++ b/crates/state/src/allocation.rs
@@ -133,7 +133,7 @@
 
 /// A part that was handed out.
 #[derive(Clone, Copy, Debug)]
-struct Part {
+struct IssuedAllotment {
     limits: StoreLimits,
     until: Instant,
 }
@@ -143,7 +143,7 @@
 #[derive(Clone, Debug, Default)]
 struct ShardRecord {
     demand: StoreDemand,
-    parts: Vec<Part>,
+    parts: Vec<IssuedAllotment>,
 }
 
 impl ShardRecord {
@@ -229,7 +229,7 @@
         };
         if let Some(own) = self.shards.get_mut(shard) {
             own.parts.retain(|part| part.until > now);
-            own.parts.push(Part { limits, until: now + ALLOTMENT_VALIDITY });
+            own.parts.push(IssuedAllotment { limits, until: now + ALLOTMENT_VALIDITY });
         }
         limits
     }
