--- a/crates/state/src/engine.rs
+++ b/crates/state/src/engine.rs
@@ -35,7 +35,7 @@
     pub granted_len: u32,
     /// Requests that the engine's last report showed beyond our grants, such
     /// as those of a previous leader.
-    pub foreign_len: u32,
+    pub untracked_len: u32,
     /// When it became ready, or its load began.
     pub ready: Instant,
     /// When it was last granted to, or became ready.
@@ -45,7 +45,7 @@
 impl Slot {
     /// Returns whether nothing runs in it, as far as anybody knows.
     pub fn is_idle(&self) -> bool {
-        self.granted_len == 0 && self.foreign_len == 0
+        self.granted_len == 0 && self.untracked_len == 0
     }
 }
 
--- a/crates/state/src/entry.rs
+++ b/crates/state/src/entry.rs
@@ -104,7 +104,7 @@
         self.release(&grant);
         let engine = &mut self.engines[grant.engine as usize];
         if let Some(slot) = engine.slot_mut(grant.adapter) {
-            slot.foreign_len += 1;
+            slot.untracked_len += 1;
             slot.used = now;
         }
         self.dispatch_engine(grant.engine, now, actions);
--- a/crates/state/src/eviction.rs
+++ b/crates/state/src/eviction.rs
@@ -122,7 +122,7 @@
             })
             .filter(|(_, slot)| slot.state == SlotState::Ready)
             .map(|(idx, slot)| {
-                let busy = f64::from(slot.granted_len + slot.foreign_len);
+                let busy = f64::from(slot.granted_len + slot.untracked_len);
                 let queued =
                     self.adapters[slot.adapter as usize].queue.weight();
                 let value = self.keep_value(slot.adapter, now);
--- a/crates/state/src/load.rs
+++ b/crates/state/src/load.rs
@@ -72,7 +72,7 @@
             adapter,
             state: SlotState::Loading,
             granted_len: 0,
-            foreign_len: 0,
+            untracked_len: 0,
             ready: now,
             used: now,
         });
--- a/crates/state/src/report.rs
+++ b/crates/state/src/report.rs
@@ -90,7 +90,7 @@
         match host.slot_mut(idx) {
             Some(slot) if slot.state == SlotState::Loading => {}
             Some(slot) if slot.used <= made => {
-                slot.foreign_len =
+                slot.untracked_len =
                     reported.running_len.saturating_sub(slot.granted_len);
             }
             Some(_) => {}
@@ -99,7 +99,7 @@
                     adapter: idx,
                     state: SlotState::Ready,
                     granted_len: 0,
-                    foreign_len: reported.running_len,
+                    untracked_len: reported.running_len,
                     ready: now,
                     used: now,
                 });
