--- a/crates/state/src/engine.rs
+++ b/crates/state/src/engine.rs
@@ -81,7 +81,7 @@
     pub health: Health,
     /// Whether it has reported since we know of it. A new leader orders no
     /// load before, because it does not know what the engine holds.
-    pub is_known: bool,
+    pub has_reported: bool,
     /// When its last report came.
     pub reported: Instant,
     /// When it entered its present health.
@@ -119,7 +119,7 @@
             slots: Vec::with_capacity(slots_len),
             running: [0; CLASSES],
             health: Health::Live,
-            is_known: false,
+            has_reported: false,
             reported: now,
             health_since: now,
             first_token_s: 0.0,
@@ -187,7 +187,7 @@
     /// Returns whether a load may be ordered here now.
     pub fn may_load(&self, now: Instant) -> bool {
         self.health == Health::Live
-            && self.is_known
+            && self.has_reported
             && self.load_after.is_none_or(|after| after <= now)
     }
 
--- a/crates/state/src/health.rs
+++ b/crates/state/src/health.rs
@@ -91,7 +91,7 @@
         let is_slow = self.is_slow(idx);
         let engine = &mut self.engines[idx as usize];
         engine.reported = now;
-        engine.is_known = true;
+        engine.has_reported = true;
         let stayed = now.saturating_duration_since(engine.health_since);
         match engine.health {
             Health::Silent => self.set_health(idx, Health::Probation, now),
