--- a/crates/state/src/engine.rs
+++ b/crates/state/src/engine.rs
@@ -68,7 +68,7 @@
     /// The platform's name for it.
     pub endpoint: EndpointId,
     /// How many adapters the configuration says it holds at once.
-    pub slots_configured: usize,
+    pub configured_slots: usize,
     /// How many it holds at once, as far as it has shown.
     pub slots_len: usize,
     /// How many requests it runs in one batch.
@@ -113,7 +113,7 @@
     ) -> Engine {
         Engine {
             endpoint,
-            slots_configured: slots_len,
+            configured_slots: slots_len,
             slots_len,
             seats,
             slots: Vec::with_capacity(slots_len),
--- a/crates/state/src/report.rs
+++ b/crates/state/src/report.rs
@@ -29,7 +29,7 @@
     ) {
         self.note_report(engine, now);
         let host = &mut self.engines[engine as usize];
-        let shown = reported.len().min(host.slots_configured);
+        let shown = reported.len().min(host.configured_slots);
         host.slots_len = host.slots_len.max(shown);
         self.drop_missing(engine, reported, made);
         for slot in reported {
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -183,8 +183,8 @@
     ) -> EngineIdx {
         if let Some(idx) = self.engine_idx(endpoint) {
             let engine = &mut self.engines[idx as usize];
-            if engine.slots_configured != slots_len {
-                engine.slots_configured = slots_len;
+            if engine.configured_slots != slots_len {
+                engine.configured_slots = slots_len;
                 engine.slots_len = slots_len;
             }
             engine.seats = seats;
