--- a/crates/state/src/engine.rs
+++ b/crates/state/src/engine.rs
@@ -70,7 +70,7 @@
     /// How many adapters the configuration says it holds at once.
     pub configured_slots: usize,
     /// How many it holds at once, as far as it has shown.
-    pub slots_len: usize,
+    pub slot_capacity: usize,
     /// How many requests it runs in one batch.
     pub seats: u32,
     /// Occupied slots.
@@ -107,16 +107,16 @@
     /// Returns an engine that holds nothing yet.
     pub fn new(
         endpoint: EndpointId,
-        slots_len: usize,
+        slot_capacity: usize,
         seats: u32,
         now: Instant,
     ) -> Engine {
         Engine {
             endpoint,
-            configured_slots: slots_len,
-            slots_len,
+            configured_slots: slot_capacity,
+            slot_capacity,
             seats,
-            slots: Vec::with_capacity(slots_len),
+            slots: Vec::with_capacity(slot_capacity),
             running: [0; CLASSES],
             health: Health::Live,
             has_reported: false,
@@ -168,7 +168,7 @@
 
     /// Returns whether a slot is empty.
     pub fn has_empty_slot(&self) -> bool {
-        self.slots.len() < self.slots_len
+        self.slots.len() < self.slot_capacity
     }
 
     /// Returns whether a load is under way here.
--- a/crates/state/src/load.rs
+++ b/crates/state/src/load.rs
@@ -59,7 +59,7 @@
             .iter()
             .filter(|slot| slot.state != SlotState::Loading)
             .count();
-        engine.slots_len = engine.slots_len.min(held.max(1));
+        engine.slot_capacity = engine.slot_capacity.min(held.max(1));
     }
 
     pub(crate) fn begin_load(
--- a/crates/state/src/report.rs
+++ b/crates/state/src/report.rs
@@ -30,7 +30,7 @@
         self.note_report(engine, now);
         let host = &mut self.engines[engine as usize];
         let shown = reported.len().min(host.configured_slots);
-        host.slots_len = host.slots_len.max(shown);
+        host.slot_capacity = host.slot_capacity.max(shown);
         self.drop_missing(engine, reported, made);
         for slot in reported {
             self.note_reported(engine, slot, made, now);
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -177,15 +177,15 @@
     pub fn add_engine(
         &mut self,
         endpoint: &str,
-        slots_len: usize,
+        slot_capacity: usize,
         seats: u32,
         now: Instant,
     ) -> EngineIdx {
         if let Some(idx) = self.engine_idx(endpoint) {
             let engine = &mut self.engines[idx as usize];
-            if engine.configured_slots != slots_len {
-                engine.configured_slots = slots_len;
-                engine.slots_len = slots_len;
+            if engine.configured_slots != slot_capacity {
+                engine.configured_slots = slot_capacity;
+                engine.slot_capacity = slot_capacity;
             }
             engine.seats = seats;
             if engine.health == Health::Leaving {
@@ -194,7 +194,7 @@
             return idx;
         }
         let idx = self.engines.len() as EngineIdx;
-        let engine = Engine::new(endpoint.to_owned(), slots_len, seats, now);
+        let engine = Engine::new(endpoint.to_owned(), slot_capacity, seats, now);
         self.engines.push(engine);
         self.engine_by_id.insert(endpoint.to_owned(), idx);
         idx
