--- a/crates/state/src/engine.rs
+++ b/crates/state/src/engine.rs
@@ -101,7 +101,7 @@
 pub const PROBATION_SEATS: u32 = 4;
 
 /// How long an engine stays on probation.
-pub const PROBATION: Duration = Duration::from_secs(5);
+pub const PROBATION_PERIOD: Duration = Duration::from_secs(5);
 
 impl Engine {
     /// Returns an engine that holds nothing yet.
--- a/crates/state/src/health.rs
+++ b/crates/state/src/health.rs
@@ -9,7 +9,7 @@
 use sedgewall_clock::Instant;
 
 use crate::{
-    engine::{Health, PROBATION},
+    engine::{Health, PROBATION_PERIOD},
     id::{AdapterIdx, EngineIdx},
     shard::Shard,
 };
@@ -95,10 +95,10 @@
         let stayed = now.saturating_duration_since(engine.health_since);
         match engine.health {
             Health::Silent => self.set_health(idx, Health::Probation, now),
-            Health::Probation if stayed >= PROBATION && !is_slow => {
+            Health::Probation if stayed >= PROBATION_PERIOD && !is_slow => {
                 self.set_health(idx, Health::Live, now);
             }
-            Health::Probation if stayed >= PROBATION => {
+            Health::Probation if stayed >= PROBATION_PERIOD => {
                 // The evidence must be renewed; a few requests will do it.
                 engine.first_token_s /= 2.0;
             }
