--- a/crates/state/src/placement.rs
+++ b/crates/state/src/placement.rs
@@ -128,14 +128,14 @@
             .copied()
             .filter(|idx| self.adapters[*idx as usize].may_load(now))
             .map(|idx| (idx, self.load_value(idx, now)));
-        let crowded = self
-            .crowded
+        let backlogged = self
+            .backlogged
             .iter()
             .copied()
             .filter(|idx| self.needs_replica(*idx, now))
             .map(|idx| (idx, self.replica_value(idx, now)));
         unplaced
-            .chain(crowded)
+            .chain(backlogged)
             .max_by(|a, b| a.1.total_cmp(&b.1).then(b.0.cmp(&a.0)))
             .map(|(idx, _)| idx)
     }
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -41,7 +41,7 @@
     /// Adapters that something waits for and no engine holds or loads.
     pub(crate) unplaced: BTreeSet<AdapterIdx>,
     /// Adapters that something waits for although an engine holds them.
-    pub(crate) crowded: BTreeSet<AdapterIdx>,
+    pub(crate) backlogged: BTreeSet<AdapterIdx>,
     pub(crate) budget: LoadBudget,
     /// The smoothed time that a request holds its seat, in seconds.
     pub(crate) service_s: f64,
@@ -69,7 +69,7 @@
             waiting: WaitingRequests::default(),
             grants: BTreeMap::new(),
             unplaced: BTreeSet::new(),
-            crowded: BTreeSet::new(),
+            backlogged: BTreeSet::new(),
             budget: LoadBudget::new(limits, now),
             service_s: DEFAULT_SERVICE_S,
             overload: Overload::default(),
@@ -320,7 +320,7 @@
         request
     }
 
-    /// Keeps `unplaced` and `crowded` in step with one adapter.
+    /// Keeps `unplaced` and `backlogged` in step with one adapter.
     pub(crate) fn note_queue_change(&mut self, idx: AdapterIdx) {
         let adapter = &self.adapters[idx as usize];
         let waits = !adapter.queue.is_empty();
@@ -328,7 +328,7 @@
         let is_coming = self.is_loading(idx);
         let is_unplaced = waits && !is_served && !is_coming;
         set_membership(&mut self.unplaced, idx, is_unplaced);
-        set_membership(&mut self.crowded, idx, waits && is_served);
+        set_membership(&mut self.backlogged, idx, waits && is_served);
     }
 
     /// Returns whether some engine that takes work has an adapter ready.
