--- a/crates/state/src/dispatch.rs
+++ b/crates/state/src/dispatch.rs
@@ -60,7 +60,7 @@
         adapter: AdapterIdx,
         priority: Priority,
     ) -> Option<EngineIdx> {
-        let packs = self.settings.packs();
+        let prefers_full_batches = self.settings.prefers_full_batches();
         self.adapters[adapter as usize]
             .ready
             .iter()
@@ -74,7 +74,7 @@
             })
             .min_by_key(|idx| {
                 let free = self.engines[*idx as usize].free_seats(priority);
-                if packs { free } else { u32::MAX - free }
+                if prefers_full_batches { free } else { u32::MAX - free }
             })
     }
 
--- a/crates/state/src/settings.rs
+++ b/crates/state/src/settings.rs
@@ -41,7 +41,7 @@
 
 impl PolicySettings {
     /// Returns whether seats are filled engine by engine rather than spread.
-    pub fn packs(&self) -> bool {
+    pub fn prefers_full_batches(&self) -> bool {
         self.batch_weight > self.stall_weight
     }
 
