--- a/crates/state/src/eviction.rs
+++ b/crates/state/src/eviction.rs
@@ -55,7 +55,7 @@
         }
         let busy =
             f64::from(host.running_len()) / f64::from(host.seats.max(1));
-        let busy_cost = busy * BUSY_COST * self.settings.spread();
+        let busy_cost = busy * BUSY_COST * self.settings.spread_preference();
         if host.has_empty_slot() {
             return Some(Place { engine, evict: None, cost: busy_cost });
         }
--- a/crates/state/src/settings.rs
+++ b/crates/state/src/settings.rs
@@ -47,7 +47,7 @@
 
     /// Returns how far work is spread over engines: 1 if only stalls count, -1
     /// if only full batches do.
-    pub fn spread(&self) -> f64 {
+    pub fn spread_preference(&self) -> f64 {
         let total = (self.stall_weight + self.batch_weight).max(0.001);
         (self.stall_weight - self.batch_weight) / total
     }
