--- a/crates/state/src/dispatch.rs
+++ b/crates/state/src/dispatch.rs
@@ -156,7 +156,7 @@
             expires: now + self.settings.grant_validity,
             request: request.clone(),
         };
-        self.occupy(&grant, now);
+        self.acquire_seat(&grant, now);
         self.grants.insert(request.id, grant);
         actions.push(ShardAction::Grant {
             request: request.id,
--- a/crates/state/src/entry.rs
+++ b/crates/state/src/entry.rs
@@ -32,7 +32,7 @@
             expires: now,
             request,
         };
-        self.occupy(&grant, now);
+        self.acquire_seat(&grant, now);
         self.grants.insert(grant.request.id, grant);
     }
 
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -352,7 +352,7 @@
             .any(|engine| self.engines[*engine as usize].takes_work())
     }
 
-    pub(crate) fn occupy(&mut self, grant: &Grant, now: Instant) {
+    pub(crate) fn acquire_seat(&mut self, grant: &Grant, now: Instant) {
         let engine = &mut self.engines[grant.engine as usize];
         engine.running[grant.priority.rank()] += 1;
         if let Some(slot) = engine.slot_mut(grant.adapter) {
