--- a/crates/state/src/entry.rs
+++ b/crates/state/src/entry.rs
@@ -101,7 +101,7 @@
         actions: &mut Vec<ShardAction>,
     ) {
         let Some(grant) = self.grants.remove(&id) else { return };
-        self.release(&grant);
+        self.release_seat(&grant);
         let engine = &mut self.engines[grant.engine as usize];
         if let Some(slot) = engine.slot_mut(grant.adapter) {
             slot.untracked_len += 1;
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -267,7 +267,7 @@
         actions: &mut Vec<ShardAction>,
     ) {
         let Some(grant) = self.grants.remove(&id) else { return };
-        self.release(&grant);
+        self.release_seat(&grant);
         match end {
             RequestEnd::Finished => self.learn_service_time(&grant, now),
             RequestEnd::NotLoaded => {
@@ -361,7 +361,7 @@
         }
     }
 
-    pub(crate) fn release(&mut self, grant: &Grant) {
+    pub(crate) fn release_seat(&mut self, grant: &Grant) {
         let engine = &mut self.engines[grant.engine as usize];
         let count = &mut engine.running[grant.priority.rank()];
         *count = count.saturating_sub(1);
