--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -269,7 +269,7 @@
         let Some(grant) = self.grants.remove(&id) else { return };
         self.release_seat(&grant);
         match end {
-            RequestEnd::Finished => self.learn_service_time(&grant, now),
+            RequestEnd::Finished => self.record_service_time(&grant, now),
             RequestEnd::NotLoaded => {
                 self.forget_slot(&grant);
                 self.put_back(&grant);
@@ -370,7 +370,7 @@
         }
     }
 
-    pub(crate) fn learn_service_time(&mut self, grant: &Grant, now: Instant) {
+    pub(crate) fn record_service_time(&mut self, grant: &Grant, now: Instant) {
         let took = now.saturating_duration_since(grant.granted).as_secs_f64();
         let share = SERVICE_SMOOTHING;
         self.service_s = (1.0 - share) * self.service_s + share * took;
