--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -271,7 +271,7 @@
         match end {
             RequestEnd::Finished => self.record_service_time(&grant, now),
             RequestEnd::NotLoaded => {
-                self.forget_slot(&grant);
+                self.remove_stale_replica(&grant);
                 self.put_back(&grant);
             }
             RequestEnd::Unreachable => {
@@ -378,7 +378,7 @@
 
     /// Believes an engine that it does not hold an adapter, unless it was
     /// loaded after the grant.
-    fn forget_slot(&mut self, grant: &Grant) {
+    fn remove_stale_replica(&mut self, grant: &Grant) {
         let is_gone = self.engines[grant.engine as usize]
             .slot(grant.adapter)
             .is_some_and(|slot| {
