--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -272,13 +272,13 @@
             RequestEnd::Finished => self.record_service_time(&grant, now),
             RequestEnd::NotLoaded => {
                 self.remove_stale_replica(&grant);
-                self.put_back(&grant);
+                self.requeue(&grant);
             }
             RequestEnd::Unreachable => {
                 if self.engines[grant.engine as usize].takes_work() {
                     self.set_health(grant.engine, Health::Silent, now);
                 }
-                self.put_back(&grant);
+                self.requeue(&grant);
             }
             RequestEnd::Failed => self.suspect(grant.engine, now),
         }
@@ -389,7 +389,7 @@
         }
     }
 
-    fn put_back(&mut self, grant: &Grant) {
+    fn requeue(&mut self, grant: &Grant) {
         let adapter = &mut self.adapters[grant.adapter as usize];
         self.waiting.push_front(&mut adapter.queue, grant.request.clone());
         self.note_queue_change(grant.adapter);
