--- a/crates/state/src/admission.rs
+++ b/crates/state/src/admission.rs
@@ -244,7 +244,7 @@
             };
             let id = victim.id;
             let refusal = self.refusal(RefusalReason::Shed, id, MIN_RETRY);
-            self.take_waiting(id);
+            self.remove_waiting(id);
             actions.push(ShardAction::Refuse { request: id, refusal });
             return true;
         }
--- a/crates/state/src/entry.rs
+++ b/crates/state/src/entry.rs
@@ -23,7 +23,7 @@
         if self.grants.contains_key(&request.id) {
             return;
         }
-        self.take_waiting(request.id);
+        self.remove_waiting(request.id);
         let grant = Grant {
             adapter: request.adapter,
             engine,
@@ -70,7 +70,7 @@
             .filter(|id| request_incarnation(*id) == entry)
             .collect();
         for id in waiting {
-            self.take_waiting(id);
+            self.remove_waiting(id);
         }
         for id in self.expired_grants_of(entry, now) {
             self.abandon_grant(id, now, actions);
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -253,7 +253,7 @@
         now: Instant,
         actions: &mut Vec<ShardAction>,
     ) {
-        if self.take_waiting(id).is_none() {
+        if self.remove_waiting(id).is_none() {
             self.finish(id, RequestEnd::Finished, now, actions);
         }
     }
@@ -306,13 +306,13 @@
             self.waiting.iter().map(|request| request.id).collect();
         ids.sort_unstable();
         for id in ids {
-            self.take_waiting(id);
+            self.remove_waiting(id);
             let refusal = self.refusal(reason, id, Duration::ZERO);
             actions.push(ShardAction::Refuse { request: id, refusal });
         }
     }
 
-    pub(crate) fn take_waiting(&mut self, id: RequestId) -> Option<Request> {
+    pub(crate) fn remove_waiting(&mut self, id: RequestId) -> Option<Request> {
         let idx = self.waiting.get(id)?.adapter;
         let queue = &mut self.adapters[idx as usize].queue;
         let request = self.waiting.remove(queue, id);
@@ -401,7 +401,7 @@
         actions: &mut Vec<ShardAction>,
     ) {
         for id in self.waiting.expired(now) {
-            self.take_waiting(id);
+            self.remove_waiting(id);
             let reason = RefusalReason::DeadlinePassed;
             let refusal = self.refusal(reason, id, Duration::ZERO);
             actions.push(ShardAction::Refuse { request: id, refusal });
