--- a/crates/state/src/dispatch.rs
+++ b/crates/state/src/dispatch.rs
@@ -147,7 +147,7 @@
     ) {
         let queue = &mut self.adapters[adapter as usize].queue;
         let Some(request) = self.waiting.pop(queue, priority) else { return };
-        self.note_queue_change(adapter);
+        self.update_waiting_sets(adapter);
         let grant = Grant {
             adapter,
             engine,
--- a/crates/state/src/eviction.rs
+++ b/crates/state/src/eviction.rs
@@ -102,7 +102,7 @@
             return false;
         };
         slot.state = SlotState::Draining;
-        self.note_queue_change(victim);
+        self.update_waiting_sets(victim);
         true
     }
 
--- a/crates/state/src/health.rs
+++ b/crates/state/src/health.rs
@@ -64,7 +64,7 @@
             .map(|slot| slot.adapter)
             .collect();
         for adapter in adapters {
-            self.note_queue_change(adapter);
+            self.update_waiting_sets(adapter);
         }
     }
 
--- a/crates/state/src/load.rs
+++ b/crates/state/src/load.rs
@@ -43,7 +43,7 @@
         } else {
             self.back_off(engine, adapter, now);
         }
-        self.note_queue_change(adapter);
+        self.update_waiting_sets(adapter);
         self.dispatch_adapter(adapter, now, actions);
         self.place(now, actions);
     }
@@ -78,7 +78,7 @@
         });
         self.adapters[adapter as usize].loading.push(engine);
         self.load_started.insert((engine, adapter), now);
-        self.note_queue_change(adapter);
+        self.update_waiting_sets(adapter);
     }
 
     /// Removes an adapter from an engine's slots.
@@ -88,7 +88,7 @@
         let state = &mut self.adapters[adapter as usize];
         state.ready.retain(|idx| *idx != engine);
         state.loading.retain(|idx| *idx != engine);
-        self.note_queue_change(adapter);
+        self.update_waiting_sets(adapter);
     }
 
     pub(crate) fn settle_load(
--- a/crates/state/src/placement.rs
+++ b/crates/state/src/placement.rs
@@ -64,7 +64,7 @@
                 && slot.state == SlotState::Draining
             {
                 slot.state = SlotState::Ready;
-                self.note_queue_change(adapter);
+                self.update_waiting_sets(adapter);
                 return true;
             }
         }
--- a/crates/state/src/report.rs
+++ b/crates/state/src/report.rs
@@ -104,7 +104,7 @@
                     used: now,
                 });
                 self.adapters[idx as usize].ready.push(engine);
-                self.note_queue_change(idx);
+                self.update_waiting_sets(idx);
             }
             None => {}
         }
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -241,7 +241,7 @@
         let adapter = &mut self.adapters[idx as usize];
         request.was_resident = is_served;
         self.waiting.push(&mut adapter.queue, request);
-        self.note_queue_change(idx);
+        self.update_waiting_sets(idx);
         self.dispatch_adapter(idx, now, actions);
         self.place(now, actions);
     }
@@ -316,12 +316,12 @@
         let idx = self.waiting.get(id)?.adapter;
         let queue = &mut self.adapters[idx as usize].queue;
         let request = self.waiting.remove(queue, id);
-        self.note_queue_change(idx);
+        self.update_waiting_sets(idx);
         request
     }
 
     /// Keeps `unplaced` and `backlogged` in step with one adapter.
-    pub(crate) fn note_queue_change(&mut self, idx: AdapterIdx) {
+    pub(crate) fn update_waiting_sets(&mut self, idx: AdapterIdx) {
         let adapter = &self.adapters[idx as usize];
         let waits = !adapter.queue.is_empty();
         let is_served = self.is_served(idx);
@@ -392,7 +392,7 @@
     fn requeue(&mut self, grant: &Grant) {
         let adapter = &mut self.adapters[grant.adapter as usize];
         self.waiting.push_front(&mut adapter.queue, grant.request.clone());
-        self.note_queue_change(grant.adapter);
+        self.update_waiting_sets(grant.adapter);
     }
 
     fn refuse_expired(
