--- a/crates/state/src/health.rs
+++ b/crates/state/src/health.rs
@@ -53,11 +53,11 @@
             return;
         }
         engine.set_health(health, now);
-        self.note_slots(idx);
+        self.update_waiting_sets_on(idx);
     }
 
     /// Notes anew for all adapters of an engine where they are served.
-    pub(crate) fn note_slots(&mut self, idx: EngineIdx) {
+    pub(crate) fn update_waiting_sets_on(&mut self, idx: EngineIdx) {
         let adapters: Vec<AdapterIdx> = self.engines[idx as usize]
             .slots
             .iter()
