--- a/crates/state/src/health.rs
+++ b/crates/state/src/health.rs
@@ -68,7 +68,7 @@
         }
     }
 
-    pub(crate) fn suspect(&mut self, idx: EngineIdx, now: Instant) {
+    pub(crate) fn put_on_probation(&mut self, idx: EngineIdx, now: Instant) {
         if self.engines[idx as usize].health == Health::Live {
             self.set_health(idx, Health::Probation, now);
         }
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -280,7 +280,7 @@
                 }
                 self.requeue(&grant);
             }
-            RequestEnd::Failed => self.suspect(grant.engine, now),
+            RequestEnd::Failed => self.put_on_probation(grant.engine, now),
         }
         self.dispatch_engine(grant.engine, now, actions);
         self.dispatch_adapter(grant.adapter, now, actions);
