--- a/crates/state/src/health.rs
+++ b/crates/state/src/health.rs
@@ -87,7 +87,7 @@
         own > MIN_SLOW_S && own > median * SLOW_FACTOR
     }
 
-    pub(crate) fn note_report(&mut self, idx: EngineIdx, now: Instant) {
+    pub(crate) fn record_report(&mut self, idx: EngineIdx, now: Instant) {
         let is_slow = self.is_slow(idx);
         let engine = &mut self.engines[idx as usize];
         engine.reported = now;
--- a/crates/state/src/report.rs
+++ b/crates/state/src/report.rs
@@ -27,7 +27,7 @@
         now: Instant,
         actions: &mut Vec<ShardAction>,
     ) {
-        self.note_report(engine, now);
+        self.record_report(engine, now);
         let host = &mut self.engines[engine as usize];
         let shown = reported.len().min(host.configured_slots);
         host.slot_capacity = host.slot_capacity.max(shown);
