--- a/crates/state/src/report.rs
+++ b/crates/state/src/report.rs
@@ -33,7 +33,7 @@
         host.slot_capacity = host.slot_capacity.max(shown);
         self.drop_missing(engine, reported, made);
         for slot in reported {
-            self.note_reported(engine, slot, made, now);
+            self.apply_reported_slot(engine, slot, made, now);
         }
         self.dispatch_engine(engine, now, actions);
         self.place(now, actions);
@@ -77,7 +77,7 @@
         }
     }
 
-    pub(crate) fn note_reported(
+    pub(crate) fn apply_reported_slot(
         &mut self,
         engine: EngineIdx,
         reported: &ReportedSlot,
