--- a/crates/state/src/report.rs
+++ b/crates/state/src/report.rs
@@ -31,7 +31,7 @@
         let host = &mut self.engines[engine as usize];
         let shown = reported.len().min(host.configured_slots);
         host.slot_capacity = host.slot_capacity.max(shown);
-        self.drop_missing(engine, reported, made);
+        self.remove_unreported(engine, reported, made);
         for slot in reported {
             self.apply_reported_slot(engine, slot, made, now);
         }
@@ -56,7 +56,7 @@
         self.set_health(idx, Health::Probation, now);
     }
 
-    pub(crate) fn drop_missing(
+    pub(crate) fn remove_unreported(
         &mut self,
         engine: EngineIdx,
         reported: &[ReportedSlot],
