--- a/crates/state/src/load.rs
+++ b/crates/state/src/load.rs
@@ -82,7 +82,7 @@
     }
 
     /// Removes an adapter from an engine's slots.
-    pub(crate) fn vacate(&mut self, engine: EngineIdx, adapter: AdapterIdx) {
+    pub(crate) fn remove_replica(&mut self, engine: EngineIdx, adapter: AdapterIdx) {
         let host = &mut self.engines[engine as usize];
         host.slots.retain(|slot| slot.adapter != adapter);
         let state = &mut self.adapters[adapter as usize];
@@ -119,7 +119,7 @@
         adapter: AdapterIdx,
         now: Instant,
     ) {
-        self.vacate(engine, adapter);
+        self.remove_replica(engine, adapter);
         let state = &mut self.adapters[adapter as usize];
         state.load_failures += 1;
         let seed = u64::from(adapter) << 32 | u64::from(engine);
--- a/crates/state/src/placement.rs
+++ b/crates/state/src/placement.rs
@@ -197,7 +197,7 @@
         actions: &mut Vec<ShardAction>,
     ) {
         if let Some(victim) = place.evict {
-            self.vacate(place.engine, victim);
+            self.remove_replica(place.engine, victim);
         }
         self.begin_load(place.engine, adapter, now);
         self.budget.start();
--- a/crates/state/src/report.rs
+++ b/crates/state/src/report.rs
@@ -51,7 +51,7 @@
             .collect();
         for adapter in adapters {
             self.abandon_load(idx, adapter);
-            self.vacate(idx, adapter);
+            self.remove_replica(idx, adapter);
         }
         self.set_health(idx, Health::Probation, now);
     }
@@ -73,7 +73,7 @@
             .map(|slot| slot.adapter)
             .collect();
         for adapter in missing {
-            self.vacate(engine, adapter);
+            self.remove_replica(engine, adapter);
         }
     }
 
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -385,7 +385,7 @@
                 slot.state != SlotState::Loading && slot.ready <= grant.granted
             });
         if is_gone {
-            self.vacate(grant.engine, grant.adapter);
+            self.remove_replica(grant.engine, grant.adapter);
         }
     }
 
