--- a/crates/state/src/load.rs
+++ b/crates/state/src/load.rs
@@ -39,7 +39,7 @@
         let state = &mut self.adapters[adapter as usize];
         state.loading.retain(|idx| *idx != engine);
         if is_loaded {
-            self.settle_load(engine, adapter, now);
+            self.complete_load(engine, adapter, now);
         } else {
             self.back_off(engine, adapter, now);
         }
@@ -91,7 +91,7 @@
         self.update_waiting_sets(adapter);
     }
 
-    pub(crate) fn settle_load(
+    pub(crate) fn complete_load(
         &mut self,
         engine: EngineIdx,
         adapter: AdapterIdx,
