--- a/crates/state/src/load.rs
+++ b/crates/state/src/load.rs
@@ -41,7 +41,7 @@
         if is_loaded {
             self.complete_load(engine, adapter, now);
         } else {
-            self.back_off(engine, adapter, now);
+            self.record_load_failure(engine, adapter, now);
         }
         self.update_waiting_sets(adapter);
         self.dispatch_adapter(adapter, now, actions);
@@ -113,7 +113,7 @@
 
     /// Keeps a failed load from being tried at once, on this engine or for
     /// this adapter; the spread keeps many from coming back together.
-    pub(crate) fn back_off(
+    pub(crate) fn record_load_failure(
         &mut self,
         engine: EngineIdx,
         adapter: AdapterIdx,
