--- a/crates/state/src/placement.rs
+++ b/crates/state/src/placement.rs
@@ -37,7 +37,7 @@
     ) {
         while self.budget.may_start(now) {
             let Some(adapter) = self.neediest(now) else { break };
-            if self.undrain(adapter) {
+            if self.cancel_drain(adapter) {
                 self.dispatch_adapter(adapter, now, actions);
                 continue;
             }
@@ -53,7 +53,7 @@
 
     /// Lets an adapter serve again from a slot that is being drained. Returns
     /// whether there was one.
-    fn undrain(&mut self, adapter: AdapterIdx) -> bool {
+    fn cancel_drain(&mut self, adapter: AdapterIdx) -> bool {
         let ready = self.adapters[adapter as usize].ready.clone();
         for engine in ready {
             let host = &mut self.engines[engine as usize];
