--- a/crates/state/src/placement.rs
+++ b/crates/state/src/placement.rs
@@ -36,7 +36,7 @@
         actions: &mut Vec<ShardAction>,
     ) {
         while self.budget.may_start(now) {
-            let Some(adapter) = self.neediest(now) else { break };
+            let Some(adapter) = self.next_to_load(now) else { break };
             if self.cancel_drain(adapter) {
                 self.dispatch_adapter(adapter, now, actions);
                 continue;
@@ -121,7 +121,7 @@
     }
 
     /// Returns the adapter whose load removes the largest weighted wait.
-    fn neediest(&self, now: Instant) -> Option<AdapterIdx> {
+    fn next_to_load(&self, now: Instant) -> Option<AdapterIdx> {
         let unplaced = self
             .unplaced
             .iter()
