--- a/crates/state/src/eviction.rs
+++ b/crates/state/src/eviction.rs
@@ -33,7 +33,7 @@
 
 impl Shard {
     /// Returns the cheapest place for an adapter, if there is one.
-    pub(crate) fn cheapest_place(
+    pub(crate) fn cheapest_target(
         &self,
         adapter: AdapterIdx,
         now: Instant,
--- a/crates/state/src/placement.rs
+++ b/crates/state/src/placement.rs
@@ -41,7 +41,7 @@
                 self.dispatch_adapter(adapter, now, actions);
                 continue;
             }
-            match self.cheapest_place(adapter, now) {
+            match self.cheapest_target(adapter, now) {
                 Some(place) => self.order_load(adapter, place, now, actions),
                 None => {
                     self.drain_for(adapter, now);
@@ -114,7 +114,7 @@
         if !may_load || rate < PREFETCH_MIN_RATE_PER_S {
             return;
         }
-        let Some(place) = self.cheapest_place(candidate, now) else { return };
+        let Some(place) = self.cheapest_target(candidate, now) else { return };
         if place.evict.is_none() || rate > place.cost * PREFETCH_MARGIN {
             self.order_load(candidate, place, now, actions);
         }
