--- a/crates/state/src/eviction.rs
+++ b/crates/state/src/eviction.rs
@@ -39,11 +39,11 @@
         now: Instant,
     ) -> Option<Place> {
         (0..self.engines.len() as EngineIdx)
-            .filter_map(|engine| self.place_on(engine, adapter, now))
+            .filter_map(|engine| self.target_on(engine, adapter, now))
             .min_by(|a, b| a.cost.total_cmp(&b.cost))
     }
 
-    fn place_on(
+    fn target_on(
         &self,
         engine: EngineIdx,
         adapter: AdapterIdx,
