--- a/crates/state/src/eviction.rs
+++ b/crates/state/src/eviction.rs
@@ -17,7 +17,7 @@
 
 /// A place for a load, with what has to leave.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Place {
+pub(crate) struct PlacementTarget {
     pub(crate) engine: EngineIdx,
     pub(crate) evict: Option<AdapterIdx>,
     pub(crate) cost: f64,
@@ -37,7 +37,7 @@
         &self,
         adapter: AdapterIdx,
         now: Instant,
-    ) -> Option<Place> {
+    ) -> Option<PlacementTarget> {
         (0..self.engines.len() as EngineIdx)
             .filter_map(|engine| self.target_on(engine, adapter, now))
             .min_by(|a, b| a.cost.total_cmp(&b.cost))
@@ -48,7 +48,7 @@
         engine: EngineIdx,
         adapter: AdapterIdx,
         now: Instant,
-    ) -> Option<Place> {
+    ) -> Option<PlacementTarget> {
         let host = &self.engines[engine as usize];
         if !host.may_load(now) || host.slot(adapter).is_some() {
             return None;
@@ -57,14 +57,14 @@
             f64::from(host.running_len()) / f64::from(host.seats.max(1));
         let busy_cost = busy * BUSY_COST * self.settings.spread_preference();
         if host.has_empty_slot() {
-            return Some(Place { engine, evict: None, cost: busy_cost });
+            return Some(PlacementTarget { engine, evict: None, cost: busy_cost });
         }
         let (victim, need) = host
             .idle_slots(now)
             .filter(|slot| self.is_evictable(slot, now))
             .map(|slot| (slot.adapter, self.keep_value(slot.adapter, now)))
             .min_by(|a, b| a.1.total_cmp(&b.1))?;
-        Some(Place { engine, evict: Some(victim), cost: need + busy_cost })
+        Some(PlacementTarget { engine, evict: Some(victim), cost: need + busy_cost })
     }
 
     fn is_evictable(&self, slot: &Slot, now: Instant) -> bool {
--- a/crates/state/src/placement.rs
+++ b/crates/state/src/placement.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     engine::SlotState,
-    eviction::Place,
+    eviction::PlacementTarget,
     id::AdapterIdx,
     priority::Priority,
     shard::{LoadOrder, Shard, ShardAction},
@@ -192,7 +192,7 @@
     pub(crate) fn order_load(
         &mut self,
         adapter: AdapterIdx,
-        place: Place,
+        place: PlacementTarget,
         now: Instant,
         actions: &mut Vec<ShardAction>,
     ) {
