--- a/crates/state/src/eviction.rs
+++ b/crates/state/src/eviction.rs
@@ -62,7 +62,7 @@
         let (victim, need) = host
             .idle_slots(now)
             .filter(|slot| self.is_evictable(slot, now))
-            .map(|slot| (slot.adapter, self.keep_value(slot.adapter, now)))
+            .map(|slot| (slot.adapter, self.retention_value(slot.adapter, now)))
             .min_by(|a, b| a.1.total_cmp(&b.1))?;
         Some(PlacementTarget { engine, evict: Some(victim), cost: need + busy_cost })
     }
@@ -76,7 +76,7 @@
 
     /// Returns what one replica of an adapter is worth, in expected requests
     /// per second.
-    pub(crate) fn keep_value(&self, idx: AdapterIdx, now: Instant) -> f64 {
+    pub(crate) fn retention_value(&self, idx: AdapterIdx, now: Instant) -> f64 {
         let adapter = &self.adapters[idx as usize];
         let replicas = adapter.ready.len() + adapter.loading.len();
         adapter.rate_per_s(now) / replicas.max(1) as f64
@@ -125,7 +125,7 @@
                 let busy = f64::from(slot.granted_len + slot.untracked_len);
                 let queued =
                     self.adapters[slot.adapter as usize].queue.weight();
-                let value = self.keep_value(slot.adapter, now);
+                let value = self.retention_value(slot.adapter, now);
                 (idx, slot.adapter, queued, busy + value)
             })
             .filter(|(_, _, queued, _)| *queued < wanted)
