--- a/crates/state/src/eviction.rs
+++ b/crates/state/src/eviction.rs
@@ -25,7 +25,7 @@
 
 /// A freshly loaded adapter is kept at least this long once idle, because the
 /// requests that it was loaded for are often followed by more.
-const MIN_STAY: Duration = Duration::from_millis(500);
+const MIN_RESIDENCY: Duration = Duration::from_millis(500);
 
 /// What a full batch costs (or, where batches count more, earns) against a
 /// victim's need in requests per second.
@@ -70,7 +70,7 @@
     fn is_evictable(&self, slot: &Slot, now: Instant) -> bool {
         let stayed = now.saturating_duration_since(slot.used);
         slot.state == SlotState::Draining
-            || (stayed >= MIN_STAY
+            || (stayed >= MIN_RESIDENCY
                 && self.adapters[slot.adapter as usize].queue.is_empty())
     }
 
