--- a/crates/state/src/admission.rs
+++ b/crates/state/src/admission.rs
@@ -87,14 +87,14 @@
 /// for a while, waits above the target are refused at once. The idea is that
 /// of controlled delay (CoDel, RFC 8289), applied to admission.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Overload {
+pub(crate) struct OverloadDetector {
     above_since: Option<Instant>,
 }
 
 /// How long waits must stay above the target to count as an overload.
 const OVERLOAD_AFTER: Duration = Duration::from_secs(3);
 
-impl Overload {
+impl OverloadDetector {
     fn note(&mut self, wait: Duration, target: Duration, now: Instant) {
         if wait <= target / 2 {
             self.above_since = None;
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -20,7 +20,7 @@
 };
 use crate::{
     adapter::Adapter,
-    admission::{Overload, RefusalReason},
+    admission::{OverloadDetector, RefusalReason},
     allocation::StoreDemand,
     budget::{LoadBudget, StoreLimits},
     engine::{Engine, Health, SlotState},
@@ -45,7 +45,7 @@
     pub(crate) budget: LoadBudget,
     /// The smoothed time that a request holds its seat, in seconds.
     pub(crate) service_s: f64,
-    pub(crate) overload: Overload,
+    pub(crate) overload: OverloadDetector,
     /// The next adapter to be looked at for prefetching.
     pub(crate) prefetch_cursor: AdapterIdx,
     pub(crate) engine_by_id: HashMap<EndpointId, EngineIdx>,
@@ -72,7 +72,7 @@
             backlogged: BTreeSet::new(),
             budget: LoadBudget::new(limits, now),
             service_s: DEFAULT_SERVICE_S,
-            overload: Overload::default(),
+            overload: OverloadDetector::default(),
             prefetch_cursor: 0,
             engine_by_id: HashMap::new(),
             load_started: HashMap::new(),
