--- a/crates/state/src/admission.rs
+++ b/crates/state/src/admission.rs
@@ -103,7 +103,7 @@
         }
     }
 
-    fn is_on(&self, now: Instant) -> bool {
+    fn is_overloaded(&self, now: Instant) -> bool {
         self.above_since.is_some_and(|since| {
             now.saturating_duration_since(since) >= OVERLOAD_AFTER
         })
@@ -134,7 +134,7 @@
             self.overload.note(wait, self.settings.target_wait, now);
         }
         let is_limited =
-            request.priority == Priority::Normal && self.overload.is_on(now);
+            request.priority == Priority::Normal && self.overload.is_overloaded(now);
         let longest = match is_limited {
             true => left.min(self.settings.target_wait),
             false => left,
