--- a/crates/state/src/admission.rs
+++ b/crates/state/src/admission.rs
@@ -130,7 +130,7 @@
         }
         let wait = self.predicted_wait(request);
         let left = request.deadline.saturating_duration_since(now);
-        if self.tells_of_store(request) {
+        if self.indicates_load_backlog(request) {
             self.overload.note(wait, self.settings.target_wait, now);
         }
         let is_limited =
@@ -160,7 +160,7 @@
     /// is of normal priority and the first to need its adapter. While an
     /// engine has an empty slot, the shard is being filled: that backlog ends
     /// by itself and is no overload.
-    fn tells_of_store(&self, request: &Request) -> bool {
+    fn indicates_load_backlog(&self, request: &Request) -> bool {
         let adapter = &self.adapters[request.adapter as usize];
         let is_filled =
             !self.engines.iter().any(|engine| engine.has_empty_slot());
