--- a/crates/state/src/dispatch.rs
+++ b/crates/state/src/dispatch.rs
@@ -87,13 +87,13 @@
         host.slots
             .iter()
             .filter(|slot| slot.state == SlotState::Ready)
-            .filter_map(|slot| self.head_on(engine, slot.adapter, now))
+            .filter_map(|slot| self.most_urgent_on(engine, slot.adapter, now))
             .min_by_key(|(urgency, adapter, _)| (*urgency, *adapter))
             .map(|(_, adapter, priority)| (adapter, priority))
     }
 
     /// The most urgent request of an adapter that finds a seat on an engine.
-    fn head_on(
+    fn most_urgent_on(
         &self,
         engine: EngineIdx,
         adapter: AdapterIdx,
