--- a/crates/state/src/dispatch.rs
+++ b/crates/state/src/dispatch.rs
@@ -45,7 +45,7 @@
         now: Instant,
         actions: &mut Vec<ShardAction>,
     ) {
-        while let Some((adapter, priority)) = self.best_for(engine, now) {
+        while let Some((adapter, priority)) = self.next_for_engine(engine, now) {
             self.grant_head(adapter, priority, engine, now, actions);
         }
     }
@@ -78,7 +78,7 @@
             })
     }
 
-    fn best_for(
+    fn next_for_engine(
         &self,
         engine: EngineIdx,
         now: Instant,
