--- a/crates/state/src/dispatch.rs
+++ b/crates/state/src/dispatch.rs
@@ -31,7 +31,7 @@
         actions: &mut Vec<ShardAction>,
     ) {
         while let Some(priority) = self.most_urgent_class(adapter, now) {
-            let Some(engine) = self.seat_for(adapter, priority) else {
+            let Some(engine) = self.engine_for(adapter, priority) else {
                 return;
             };
             self.grant_head(adapter, priority, engine, now, actions);
@@ -55,7 +55,7 @@
     /// The batch weight leans towards the engine with the fullest batch that
     /// still has a seat, the stall weight towards the emptiest, which keeps
     /// steps short.
-    pub(crate) fn seat_for(
+    pub(crate) fn engine_for(
         &self,
         adapter: AdapterIdx,
         priority: Priority,
