--- a/crates/state/src/load.rs
+++ b/crates/state/src/load.rs
@@ -45,7 +45,7 @@
         }
         self.update_waiting_sets(adapter);
         self.dispatch_adapter(adapter, now, actions);
-        self.place(now, actions);
+        self.schedule_loads(now, actions);
     }
 
     /// Notes that an engine had no slot for a load, although the
--- a/crates/state/src/placement.rs
+++ b/crates/state/src/placement.rs
@@ -30,7 +30,7 @@
 
 impl Shard {
     /// Orders loads while the budget lasts.
-    pub(crate) fn place(
+    pub(crate) fn schedule_loads(
         &mut self,
         now: Instant,
         actions: &mut Vec<ShardAction>,
--- a/crates/state/src/report.rs
+++ b/crates/state/src/report.rs
@@ -36,7 +36,7 @@
             self.apply_reported_slot(engine, slot, made, now);
         }
         self.dispatch_engine(engine, now, actions);
-        self.place(now, actions);
+        self.schedule_loads(now, actions);
     }
 
     /// Forgets all that an engine held, because it restarted empty.
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -243,7 +243,7 @@
         self.waiting.push(&mut adapter.queue, request);
         self.update_waiting_sets(idx);
         self.dispatch_adapter(idx, now, actions);
-        self.place(now, actions);
+        self.schedule_loads(now, actions);
     }
 
     /// Forgets a request that its caller gave up, waiting or running.
@@ -284,7 +284,7 @@
         }
         self.dispatch_engine(grant.engine, now, actions);
         self.dispatch_adapter(grant.adapter, now, actions);
-        self.place(now, actions);
+        self.schedule_loads(now, actions);
     }
 
     /// Does what time alone causes: deadlines, silence, loads that can now
@@ -292,7 +292,7 @@
     pub fn tick(&mut self, now: Instant, actions: &mut Vec<ShardAction>) {
         self.refuse_expired(now, actions);
         self.check_health(now);
-        self.place(now, actions);
+        self.schedule_loads(now, actions);
         self.prefetch_next(now, actions);
     }
 
