--- a/crates/state/src/placement.rs
+++ b/crates/state/src/placement.rs
@@ -42,7 +42,7 @@
                 continue;
             }
             match self.cheapest_target(adapter, now) {
-                Some(place) => self.order_load(adapter, place, now, actions),
+                Some(target) => self.order_load(adapter, target, now, actions),
                 None => {
                     self.drain_for(adapter, now);
                     break;
@@ -114,9 +114,9 @@
         if !may_load || rate < PREFETCH_MIN_RATE_PER_S {
             return;
         }
-        let Some(place) = self.cheapest_target(candidate, now) else { return };
-        if place.evict.is_none() || rate > place.cost * PREFETCH_MARGIN {
-            self.order_load(candidate, place, now, actions);
+        let Some(target) = self.cheapest_target(candidate, now) else { return };
+        if target.evict.is_none() || rate > target.cost * PREFETCH_MARGIN {
+            self.order_load(candidate, target, now, actions);
         }
     }
 
@@ -192,17 +192,17 @@
     pub(crate) fn order_load(
         &mut self,
         adapter: AdapterIdx,
-        place: PlacementTarget,
+        target: PlacementTarget,
         now: Instant,
         actions: &mut Vec<ShardAction>,
     ) {
-        if let Some(victim) = place.evict {
-            self.remove_replica(place.engine, victim);
+        if let Some(victim) = target.evict {
+            self.remove_replica(target.engine, victim);
         }
-        self.begin_load(place.engine, adapter, now);
+        self.begin_load(target.engine, adapter, now);
         self.budget.start();
         let order =
-            LoadOrder { engine: place.engine, adapter, evict: place.evict };
+            LoadOrder { engine: target.engine, adapter, evict: target.evict };
         actions.push(ShardAction::Load(order));
     }
 }
