--- a/crates/state/src/engine.rs
+++ b/crates/state/src/engine.rs
@@ -37,9 +37,9 @@
     /// as those of a previous leader.
     pub untracked_len: u32,
     /// When it became ready, or its load began.
-    pub ready: Instant,
+    pub ready_at: Instant,
     /// When it was last granted to, or became ready.
-    pub used: Instant,
+    pub last_used: Instant,
 }
 
 impl Slot {
@@ -83,7 +83,7 @@
     /// load before, because it does not know what the engine holds.
     pub has_reported: bool,
     /// When its last report came.
-    pub reported: Instant,
+    pub last_report: Instant,
     /// When it entered its present health.
     pub health_since: Instant,
     /// Smoothed time to the first token, in seconds.
@@ -120,7 +120,7 @@
             running: [0; CLASSES],
             health: Health::Live,
             has_reported: false,
-            reported: now,
+            last_report: now,
             health_since: now,
             first_token_s: 0.0,
             load_after: None,
--- a/crates/state/src/entry.rs
+++ b/crates/state/src/entry.rs
@@ -105,7 +105,7 @@
         let engine = &mut self.engines[grant.engine as usize];
         if let Some(slot) = engine.slot_mut(grant.adapter) {
             slot.untracked_len += 1;
-            slot.used = now;
+            slot.last_used = now;
         }
         self.dispatch_engine(grant.engine, now, actions);
     }
--- a/crates/state/src/eviction.rs
+++ b/crates/state/src/eviction.rs
@@ -68,7 +68,7 @@
     }
 
     fn is_evictable(&self, slot: &Slot, now: Instant) -> bool {
-        let stayed = now.saturating_duration_since(slot.used);
+        let stayed = now.saturating_duration_since(slot.last_used);
         slot.state == SlotState::Draining
             || (stayed >= MIN_RESIDENCY
                 && self.adapters[slot.adapter as usize].queue.is_empty())
--- a/crates/state/src/health.rs
+++ b/crates/state/src/health.rs
@@ -90,7 +90,7 @@
     pub(crate) fn record_report(&mut self, idx: EngineIdx, now: Instant) {
         let is_slow = self.is_slow(idx);
         let engine = &mut self.engines[idx as usize];
-        engine.reported = now;
+        engine.last_report = now;
         engine.has_reported = true;
         let stayed = now.saturating_duration_since(engine.health_since);
         match engine.health {
@@ -110,7 +110,7 @@
         let silent_after = self.settings.silent_after;
         for idx in 0..self.engines.len() {
             let engine = &self.engines[idx];
-            let silence = now.saturating_duration_since(engine.reported);
+            let silence = now.saturating_duration_since(engine.last_report);
             if engine.takes_work() && silence > silent_after {
                 self.set_health(idx as EngineIdx, Health::Silent, now);
             }
--- a/crates/state/src/load.rs
+++ b/crates/state/src/load.rs
@@ -73,8 +73,8 @@
             state: SlotState::Loading,
             granted_len: 0,
             untracked_len: 0,
-            ready: now,
-            used: now,
+            ready_at: now,
+            last_used: now,
         });
         self.adapters[adapter as usize].loading.push(engine);
         self.load_started.insert((engine, adapter), now);
@@ -101,8 +101,8 @@
         host.load_failures = 0;
         if let Some(slot) = host.slot_mut(adapter) {
             slot.state = SlotState::Ready;
-            slot.ready = now;
-            slot.used = now;
+            slot.ready_at = now;
+            slot.last_used = now;
         }
         let state = &mut self.adapters[adapter as usize];
         state.load_failures = 0;
--- a/crates/state/src/report.rs
+++ b/crates/state/src/report.rs
@@ -66,7 +66,7 @@
             .slots
             .iter()
             .filter(|slot| slot.state != SlotState::Loading)
-            .filter(|slot| slot.granted_len == 0 && slot.used < made)
+            .filter(|slot| slot.granted_len == 0 && slot.last_used < made)
             .filter(|slot| {
                 !reported.iter().any(|seen| seen.adapter == slot.adapter)
             })
@@ -89,7 +89,7 @@
         let has_empty_slot = host.has_empty_slot();
         match host.slot_mut(idx) {
             Some(slot) if slot.state == SlotState::Loading => {}
-            Some(slot) if slot.used <= made => {
+            Some(slot) if slot.last_used <= made => {
                 slot.untracked_len =
                     reported.running_len.saturating_sub(slot.granted_len);
             }
@@ -100,8 +100,8 @@
                     state: SlotState::Ready,
                     granted_len: 0,
                     untracked_len: reported.running_len,
-                    ready: now,
-                    used: now,
+                    ready_at: now,
+                    last_used: now,
                 });
                 self.adapters[idx as usize].ready.push(engine);
                 self.update_waiting_sets(idx);
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -357,7 +357,7 @@
         engine.running[grant.priority.rank()] += 1;
         if let Some(slot) = engine.slot_mut(grant.adapter) {
             slot.granted_len += 1;
-            slot.used = now;
+            slot.last_used = now;
         }
     }
 
@@ -382,7 +382,7 @@
         let is_gone = self.engines[grant.engine as usize]
             .slot(grant.adapter)
             .is_some_and(|slot| {
-                slot.state != SlotState::Loading && slot.ready <= grant.granted
+                slot.state != SlotState::Loading && slot.ready_at <= grant.granted
             });
         if is_gone {
             self.remove_replica(grant.engine, grant.adapter);
