--- a/crates/state/src/report.rs
+++ b/crates/state/src/report.rs
@@ -23,7 +23,7 @@
         &mut self,
         engine: EngineIdx,
         reported: &[ReportedSlot],
-        made: Instant,
+        report_time: Instant,
         now: Instant,
         actions: &mut Vec<ShardAction>,
     ) {
@@ -31,9 +31,9 @@
         let host = &mut self.engines[engine as usize];
         let shown = reported.len().min(host.configured_slots);
         host.slot_capacity = host.slot_capacity.max(shown);
-        self.remove_unreported(engine, reported, made);
+        self.remove_unreported(engine, reported, report_time);
         for slot in reported {
-            self.apply_reported_slot(engine, slot, made, now);
+            self.apply_reported_slot(engine, slot, report_time, now);
         }
         self.dispatch_engine(engine, now, actions);
         self.schedule_loads(now, actions);
@@ -60,13 +60,13 @@
         &mut self,
         engine: EngineIdx,
         reported: &[ReportedSlot],
-        made: Instant,
+        report_time: Instant,
     ) {
         let missing: Vec<AdapterIdx> = self.engines[engine as usize]
             .slots
             .iter()
             .filter(|slot| slot.state != SlotState::Loading)
-            .filter(|slot| slot.granted_len == 0 && slot.last_used < made)
+            .filter(|slot| slot.granted_len == 0 && slot.last_used < report_time)
             .filter(|slot| {
                 !reported.iter().any(|seen| seen.adapter == slot.adapter)
             })
@@ -81,7 +81,7 @@
         &mut self,
         engine: EngineIdx,
         reported: &ReportedSlot,
-        made: Instant,
+        report_time: Instant,
         now: Instant,
     ) {
         let idx = reported.adapter;
@@ -89,7 +89,7 @@
         let has_empty_slot = host.has_empty_slot();
         match host.slot_mut(idx) {
             Some(slot) if slot.state == SlotState::Loading => {}
-            Some(slot) if slot.last_used <= made => {
+            Some(slot) if slot.last_used <= report_time => {
                 slot.untracked_len =
                     reported.running_len.saturating_sub(slot.granted_len);
             }
