--- a/crates/state/src/dispatch.rs
+++ b/crates/state/src/dispatch.rs
@@ -17,7 +17,7 @@
 
 /// How urgent a waiting request is: the smaller, the sooner.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Urgency {
+struct DispatchKey {
     rank: usize,
     deadline: Instant,
 }
@@ -88,7 +88,7 @@
             .iter()
             .filter(|slot| slot.state == SlotState::Ready)
             .filter_map(|slot| self.most_urgent_on(engine, slot.adapter, now))
-            .min_by_key(|(urgency, adapter, _)| (*urgency, *adapter))
+            .min_by_key(|(key, adapter, _)| (*key, *adapter))
             .map(|(_, adapter, priority)| (adapter, priority))
     }
 
@@ -98,7 +98,7 @@
         engine: EngineIdx,
         adapter: AdapterIdx,
         now: Instant,
-    ) -> Option<(Urgency, AdapterIdx, Priority)> {
+    ) -> Option<(DispatchKey, AdapterIdx, Priority)> {
         let host = &self.engines[engine as usize];
         let queue = &self.adapters[adapter as usize].queue;
         Priority::ALL
@@ -106,7 +106,7 @@
             .filter(|priority| host.free_seats(**priority) > 0)
             .filter_map(|priority| {
                 let head = self.waiting.head(queue, *priority)?;
-                Some((self.urgency(head, now), adapter, *priority))
+                Some((self.dispatch_key(head, now), adapter, *priority))
             })
             .min()
     }
@@ -121,18 +121,18 @@
             .iter()
             .filter_map(|priority| {
                 let head = self.waiting.head(queue, *priority)?;
-                Some((self.urgency(head, now), *priority))
+                Some((self.dispatch_key(head, now), *priority))
             })
             .min()
             .map(|(_, priority)| priority)
     }
 
-    fn urgency(&self, request: &Request, now: Instant) -> Urgency {
+    fn dispatch_key(&self, request: &Request, now: Instant) -> DispatchKey {
         let waited = now.saturating_duration_since(request.submitted);
         let aging = self.settings.aging.as_secs_f64().max(0.001);
-        let lifted = (waited.as_secs_f64() / aging) as usize;
-        Urgency {
-            rank: request.priority.rank().saturating_sub(lifted),
+        let raised = (waited.as_secs_f64() / aging) as usize;
+        DispatchKey {
+            rank: request.priority.rank().saturating_sub(raised),
             deadline: request.deadline,
         }
     }
