--- a/crates/state/src/admission.rs
+++ b/crates/state/src/admission.rs
@@ -95,7 +95,7 @@
 const OVERLOAD_AFTER: Duration = Duration::from_secs(3);
 
 impl OverloadDetector {
-    fn note(&mut self, wait: Duration, target: Duration, now: Instant) {
+    fn observe(&mut self, wait: Duration, target: Duration, now: Instant) {
         if wait <= target / 2 {
             self.above_since = None;
         } else if wait > target {
@@ -131,7 +131,7 @@
         let wait = self.predicted_wait(request);
         let left = request.deadline.saturating_duration_since(now);
         if self.indicates_load_backlog(request) {
-            self.overload.note(wait, self.settings.target_wait, now);
+            self.overload.observe(wait, self.settings.target_wait, now);
         }
         let is_limited =
             request.priority == Priority::Normal && self.overload.is_overloaded(now);
