--- a/crates/state/src/allocation.rs
+++ b/crates/state/src/allocation.rs
@@ -143,16 +143,16 @@
 #[derive(Clone, Debug, Default)]
 struct ShardRecord {
     demand: StoreDemand,
-    parts: Vec<IssuedAllotment>,
+    issued: Vec<IssuedAllotment>,
 }
 
 impl ShardRecord {
     /// Returns the most that the shard may use now.
-    fn most(&self, floor: StoreLimits, now: Instant) -> StoreLimits {
-        let valid = self.parts.iter().filter(|part| part.until > now);
-        valid.fold(floor, |most, part| StoreLimits {
-            rate_per_s: most.rate_per_s.max(part.limits.rate_per_s),
-            concurrency: most.concurrency.max(part.limits.concurrency),
+    fn max_usable(&self, floor: StoreLimits, now: Instant) -> StoreLimits {
+        let valid = self.issued.iter().filter(|allotment| allotment.until > now);
+        valid.fold(floor, |max, allotment| StoreLimits {
+            rate_per_s: max.rate_per_s.max(allotment.limits.rate_per_s),
+            concurrency: max.concurrency.max(allotment.limits.concurrency),
         })
     }
 }
@@ -194,8 +194,8 @@
         let mut old = std::mem::take(&mut self.shards);
         self.limits = limits;
         for shard in shards {
-            let account = old.remove(&shard).unwrap_or_default();
-            self.shards.insert(shard, account);
+            let record = old.remove(&shard).unwrap_or_default();
+            self.shards.insert(shard, record);
         }
     }
 
@@ -214,7 +214,7 @@
             return floor;
         }
         let demands: Vec<StoreDemand> =
-            self.shards.values().map(|account| account.demand).collect();
+            self.shards.values().map(|record| record.demand).collect();
         let idx = self.shards.keys().position(|id| id == shard);
         let wanted = divide(self.limits, &demands)[idx.unwrap_or(0)];
         let free = self.unused_by_others(shard, floor, now);
@@ -228,8 +228,8 @@
             concurrency: limits.concurrency.max(floor.concurrency),
         };
         if let Some(own) = self.shards.get_mut(shard) {
-            own.parts.retain(|part| part.until > now);
-            own.parts.push(IssuedAllotment { limits, until: now + ALLOTMENT_VALIDITY });
+            own.issued.retain(|allotment| allotment.until > now);
+            own.issued.push(IssuedAllotment { limits, until: now + ALLOTMENT_VALIDITY });
         }
         limits
     }
@@ -246,7 +246,7 @@
             if id == shard {
                 continue;
             }
-            let used = other.most(floor, now);
+            let used = other.max_usable(floor, now);
             free.rate_per_s -= used.rate_per_s;
             free.concurrency -= used.concurrency;
         }
