--- a/crates/state/src/placement.rs
+++ b/crates/state/src/placement.rs
@@ -159,8 +159,8 @@
             .filter_map(|priority| self.waiting.head(queue, *priority))
             .map(|head| {
                 let waited = now.saturating_duration_since(head.submitted);
-                let turns = waited.as_secs_f64() / aging_s;
-                turns * turns * head.priority.weight()
+                let periods = waited.as_secs_f64() / aging_s;
+                periods * periods * head.priority.weight()
             })
             .sum()
     }
