--- a/crates/state/src/config.rs
+++ b/crates/state/src/config.rs
@@ -206,14 +206,14 @@
     /// Returns every rule that the configuration breaks, in the order of its
     /// fields.
     pub fn validation_errors(&self) -> Vec<ValidationError> {
-        let mut check = Check::default();
-        self.check_base_models(&mut check);
-        self.check_adapters(&mut check);
-        self.check_groups(&mut check);
-        self.check_regions(&mut check);
-        self.check_spikes(&mut check);
-        self.check_numbers(&mut check);
-        check.faults
+        let mut validator = Validator::default();
+        self.check_base_models(&mut validator);
+        self.check_adapters(&mut validator);
+        self.check_groups(&mut validator);
+        self.check_regions(&mut validator);
+        self.check_spikes(&mut validator);
+        self.check_numbers(&mut validator);
+        validator.errors
     }
 
     /// Returns the base model of a name.
@@ -277,49 +277,49 @@
         self.shard_ids().into_iter().next()
     }
 
-    fn check_base_models(&self, check: &mut Check) {
+    fn check_base_models(&self, validator: &mut Validator) {
         let mut seen = HashSet::new();
         for (idx, model) in self.base_models.iter().enumerate() {
             let path = format!("base_models[{idx}].name");
-            check.name(&path, &model.name);
-            check.unique(&mut seen, &path, "base model", &model.name);
+            validator.name(&path, &model.name);
+            validator.unique(&mut seen, &path, "base model", &model.name);
             if model.shards_per_region == 0 {
                 let path = format!("base_models[{idx}].shards_per_region");
-                check.fault(path, "must be at least 1");
+                validator.error(path, "must be at least 1");
             }
         }
     }
 
-    fn check_adapters(&self, check: &mut Check) {
+    fn check_adapters(&self, validator: &mut Validator) {
         let mut seen = HashSet::new();
         let models: HashSet<&str> =
             self.base_models.iter().map(|m| m.name.as_str()).collect();
         for (idx, adapter) in self.adapters.iter().enumerate() {
             let path = format!("adapters[{idx}].name");
-            check.name(&path, &adapter.name);
-            check.unique(&mut seen, &path, "adapter", &adapter.name);
+            validator.name(&path, &adapter.name);
+            validator.unique(&mut seen, &path, "adapter", &adapter.name);
             if !models.contains(adapter.base_model.as_str()) {
-                check.fault(
+                validator.error(
                     format!("adapters[{idx}].base_model"),
                     format!("no base model is named {:?}", adapter.base_model),
                 );
             }
-            check_versions(idx, adapter, check);
+            check_versions(idx, adapter, validator);
         }
     }
 
-    fn check_groups(&self, check: &mut Check) {
+    fn check_groups(&self, validator: &mut Validator) {
         let mut seen = HashSet::new();
         for (idx, group) in self.endpoint_groups.iter().enumerate() {
             let path = format!("endpoint_groups[{idx}]");
             let name_path = format!("{path}.name");
-            check.name(&name_path, &group.name);
-            check.unique(&mut seen, &name_path, "group", &group.name);
+            validator.name(&name_path, &group.name);
+            validator.unique(&mut seen, &name_path, "group", &group.name);
             if group.seats == 0 {
-                check.fault(format!("{path}.seats"), "must be at least 1");
+                validator.error(format!("{path}.seats"), "must be at least 1");
             }
             if group.kind == EndpointKind::Engine {
-                self.check_engine_group(&path, group, check);
+                self.check_engine_group(&path, group, validator);
             }
         }
     }
@@ -328,35 +328,35 @@
         &self,
         path: &str,
         group: &EndpointGroup,
-        check: &mut Check,
+        validator: &mut Validator,
     ) {
         let base_path = format!("{path}.base_model");
         match &group.base_model {
-            None => check.fault(base_path, "an engine needs a base model"),
-            Some(name) if self.base_model(name).is_none() => check
-                .fault(base_path, format!("no base model is named {name:?}")),
+            None => validator.error(base_path, "an engine needs a base model"),
+            Some(name) if self.base_model(name).is_none() => validator
+                .error(base_path, format!("no base model is named {name:?}")),
             Some(_) => {}
         }
         if group.adapter_slots == 0 {
-            check.fault(format!("{path}.adapter_slots"), "must be at least 1");
+            validator.error(format!("{path}.adapter_slots"), "must be at least 1");
         }
     }
 
-    fn check_regions(&self, check: &mut Check) {
+    fn check_regions(&self, validator: &mut Validator) {
         let mut names = HashSet::new();
         let mut zones = HashSet::new();
         for (idx, region) in self.regions.iter().enumerate() {
             let path = format!("regions[{idx}].name");
-            check.name(&path, &region.name);
-            check.unique(&mut names, &path, "region", &region.name);
+            validator.name(&path, &region.name);
+            validator.unique(&mut names, &path, "region", &region.name);
             for zone in &region.zones {
                 let path = format!("regions[{idx}].zones");
-                check.unique(&mut zones, &path, "availability zone", zone);
+                validator.unique(&mut zones, &path, "availability zone", zone);
             }
         }
     }
 
-    fn check_spikes(&self, check: &mut Check) {
+    fn check_spikes(&self, validator: &mut Validator) {
         let known: HashSet<(&str, &str)> =
             self.adapters
                 .iter()
@@ -369,7 +369,7 @@
         for (idx, spike) in self.expected_spikes.iter().enumerate() {
             let key = (spike.adapter.as_str(), spike.version.as_str());
             if !known.contains(&key) {
-                check.fault(
+                validator.error(
                     format!("expected_spikes[{idx}].adapter"),
                     format!(
                         "no adapter {:?} has a version {:?}",
@@ -378,29 +378,29 @@
                 );
             }
             let path = format!("expected_spikes[{idx}].rate_per_s");
-            check.positive(&path, spike.rate_per_s);
+            validator.positive(&path, spike.rate_per_s);
         }
     }
 
-    fn check_numbers(&self, check: &mut Check) {
+    fn check_numbers(&self, validator: &mut Validator) {
         let store = &self.weight_store;
-        check.positive("weight_store.rate_per_s", store.rate_per_s);
-        check.positive("weight_store.concurrency", store.concurrency);
+        validator.positive("weight_store.rate_per_s", store.rate_per_s);
+        validator.positive("weight_store.concurrency", store.concurrency);
         let policy = &self.policy;
-        check.fraction("policy.stall_weight", policy.stall_weight);
-        check.fraction("policy.batch_weight", policy.batch_weight);
-        check.fraction("policy.caller_share", policy.caller_share);
+        validator.fraction("policy.stall_weight", policy.stall_weight);
+        validator.fraction("policy.batch_weight", policy.batch_weight);
+        validator.fraction("policy.caller_share", policy.caller_share);
         if policy.queue_len == 0 {
-            check.fault("policy.queue_len", "must be at least 1");
+            validator.error("policy.queue_len", "must be at least 1");
         }
         if policy.target_wait_ms == 0 {
-            check.fault("policy.target_wait_ms", "must be at least 1");
+            validator.error("policy.target_wait_ms", "must be at least 1");
         }
         if policy.aging_ms == 0 {
-            check.fault("policy.aging_ms", "must be at least 1");
+            validator.error("policy.aging_ms", "must be at least 1");
         }
         if policy.grant_validity_ms < MIN_GRANT_VALIDITY_MS {
-            check.fault(
+            validator.error(
                 "policy.grant_validity_ms",
                 format!("must be at least {MIN_GRANT_VALIDITY_MS}"),
             );
@@ -411,22 +411,22 @@
 /// A grant must outlast a few lost heartbeats.
 const MIN_GRANT_VALIDITY_MS: u64 = 500;
 
-fn check_versions(idx: usize, adapter: &AdapterConfig, check: &mut Check) {
+fn check_versions(idx: usize, adapter: &AdapterConfig, validator: &mut Validator) {
     let path = format!("adapters[{idx}].versions");
     if adapter.versions.is_empty() {
-        check.fault(path, "an adapter needs at least one version");
+        validator.error(path, "an adapter needs at least one version");
         return;
     }
     if adapter.versions.len() > MAX_VERSIONS {
-        check.fault(
+        validator.error(
             path.clone(),
             format!("has more than {MAX_VERSIONS} versions"),
         );
     }
     let mut seen = HashSet::new();
     for version in &adapter.versions {
-        check.name(&path, version);
-        check.unique(&mut seen, &path, "version", version);
+        validator.name(&path, version);
+        validator.unique(&mut seen, &path, "version", version);
     }
 }
 
@@ -436,26 +436,26 @@
 }
 
 #[derive(Default)]
-struct Check {
-    faults: Vec<ValidationError>,
+struct Validator {
+    errors: Vec<ValidationError>,
 }
 
-impl Check {
-    fn fault(&mut self, path: impl Into<String>, cause: impl Into<String>) {
-        self.faults
+impl Validator {
+    fn error(&mut self, path: impl Into<String>, cause: impl Into<String>) {
+        self.errors
             .push(ValidationError { path: path.into(), cause: cause.into() });
     }
 
     fn name(&mut self, path: &str, name: &str) {
         if name.is_empty() {
-            return self.fault(path, "must not be empty");
+            return self.error(path, "must not be empty");
         }
         if name.len() > MAX_NAME_LEN {
             return self
-                .fault(path, format!("is longer than {MAX_NAME_LEN} bytes"));
+                .error(path, format!("is longer than {MAX_NAME_LEN} bytes"));
         }
         if !name.chars().all(is_name_char) {
-            self.fault(
+            self.error(
                 path,
                 format!(
                     "{name:?} may hold only letters, digits, '-', '_' and '.'"
@@ -472,19 +472,19 @@
         name: &'a str,
     ) {
         if !seen.insert(name) {
-            self.fault(path, format!("{what} {name:?} stands twice"));
+            self.error(path, format!("{what} {name:?} stands twice"));
         }
     }
 
     fn positive(&mut self, path: &str, value: f64) {
         if !value.is_finite() || value <= 0.0 {
-            self.fault(path, format!("{value} is not above zero"));
+            self.error(path, format!("{value} is not above zero"));
         }
     }
 
     fn fraction(&mut self, path: &str, value: f64) {
         if !(0.0..=1.0).contains(&value) {
-            self.fault(path, format!("{value} is not between 0 and 1"));
+            self.error(path, format!("{value} is not between 0 and 1"));
         }
     }
 }
