--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -14,7 +14,7 @@
 pub use boot_time::Instant;
 
 /// A suspension that is shorter counts as the drift between two readings.
-const LEAST_SUSPENSION: Duration = Duration::from_millis(20);
+const MIN_SUSPENSION: Duration = Duration::from_millis(20);
 
 /// Notices that the machine was suspended: one clock went on and the other stood.
 #[derive(Clone, Copy, Debug)]
@@ -38,6 +38,6 @@
         let counted = now.counting - self.counting;
         let stood = now.standing - self.standing;
         *self = now;
-        counted.checked_sub(stood).filter(|by| *by >= LEAST_SUSPENSION)
+        counted.checked_sub(stood).filter(|by| *by >= MIN_SUSPENSION)
     }
 }
