--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -19,25 +19,25 @@
 /// Notices that the machine was suspended: one clock went on and the other stood.
 #[derive(Clone, Copy, Debug)]
 pub struct SuspendDetector {
-    counting: Instant,
-    standing: std::time::Instant,
+    boottime: Instant,
+    monotonic: std::time::Instant,
 }
 
 impl SuspendDetector {
     /// Begins to watch.
     pub fn start() -> SuspendDetector {
         SuspendDetector {
-            counting: Instant::now(),
-            standing: std::time::Instant::now(),
+            boottime: Instant::now(),
+            monotonic: std::time::Instant::now(),
         }
     }
 
     /// Returns for how long the machine was suspended since the last look, if it was.
     pub fn check(&mut self) -> Option<Duration> {
         let now = SuspendDetector::start();
-        let counted = now.counting - self.counting;
-        let stood = now.standing - self.standing;
+        let boottime = now.boottime - self.boottime;
+        let monotonic = now.monotonic - self.monotonic;
         *self = now;
-        counted.checked_sub(stood).filter(|by| *by >= MIN_SUSPENSION)
+        boottime.checked_sub(monotonic).filter(|suspended| *suspended >= MIN_SUSPENSION)
     }
 }
