--- a/crates/clock/tests/boot_clock.rs
+++ b/crates/clock/tests/boot_clock.rs
@@ -34,7 +34,7 @@
 
 #[test]
 fn a_machine_that_was_not_suspended_is_none_that_was() {
-    let mut watch = SuspendDetector::start();
+    let mut detector = SuspendDetector::start();
     std::thread::sleep(Duration::from_millis(30));
-    assert_eq!(watch.check(), None);
+    assert_eq!(detector.check(), None);
 }
--- a/crates/state/tests/shard_rules.rs
+++ b/crates/state/tests/shard_rules.rs
@@ -67,9 +67,9 @@
     ]
 }
 
-/// The truth about engines, beside what the policy believes.
+/// The actual about engines, beside what the policy believes.
 #[derive(Default)]
-struct TrueEngine {
+struct ActualEngine {
     ready: BTreeSet<AdapterIdx>,
     running: BTreeMap<RequestId, AdapterIdx>,
 }
@@ -78,12 +78,12 @@
     shard: Shard,
     now: Instant,
     next: u64,
-    engines: Vec<TrueEngine>,
+    engines: Vec<ActualEngine>,
     loads: Vec<LoadOrder>,
     granted: BTreeMap<RequestId, EngineIdx>,
-    known: Vec<(RequestId, AdapterIdx)>,
-    decided: BTreeMap<RequestId, u32>,
-    starts: Vec<Instant>,
+    submitted: Vec<(RequestId, AdapterIdx)>,
+    decisions: BTreeMap<RequestId, u32>,
+    load_starts: Vec<Instant>,
     limits: StoreLimits,
     ended: Vec<RequestId>,
 }
@@ -106,12 +106,12 @@
             shard,
             now,
             next: 0,
-            engines: (0..ENGINES).map(|_| TrueEngine::default()).collect(),
+            engines: (0..ENGINES).map(|_| ActualEngine::default()).collect(),
             loads: Vec::new(),
             granted: BTreeMap::new(),
-            known: Vec::new(),
-            decided: BTreeMap::new(),
-            starts: Vec::new(),
+            submitted: Vec::new(),
+            decisions: BTreeMap::new(),
+            load_starts: Vec::new(),
             limits,
             ended: Vec::new(),
         }
@@ -135,54 +135,54 @@
         }
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         let mut actions = Vec::new();
         match step {
             Step::Submit { adapter, priority, within_ms } => {
                 self.next += 1;
                 let id = request_id(ENTRY, self.next);
-                self.known.push((id, adapter));
+                self.submitted.push((id, adapter));
                 let priority = Priority::ALL[usize::from(priority)];
                 let request = self.request(id, adapter, priority, within_ms);
                 self.shard.submit(request, self.now, &mut actions);
             }
             Step::SubmitAgain(pick) => {
-                let waiting = self.known.iter().filter(|(id, _)| {
+                let waiting = self.submitted.iter().filter(|(id, _)| {
                     self.shard.is_waiting(*id)
                         || self.shard.grant(*id).is_some()
                 });
                 let all: Vec<_> = waiting.copied().collect();
-                if let Some((id, adapter)) = pick_of(&all, pick) {
+                if let Some((id, adapter)) = pick_from(&all, pick) {
                     let request =
                         self.request(id, adapter, Priority::Normal, 5_000);
                     self.shard.submit(request, self.now, &mut actions);
                 }
             }
             Step::Cancel(pick) => {
-                let all = self.known.clone();
-                if let Some((id, _)) = pick_of(&all, pick) {
-                    self.forget_running(id);
+                let all = self.submitted.clone();
+                if let Some((id, _)) = pick_from(&all, pick) {
+                    self.stop_running(id);
                     self.shard.cancel(id, self.now, &mut actions);
                 }
             }
             Step::End { pick, how } => {
                 let all: Vec<RequestId> =
                     self.granted.keys().copied().collect();
-                if let Some(id) = pick_of(&all, pick) {
+                if let Some(id) = pick_from(&all, pick) {
                     let end = match how {
                         0 => RequestEnd::Finished,
                         1 => RequestEnd::NotLoaded,
                         2 => RequestEnd::Unreachable,
                         _ => RequestEnd::Failed,
                     };
-                    self.forget_running(id);
+                    self.stop_running(id);
                     self.ended.push(id);
-                    let waits_again = matches!(
+                    let is_requeued = matches!(
                         end,
                         RequestEnd::NotLoaded | RequestEnd::Unreachable
                     );
-                    if waits_again {
-                        *self.decided.entry(id).or_default() -= 1;
+                    if is_requeued {
+                        *self.decisions.entry(id).or_default() -= 1;
                     }
                     self.shard.finish(id, end, self.now, &mut actions);
                 }
@@ -191,7 +191,7 @@
                 let all = self.ended.clone();
                 // Messages of one entry come in order, so a second end never
                 // meets a later grant.
-                if let Some(id) = pick_of(&all, pick)
+                if let Some(id) = pick_from(&all, pick)
                     && self.shard.grant(id).is_none()
                 {
                     let end = RequestEnd::NotLoaded;
@@ -199,7 +199,7 @@
                 }
             }
             Step::Loaded { pick, is_loaded } => {
-                if let Some(order) = pick_of(&self.loads, pick) {
+                if let Some(order) = pick_from(&self.loads, pick) {
                     self.loads.retain(|load| *load != order);
                     if is_loaded {
                         let engine = &mut self.engines[order.engine as usize];
@@ -215,13 +215,13 @@
                 }
             }
             Step::Report { engine, lag_ms } => {
-                let truth = &self.engines[engine as usize];
-                let slots: Vec<ReportedSlot> = truth
+                let actual = &self.engines[engine as usize];
+                let slots: Vec<ReportedSlot> = actual
                     .ready
                     .iter()
                     .map(|adapter| ReportedSlot {
                         adapter: *adapter,
-                        running_len: truth
+                        running_len: actual
                             .running
                             .values()
                             .filter(|on| *on == adapter)
@@ -239,13 +239,13 @@
                 );
             }
             Step::Restart(engine) => {
-                let truth = &mut self.engines[engine as usize];
-                truth.ready.clear();
-                let cut: Vec<RequestId> =
-                    std::mem::take(&mut truth.running).into_keys().collect();
+                let actual = &mut self.engines[engine as usize];
+                actual.ready.clear();
+                let interrupted: Vec<RequestId> =
+                    std::mem::take(&mut actual.running).into_keys().collect();
                 self.loads.retain(|load| load.engine != engine);
                 self.shard.engine_restarted(engine, self.now);
-                for id in cut {
+                for id in interrupted {
                     self.granted.remove(&id);
                     let end = RequestEnd::Failed;
                     self.shard.finish(id, end, self.now, &mut actions);
@@ -273,12 +273,12 @@
                 let held: Vec<RequestId> =
                     self.granted.keys().copied().collect();
                 for id in held {
-                    self.forget_running(id);
+                    self.stop_running(id);
                 }
                 self.shard.entry_lost(ENTRY, self.now, &mut actions);
-                let known = std::mem::take(&mut self.known);
-                for (id, _) in known {
-                    self.decided.entry(id).or_insert(1);
+                let submitted = std::mem::take(&mut self.submitted);
+                for (id, _) in submitted {
+                    self.decisions.entry(id).or_insert(1);
                 }
             }
             Step::Pass(ms) => {
@@ -286,20 +286,20 @@
                 self.shard.tick(self.now, &mut actions);
             }
         }
-        self.carry_out(actions);
+        self.apply_actions(actions);
     }
 
-    fn forget_running(&mut self, id: RequestId) {
+    fn stop_running(&mut self, id: RequestId) {
         if let Some(engine) = self.granted.remove(&id) {
             self.engines[engine as usize].running.remove(&id);
         }
     }
 
-    fn carry_out(&mut self, actions: Vec<ShardAction>) {
+    fn apply_actions(&mut self, actions: Vec<ShardAction>) {
         for action in actions {
             match action {
                 ShardAction::Grant { request, engine, adapter, .. } => {
-                    *self.decided.entry(request).or_default() += 1;
+                    *self.decisions.entry(request).or_default() += 1;
                     assert!(
                         !self.granted.contains_key(&request),
                         "a request got a second seat while it held one"
@@ -309,38 +309,38 @@
                         .slot(adapter)
                         .is_some_and(|slot| slot.state != SlotState::Loading);
                     assert!(holds, "a seat where the adapter is not ready");
-                    let named = self.known.iter().find(|k| k.0 == request);
+                    let named = self.submitted.iter().find(|k| k.0 == request);
                     assert!(
                         named.is_none_or(|(_, named)| *named == adapter),
                         "a seat for an adapter that was not named"
                     );
-                    let truth = &mut self.engines[engine as usize];
+                    let actual = &mut self.engines[engine as usize];
                     self.granted.insert(request, engine);
-                    if truth.ready.contains(&adapter) {
-                        truth.running.insert(request, adapter);
+                    if actual.ready.contains(&adapter) {
+                        actual.running.insert(request, adapter);
                     }
                 }
                 ShardAction::Refuse { request, .. } => {
-                    *self.decided.entry(request).or_default() += 1;
+                    *self.decisions.entry(request).or_default() += 1;
                     assert!(
                         !self.granted.contains_key(&request),
                         "a request that holds a seat was refused"
                     );
                 }
-                ShardAction::Load(order) => self.order(order),
+                ShardAction::Load(order) => self.apply_load_order(order),
             }
         }
     }
 
-    fn order(&mut self, order: LoadOrder) {
-        self.starts.push(self.now);
-        let truth = &mut self.engines[order.engine as usize];
+    fn apply_load_order(&mut self, order: LoadOrder) {
+        self.load_starts.push(self.now);
+        let actual = &mut self.engines[order.engine as usize];
         if let Some(victim) = order.evict {
             assert!(
-                !truth.running.values().any(|on| *on == victim),
+                !actual.running.values().any(|on| *on == victim),
                 "an adapter that serves a request was to be unloaded"
             );
-            truth.ready.remove(&victim);
+            actual.ready.remove(&victim);
         }
         // A load on an engine that is leaving or silent serves no need.
         let engines = self.shard.engines();
@@ -352,7 +352,7 @@
         self.loads.push(order);
     }
 
-    fn check(&self) {
+    fn check_invariants(&self) {
         let engines = self.shard.engines();
         for (idx, engine) in engines.iter().enumerate() {
             assert!(engine.slots.len() <= SLOTS, "more adapters than slots");
@@ -375,22 +375,22 @@
             "more loads at once than the store allows"
         );
         let window = Duration::from_secs(1);
-        for start in &self.starts {
+        for start in &self.load_starts {
             let within = self
-                .starts
+                .load_starts
                 .iter()
                 .filter(|s| **s >= *start && **s < *start + window)
                 .count();
             let allowed = 2.0 * self.limits.rate_per_s + 1.0;
             assert!(within as f64 <= allowed, "loads exceed the store's rate");
         }
-        for (id, times) in &self.decided {
+        for (id, times) in &self.decisions {
             assert!(*times <= 1, "request {id:x} was decided {times} times");
         }
     }
 }
 
-fn pick_of<T: Copy>(all: &[T], pick: usize) -> Option<T> {
+fn pick_from<T: Copy>(all: &[T], pick: usize) -> Option<T> {
     (!all.is_empty()).then(|| all[pick % all.len()])
 }
 
@@ -403,8 +403,8 @@
     ) {
         let mut harness = Harness::new();
         for step in steps {
-            harness.take(step);
-            harness.check();
+            harness.apply(step);
+            harness.check_invariants();
         }
     }
 
@@ -414,18 +414,18 @@
     ) {
         let mut harness = Harness::new();
         for step in steps {
-            harness.take(step);
+            harness.apply(step);
         }
         // Deadlines pass; nothing may wait for ever.
         for _ in 0..60 {
-            harness.take(Step::Pass(1_000));
-            harness.check();
+            harness.apply(Step::Pass(1_000));
+            harness.check_invariants();
         }
         prop_assert_eq!(harness.shard.waiting_len(), 0);
     }
 }
 
-fn shard_of_one(seats: u32) -> (Shard, Instant) {
+fn shard_with_one_engine(seats: u32) -> (Shard, Instant) {
     let now = Instant::now();
     let limits = StoreLimits { rate_per_s: 100.0, concurrency: 100.0 };
     let mut shard = Shard::new(PolicySettings::default(), limits, now);
@@ -464,7 +464,7 @@
 
 #[test]
 fn unload_waits_for_last_request() {
-    let (mut shard, now) = shard_of_one(4);
+    let (mut shard, now) = shard_with_one_engine(4);
     submit(&mut shard, 1, 0, Priority::Normal, now);
     load(&mut shard, 0, now);
     let later = now + Duration::from_secs(2);
@@ -484,7 +484,7 @@
 
 #[test]
 fn unload_waits_for_requests_of_a_previous_leader() {
-    let (mut shard, now) = shard_of_one(4);
+    let (mut shard, now) = shard_with_one_engine(4);
     let reported = [ReportedSlot { adapter: 0, running_len: 1 }];
     shard.apply_report(0, &reported, now, now, &mut Vec::new());
     let later = now + Duration::from_secs(2);
@@ -500,7 +500,7 @@
 
 #[test]
 fn an_unused_grant_blocks_eviction_until_a_later_report() {
-    let (mut shard, now) = shard_of_one(4);
+    let (mut shard, now) = shard_with_one_engine(4);
     submit(&mut shard, 1, 0, Priority::Normal, now);
     load(&mut shard, 0, now);
     let later = now + Duration::from_secs(3);
@@ -524,7 +524,7 @@
 
 #[test]
 fn batch_work_gives_its_seat_to_a_higher_class() {
-    let (mut shard, now) = shard_of_one(1);
+    let (mut shard, now) = shard_with_one_engine(1);
     submit(&mut shard, 1, 0, Priority::Batch, now);
     load(&mut shard, 0, now);
     assert_eq!(shard.granted_len(), 1);
@@ -538,7 +538,7 @@
 
 #[test]
 fn a_leaving_engine_gets_no_new_work() {
-    let (mut shard, now) = shard_of_one(4);
+    let (mut shard, now) = shard_with_one_engine(4);
     submit(&mut shard, 1, 0, Priority::Normal, now);
     load(&mut shard, 0, now);
     shard.mark_engine_leaving(0, now);
@@ -548,7 +548,7 @@
 
 #[test]
 fn a_silent_engine_gets_no_work_and_comes_back_on_probation() {
-    let (mut shard, now) = shard_of_one(32);
+    let (mut shard, now) = shard_with_one_engine(32);
     submit(&mut shard, 1, 0, Priority::Normal, now);
     load(&mut shard, 0, now);
     let later = now + Duration::from_secs(5);
@@ -571,7 +571,7 @@
 
 #[test]
 fn refusals_spread_the_callers() {
-    let (mut shard, now) = shard_of_one(4);
+    let (mut shard, now) = shard_with_one_engine(4);
     shard.mark_engine_leaving(0, now);
     let mut times = BTreeSet::new();
     for sequence in 0..50 {
@@ -586,7 +586,7 @@
 
 #[test]
 fn versions_of_an_adapter_are_distinct() {
-    let (mut shard, now) = shard_of_one(4);
+    let (mut shard, now) = shard_with_one_engine(4);
     submit(&mut shard, 1, 0, Priority::Normal, now);
     load(&mut shard, 0, now);
     // Index 1 is another version of the same adapter; it has no replica.
@@ -603,7 +603,7 @@
 #[test]
 fn an_adapter_on_a_leaving_engine_is_loaded_elsewhere() {
     for leaves in [true, false] {
-        let (mut shard, now) = shard_of_one(4);
+        let (mut shard, now) = shard_with_one_engine(4);
         submit(&mut shard, 1, 0, Priority::Normal, now);
         load(&mut shard, 0, now);
         shard.add_engine("b", 1, 4, now);
@@ -628,7 +628,7 @@
 /// took the slot.
 #[test]
 fn a_drained_adapter_serves_again_when_nobody_takes_its_slot() {
-    let (mut shard, now) = shard_of_one(4);
+    let (mut shard, now) = shard_with_one_engine(4);
     submit(&mut shard, 1, 0, Priority::Normal, now);
     load(&mut shard, 0, now);
     let later = now + Duration::from_secs(1);
@@ -697,7 +697,7 @@
 /// had been granted there too.
 #[test]
 fn an_engine_that_lacks_an_adapter_is_not_asked_again() {
-    let (mut shard, now) = shard_of_one(4);
+    let (mut shard, now) = shard_with_one_engine(4);
     submit(&mut shard, 1, 0, Priority::Normal, now);
     load(&mut shard, 0, now);
     submit(&mut shard, 2, 0, Priority::Normal, now);
@@ -711,7 +711,7 @@
 /// Found by the same: a dead engine was asked again until its silence counted.
 #[test]
 fn an_unreachable_engine_gets_nothing_until_it_reports() {
-    let (mut shard, now) = shard_of_one(4);
+    let (mut shard, now) = shard_with_one_engine(4);
     submit(&mut shard, 1, 0, Priority::Normal, now);
     load(&mut shard, 0, now);
     let mut actions = Vec::new();
