--- a/crates/clock/tests/boot_clock.rs
+++ b/crates/clock/tests/boot_clock.rs
@@ -12,7 +12,7 @@
 
 /// A moment later on the system's clock that counts suspensions is as much later here.
 #[test]
-fn it_goes_as_the_boot_clock_goes() {
+fn instant_advances_with_the_boottime_clock() {
     let before = boot_ns();
     let first = Instant::now();
     std::thread::sleep(Duration::from_millis(5));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_moment_that_is_later_is_no_time_ago() {
+fn duration_since_a_later_instant_is_zero() {
     let first = Instant::now();
     let second = first + Duration::from_secs(3);
     assert_eq!(first - second, Duration::ZERO);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_machine_that_was_not_suspended_is_none_that_was() {
+fn no_suspension_is_reported_on_a_running_machine() {
     let mut detector = SuspendDetector::start();
     std::thread::sleep(Duration::from_millis(30));
     assert_eq!(detector.check(), None);
--- a/crates/state/tests/allocation_rules.rs
+++ b/crates/state/tests/allocation_rules.rs
@@ -19,7 +19,7 @@
 
 proptest! {
     #[test]
-    fn parts_never_exceed_the_store(
+    fn allotments_never_exceed_the_store(
         demands in prop::collection::vec(demand(), 1..64),
         rate_per_s in 0.5f64..50.0,
         concurrency in 1u32..32,
@@ -52,7 +52,7 @@
 
     /// Shards ask in any order and lose answers; an allocator is replaced.
     #[test]
-    fn what_is_in_force_never_exceeds_the_store(
+    fn allotments_in_force_never_exceed_the_store(
         steps in prop::collection::vec(
             (0usize..5, demand(), 0u64..900, prop::bool::weighted(0.8),
              prop::bool::weighted(0.05)),
--- a/crates/state/tests/shard_rules.rs
+++ b/crates/state/tests/shard_rules.rs
@@ -409,7 +409,7 @@
     }
 
     #[test]
-    fn every_request_is_decided_in_the_end(
+    fn every_waiting_request_is_eventually_decided(
         steps in prop::collection::vec(step(), 1..80)
     ) {
         let mut harness = Harness::new();
@@ -570,7 +570,7 @@
 }
 
 #[test]
-fn refusals_spread_the_callers() {
+fn refusals_spread_retry_times() {
     let (mut shard, now) = shard_with_one_engine(4);
     shard.mark_engine_leaving(0, now);
     let mut times = BTreeSet::new();
@@ -627,7 +627,7 @@
 /// for an adapter whose slot was being drained waited for ever when nobody
 /// took the slot.
 #[test]
-fn a_drained_adapter_serves_again_when_nobody_takes_its_slot() {
+fn a_draining_slot_serves_again_when_its_drain_is_not_needed() {
     let (mut shard, now) = shard_with_one_engine(4);
     submit(&mut shard, 1, 0, Priority::Normal, now);
     load(&mut shard, 0, now);
@@ -650,7 +650,7 @@
 /// Found by the same process test: engines with fewer slots than their group
 /// says turned down load after load and were backed off from.
 #[test]
-fn an_engine_with_fewer_slots_than_configured_is_believed() {
+fn a_reported_slot_shortage_reduces_slot_capacity() {
     let now = Instant::now();
     let limits = StoreLimits { rate_per_s: 100.0, concurrency: 100.0 };
     let mut shard = Shard::new(PolicySettings::default(), limits, now);
@@ -696,7 +696,7 @@
 /// went to it again and again until their retries were spent, because others
 /// had been granted there too.
 #[test]
-fn an_engine_that_lacks_an_adapter_is_not_asked_again() {
+fn an_engine_that_lacks_an_adapter_gets_no_more_requests_for_it() {
     let (mut shard, now) = shard_with_one_engine(4);
     submit(&mut shard, 1, 0, Priority::Normal, now);
     load(&mut shard, 0, now);
@@ -762,13 +762,13 @@
 /// The replay's quiet day refused one request, because the backlog of the
 /// cold start counted as an overload long after it had gone.
 #[test]
-fn a_cold_start_is_no_overload() {
+fn a_cold_start_is_not_an_overload() {
     let refused = shard_behind_on_loads(60);
     assert_eq!(refused, 0);
 }
 
 #[test]
-fn a_filled_shard_that_stays_behind_is_an_overload() {
+fn a_full_shard_with_a_load_backlog_is_overloaded() {
     let refused = shard_behind_on_loads(1);
     assert!(refused > 0);
 }
