--- a/crates/state/benches/decisions.rs
+++ b/crates/state/benches/decisions.rs
@@ -41,7 +41,7 @@
         let actions = Vec::new();
         let mut bench = Bench { shard, now, next: 0, adapters, actions };
         for adapter in 0..(engines * SLOTS) as u32 {
-            bench.cold(adapter);
+            bench.run_cold_request(adapter);
         }
         bench.now += Duration::from_secs(1);
         bench
@@ -64,7 +64,7 @@
     }
 
     /// A request for a loaded adapter, from submission to end.
-    fn resident(&mut self, adapter: AdapterIdx) {
+    fn run_resident_request(&mut self, adapter: AdapterIdx) {
         let id = self.submit(adapter);
         let end = RequestEnd::Finished;
         self.shard.finish(id, end, self.now, &mut self.actions);
@@ -72,7 +72,7 @@
     }
 
     /// A request for an adapter that must be loaded, with its load.
-    fn cold(&mut self, adapter: AdapterIdx) {
+    fn run_cold_request(&mut self, adapter: AdapterIdx) {
         let id = self.submit(adapter);
         let order = self.actions.iter().find_map(|action| match action {
             ShardAction::Load(order) => Some(*order),
@@ -98,28 +98,28 @@
             let size = format!("{engines} engines, {adapters} adapters");
             let loaded = (engines * SLOTS) as u32;
             let mut bench = Bench::new(engines, adapters);
-            let mut turn = 0u32;
+            let mut iteration = 0u32;
             criterion.bench_with_input(
                 BenchmarkId::new("resident request", &size),
                 &loaded,
                 |b, loaded| {
                     b.iter(|| {
-                        turn = turn.wrapping_add(7);
-                        bench.resident(turn % loaded);
+                        iteration = iteration.wrapping_add(7);
+                        bench.run_resident_request(iteration % loaded);
                     });
                 },
             );
             let mut bench = Bench::new(engines, adapters);
-            let mut turn = 0u32;
+            let mut iteration = 0u32;
             criterion.bench_with_input(
                 BenchmarkId::new("cold request with load", &size),
                 &loaded,
                 |b, loaded| {
                     b.iter(|| {
-                        turn = turn.wrapping_add(1);
+                        iteration = iteration.wrapping_add(1);
                         bench.now += Duration::from_secs(1);
                         let rest = bench.adapters - loaded;
-                        bench.cold(loaded + turn % rest);
+                        bench.run_cold_request(loaded + iteration % rest);
                     });
                 },
             );
--- a/crates/state/tests/allocation_rules.rs
+++ b/crates/state/tests/allocation_rules.rs
@@ -66,13 +66,13 @@
         let floor = guaranteed_limits(limits, 5);
         // What each shard may use, and until when.
         let mut parts = [(floor, now); 5];
-        for (shard, demand, pause_ms, is_heard, is_replaced) in steps {
+        for (shard, demand, pause_ms, is_received, is_replaced) in steps {
             now += Duration::from_millis(pause_ms);
             if is_replaced {
                 allocator = Allocator::new(limits, names(), now);
             }
             let part = allocator.allocate(&shard.to_string(), demand, now);
-            if is_heard {
+            if is_received {
                 parts[shard] = (part, now + ALLOTMENT_VALIDITY);
             }
             let rate: f64 = parts
