--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -38,6 +38,8 @@
         let boottime = now.boottime - self.boottime;
         let monotonic = now.monotonic - self.monotonic;
         *self = now;
-        boottime.checked_sub(monotonic).filter(|suspended| *suspended >= MIN_SUSPENSION)
+        boottime
+            .checked_sub(monotonic)
+            .filter(|suspended| *suspended >= MIN_SUSPENSION)
     }
 }
--- a/crates/state/src/admission.rs
+++ b/crates/state/src/admission.rs
@@ -133,8 +133,8 @@
         if self.indicates_load_backlog(request) {
             self.overload.observe(wait, self.settings.target_wait, now);
         }
-        let is_limited =
-            request.priority == Priority::Normal && self.overload.is_overloaded(now);
+        let is_limited = request.priority == Priority::Normal
+            && self.overload.is_overloaded(now);
         let longest = match is_limited {
             true => left.min(self.settings.target_wait),
             false => left,
--- a/crates/state/src/allocation.rs
+++ b/crates/state/src/allocation.rs
@@ -149,7 +149,8 @@
 impl ShardRecord {
     /// Returns the most that the shard may use now.
     fn max_usable(&self, floor: StoreLimits, now: Instant) -> StoreLimits {
-        let valid = self.issued.iter().filter(|allotment| allotment.until > now);
+        let valid =
+            self.issued.iter().filter(|allotment| allotment.until > now);
         valid.fold(floor, |max, allotment| StoreLimits {
             rate_per_s: max.rate_per_s.max(allotment.limits.rate_per_s),
             concurrency: max.concurrency.max(allotment.limits.concurrency),
@@ -229,7 +230,10 @@
         };
         if let Some(own) = self.shards.get_mut(shard) {
             own.issued.retain(|allotment| allotment.until > now);
-            own.issued.push(IssuedAllotment { limits, until: now + ALLOTMENT_VALIDITY });
+            own.issued.push(IssuedAllotment {
+                limits,
+                until: now + ALLOTMENT_VALIDITY,
+            });
         }
         limits
     }
--- a/crates/state/src/config.rs
+++ b/crates/state/src/config.rs
@@ -338,7 +338,8 @@
             Some(_) => {}
         }
         if group.adapter_slots == 0 {
-            validator.error(format!("{path}.adapter_slots"), "must be at least 1");
+            validator
+                .error(format!("{path}.adapter_slots"), "must be at least 1");
         }
     }
 
@@ -411,7 +412,11 @@
 /// A grant must outlast a few lost heartbeats.
 const MIN_GRANT_VALIDITY_MS: u64 = 500;
 
-fn check_versions(idx: usize, adapter: &AdapterConfig, validator: &mut Validator) {
+fn check_versions(
+    idx: usize,
+    adapter: &AdapterConfig,
+    validator: &mut Validator,
+) {
     let path = format!("adapters[{idx}].versions");
     if adapter.versions.is_empty() {
         validator.error(path, "an adapter needs at least one version");
--- a/crates/state/src/dispatch.rs
+++ b/crates/state/src/dispatch.rs
@@ -45,7 +45,8 @@
         now: Instant,
         actions: &mut Vec<ShardAction>,
     ) {
-        while let Some((adapter, priority)) = self.next_for_engine(engine, now) {
+        while let Some((adapter, priority)) = self.next_for_engine(engine, now)
+        {
             self.grant_head(adapter, priority, engine, now, actions);
         }
     }
--- a/crates/state/src/eviction.rs
+++ b/crates/state/src/eviction.rs
@@ -57,14 +57,24 @@
             f64::from(host.running_len()) / f64::from(host.seats.max(1));
         let busy_cost = busy * BUSY_COST * self.settings.spread_preference();
         if host.has_empty_slot() {
-            return Some(PlacementTarget { engine, evict: None, cost: busy_cost });
+            return Some(PlacementTarget {
+                engine,
+                evict: None,
+                cost: busy_cost,
+            });
         }
         let (victim, need) = host
             .idle_slots(now)
             .filter(|slot| self.is_evictable(slot, now))
-            .map(|slot| (slot.adapter, self.retention_value(slot.adapter, now)))
+            .map(|slot| {
+                (slot.adapter, self.retention_value(slot.adapter, now))
+            })
             .min_by(|a, b| a.1.total_cmp(&b.1))?;
-        Some(PlacementTarget { engine, evict: Some(victim), cost: need + busy_cost })
+        Some(PlacementTarget {
+            engine,
+            evict: Some(victim),
+            cost: need + busy_cost,
+        })
     }
 
     fn is_evictable(&self, slot: &Slot, now: Instant) -> bool {
@@ -76,7 +86,11 @@
 
     /// Returns what one replica of an adapter is worth, in expected requests
     /// per second.
-    pub(crate) fn retention_value(&self, idx: AdapterIdx, now: Instant) -> f64 {
+    pub(crate) fn retention_value(
+        &self,
+        idx: AdapterIdx,
+        now: Instant,
+    ) -> f64 {
         let adapter = &self.adapters[idx as usize];
         let replicas = adapter.ready.len() + adapter.loading.len();
         adapter.rate_per_s(now) / replicas.max(1) as f64
--- a/crates/state/src/load.rs
+++ b/crates/state/src/load.rs
@@ -82,7 +82,11 @@
     }
 
     /// Removes an adapter from an engine's slots.
-    pub(crate) fn remove_replica(&mut self, engine: EngineIdx, adapter: AdapterIdx) {
+    pub(crate) fn remove_replica(
+        &mut self,
+        engine: EngineIdx,
+        adapter: AdapterIdx,
+    ) {
         let host = &mut self.engines[engine as usize];
         host.slots.retain(|slot| slot.adapter != adapter);
         let state = &mut self.adapters[adapter as usize];
--- a/crates/state/src/placement.rs
+++ b/crates/state/src/placement.rs
@@ -114,7 +114,9 @@
         if !may_load || rate < PREFETCH_MIN_RATE_PER_S {
             return;
         }
-        let Some(target) = self.cheapest_target(candidate, now) else { return };
+        let Some(target) = self.cheapest_target(candidate, now) else {
+            return;
+        };
         if target.evict.is_none() || rate > target.cost * PREFETCH_MARGIN {
             self.order_load(candidate, target, now, actions);
         }
--- a/crates/state/src/report.rs
+++ b/crates/state/src/report.rs
@@ -66,7 +66,9 @@
             .slots
             .iter()
             .filter(|slot| slot.state != SlotState::Loading)
-            .filter(|slot| slot.granted_len == 0 && slot.last_used < report_time)
+            .filter(|slot| {
+                slot.granted_len == 0 && slot.last_used < report_time
+            })
             .filter(|slot| {
                 !reported.iter().any(|seen| seen.adapter == slot.adapter)
             })
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -194,7 +194,8 @@
             return idx;
         }
         let idx = self.engines.len() as EngineIdx;
-        let engine = Engine::new(endpoint.to_owned(), slot_capacity, seats, now);
+        let engine =
+            Engine::new(endpoint.to_owned(), slot_capacity, seats, now);
         self.engines.push(engine);
         self.engine_by_id.insert(endpoint.to_owned(), idx);
         idx
@@ -382,7 +383,8 @@
         let is_gone = self.engines[grant.engine as usize]
             .slot(grant.adapter)
             .is_some_and(|slot| {
-                slot.state != SlotState::Loading && slot.ready_at <= grant.granted
+                slot.state != SlotState::Loading
+                    && slot.ready_at <= grant.granted
             });
         if is_gone {
             self.remove_replica(grant.engine, grant.adapter);
