--- a/crates/clock/tests/boot_clock.rs
+++ b/crates/clock/tests/boot_clock.rs
@@ -1,4 +1,4 @@
-//! The clock of decisions counts the time of a suspension.
+//! `Instant` follows `CLOCK_BOOTTIME`, which includes suspended time.
 
 use std::time::Duration;
 
@@ -10,7 +10,8 @@
     i128::from(time.tv_sec) * 1_000_000_000 + i128::from(time.tv_nsec)
 }
 
-/// A moment later on the system's clock that counts suspensions is as much later here.
+/// The time between two `Instant`s is at most the time between two readings of
+/// `CLOCK_BOOTTIME` taken around them, and at least the sleep in between.
 #[test]
 fn instant_advances_with_the_boottime_clock() {
     let before = boot_ns();
