--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,12 +1,27 @@
-//! The decisions of sedgewall, as pure state.
+//! The scheduling policy of shards with leaders, as a state machine without
+//! I/O.
 //!
-//! Everything here takes events and returns actions. Nothing here does I/O,
-//! reads a clock or draws random numbers: the caller passes the time in as an
-//! [`Instant`](sedgewall_clock::Instant), so that a replay in virtual time and a
-//! daemon on a real clock run the same code.
+//! Every method takes an event and appends the resulting actions. Nothing here
+//! does I/O, reads a clock or draws random numbers: the caller passes the time
+//! as an [`Instant`](sedgewall_clock::Instant), so that a replay in virtual
+//! time and a daemon on a real clock run the same code.
 //!
-//! The crate leaves leases, membership and configuration versions to
+//! Leases, membership and configuration versions belong to
 //! `sedgewall-coordination`, and all wire formats to `sedgewall-protocol`.
+//!
+//! # Terms
+//!
+//! - An *engine* is a model server that runs requests for one base model. It
+//!   has *slots*, each of which holds one adapter version, and *seats*: the
+//!   number of requests that it runs in one batch.
+//! - A *shard* is a set of engines of one base model in one region. One
+//!   instance, its *leader*, decides for all of them.
+//! - An *entry instance* (`entry` in identifiers) is the instance that
+//!   accepted a request from a caller. It submits the request to the leader
+//!   and sends it to the engine that the leader names.
+//! - A *grant* assigns a request to a seat on an engine.
+//! - The *weight store* holds the weights of adapters. A *load* copies them to
+//!   an engine. All shards share the store's limits.
 
 pub mod action;
 pub mod adapter;
