--- a/crates/state/src/service.rs
+++ b/crates/state/src/service.rs
@@ -1,38 +1,44 @@
-//! Routing of plain services: least outstanding calls, within limits.
+//! Load balancing of plain services by the least outstanding calls, with a
+//! limit per endpoint.
 //!
-//! Plain services share nothing with the queues of the model side, so that a
-//! storm there cannot slow them. The module keeps one invariant: an endpoint
-//! never has more calls from this instance than its limit, and gets none while it
-//! rests.
+//! Plain services, which run no model, share no state with the queues for
+//! engines, so that a spike of model requests cannot slow them. The module
+//! keeps one invariant: an endpoint never has more calls from this instance
+//! than the limit, and gets no call during its cooldown.
 
 use sedgewall_clock::Instant;
 
 use crate::id::EndpointId;
 
-/// One endpoint of a plain service, as one entry sees it.
+/// The state of one endpoint of a plain service, as one instance sees it.
 #[derive(Clone, Debug)]
 pub struct ServiceEndpoint {
-    /// The platform's name for it.
+    /// The id that the platform gives to the endpoint.
     pub endpoint: EndpointId,
-    /// Calls under way from this instance.
+    /// The number of calls from this instance that have not ended.
     pub outstanding: u32,
-    /// Whether it may get new calls.
+    /// Whether the endpoint may get new calls: it is listed as live.
     pub takes_work: bool,
-    /// Failures in a row, which put it behind its peers.
+    /// The number of consecutive failed calls. Endpoints with fewer failures
+    /// are preferred.
     pub failures: u32,
-    /// Until when it wants no calls from this instance, as it said when it turned
-    /// one away.
+    /// The end of the cooldown that the endpoint requested when it last
+    /// rejected a call of this instance.
     pub cooldown_until: Option<Instant>,
 }
 
 impl ServiceEndpoint {
-    /// Returns whether it wants no calls now.
+    /// Returns whether the endpoint's cooldown has not ended.
     pub fn is_cooling_down(&self, now: Instant) -> bool {
         self.cooldown_until.is_some_and(|until| now < until)
     }
 }
 
-/// Picks the endpoint for the next call, or none if all are at the limit or rest.
+/// Returns the index of the endpoint for the next call: of those with the
+/// fewest consecutive failures, the one with the fewest outstanding calls.
+///
+/// Returns `None` if every endpoint is unavailable, at the limit or in its
+/// cooldown.
 pub fn pick_endpoint(
     endpoints: &[ServiceEndpoint],
     limit: u32,
