--- a/crates/state/src/priority.rs
+++ b/crates/state/src/priority.rs
@@ -1,18 +1,18 @@
-//! Priorities of requests.
+//! Priority classes of requests.
 //!
-//! Callers send an RFC 9218 urgency from 0 to 7. We keep three classes,
-//! because an engine batch has few seats and finer classes were never told
-//! apart by the queues.
+//! Callers send an RFC 9218 urgency from 0 to 7, which is mapped to three
+//! classes. An engine's batch has few seats, and finer classes made no
+//! difference in the queues.
 
 use serde::{Deserialize, Serialize};
 
 /// The number of priority classes.
 pub const CLASSES: usize = 3;
 
-/// The urgency that RFC 9218 gives to a request that names none.
+/// The urgency of a request that does not state one, as RFC 9218 defines it.
 pub const DEFAULT_URGENCY: u8 = 3;
 
-/// The class of a request, most urgent first.
+/// The priority class of a request, most urgent first.
 #[derive(
     Clone,
     Copy,
@@ -33,7 +33,8 @@
     /// Urgency 3 and 4, and requests without an urgency.
     #[default]
     Normal,
-    /// Urgency 5 to 7: work that fills what the others leave.
+    /// Urgency 5 to 7: background work that uses the capacity left over by the
+    /// other classes.
     Batch,
 }
 
@@ -51,13 +52,14 @@
         }
     }
 
-    /// Returns the position of this class, 0 being the most urgent.
+    /// Returns the index of this class in [`Priority::ALL`]; 0 is the most
+    /// urgent.
     pub fn rank(self) -> usize {
         self as usize
     }
 
-    /// Returns how much one waiting request of this class counts when loads
-    /// are compared.
+    /// Returns the weight of one waiting request of this class when the policy
+    /// chooses which adapter to load next.
     pub fn weight(self) -> f64 {
         match self {
             Priority::High => 64.0,
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Returns the class as it is written in logs and metrics.
+    /// Returns the name of the class in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Priority::High => "high",
