--- a/crates/state/src/settings.rs
+++ b/crates/state/src/settings.rs
@@ -1,26 +1,30 @@
-//! What operators can tell the policy.
+//! The settings of the policy that operators can change.
 
 use std::time::Duration;
 
-/// What the policy can be told by operators.
+/// The settings of the policy that operators can change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PolicySettings {
-    /// How much load stalls count, against `batch_weight`.
+    /// The weight of avoiding stalls, which are requests that wait for their
+    /// adapter to load. Only its ratio to `batch_weight` matters.
     pub stall_weight: f64,
-    /// How much full batches count, against `stall_weight`.
+    /// The weight of filling batches. Only its ratio to `stall_weight`
+    /// matters.
     pub batch_weight: f64,
-    /// Requests that may wait in one shard.
+    /// The maximum number of waiting requests in one shard.
     pub queue_len: usize,
-    /// The part of the queue that one caller may hold once it is half full.
+    /// The fraction of the queue that one caller may hold while the queue is
+    /// at least half full.
     pub caller_share: f64,
-    /// Waiting this long lifts a request by one class.
+    /// The waiting time after which a request is raised by one priority class.
     pub aging: Duration,
-    /// In a lasting overload, requests of normal priority that would wait
-    /// longer than this are refused at once.
+    /// The longest predicted wait that a new request of normal priority may
+    /// have during a sustained overload. Requests with a longer one are
+    /// refused at once.
     pub target_wait: Duration,
-    /// How long a grant may be used after it was given.
+    /// The time within which an entry instance may start a granted request.
     pub grant_validity: Duration,
-    /// An engine without a report for this long gets no work.
+    /// The time without a report after which an engine gets no work.
     pub silent_after: Duration,
 }
 
@@ -40,20 +44,21 @@
 }
 
 impl PolicySettings {
-    /// Returns whether seats are filled engine by engine rather than spread.
+    /// Returns whether dispatch fills one engine's batch before it uses the
+    /// next engine, instead of spreading requests over engines.
     pub fn prefers_full_batches(&self) -> bool {
         self.batch_weight > self.stall_weight
     }
 
-    /// Returns how far work is spread over engines: 1 if only stalls count, -1
-    /// if only full batches do.
+    /// Returns how strongly work is spread over engines, from 1 if only stalls
+    /// count to -1 if only full batches count.
     pub fn spread_preference(&self) -> f64 {
         let total = (self.stall_weight + self.batch_weight).max(0.001);
         (self.stall_weight - self.batch_weight) / total
     }
 
-    /// Returns how many load times a queue must last before a further replica
-    /// is worth its load.
+    /// Returns the time to drain an adapter's queue, as a multiple of the time
+    /// of a load, above which loading a further replica is worthwhile.
     pub fn replica_threshold(&self) -> f64 {
         let total = (self.stall_weight + self.batch_weight).max(0.001);
         0.5 + 2.0 * self.batch_weight / total
