--- a/crates/state/src/config.rs
+++ b/crates/state/src/config.rs
@@ -1,9 +1,9 @@
-//! The configuration that operators apply, as typed data with its rules.
+//! The configuration that operators apply, and its validation.
 //!
-//! Reading files belongs to `sedgewall-protocol`, versions and agreement to
-//! `sedgewall-coordination`. The module keeps one invariant: a [`Config`] for
-//! which [`Config::validation_errors`] is empty has no dangling reference and no name
-//! twice.
+//! Reading files belongs to `sedgewall-protocol`; versions, and the agreement
+//! of instances on one of them, belong to `sedgewall-coordination`. The module
+//! keeps one invariant: a [`Config`] for which [`Config::validation_errors`]
+//! is empty has no dangling references and no duplicate names.
 
 use std::{
     collections::HashSet,
@@ -22,114 +22,118 @@
     shard::PolicySettings,
 };
 
-/// The longest name of anything, in bytes.
+/// The maximum length of any name in the configuration, in bytes.
 pub const MAX_NAME_LEN: usize = 120;
 
-/// The most versions that one adapter may have at once.
+/// The maximum number of versions of one adapter.
 pub const MAX_VERSIONS: usize = 16;
 
-/// The region of every zone that no declared region names.
+/// The region of the availability zones that belong to no declared region.
 pub const DEFAULT_REGION: &str = "default";
 
-/// Everything that operators declare.
+/// The whole configuration of shards with leaders, as operators declare it.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Config {
-    /// The base models.
+    /// The base models that engines run.
     pub base_models: Vec<BaseModel>,
-    /// The adapters, each on one base model.
+    /// The adapters, each of which belongs to one base model.
     pub adapters: Vec<AdapterConfig>,
-    /// The groups of endpoints; their members come from the instance list.
+    /// The groups of endpoints. Their members come from the platform's
+    /// instance list.
     pub endpoint_groups: Vec<EndpointGroup>,
     /// The regions and their availability zones.
     pub regions: Vec<Region>,
-    /// Adapters that operators expect to be asked for.
+    /// The spikes of requests that operators expect.
     pub expected_spikes: Vec<ExpectedSpike>,
-    /// The weight store's limits.
+    /// The limits of the weight store, over all shards together.
     pub weight_store: WeightStore,
-    /// The policy's knobs.
+    /// The settings of the scheduling policy.
     pub policy: Policy,
 }
 
-/// One base model.
+/// The configuration of one base model.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct BaseModel {
-    /// Its name.
+    /// The model's name, unique among base models.
     pub name: ModelName,
-    /// Into how many shards the engines of a region are divided.
+    /// The number of shards into which the model's engines of one region are
+    /// divided.
     pub shards_per_region: u32,
 }
 
-/// One adapter.
+/// The configuration of one adapter.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct AdapterConfig {
-    /// Its name.
+    /// The adapter's name, unique among adapters.
     pub name: AdapterName,
-    /// The base model that it belongs to.
+    /// The base model that the adapter extends.
     pub base_model: ModelName,
-    /// The versions that may be asked for.
+    /// The versions that requests may name.
     pub versions: Vec<AdapterVersion>,
-    /// The class of requests that name no urgency.
+    /// The priority class of requests that state no urgency.
     pub priority: Priority,
 }
 
-/// What the endpoints of a group are.
+/// The kind of the endpoints of a group.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointKind {
-    /// A model engine.
+    /// Engines, which run a base model and its adapters.
     Engine,
-    /// A plain service.
+    /// Plain services, which run no model and get calls from any instance.
     Service,
 }
 
-/// A group of endpoints that are alike.
+/// A group of endpoints of the same kind and capacity.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EndpointGroup {
-    /// Its name; the instance list names it for each member.
+    /// The group's name, by which the platform's instance list assigns members
+    /// to it.
     pub name: GroupName,
-    /// What its members are.
+    /// The kind of the group's members.
     pub kind: EndpointKind,
-    /// The base model of engines.
+    /// The base model that the engines run; `None` for plain services.
     pub base_model: Option<ModelName>,
-    /// Adapters that an engine holds at once.
+    /// The number of adapters that one engine can hold at once.
     pub adapter_slots: u32,
-    /// Requests that an engine runs in one batch, or calls that one instance
-    /// sends to one plain service at once.
+    /// The number of requests that one engine runs in a batch, or of
+    /// concurrent calls that one instance sends to one endpoint of a plain
+    /// service.
     pub seats: u32,
-    /// Whether members refuse orders of an older epoch.
+    /// Whether the engines reject load orders of an older epoch.
     pub checks_fences: bool,
 }
 
-/// A region.
+/// A set of availability zones whose engines are divided into shards together.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Region {
-    /// Its name.
+    /// The region's name, the first part of its shards' ids.
     pub name: String,
-    /// Its availability zones.
+    /// The availability zones of the region. A zone belongs to one region.
     pub zones: Vec<ZoneName>,
 }
 
-/// A time in which an adapter will be asked for.
+/// A period in which operators expect requests for an adapter.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ExpectedSpike {
-    /// The adapter.
+    /// The name of the adapter.
     pub adapter: AdapterName,
-    /// The version.
+    /// The version of the adapter.
     pub version: AdapterVersion,
-    /// Requests per second.
+    /// The expected rate, in requests per second.
     pub rate_per_s: f64,
-    /// When it starts.
+    /// The start of the period.
     pub starts: SystemTime,
-    /// How long it lasts.
+    /// The length of the period.
     pub lasts: Duration,
 }
 
-/// The weight store's limits, over all shards together.
+/// The limits of the weight store, over all shards together.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct WeightStore {
-    /// Loads per second.
+    /// The number of loads that may start per second.
     pub rate_per_s: f64,
-    /// Loads at once at full speed.
+    /// The number of concurrent loads that the store serves at full speed.
     pub concurrency: f64,
 }
 
@@ -139,25 +143,32 @@
     }
 }
 
-/// The policy's knobs.
+/// The settings of the scheduling policy, as they are written in the
+/// configuration. [`PolicySettings`] is their form in a shard.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Policy {
-    /// How much load stalls count.
+    /// The weight of avoiding stalls, which are requests that wait for their
+    /// adapter to load.
     pub stall_weight: f64,
-    /// How much full batches count.
+    /// The weight of filling batches.
     pub batch_weight: f64,
-    /// Requests that may wait in one shard.
+    /// The maximum number of waiting requests in one shard.
     pub queue_len: u32,
-    /// The part of the queue that one caller may hold once it is half full.
+    /// The fraction of the queue that one caller may hold while the queue is
+    /// at least half full.
     pub caller_share: f64,
-    /// Waiting this long lifts a request by one class, in milliseconds.
+    /// The waiting time after which a request is raised by one priority class,
+    /// in milliseconds.
     pub aging_ms: u64,
-    /// In a lasting overload, normal requests that would wait longer than this
-    /// are refused at once, in milliseconds.
+    /// The longest predicted wait that a new request of normal priority may
+    /// have during a sustained overload, in milliseconds. Requests with a
+    /// longer one are refused at once.
     pub target_wait_ms: u64,
-    /// How long a grant may be used, in milliseconds.
+    /// The time within which an entry instance may start a granted request, in
+    /// milliseconds.
     pub grant_validity_ms: u64,
-    /// An engine silent for this long gets no work, in milliseconds.
+    /// The time without a report after which an engine gets no work, in
+    /// milliseconds.
     pub silent_after_ms: u64,
 }
 
@@ -178,7 +189,7 @@
 }
 
 impl Policy {
-    /// Returns the settings that a shard works with.
+    /// Converts the policy to the settings of a [`Shard`](crate::Shard).
     pub fn settings(&self) -> PolicySettings {
         PolicySettings {
             stall_weight: self.stall_weight,
@@ -193,18 +204,18 @@
     }
 }
 
-/// A rule that a configuration breaks.
+/// A rule of validation that a configuration breaks.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ValidationError {
-    /// The field, such as `adapters[17].base_model`.
+    /// The path of the invalid field, such as `adapters[17].base_model`.
     pub path: String,
-    /// What is wrong.
+    /// The broken rule, for operators to read after the path.
     pub cause: String,
 }
 
 impl Config {
-    /// Returns every rule that the configuration breaks, in the order of its
-    /// fields.
+    /// Validates the configuration and returns all errors, in the order of its
+    /// fields. A valid configuration has none.
     pub fn validation_errors(&self) -> Vec<ValidationError> {
         let mut validator = Validator::default();
         self.check_base_models(&mut validator);
@@ -216,17 +227,18 @@
         validator.errors
     }
 
-    /// Returns the base model of a name.
+    /// Returns the base model with a name.
     pub fn base_model(&self, name: &str) -> Option<&BaseModel> {
         self.base_models.iter().find(|model| model.name == name)
     }
 
-    /// Returns the endpoint group of a name.
+    /// Returns the endpoint group with a name.
     pub fn group(&self, name: &str) -> Option<&EndpointGroup> {
         self.endpoint_groups.iter().find(|group| group.name == name)
     }
 
-    /// Returns the region of an availability zone.
+    /// Returns the region of an availability zone, which is
+    /// [`DEFAULT_REGION`] if no declared region contains the zone.
     pub fn region_of(&self, zone: &str) -> &str {
         self.regions
             .iter()
@@ -234,7 +246,8 @@
             .map_or(DEFAULT_REGION, |region| region.name.as_str())
     }
 
-    /// Returns the names of all regions; there is always one.
+    /// Returns the names of all regions, or just [`DEFAULT_REGION`] if none is
+    /// declared.
     pub fn region_names(&self) -> Vec<&str> {
         if self.regions.is_empty() {
             return vec![DEFAULT_REGION];
@@ -242,7 +255,7 @@
         self.regions.iter().map(|region| region.name.as_str()).collect()
     }
 
-    /// Returns the ids of all shards.
+    /// Returns the ids of all shards, by region, then by base model.
     pub fn shard_ids(&self) -> Vec<ShardId> {
         let mut ids = Vec::new();
         for region in self.region_names() {
@@ -255,7 +268,7 @@
         ids
     }
 
-    /// Returns the weight store's limits.
+    /// Returns the limits of the whole weight store.
     pub fn store_limits(&self) -> StoreLimits {
         StoreLimits {
             rate_per_s: self.weight_store.rate_per_s,
@@ -263,7 +276,8 @@
         }
     }
 
-    /// Returns what one shard may use of the weight store without asking.
+    /// Returns the limits of the weight store that each shard may use without
+    /// an allotment. A single shard may use the whole store.
     pub fn guaranteed_store(&self) -> StoreLimits {
         let len = self.shard_ids().len();
         match len {
@@ -272,7 +286,8 @@
         }
     }
 
-    /// Returns the shard whose leader divides the weight store.
+    /// Returns the shard whose leader allocates the weight store to all
+    /// shards: the first one, if there is any.
     pub fn allocator_shard(&self) -> Option<ShardId> {
         self.shard_ids().into_iter().next()
     }
@@ -409,7 +424,8 @@
     }
 }
 
-/// A grant must outlast a few lost heartbeats.
+/// The shortest allowed validity of a grant, which must exceed the time of a
+/// few lost heartbeats.
 const MIN_GRANT_VALIDITY_MS: u64 = 500;
 
 fn check_versions(
@@ -435,11 +451,13 @@
     }
 }
 
-/// Returns the id of a shard.
+/// Returns the id of the shard with an index among the shards of a base model
+/// in a region.
 pub fn shard_id(region: &str, model: &str, idx: u32) -> ShardId {
     format!("{region}.{model}.{idx}")
 }
 
+/// Collects the validation errors of a configuration.
 #[derive(Default)]
 struct Validator {
     errors: Vec<ValidationError>,
@@ -494,7 +512,8 @@
     }
 }
 
-/// Names go into keys, paths and the `model` field, which splits at `@`.
+/// Returns whether a name may contain a character. Names become parts of keys,
+/// paths and the `model` field, where `@` separates name and version.
 fn is_name_char(c: char) -> bool {
     c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.')
 }
