--- a/crates/state/src/engine.rs
+++ b/crates/state/src/engine.rs
@@ -1,8 +1,9 @@
-//! What the shard knows of one engine: its slots, its seats and its health.
+//! The shard's state of one engine: its slots, its seats and its health.
 //!
 //! A slot holds one adapter version; a seat holds one running request. The
-//! module keeps the rule that a slot with granted or running requests is never
-//! free to be evicted: [`Engine::idle_slots`] is the only way to a victim.
+//! module keeps one invariant: a slot with granted or running requests is
+//! never evicted. Eviction selects its victims only from
+//! [`Engine::idle_slots`].
 
 use std::time::Duration;
 
@@ -13,98 +14,110 @@
     priority::{CLASSES, Priority},
 };
 
-/// The life of a slot's content.
+/// The state of the adapter in a slot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SlotState {
-    /// A load order is out.
+    /// The engine was ordered to load the adapter and has not answered.
     Loading,
-    /// The adapter serves.
+    /// The adapter is loaded and takes requests.
     Ready,
-    /// The adapter finishes what it runs and takes nothing new.
+    /// The adapter finishes its running requests and takes no new ones.
     Draining,
 }
 
-/// One occupied adapter slot.
+/// An adapter slot of an engine that holds or loads an adapter.
 #[derive(Clone, Debug)]
 pub struct Slot {
-    /// The adapter version in it.
+    /// The adapter version in the slot.
     pub adapter: AdapterIdx,
-    /// Its state.
+    /// The state of that adapter version.
     pub state: SlotState,
-    /// Requests that we granted and that have not ended.
+    /// The number of requests that this leader granted in the slot and that
+    /// have not ended.
     pub granted_len: u32,
-    /// Requests that the engine's last report showed beyond our grants, such
-    /// as those of a previous leader.
+    /// The number of requests that may run in the slot without a grant of this
+    /// leader: those of a previous leader that the engine reported, and those
+    /// whose grant was given up.
     pub untracked_len: u32,
-    /// When it became ready, or its load began.
+    /// The time at which the adapter became ready or, while it loads, at which
+    /// the load was ordered.
     pub ready_at: Instant,
-    /// When it was last granted to, or became ready.
+    /// The time at which the adapter last became ready, got a grant or lost a
+    /// grant that was given up.
     pub last_used: Instant,
 }
 
 impl Slot {
-    /// Returns whether nothing runs in it, as far as anybody knows.
+    /// Returns whether no request is known to run in the slot.
     pub fn is_idle(&self) -> bool {
         self.granted_len == 0 && self.untracked_len == 0
     }
 }
 
-/// How far an engine is trusted.
+/// The health of an engine, which limits the work that it gets.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Health {
-    /// It gets work up to its seats.
+    /// The engine gets as many requests as it has seats.
     Live,
-    /// It came back or was slow; it gets a few requests at a time.
+    /// The engine came back, failed or was slow, and gets at most
+    /// [`PROBATION_SEATS`] requests at a time.
     Probation,
-    /// Its reports stopped; it gets nothing.
+    /// The engine's reports stopped, or it could not be connected to. It gets
+    /// no requests.
     Silent,
-    /// It is leaving; it gets nothing and finishes what it runs.
+    /// The engine is leaving. It gets no requests and finishes the running
+    /// ones.
     Leaving,
 }
 
-/// One engine of the shard.
+/// The state of one engine of the shard.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    /// The platform's name for it.
+    /// The id that the platform gives to the engine.
     pub endpoint: EndpointId,
-    /// How many adapters the configuration says it holds at once.
+    /// The number of adapters that the engine can hold according to the
+    /// configuration.
     pub configured_slots: usize,
-    /// How many it holds at once, as far as it has shown.
+    /// The number of adapters that the engine can hold according to its own
+    /// answers and reports, at most `configured_slots`.
     pub slot_capacity: usize,
-    /// How many requests it runs in one batch.
+    /// The number of requests that the engine runs in one batch.
     pub seats: u32,
-    /// Occupied slots.
+    /// The slots that hold or load an adapter; empty slots are not listed.
     pub slots: Vec<Slot>,
-    /// Granted requests by class.
+    /// The number of granted requests that have not ended, by priority class.
     pub running: [u32; CLASSES],
-    /// Its health.
+    /// The health of the engine, which limits the work that it gets.
     pub health: Health,
-    /// Whether it has reported since we know of it. A new leader orders no
-    /// load before, because it does not know what the engine holds.
+    /// Whether the engine has reported to this leader. A new leader orders no
+    /// load before the first report, because it does not know which adapters
+    /// the engine holds.
     pub has_reported: bool,
-    /// When its last report came.
+    /// The time at which the last report arrived or, before the first one, at
+    /// which the engine was added.
     pub last_report: Instant,
-    /// When it entered its present health.
+    /// The time at which `health` last changed.
     pub health_since: Instant,
-    /// Smoothed time to the first token, in seconds.
+    /// The moving average of the time to the first token, in seconds; 0 before
+    /// the first sample.
     pub first_token_s: f64,
-    /// No load is ordered before this time.
+    /// The end of the back-off after failed loads; no load starts before it.
     pub load_after: Option<Instant>,
-    /// Failed loads in a row.
+    /// The number of consecutive failed loads, of any adapter.
     pub load_failures: u32,
-    /// Nothing is evicted before this time, because a previous leader's
-    /// grants may still arrive.
+    /// The time before which no adapter is evicted, because a request that a
+    /// previous leader granted may still arrive.
     pub evict_after: Instant,
 }
 
-/// Requests that an engine on probation runs at once.
+/// The number of requests that an engine on probation runs at once.
 pub const PROBATION_SEATS: u32 = 4;
 
-/// How long an engine stays on probation.
+/// The shortest time for which an engine stays on probation.
 pub const PROBATION_PERIOD: Duration = Duration::from_secs(5);
 
 impl Engine {
-    /// Returns an engine that holds nothing yet.
+    /// Returns a live engine without adapters that has not reported.
     pub fn new(
         endpoint: EndpointId,
         slot_capacity: usize,
@@ -129,20 +142,22 @@
         }
     }
 
-    /// Returns the number of requests granted here.
+    /// Returns the number of granted requests that have not ended.
     pub fn running_len(&self) -> u32 {
         self.running.iter().sum()
     }
 
-    /// Returns whether the engine may get new work.
+    /// Returns whether the engine may get new requests: it is live or on
+    /// probation.
     pub fn takes_work(&self) -> bool {
         matches!(self.health, Health::Live | Health::Probation)
     }
 
-    /// Returns the seats that a request of one class finds free.
+    /// Returns the number of seats that are available to requests of a
+    /// priority class.
     ///
-    /// The engine honours priorities, so batch work gives way: a request of a
-    /// higher class may take a seat that batch work holds.
+    /// The engine honours priorities: batch requests give way. So a request of
+    /// a higher class may take a seat that a batch request holds.
     pub fn free_seats(&self, priority: Priority) -> u32 {
         let seats = match self.health {
             Health::Live => self.seats,
@@ -156,27 +171,28 @@
         seats.saturating_sub(taken)
     }
 
-    /// Returns the slot that holds an adapter.
+    /// Returns the slot that holds or loads an adapter.
     pub fn slot(&self, adapter: AdapterIdx) -> Option<&Slot> {
         self.slots.iter().find(|slot| slot.adapter == adapter)
     }
 
-    /// Returns the slot that holds an adapter, to change it.
+    /// Returns a mutable reference to the slot that holds or loads an adapter.
     pub fn slot_mut(&mut self, adapter: AdapterIdx) -> Option<&mut Slot> {
         self.slots.iter_mut().find(|slot| slot.adapter == adapter)
     }
 
-    /// Returns whether a slot is empty.
+    /// Returns whether the engine has an empty slot.
     pub fn has_empty_slot(&self) -> bool {
         self.slots.len() < self.slot_capacity
     }
 
-    /// Returns whether a load is under way here.
+    /// Returns whether the engine is loading an adapter.
     pub fn is_loading(&self) -> bool {
         self.slots.iter().any(|slot| slot.state == SlotState::Loading)
     }
 
-    /// Returns the slots whose adapter may be unloaded now.
+    /// Returns the slots whose adapter may be evicted now: those without
+    /// requests that are not loading, once evictions are allowed.
     pub fn idle_slots(&self, now: Instant) -> impl Iterator<Item = &Slot> {
         let may_evict = self.evict_after <= now;
         self.slots.iter().filter(move |slot| {
@@ -184,14 +200,14 @@
         })
     }
 
-    /// Returns whether a load may be ordered here now.
+    /// Returns whether the engine may be ordered to load an adapter now.
     pub fn may_load(&self, now: Instant) -> bool {
         self.health == Health::Live
             && self.has_reported
             && self.load_after.is_none_or(|after| after <= now)
     }
 
-    /// Changes the health and notes the time.
+    /// Sets the health, and the time of its change if it changed.
     pub fn set_health(&mut self, health: Health, now: Instant) {
         if self.health != health {
             self.health = health;
