--- a/crates/state/src/action.rs
+++ b/crates/state/src/action.rs
@@ -1,4 +1,5 @@
-//! What goes into a shard and what comes out: grants, orders, ends, reports.
+//! The inputs and outputs of a shard: grants, load orders, outcomes of
+//! requests and reports of engines.
 
 use std::time::Duration;
 
@@ -11,80 +12,84 @@
     queue::Request,
 };
 
-/// A request that was given a seat.
+/// The assignment of a request to a seat on an engine.
 #[derive(Clone, Debug)]
 pub struct Grant {
-    /// The adapter version.
+    /// The adapter version that the request runs on.
     pub adapter: AdapterIdx,
-    /// The engine.
+    /// The engine that runs the request.
     pub engine: EngineIdx,
-    /// The class whose seat it holds.
+    /// The priority class under which the seat is counted.
     pub priority: Priority,
-    /// When it was given.
+    /// The time at which the grant was made.
     pub granted: Instant,
-    /// When it may no longer be used to start.
+    /// The time from which the entry instance may no longer start the request.
     pub expires: Instant,
-    /// The request, to put back if the engine turns it down.
+    /// The granted request, which is requeued if the engine rejects it.
     pub request: Request,
 }
 
-/// An order to an engine: load one adapter, unloading another first.
+/// An order to an engine to load an adapter, after unloading another one if no
+/// slot is empty.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LoadOrder {
-    /// The engine.
+    /// The engine that gets the order.
     pub engine: EngineIdx,
     /// The adapter version to load.
     pub adapter: AdapterIdx,
-    /// The adapter version that leaves.
+    /// The adapter version to unload first; `None` if a slot is empty.
     pub evict: Option<AdapterIdx>,
 }
 
-/// What a shard wants done.
+/// An action that the caller of a [`Shard`](crate::Shard) method must carry
+/// out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ShardAction {
-    /// Tell the entry to run a request on an engine.
+    /// Tell the entry instance to run a request on an engine.
     Grant {
-        /// The request.
+        /// The granted request.
         request: RequestId,
-        /// The engine.
+        /// The engine that runs the request.
         engine: EngineIdx,
-        /// The adapter version.
+        /// The adapter version that the request runs on.
         adapter: AdapterIdx,
-        /// How long the request waited.
+        /// The time from the submission of the request to the grant.
         waited: Duration,
-        /// Whether it waited for its adapter to load.
+        /// Whether no engine served the adapter when the request was
+        /// submitted, so that the request waited for a load.
         is_stalled: bool,
     },
-    /// Tell the entry that a request was not run.
+    /// Tell the entry instance that a request was refused and did not run.
     Refuse {
-        /// The request.
+        /// The refused request.
         request: RequestId,
-        /// The reason and when to come back.
+        /// The reason, and the time after which the caller may retry.
         refusal: Refusal,
     },
-    /// Send a load order.
+    /// Send a load order to an engine.
     Load(LoadOrder),
 }
 
-/// How a granted request ended.
+/// The outcome of a granted request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RequestEnd {
-    /// It ran to its end, or its caller went away.
+    /// The request ran to its end, or its caller disconnected.
     Finished,
-    /// The engine turned it down because it does not hold the adapter; it
-    /// waits again.
+    /// The engine rejected the request because it does not hold the adapter.
+    /// The request is requeued.
     NotLoaded,
-    /// The engine could not be connected to; it waits again.
+    /// The engine could not be connected to. The request is requeued.
     Unreachable,
-    /// The engine failed; nobody knows how far it got.
+    /// The engine failed while it ran the request. How much of the request ran
+    /// is unknown, so it is not requeued.
     Failed,
 }
 
-/// One adapter in an engine's report.
+/// One loaded adapter in the report of an engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ReportedSlot {
-    /// The adapter version.
+    /// The adapter version that the engine holds.
     pub adapter: AdapterIdx,
-    /// Requests that run on it.
+    /// The number of requests that the engine runs on the adapter version.
     pub running_len: u32,
 }
