--- a/crates/state/src/budget.rs
+++ b/crates/state/src/budget.rs
@@ -1,31 +1,32 @@
-//! The share of the weight store that a shard may use.
+//! Rate and concurrency limiting of one shard's loads.
 //!
-//! The weight store allows a rate of loads and a number of them at full speed
-//! at once. [`allocation`](crate::allocation) divides it among shards; a
-//! budget keeps to one shard's part.
+//! The weight store allows a rate of loads, and a number of concurrent loads
+//! at full speed. [`allocation`](crate::allocation) divides these limits among
+//! shards; a [`LoadBudget`] keeps one shard within its share.
 
 use std::time::Duration;
 
 use sedgewall_clock::Instant;
 use serde::{Deserialize, Serialize};
 
-/// How many seconds' worth of rate may be saved up.
+/// The capacity of the token bucket, in seconds of the allowed rate.
 const BURST_S: f64 = 1.0;
 
-/// The weight store's limits, or one shard's share of them.
+/// The limits of the weight store, or one shard's share of them.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct StoreLimits {
-    /// Loads started per second.
+    /// The number of loads that may start per second.
     pub rate_per_s: f64,
-    /// Loads under way at once.
+    /// The number of concurrent loads. One shard's share may be a fraction;
+    /// see [`LoadBudget`].
     pub concurrency: f64,
 }
 
 impl StoreLimits {
-    /// Returns one shard's share when `shards_len` shards divide the store.
+    /// Returns the equal share of each of `shards_len` shards.
     ///
-    /// A share below one load at once is kept as a fraction and paid for in
-    /// rate: see [`LoadBudget`].
+    /// A share of less than one concurrent load stays a fraction, which
+    /// [`LoadBudget`] turns into a lower rate.
     pub fn share(self, shards_len: usize) -> StoreLimits {
         let len = shards_len.max(1) as f64;
         StoreLimits {
@@ -35,7 +36,12 @@
     }
 }
 
-/// A token bucket over loads, with a bound on those under way.
+/// A token bucket that limits the rate of loads, with a limit on concurrent
+/// loads.
+///
+/// A shard may always have one load in flight. If its share of the concurrency
+/// is a fraction of one load, the rate is lowered so that the shard has a load
+/// in flight only for that fraction of the time.
 #[derive(Clone, Debug)]
 pub struct LoadBudget {
     limits: StoreLimits,
@@ -46,7 +52,8 @@
 }
 
 impl LoadBudget {
-    /// Returns a full bucket.
+    /// Returns a budget without loads in flight, whose bucket holds
+    /// one second of the allowed rate.
     pub fn new(limits: StoreLimits, now: Instant) -> LoadBudget {
         LoadBudget {
             limits,
@@ -57,7 +64,7 @@
         }
     }
 
-    /// Replaces the limits, keeping what is under way.
+    /// Replaces the limits. Loads in flight still count.
     pub fn set_limits(&mut self, limits: StoreLimits) {
         self.limits = limits;
         self.tokens = self.tokens.min(self.capacity());
@@ -68,36 +75,41 @@
         self.limits
     }
 
-    /// Returns whether a load may start now.
+    /// Returns whether the limits allow a load to start now.
     pub fn may_start(&mut self, now: Instant) -> bool {
         self.refill(now);
         self.tokens >= 1.0 && self.in_flight < self.max_in_flight()
     }
 
-    /// Returns the loads under way.
+    /// Returns the number of loads in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Returns the smoothed time of a load.
+    /// Returns the moving average of the time of a load.
     pub fn load_time(&self) -> Duration {
         Duration::from_secs_f64(self.load_s)
     }
 
-    /// Returns the loads per second that can be kept up.
+    /// Returns the number of loads per second that the limits and the time of
+    /// a load allow in the long run.
     pub fn sustained_rate_per_s(&self) -> f64 {
         let by_concurrency =
             f64::from(self.max_in_flight()) / self.load_s.max(MIN_LOAD_S);
         self.effective_rate_per_s().min(by_concurrency).max(MIN_RATE_PER_S)
     }
 
-    /// Counts a load that starts.
+    /// Records the start of a load: takes one token and counts the load as in
+    /// flight.
     pub fn start(&mut self) {
         self.tokens -= 1.0;
         self.in_flight += 1;
     }
 
-    /// Counts a load that ended, and learns from the time it took.
+    /// Records the end of a load.
+    ///
+    /// The time of a successful load updates the moving average; a failed load
+    /// passes `None`.
     pub fn finish(&mut self, took: Option<Duration>) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if let Some(took) = took {
@@ -115,8 +127,9 @@
         .min(self.capacity());
     }
 
-    /// A shard whose share is a fraction of one load at once holds that one
-    /// load only for that fraction of the time.
+    /// Returns the allowed rate, lowered if the share is a fraction of one
+    /// concurrent load: one load may then be in flight for that fraction of
+    /// the time.
     fn effective_rate_per_s(&self) -> f64 {
         if self.limits.concurrency >= 1.0 {
             return self.limits.rate_per_s;
