--- a/crates/state/src/popularity.rs
+++ b/crates/state/src/popularity.rs
@@ -1,9 +1,10 @@
-//! How often an adapter is asked for, followed on two horizons.
+//! The request rate of an adapter, estimated over two time horizons.
 //!
-//! The short horizon sees a shift of the popular adapters within a minute; the
-//! long one remembers what a quiet quarter of an hour would otherwise forget.
-//! Both are exponentially decayed counts, so an adapter costs two numbers and a
-//! time, and an idle adapter costs no work at all.
+//! The short horizon follows a shift of popularity between adapters within a
+//! minute. The long horizon keeps the popularity of an adapter that gets no
+//! requests for a quarter of an hour. Both are exponentially decayed counts,
+//! so that an adapter needs two numbers and a timestamp, and an idle adapter
+//! costs no computation.
 
 use std::time::Duration;
 
@@ -15,10 +16,10 @@
 /// The time constant of the long horizon.
 pub const LONG_HORIZON: Duration = Duration::from_secs(1_800);
 
-/// How much the short horizon counts against the long one.
+/// The weight of the short horizon; the long one has the rest, up to 1.
 const SHORT_SHARE: f64 = 0.7;
 
-/// A decayed request rate on two horizons.
+/// An exponentially decayed request rate over two time horizons.
 #[derive(Clone, Copy, Debug)]
 pub struct Popularity {
     short_count: f64,
@@ -27,12 +28,12 @@
 }
 
 impl Popularity {
-    /// Returns the popularity of an adapter that was never asked for.
+    /// Returns the popularity of an adapter without requests.
     pub fn new() -> Popularity {
         Popularity { short_count: 0.0, long_count: 0.0, updated: None }
     }
 
-    /// Counts one request.
+    /// Records one request.
     pub fn record(&mut self, now: Instant) {
         self.decay(now);
         self.short_count += 1.0;
