--- a/crates/state/src/queue.rs
+++ b/crates/state/src/queue.rs
@@ -1,8 +1,8 @@
-//! Requests that wait, by adapter and priority.
+//! The queues of waiting requests, by adapter and priority class.
 //!
-//! A queue keeps arrival order within one adapter and one priority, which is
-//! the order that a caller can see. It leaves the choice between adapters to
-//! [`dispatch`](crate::dispatch).
+//! A queue keeps the order of arrival within one adapter and one priority
+//! class, because callers can observe that order. The choice between adapters
+//! belongs to [`dispatch`](crate::dispatch).
 
 use std::collections::{HashMap, VecDeque};
 
@@ -13,26 +13,28 @@
     priority::{CLASSES, Priority},
 };
 
-/// One request as the policy sees it.
+/// The properties of a request that scheduling depends on.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The request's id.
+    /// The id that the entry instance gave to the request.
     pub id: RequestId,
-    /// The adapter version that it must run on.
+    /// The adapter version that the request must run on.
     pub adapter: AdapterIdx,
-    /// Its class.
+    /// The priority class of the request.
     pub priority: Priority,
-    /// A hash of the caller's name, for shares.
+    /// A hash of the caller's name, by which the caller's share of the queue
+    /// is counted.
     pub caller_hash: u64,
-    /// When the leader first saw it.
+    /// The time since which the request waits, including its waiting at the
+    /// entry instance before the leader received it.
     pub submitted: Instant,
-    /// When its answer is worth nothing any more.
+    /// The time after which the caller has no use for the answer.
     pub deadline: Instant,
-    /// Whether its adapter was ready on some engine when it came.
+    /// Whether an engine served the adapter when the request was submitted.
     pub was_resident: bool,
 }
 
-/// The ids that wait for one adapter.
+/// The queue of the requests that wait for one adapter.
 #[derive(Clone, Debug, Default)]
 pub struct AdapterQueue {
     ids: [VecDeque<RequestId>; CLASSES],
@@ -40,22 +42,23 @@
 }
 
 impl AdapterQueue {
-    /// Returns the number of requests that wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> u32 {
         self.lens.iter().sum()
     }
 
-    /// Returns whether nothing waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Returns the number of requests of one class that wait.
+    /// Returns the number of waiting requests of a priority class.
     pub fn len_of(&self, priority: Priority) -> u32 {
         self.lens[priority.rank()]
     }
 
-    /// Returns the sum of the weights of all that wait.
+    /// Returns the sum of the [weights](Priority::weight) of the waiting
+    /// requests.
     pub fn weight(&self) -> f64 {
         Priority::ALL
             .iter()
@@ -66,7 +69,10 @@
     }
 }
 
-/// All requests that wait in one shard.
+/// All waiting requests of one shard.
+///
+/// This type owns the requests. The [`AdapterQueue`] of each adapter holds
+/// their order and is passed to the methods that change the order.
 #[derive(Debug, Default)]
 pub struct WaitingRequests {
     by_id: HashMap<RequestId, Request>,
@@ -75,37 +81,38 @@
 }
 
 impl WaitingRequests {
-    /// Returns the number of requests that wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Returns whether nothing waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
 
-    /// Returns the number of requests of one class that wait.
+    /// Returns the number of waiting requests of a priority class.
     pub fn len_of(&self, priority: Priority) -> u32 {
         self.lens[priority.rank()]
     }
 
-    /// Returns the number of requests that one caller has waiting.
+    /// Returns the number of waiting requests of one caller.
     pub fn len_of_caller(&self, caller_hash: u64) -> u32 {
         self.by_caller.get(&caller_hash).copied().unwrap_or(0)
     }
 
-    /// Returns a waiting request.
+    /// Returns the waiting request with an id.
     pub fn get(&self, id: RequestId) -> Option<&Request> {
         self.by_id.get(&id)
     }
 
-    /// Returns whether a request waits.
+    /// Returns whether the request with an id waits.
     pub fn contains(&self, id: RequestId) -> bool {
         self.by_id.contains_key(&id)
     }
 
-    /// Returns the ids of all requests whose deadline has passed.
+    /// Returns the ids of the waiting requests whose deadline has passed, in
+    /// ascending order.
     pub fn expired(&self, now: Instant) -> Vec<RequestId> {
         let mut ids: Vec<RequestId> = self
             .by_id
@@ -113,17 +120,18 @@
             .filter(|request| request.deadline <= now)
             .map(|request| request.id)
             .collect();
-        // The map's order differs from run to run; a replay must not.
+        // The iteration order of the map differs between runs, but replays
+        // must be deterministic.
         ids.sort_unstable();
         ids
     }
 
-    /// Returns all requests that wait, in no order.
+    /// Returns all waiting requests, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Request> {
         self.by_id.values()
     }
 
-    /// Appends a request to its adapter's queue.
+    /// Adds a request at the back of its adapter's queue.
     pub fn push(&mut self, queue: &mut AdapterQueue, request: Request) {
         let rank = request.priority.rank();
         queue.ids[rank].push_back(request.id);
@@ -131,7 +139,7 @@
         self.by_id.insert(request.id, request);
     }
 
-    /// Puts a request back at the head of its adapter's queue.
+    /// Adds a request at the front of its adapter's queue.
     pub fn push_front(&mut self, queue: &mut AdapterQueue, request: Request) {
         let rank = request.priority.rank();
         queue.ids[rank].push_front(request.id);
@@ -139,10 +147,10 @@
         self.by_id.insert(request.id, request);
     }
 
-    /// Removes a request wherever it waits.
+    /// Removes a request from any position of its adapter's queue.
     ///
-    /// Its id stays in the adapter's list and is skipped when it comes up,
-    /// so that a cancellation costs no search.
+    /// The id stays in the queue and is skipped when it reaches the front, so
+    /// that a cancellation needs no search.
     pub fn remove(
         &mut self,
         queue: &mut AdapterQueue,
@@ -156,7 +164,8 @@
         Some(request)
     }
 
-    /// Returns the first request of one class that still waits.
+    /// Returns the first waiting request of a priority class in an adapter's
+    /// queue.
     pub fn head(
         &self,
         queue: &AdapterQueue,
@@ -168,7 +177,8 @@
         queue.ids[priority.rank()].iter().find_map(|id| self.by_id.get(id))
     }
 
-    /// Takes the first request of one class that still waits.
+    /// Removes and returns the first waiting request of a priority class in an
+    /// adapter's queue.
     pub fn pop(
         &mut self,
         queue: &mut AdapterQueue,
@@ -183,8 +193,8 @@
         }
     }
 
-    /// Returns the youngest request of one class, which is the first to be
-    /// shed.
+    /// Returns the most recently submitted request of a priority class, which
+    /// is the first to be shed.
     pub fn youngest(&self, priority: Priority) -> Option<&Request> {
         self.by_id
             .values()
