--- a/crates/state/src/entry.rs
+++ b/crates/state/src/entry.rs
@@ -1,7 +1,8 @@
-//! What entries say of their requests, and what is done when they are lost.
+//! Reconciliation of grants with the requests that entry instances run.
 //!
-//! Messages may be lost, so entries tell all that they run from time to time;
-//! a grant that can no longer be used and is not run is given up.
+//! Messages may be lost, so each entry instance periodically reports all
+//! requests that it runs. A grant that has expired and whose request is not
+//! among them is given up.
 
 use sedgewall_clock::Instant;
 
@@ -13,7 +14,12 @@
 };
 
 impl Shard {
-    /// Notes a request that a previous leader granted and an entry runs.
+    /// Records a request that a previous leader granted and that an entry
+    /// instance runs.
+    ///
+    /// The request takes a seat like one that this leader granted. Its grant
+    /// is already expired, so that it is given up once the entry instance no
+    /// longer reports the request.
     pub fn adopt_running(
         &mut self,
         request: Request,
@@ -36,11 +42,11 @@
         self.grants.insert(grant.request.id, grant);
     }
 
-    /// Takes in all that one entry runs, sorted, and settles what messages
-    /// were lost about.
+    /// Compares the grants of one entry instance with all requests that it
+    /// runs, and gives up those whose end was not received.
     ///
-    /// A grant that is older than its validity and that the entry does not run
-    /// can never be used any more, so its seat is free.
+    /// An expired grant whose request does not run can never be used, so its
+    /// seat is free. `running` must be sorted.
     pub fn reconcile_entry(
         &mut self,
         entry: Incarnation,
@@ -55,8 +61,11 @@
         }
     }
 
-    /// Drops all that an entry has waiting, and its grants once they cannot be
-    /// used any more. Call it again until the entry is back or forgotten.
+    /// Removes the waiting requests of an entry instance that is lost, and
+    /// gives up its grants that have expired.
+    ///
+    /// Grants that are still valid stay. Call the method again until the entry
+    /// instance is heard from or forgotten.
     pub fn entry_lost(
         &mut self,
         entry: Incarnation,
@@ -90,10 +99,10 @@
             .collect()
     }
 
-    /// Frees the seat of a grant whose end nobody reported.
+    /// Frees the seat of a grant whose end was not received.
     ///
-    /// The engine may still run the request, so the slot stays busy until a
-    /// report that is made later shows otherwise.
+    /// The engine may still run the request, so the slot counts as busy until
+    /// a later report of the engine shows that it is idle.
     pub(crate) fn abandon_grant(
         &mut self,
         id: RequestId,
