--- a/crates/state/src/load.rs
+++ b/crates/state/src/load.rs
@@ -1,7 +1,8 @@
-//! The life of a load: ordered, ended, failed, given up.
+//! The life cycle of a load: ordered, completed, failed or abandoned.
 //!
-//! Slots and replica lists change together here and nowhere else. A failed load
-//! backs off with a spread, and goes to another engine first.
+//! A load changes the slots of its engine and the replica lists of its adapter
+//! together, here. A failed load is first retried on another engine, and backs
+//! off with jitter.
 
 use std::time::Duration;
 
@@ -14,14 +15,17 @@
     shard::Shard,
 };
 
-/// The wait after the first failed load.
+/// The base of the exponential back-off after failed loads.
 const LOAD_BACKOFF: Duration = Duration::from_millis(500);
 
-/// The longest wait after failed loads.
+/// The maximum back-off after failed loads.
 const MAX_LOAD_BACKOFF: Duration = Duration::from_secs(30);
 
 impl Shard {
-    /// Notes the end of a load.
+    /// Records the end of a load, and dispatches the requests that wait for
+    /// the adapter.
+    ///
+    /// A load that is not in flight is ignored.
     pub fn load_finished(
         &mut self,
         engine: EngineIdx,
@@ -48,10 +52,11 @@
         self.schedule_loads(now, actions);
     }
 
-    /// Notes that an engine had no slot for a load, although the
-    /// configuration says that it has more.
+    /// Records that an engine rejected a load for lack of a slot, although it
+    /// has an empty one according to the configuration.
     ///
-    /// What it holds is believed until a report shows more.
+    /// The engine's capacity is set to the number of adapters that it holds,
+    /// until a report lists more.
     pub fn record_slot_shortage(&mut self, idx: EngineIdx) {
         let engine = &mut self.engines[idx as usize];
         let held = engine
@@ -81,7 +86,8 @@
         self.update_waiting_sets(adapter);
     }
 
-    /// Removes an adapter from an engine's slots.
+    /// Removes an adapter from an engine's slots, and the engine from the
+    /// adapter's replica lists.
     pub(crate) fn remove_replica(
         &mut self,
         engine: EngineIdx,
@@ -115,8 +121,9 @@
         }
     }
 
-    /// Keeps a failed load from being tried at once, on this engine or for
-    /// this adapter; the spread keeps many from coming back together.
+    /// Records a failed load and starts the back-off of its engine and, from
+    /// the second consecutive failure on, of its adapter. Jitter keeps many
+    /// failed loads from being retried at the same time.
     pub(crate) fn record_load_failure(
         &mut self,
         engine: EngineIdx,
@@ -128,7 +135,9 @@
         state.load_failures += 1;
         let seed = u64::from(adapter) << 32 | u64::from(engine);
         let wait = backoff(state.load_failures, seed);
-        // Another engine may work at once; a second failure is the adapter's.
+        // After the first failure, the load may succeed on another engine, so
+        // the adapter does not back off. A second failure is attributed to the
+        // adapter.
         state.load_after = (state.load_failures > 1).then(|| now + wait);
         let host = &mut self.engines[engine as usize];
         host.load_failures += 1;
@@ -146,7 +155,8 @@
     }
 }
 
-/// Doubles with each failure, between half and all of the value.
+/// Returns the back-off after a number of consecutive failures: it doubles
+/// with each failure, and jitter takes off up to half of it.
 fn backoff(failures: u32, seed: u64) -> Duration {
     let doubled = LOAD_BACKOFF.saturating_mul(1 << failures.min(8));
     let hash = xxhash_rust::xxh3::xxh3_64(
