--- a/crates/state/src/report.rs
+++ b/crates/state/src/report.rs
@@ -1,8 +1,9 @@
-//! What engines say of themselves, late and with gaps.
+//! Reconciliation of the shard's state with the reports of engines.
 //!
-//! A report shows what we do not know: adapters that are gone, adapters and
-//! requests of a previous leader. It never contradicts what we did after it
-//! was made.
+//! Reports arrive late and may be lost. They show what the leader does not
+//! know: adapters that an engine no longer holds, and adapters and requests of
+//! a previous leader. A report never overrides a load or a grant that the
+//! leader made after the time of the report.
 
 use sedgewall_clock::Instant;
 
@@ -14,11 +15,13 @@
 };
 
 impl Shard {
-    /// Takes in an engine's report: what it holds and runs.
+    /// Applies an engine's report of the adapters that it holds and the number
+    /// of requests that it runs on each.
     ///
-    /// Reports lag, so a report never contradicts a load that we ordered or a
-    /// request that we granted after it was made; it only shows adapters that
-    /// are gone, and running requests that we do not know.
+    /// Reports lag, so a report never overrides a load that was ordered or a
+    /// request that was granted after `report_time`. It only removes adapters
+    /// that the engine no longer holds, and adds adapters and running requests
+    /// that the leader does not know.
     pub fn apply_report(
         &mut self,
         engine: EngineIdx,
@@ -39,10 +42,10 @@
         self.schedule_loads(now, actions);
     }
 
-    /// Forgets all that an engine held, because it restarted empty.
+    /// Removes all adapters of an engine that restarted and holds none.
     ///
-    /// Its running requests are settled by the entries, which see their
-    /// connections break.
+    /// The entry instances report the end of the requests that ran on the
+    /// engine, because their connections to it break.
     pub fn engine_restarted(&mut self, idx: EngineIdx, now: Instant) {
         let adapters: Vec<AdapterIdx> = self.engines[idx as usize]
             .slots
