--- a/crates/state/src/health.rs
+++ b/crates/state/src/health.rs
@@ -1,8 +1,8 @@
-//! How far each engine is trusted: silence, slowness, probation.
+//! Health of engines: silence, slowness and probation.
 //!
-//! An engine is taken out on evidence only, missed reports or a time to the
-//! first token far above its peers', and comes back with a few requests at a
-//! time.
+//! An engine loses work only on evidence: missing reports, failed requests or
+//! connections, or a time to the first token far above that of its peers. It
+//! returns to service with a few requests at a time.
 
 use std::time::Duration;
 
@@ -14,17 +14,21 @@
     shard::Shard,
 };
 
-/// How much a new time to the first token counts against the earlier ones.
+/// The weight of a new sample in the moving average of the time to the first
+/// token.
 const FIRST_TOKEN_SMOOTHING: f64 = 0.2;
 
-/// An engine this many times slower than the median of its peers is slow.
+/// An engine is slow if its time to the first token exceeds the median of the
+/// shard's engines by this factor.
 const SLOW_FACTOR: f64 = 4.0;
 
-/// No engine is slow below this time to the first token, in seconds.
+/// An engine with a shorter time to the first token than this never counts as
+/// slow, in seconds.
 const MIN_SLOW_S: f64 = 0.5;
 
 impl Shard {
-    /// Notes a time to the first token that an entry saw at an engine.
+    /// Records a time to the first token that an entry instance measured at an
+    /// engine. A slow engine is put on probation.
     pub fn record_first_token(
         &mut self,
         idx: EngineIdx,
@@ -40,8 +44,8 @@
         }
     }
 
-    /// Changes an engine's health, and with it where its adapters count as
-    /// served.
+    /// Sets an engine's health. If it changes, recomputes which adapters count
+    /// as served.
     pub(crate) fn set_health(
         &mut self,
         idx: EngineIdx,
@@ -56,7 +60,7 @@
         self.update_waiting_sets_on(idx);
     }
 
-    /// Notes anew for all adapters of an engine where they are served.
+    /// Calls [`Shard::update_waiting_sets`] for all adapters of an engine.
     pub(crate) fn update_waiting_sets_on(&mut self, idx: EngineIdx) {
         let adapters: Vec<AdapterIdx> = self.engines[idx as usize]
             .slots
@@ -99,7 +103,8 @@
                 self.set_health(idx, Health::Live, now);
             }
             Health::Probation if stayed >= PROBATION_PERIOD => {
-                // The evidence must be renewed; a few requests will do it.
+                // The average is halved, so that the engine leaves probation
+                // unless a few new requests show that it is still slow.
                 engine.first_token_s /= 2.0;
             }
             _ => {}
