--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -1,11 +1,14 @@
-//! One shard: engines of one base model and everything that waits for them.
+//! The state of one shard: engines of one base model and the requests for
+//! them.
 //!
-//! [`Shard`] owns the state and keeps its parts consistent; the choices are in
-//! [`admission`](crate::admission), [`dispatch`](crate::dispatch),
+//! [`Shard`] owns the state and keeps its parts consistent. The decisions are
+//! in [`admission`](crate::admission), [`dispatch`](crate::dispatch),
 //! [`placement`](crate::placement) and [`eviction`](crate::eviction). Each
-//! method takes one event and appends the resulting actions. The invariant of
-//! the whole is that every submitted request gets exactly one grant or one
-//! refusal, unless it is cancelled or its engine gives it back.
+//! method takes one event and appends the resulting actions.
+//!
+//! The invariant is that every submitted request gets exactly one grant or one
+//! refusal, unless it is cancelled, its entry instance is lost, or it is
+//! requeued because its engine rejected it.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -28,35 +31,41 @@
     queue::{Request, WaitingRequests},
 };
 
-/// The state of one shard.
+/// The scheduling state of one shard, which its leader holds in memory.
 #[derive(Debug)]
 pub struct Shard {
     pub(crate) settings: PolicySettings,
     pub(crate) adapters: Vec<Adapter>,
     pub(crate) engines: Vec<Engine>,
     pub(crate) waiting: WaitingRequests,
-    /// Granted requests; those of one entry stand together, because an id
-    /// begins with its entry's incarnation.
+    /// The grants that have not ended. Those of one entry instance are
+    /// adjacent, because a request id begins with the incarnation of its entry
+    /// instance.
     pub(crate) grants: BTreeMap<RequestId, Grant>,
-    /// Adapters that something waits for and no engine holds or loads.
+    /// Adapters with waiting requests that no available engine serves or
+    /// loads.
     pub(crate) unplaced: BTreeSet<AdapterIdx>,
-    /// Adapters that something waits for although an engine holds them.
+    /// Adapters with waiting requests that an available engine serves.
     pub(crate) backlogged: BTreeSet<AdapterIdx>,
     pub(crate) budget: LoadBudget,
-    /// The smoothed time that a request holds its seat, in seconds.
+    /// The moving average of the time for which a request holds its seat, in
+    /// seconds.
     pub(crate) service_s: f64,
     pub(crate) overload: OverloadDetector,
-    /// The next adapter to be looked at for prefetching.
+    /// The next adapter to be considered for prefetching.
     pub(crate) prefetch_cursor: AdapterIdx,
     pub(crate) engine_by_id: HashMap<EndpointId, EngineIdx>,
     pub(crate) load_started: HashMap<(EngineIdx, AdapterIdx), Instant>,
 }
 
+/// The weight of a new sample in the moving average of the service time.
 const SERVICE_SMOOTHING: f64 = 0.05;
+
+/// The service time that is assumed before the first sample, in seconds.
 const DEFAULT_SERVICE_S: f64 = 2.0;
 
 impl Shard {
-    /// Returns a shard without engines.
+    /// Returns a shard without engines and adapters.
     pub fn new(
         settings: PolicySettings,
         limits: StoreLimits,
@@ -79,7 +88,8 @@
         }
     }
 
-    /// Replaces settings and limits; nothing that waits or runs is touched.
+    /// Replaces the settings and the limits of the weight store. Waiting and
+    /// granted requests and loads in flight are not affected.
     pub fn reconfigure(
         &mut self,
         settings: PolicySettings,
@@ -96,12 +106,14 @@
         (self.adapters.len() - 1) as AdapterIdx
     }
 
-    /// Marks an adapter version as named, or not, by the configuration.
+    /// Sets whether the current configuration contains an adapter version.
+    /// Requests for other adapter versions are refused.
     pub fn set_configured(&mut self, idx: AdapterIdx, is_configured: bool) {
         self.adapters[idx as usize].is_configured = is_configured;
     }
 
-    /// Declares that an adapter will be asked for, until a time.
+    /// Sets the rate of requests that an operator expects for an adapter until
+    /// a time.
     pub fn expect_rate(
         &mut self,
         idx: AdapterIdx,
@@ -113,47 +125,50 @@
         adapter.expected_until = Some(until);
     }
 
-    /// Returns an adapter version's state.
+    /// Returns the state of an adapter version.
     pub fn adapter(&self, idx: AdapterIdx) -> &Adapter {
         &self.adapters[idx as usize]
     }
 
-    /// Returns the number of adapter versions ever added.
+    /// Returns the number of adapter versions that were added, including those
+    /// that the configuration no longer contains.
     pub fn adapters_len(&self) -> usize {
         self.adapters.len()
     }
 
-    /// Returns all engines, by index.
+    /// Returns all engines that were added, by index, including those that are
+    /// leaving.
     pub fn engines(&self) -> &[Engine] {
         &self.engines
     }
 
-    /// Returns the index of an engine that was added before.
+    /// Returns the index of the engine with an endpoint id, if it was added.
     pub fn engine_idx(&self, endpoint: &str) -> Option<EngineIdx> {
         self.engine_by_id.get(endpoint).copied()
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of waiting requests.
     pub fn waiting_len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Returns the number of requests that hold a seat.
+    /// Returns the number of granted requests, each of which holds a seat.
     pub fn granted_len(&self) -> usize {
         self.grants.len()
     }
 
-    /// Returns the grant of a request.
+    /// Returns the grant of a request, if the request holds a seat.
     pub fn grant(&self, id: RequestId) -> Option<&Grant> {
         self.grants.get(&id)
     }
 
-    /// Returns whether a request waits here.
+    /// Returns whether a request waits in this shard.
     pub fn is_waiting(&self, id: RequestId) -> bool {
         self.waiting.contains(id)
     }
 
-    /// Returns what the shard would do with the weight store.
+    /// Returns the shard's demand for the weight store, by which the allocator
+    /// divides it: the requests that wait for a load, and their adapters.
     pub fn store_demand(&self) -> StoreDemand {
         let waiting = self.unplaced.iter();
         let waiting_weight = waiting
@@ -163,17 +178,19 @@
         StoreDemand { waiting_weight, adapters }
     }
 
-    /// Replaces the shard's part of the weight store.
+    /// Replaces the shard's limits of the weight store.
     pub fn set_store_limits(&mut self, limits: StoreLimits) {
         self.budget.set_limits(limits);
     }
 
-    /// Returns the loads under way.
+    /// Returns the number of loads in flight.
     pub fn loads_in_flight(&self) -> u32 {
         self.budget.in_flight()
     }
 
-    /// Adds an engine, or brings a leaving one back, and returns its index.
+    /// Adds an engine or updates a known one, and returns its index.
+    ///
+    /// A known engine that is leaving returns to service on probation.
     pub fn add_engine(
         &mut self,
         endpoint: &str,
@@ -201,21 +218,23 @@
         idx
     }
 
-    /// Forbids evictions on an engine until a time, because requests that a
-    /// previous leader granted may still arrive.
+    /// Forbids evictions on an engine until a time.
+    ///
+    /// Requests that a previous leader granted may still arrive at the engine
+    /// and need their adapter.
     pub fn defer_evictions(&mut self, idx: EngineIdx, until: Instant) {
         self.engines[idx as usize].evict_after = until;
     }
 
-    /// Stops new work for an engine that is leaving.
+    /// Marks an engine as leaving, so that it gets no new requests and loads.
     pub fn mark_engine_leaving(&mut self, idx: EngineIdx, now: Instant) {
         self.set_health(idx, Health::Leaving, now);
     }
 
-    /// Takes in a request.
+    /// Admits a request to the queue or refuses it, then dispatches.
     ///
-    /// A request that already waits or runs is ignored, so a resubmission
-    /// after a lost message is harmless.
+    /// A request that already waits or holds a seat is ignored, so that an
+    /// entry instance may resubmit a request after a lost message.
     pub fn submit(
         &mut self,
         mut request: Request,
@@ -247,7 +266,7 @@
         self.schedule_loads(now, actions);
     }
 
-    /// Forgets a request that its caller gave up, waiting or running.
+    /// Removes a request whose caller disconnected, whether it waits or runs.
     pub fn cancel(
         &mut self,
         id: RequestId,
@@ -259,7 +278,10 @@
         }
     }
 
-    /// Notes how a granted request ended and reuses its seat.
+    /// Records the outcome of a granted request and dispatches to its seat.
+    ///
+    /// A request without a grant is ignored, so that a repeated message is
+    /// harmless.
     pub fn finish(
         &mut self,
         id: RequestId,
@@ -288,8 +310,9 @@
         self.schedule_loads(now, actions);
     }
 
-    /// Does what time alone causes: deadlines, silence, loads that can now
-    /// start. Call it at least ten times a second.
+    /// Handles events that only the passing of time causes: deadlines, silent
+    /// engines, and loads that may now start. Must be called at least ten
+    /// times a second.
     pub fn tick(&mut self, now: Instant, actions: &mut Vec<ShardAction>) {
         self.refuse_expired(now, actions);
         self.check_health(now);
@@ -297,7 +320,8 @@
         self.prefetch_next(now, actions);
     }
 
-    /// Gives up all waiting requests, because the shard is led elsewhere now.
+    /// Refuses all waiting requests, because another instance leads the shard
+    /// now.
     pub fn refuse_all(
         &mut self,
         reason: RefusalReason,
@@ -321,7 +345,7 @@
         request
     }
 
-    /// Keeps `unplaced` and `backlogged` in step with one adapter.
+    /// Recomputes whether one adapter belongs to `unplaced` and `backlogged`.
     pub(crate) fn update_waiting_sets(&mut self, idx: AdapterIdx) {
         let adapter = &self.adapters[idx as usize];
         let waits = !adapter.queue.is_empty();
@@ -332,10 +356,10 @@
         set_membership(&mut self.backlogged, idx, waits && is_served);
     }
 
-    /// Returns whether some engine that takes work has an adapter ready.
+    /// Returns whether an available engine serves an adapter.
     ///
-    /// A replica on a leaving or silent engine, or in a slot that is being
-    /// drained, serves nobody who comes now.
+    /// A replica on a leaving or silent engine, or in a draining slot, does
+    /// not count, because it takes no new requests.
     pub fn is_served(&self, idx: AdapterIdx) -> bool {
         self.adapters[idx as usize].ready.iter().any(|engine| {
             let engine = &self.engines[*engine as usize];
@@ -345,7 +369,7 @@
         })
     }
 
-    /// Returns whether some engine that takes work is loading an adapter.
+    /// Returns whether an available engine is loading an adapter.
     pub fn is_loading(&self, idx: AdapterIdx) -> bool {
         self.adapters[idx as usize]
             .loading
@@ -377,8 +401,8 @@
         self.service_s = (1.0 - share) * self.service_s + share * took;
     }
 
-    /// Believes an engine that it does not hold an adapter, unless it was
-    /// loaded after the grant.
+    /// Removes a replica after its engine rejected a request because it does
+    /// not hold the adapter, unless the adapter was loaded after the grant.
     fn remove_stale_replica(&mut self, grant: &Grant) {
         let is_gone = self.engines[grant.engine as usize]
             .slot(grant.adapter)
