--- a/crates/state/src/admission.rs
+++ b/crates/state/src/admission.rs
@@ -1,9 +1,9 @@
-//! Whether a request is taken in, and what a refusal tells.
+//! Admission control: whether a new request may wait, and its refusal.
 //!
-//! A request that cannot meet its deadline is refused at once, as not run, and
-//! told when to come back. The module keeps one invariant: a refusal never
-//! waits, and its retry time is spread so that the refused do not come back
-//! together.
+//! A request that is not expected to meet its deadline is refused at once. The
+//! refusal says that the request did not run, and when to retry it. The module
+//! keeps one invariant: a refusal is never delayed, and its retry time has
+//! jitter, so that refused callers do not return at the same time.
 
 use std::time::Duration;
 
@@ -17,36 +17,38 @@
     shard::{Shard, ShardAction},
 };
 
-/// Why a request was refused. None of these requests was run.
+/// The reason for which a request was refused. A refused request did not run.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// The predicted wait passes the deadline.
+    /// The predicted wait exceeds the time until the deadline or, during a
+    /// sustained overload, the target wait.
     DeadlineUnreachable,
     /// The deadline passed while the request waited.
     DeadlinePassed,
-    /// The queue is full and nothing of lower priority could be shed.
+    /// The queue is full and holds no request of lower priority to shed.
     QueueFull,
-    /// The request was shed for one of higher priority.
+    /// The request was removed from a full queue in favour of a request of
+    /// higher priority.
     Shed,
-    /// The caller has its share of the queue.
+    /// The caller holds its maximum share of the queue.
     CallerShare,
-    /// No engine of the shard takes work.
+    /// No engine of the shard is available.
     NoEngine,
-    /// The adapter or version is not in the configuration.
+    /// The configuration does not contain the adapter version.
     UnknownAdapter,
-    /// The instance is not the shard's leader any more.
+    /// The instance no longer leads the shard.
     NotLeader,
-    /// Nobody leads the shard and the request could not wait longer.
+    /// No instance leads the shard, and the request could not wait longer.
     NoLeader,
-    /// The entry has as many requests as it may hold.
+    /// The entry instance holds its maximum number of requests.
     EntryFull,
-    /// The engine turned the request down too often.
+    /// Engines rejected the request too often.
     RetriesSpent,
 }
 
 impl RefusalReason {
-    /// Returns the reason as it is written in logs, metrics and problems.
+    /// Returns the name of the reason in logs, metrics and problem documents.
     pub fn as_str(self) -> &'static str {
         match self {
             RefusalReason::DeadlineUnreachable => "deadline_unreachable",
@@ -64,34 +66,36 @@
     }
 }
 
-/// A refusal: the reason and when to come back.
+/// The refusal of a request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Refusal {
-    /// Why.
+    /// The reason for which the request was refused.
     pub reason: RefusalReason,
-    /// When a new try is worth while.
+    /// The time after which the caller may retry the request.
     pub retry_after: Duration,
 }
 
-/// The shortest retry time that a refusal tells.
+/// The minimum of a refusal's retry time, before jitter.
 const MIN_RETRY: Duration = Duration::from_millis(500);
 
-/// The longest retry time that a refusal tells.
+/// The maximum of a refusal's retry time, before jitter.
 const MAX_RETRY: Duration = Duration::from_secs(30);
 
-/// Tells a lasting overload from a burst.
+/// Distinguishes a sustained overload from a burst.
 ///
-/// In a lasting overload the queue is as long as the longest deadline allows,
-/// and all who are served wait that long for nothing: the store serves as many
-/// with a short queue. So once every predicted wait has been above the target
-/// for a while, waits above the target are refused at once. The idea is that
-/// of controlled delay (CoDel, RFC 8289), applied to admission.
+/// In a sustained overload, the queue grows until waits reach the longest
+/// deadline. That delays all requests without a gain in throughput, because
+/// the weight store serves as many requests with a short queue. So once
+/// predicted waits have been above the target for [`OVERLOAD_AFTER`], requests
+/// whose predicted wait is above the target are refused at once. This is the
+/// idea of controlled delay (CoDel, RFC 8289), applied to admission.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct OverloadDetector {
     above_since: Option<Instant>,
 }
 
-/// How long waits must stay above the target to count as an overload.
+/// The time for which predicted waits must stay above the target before the
+/// shard counts as overloaded. A wait of at most half the target ends it.
 const OVERLOAD_AFTER: Duration = Duration::from_secs(3);
 
 impl OverloadDetector {
@@ -111,10 +115,11 @@
 }
 
 impl Shard {
-    /// Returns the refusal of a new request, or none if it may wait.
+    /// Returns the refusal of a new request, or `None` if it may wait.
     ///
-    /// A full queue sheds the youngest request of the lowest class below the
-    /// new one's, and that refusal goes to `actions`.
+    /// If the queue is full, the most recent request of the lowest priority
+    /// class is shed, provided that its class is below that of the new
+    /// request. The refusal of the shed request is appended to `actions`.
     pub(crate) fn admit(
         &mut self,
         request: &Request,
@@ -156,10 +161,12 @@
         Some(self.refusal(RefusalReason::QueueFull, request.id, wait))
     }
 
-    /// Whether a request's predicted wait tells how far behind loads are: it
-    /// is of normal priority and the first to need its adapter. While an
-    /// engine has an empty slot, the shard is being filled: that backlog ends
-    /// by itself and is no overload.
+    /// Returns whether a request's predicted wait indicates the backlog of
+    /// loads: the request has normal priority and is the first that needs its
+    /// adapter.
+    ///
+    /// While an engine has an empty slot, the shard is still being filled.
+    /// That backlog ends by itself and is not an overload.
     fn indicates_load_backlog(&self, request: &Request) -> bool {
         let adapter = &self.adapters[request.adapter as usize];
         let is_filled =
@@ -171,7 +178,7 @@
             && adapter.queue.is_empty()
     }
 
-    /// Returns how long a new request is expected to wait for its first seat.
+    /// Returns the time that a new request is expected to wait for a seat.
     pub fn predicted_wait(&self, request: &Request) -> Duration {
         let seat_wait = self.predicted_seat_wait(request.priority);
         if self.is_served(request.adapter) {
@@ -186,7 +193,8 @@
         seat_wait + load_time + Duration::from_secs_f64(ahead / rate)
     }
 
-    /// Loads that come before the one that a request would need.
+    /// Returns the number of loads that come before the one that a request
+    /// needs.
     fn loads_ahead(&self, request: &Request) -> f64 {
         let own = self.adapters[request.adapter as usize].queue.weight()
             + request.priority.weight();
@@ -251,8 +259,9 @@
         false
     }
 
-    /// Returns a refusal whose retry time lies between one and two times the
-    /// predicted wait; the request's id decides where.
+    /// Returns a refusal whose retry time is the predicted wait, within the
+    /// limits, times a jitter between 1 and 2. The jitter is derived from the
+    /// request id, because this crate draws no random numbers.
     pub(crate) fn refusal(
         &self,
         reason: RefusalReason,
