--- a/crates/state/src/allocation.rs
+++ b/crates/state/src/allocation.rs
@@ -1,9 +1,11 @@
-//! How the weight store is divided among shards.
+//! Allocation of the weight store's limits to shards.
 //!
-//! Fixed shares waste the store whenever one shard has nothing to load. So
-//! every shard keeps a small guaranteed part, and the rest goes to where
-//! requests wait. The module keeps one invariant: the parts never add up to
-//! more than the store allows.
+//! With fixed shares, the share of a shard without loads would be unused. So
+//! every shard has a small guaranteed share, and the rest is allocated
+//! according to the requests that wait in each shard, by allotments that
+//! expire. The module keeps
+//! one invariant: the limits that all shards may use never add up to more than
+//! the limits of the store.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,31 +14,34 @@
 
 use crate::{budget::StoreLimits, id::ShardId};
 
-/// The part of the store that is guaranteed, over all shards together.
+/// The fraction of the store's limits that is guaranteed to all shards
+/// together.
 ///
-/// A shard that hears nothing from the allocator lives on its part of this.
+/// A shard without a valid allotment uses its equal share of this fraction.
 pub const GUARANTEED_FRACTION: f64 = 0.25;
 
-/// What a shard would do with the weight store.
+/// A shard's demand for the weight store.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct StoreDemand {
-    /// The weight of the requests that wait for a load.
+    /// The sum of the [weights](crate::Priority::weight) of the requests that
+    /// wait for a load.
     pub waiting_weight: f64,
-    /// Adapters that wait for a load.
+    /// The number of adapters that wait for a load.
     pub adapters: f64,
 }
 
-/// How much a new demand counts against the earlier ones.
+/// The weight of a new sample in the moving average of a shard's demand.
 ///
-/// What a shard may still use is kept from the others until it runs out, so
-/// demands that jump about waste the store; at four a second this follows
-/// within two to three seconds.
+/// Limits that were allotted to one shard are not available to others until
+/// the allotment expires, so demands that fluctuate leave limits unused. With
+/// four samples a second, the average follows a change of the demand within
+/// two to three seconds.
 const DEMAND_SMOOTHING: f64 = 0.1;
 
-/// What every shard counts without any demand: two adapters that wait.
+/// The score of a shard without demand, about that of two waiting adapters.
 ///
-/// Without it the first requests after a pause find their shard with the
-/// guaranteed part alone.
+/// Without it, the first requests after an idle period would find their shard
+/// with only its guaranteed share.
 const BASE_SCORE: f64 = 5.0;
 
 impl StoreDemand {
@@ -48,13 +53,14 @@
         mix(&mut self.adapters, new.adapters);
     }
 
-    /// Returns how this demand counts against others.
+    /// Returns the score by which the store is divided among demands.
     fn score(self) -> f64 {
         BASE_SCORE + self.adapters.sqrt() * self.waiting_weight.sqrt()
     }
 }
 
-/// Returns what a shard may use without an allocator.
+/// Returns the limits that each of `shards_len` shards may use without an
+/// allotment.
 pub fn guaranteed_limits(
     limits: StoreLimits,
     shards_len: usize,
@@ -66,7 +72,8 @@
     }
 }
 
-/// Divides the store among shards by their demands.
+/// Divides the store's limits among shards in proportion to the scores of
+/// their demands, after the guaranteed shares.
 pub fn divide(
     limits: StoreLimits,
     demands: &[StoreDemand],
@@ -95,8 +102,11 @@
         .collect()
 }
 
-/// Divides a number of loads into whole numbers, by the largest remainder; who
-/// gets none keeps a fraction, which is paid for in rate.
+/// Divides a number of concurrent loads into whole numbers by the largest
+/// remainder method.
+///
+/// A share of less than one load stays a fraction, which
+/// [`LoadBudget`](crate::budget::LoadBudget) turns into a lower rate.
 fn apportion(total: f64, parts: &[f64]) -> Vec<f64> {
     let exact: Vec<f64> = parts.iter().map(|part| part * total).collect();
     let mut whole: Vec<f64> =
@@ -125,21 +135,25 @@
         .collect()
 }
 
-/// How long an allotment holds, counted by the shard from when it asked.
+/// The validity of an allotment, which the shard counts from its request for
+/// it.
 pub const ALLOTMENT_VALIDITY: Duration = Duration::from_millis(800);
 
-/// How often shards ask.
+/// The interval at which each shard requests an allotment.
 pub const ALLOCATION_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A part that was handed out.
+/// An allotment that the allocator has issued to a shard.
 #[derive(Clone, Copy, Debug)]
 struct IssuedAllotment {
     limits: StoreLimits,
     until: Instant,
 }
 
-/// What a shard asked for last, and all that it may still use: an answer can
-/// be lost, and the shard then keeps to an earlier one.
+/// The allocator's record of one shard: its demand, and the allotments that it
+/// may still use.
+///
+/// An answer can be lost, in which case the shard uses an earlier allotment.
+/// So all allotments are kept until they expire.
 #[derive(Clone, Debug, Default)]
 struct ShardRecord {
     demand: StoreDemand,
@@ -147,7 +161,8 @@
 }
 
 impl ShardRecord {
-    /// Returns the most that the shard may use now.
+    /// Returns the largest limits that the shard may use now: the maximum of
+    /// its valid allotments and the guaranteed limits.
     fn max_usable(&self, floor: StoreLimits, now: Instant) -> StoreLimits {
         let valid =
             self.issued.iter().filter(|allotment| allotment.until > now);
@@ -158,10 +173,11 @@
     }
 }
 
-/// Hands out parts of the store, for a time, to the shards that ask.
+/// Issues allotments of the weight store's limits to shards.
 ///
-/// There is one at a time: the leader of the first shard. A new one waits
-/// until all that its predecessor handed out has run out.
+/// There is one active allocator, at the leader of the first shard. A new one
+/// issues only the guaranteed limits until all allotments of its predecessor
+/// have expired.
 #[derive(Clone, Debug)]
 pub struct Allocator {
     limits: StoreLimits,
@@ -170,8 +186,8 @@
 }
 
 impl Allocator {
-    /// Returns an allocator for these shards, which opens when nothing that
-    /// another one handed out can be in force any more.
+    /// Returns an allocator for a set of shards, which becomes active once the
+    /// allotments of another allocator have expired.
     pub fn new(
         limits: StoreLimits,
         shards: impl IntoIterator<Item = ShardId>,
@@ -186,7 +202,8 @@
         allocator
     }
 
-    /// Replaces the limits and the shards; what was handed out stays so.
+    /// Replaces the limits and the set of shards. Allotments that were issued
+    /// to shards that stay remain valid.
     pub fn reconfigure(
         &mut self,
         limits: StoreLimits,
@@ -200,8 +217,10 @@
         }
     }
 
-    /// Takes in a shard's demand and returns its part, which holds for
-    /// [`ALLOTMENT_VALIDITY`] from when the shard asked.
+    /// Records a shard's demand and returns its allotment, which is valid for
+    /// [`ALLOTMENT_VALIDITY`] from the time at which the shard requested it.
+    ///
+    /// Returns the guaranteed limits for an unknown shard.
     pub fn allocate(
         &mut self,
         shard: &str,
@@ -223,7 +242,7 @@
             rate_per_s: wanted.rate_per_s.min(free.rate_per_s),
             concurrency: wanted.concurrency.min(free.concurrency),
         };
-        // Never less than what the shard may use without asking.
+        // The shard may use the guaranteed limits in any case.
         let limits = StoreLimits {
             rate_per_s: limits.rate_per_s.max(floor.rate_per_s),
             concurrency: limits.concurrency.max(floor.concurrency),
@@ -238,7 +257,8 @@
         limits
     }
 
-    /// What the other shards leave, by what each may still use.
+    /// Returns the store's limits minus those that the other shards may use
+    /// now.
     fn unused_by_others(
         &self,
         shard: &str,
