--- a/crates/state/src/dispatch.rs
+++ b/crates/state/src/dispatch.rs
@@ -1,9 +1,9 @@
-//! Which waiting request takes a free seat.
+//! Dispatch of waiting requests to free seats.
 //!
-//! Requests are bound late: a request is tied to an engine only when a seat is
-//! free on an engine that has its adapter ready. Priority goes first, then the
-//! deadline. Waiting lifts a request by one class after the aging time, so
-//! that nothing starves.
+//! Requests are bound late: a request is assigned to an engine only when a
+//! seat is free on an engine that has its adapter ready. Requests are ordered
+//! by priority class, then by deadline. Each aging time that a request has
+//! waited raises it by one class, so that no request starves.
 
 use sedgewall_clock::Instant;
 
@@ -15,7 +15,8 @@
     shard::{Grant, Shard, ShardAction},
 };
 
-/// How urgent a waiting request is: the smaller, the sooner.
+/// The key by which waiting requests are ordered; the smallest is dispatched
+/// first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct DispatchKey {
     rank: usize,
@@ -23,7 +24,7 @@
 }
 
 impl Shard {
-    /// Grants as many waiting requests of one adapter as find seats.
+    /// Grants waiting requests of one adapter while seats are free.
     pub(crate) fn dispatch_adapter(
         &mut self,
         adapter: AdapterIdx,
@@ -51,11 +52,11 @@
         }
     }
 
-    /// Returns the engine whose seat a request of one adapter should take.
+    /// Returns the engine on which a request of one adapter should run.
     ///
-    /// The batch weight leans towards the engine with the fullest batch that
-    /// still has a seat, the stall weight towards the emptiest, which keeps
-    /// steps short.
+    /// If the batch weight exceeds the stall weight, it is the engine with the
+    /// fewest free seats. Otherwise it is the engine with the most, which
+    /// keeps the steps of its batch short.
     pub(crate) fn engine_for(
         &self,
         adapter: AdapterIdx,
@@ -93,7 +94,8 @@
             .map(|(_, adapter, priority)| (adapter, priority))
     }
 
-    /// The most urgent request of an adapter that finds a seat on an engine.
+    /// Returns the key, adapter and priority class of an adapter's most urgent
+    /// request that has a free seat on an engine.
     fn most_urgent_on(
         &self,
         engine: EngineIdx,
