--- a/crates/state/src/eviction.rs
+++ b/crates/state/src/eviction.rs
@@ -1,9 +1,9 @@
-//! Which adapter leaves an engine to make room.
+//! Eviction: the choice of the adapter that a load replaces on an engine.
 //!
-//! The victim is the idle adapter with the least expected need per replica.
-//! The module keeps one invariant: an adapter with granted or running requests
-//! is never a victim. Where every slot is busy, a slot may be *drained*: it
-//! gets nothing new and becomes a victim when its last request ends.
+//! The victim is the idle adapter with the lowest expected request rate per
+//! replica. The module keeps one invariant: an adapter with granted or running
+//! requests is never evicted. If every slot is busy, a slot may be *drained*:
+//! it gets no new requests and can be evicted when its last request ends.
 
 use std::time::Duration;
 
@@ -15,7 +15,8 @@
     shard::Shard,
 };
 
-/// A place for a load, with what has to leave.
+/// The engine for a load, the adapter to evict there, and the cost, in
+/// expected requests per second.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct PlacementTarget {
     pub(crate) engine: EngineIdx,
@@ -23,16 +24,18 @@
     pub(crate) cost: f64,
 }
 
-/// A freshly loaded adapter is kept at least this long once idle, because the
-/// requests that it was loaded for are often followed by more.
+/// The shortest time for which an adapter stays resident after its last use,
+/// because the requests that it was loaded for are often followed by more.
 const MIN_RESIDENCY: Duration = Duration::from_millis(500);
 
-/// What a full batch costs (or, where batches count more, earns) against a
-/// victim's need in requests per second.
+/// The cost of placing a load on an engine whose batch is full, in the unit of
+/// a victim's retention value, requests per second. If full batches are
+/// preferred, it is a gain.
 const BUSY_COST: f64 = 0.05;
 
 impl Shard {
-    /// Returns the cheapest place for an adapter, if there is one.
+    /// Returns the target with the lowest cost for the load of an adapter, if
+    /// there is any.
     pub(crate) fn cheapest_target(
         &self,
         adapter: AdapterIdx,
@@ -84,8 +87,8 @@
                 && self.adapters[slot.adapter as usize].queue.is_empty())
     }
 
-    /// Returns what one replica of an adapter is worth, in expected requests
-    /// per second.
+    /// Returns the value of retaining one replica of an adapter: the expected
+    /// requests per second, divided by the number of replicas.
     pub(crate) fn retention_value(
         &self,
         idx: AdapterIdx,
@@ -96,8 +99,13 @@
         adapter.rate_per_s(now) / replicas.max(1) as f64
     }
 
-    /// Starts to drain the busy slot that is worth least, for an adapter that
-    /// has waited too long. Returns whether a slot drains now.
+    /// Starts to drain a busy slot for an adapter for which there is no
+    /// placement target: the slot with the lowest sum of running requests and
+    /// retention value, of those whose own queue weighs less than that of the
+    /// adapter.
+    ///
+    /// Returns whether a drain was started. At most one slot of the shard
+    /// drains at a time.
     pub(crate) fn drain_for(
         &mut self,
         adapter: AdapterIdx,
