--- a/crates/state/src/placement.rs
+++ b/crates/state/src/placement.rs
@@ -1,9 +1,10 @@
-//! Which adapter is loaded next, and where.
+//! Placement: the choice of the adapter to load next and of its engine.
 //!
-//! The weight store is the bottleneck at a spike, so each load goes to the
-//! adapter that removes the largest weighted wait: what is waiting plus what
-//! is expected to arrive before the next chance. The module keeps one
-//! invariant: two loads are never made for one need.
+//! The weight store is the bottleneck during a spike, so each load goes to the
+//! adapter that removes the largest weighted wait: that of the waiting
+//! requests and of those expected to arrive during a load. The module keeps
+//! one invariant: an adapter is never loaded twice for the same waiting
+//! requests.
 
 use sedgewall_clock::Instant;
 
@@ -15,21 +16,22 @@
     shard::{LoadOrder, Shard, ShardAction},
 };
 
-/// A prefetch needs its adapter to be wanted this many times more than the one
-/// that has to leave; the margin stops two adapters from swapping for ever.
+/// An adapter is prefetched over another one only if its expected request rate
+/// exceeds the cost of evicting the other by this factor. The margin keeps two
+/// adapters from replacing each other repeatedly.
 const PREFETCH_MARGIN: f64 = 2.0;
 
-/// Requests per second below which nothing is prefetched.
+/// The expected requests per second below which an adapter is not prefetched.
 const PREFETCH_MIN_RATE_PER_S: f64 = 0.02;
 
-/// Adapters that one tick looks at.
+/// The number of adapters that one tick considers for prefetching.
 const PREFETCH_SCAN: AdapterIdx = 256;
 
-/// Loads that prefetching leaves free for requests that come.
+/// The number of concurrent loads that prefetching leaves to new requests.
 const PREFETCH_RESERVE: u32 = 1;
 
 impl Shard {
-    /// Orders loads while the budget lasts.
+    /// Orders loads while the budget allows and an adapter needs one.
     pub(crate) fn schedule_loads(
         &mut self,
         now: Instant,
@@ -51,8 +53,9 @@
         }
     }
 
-    /// Lets an adapter serve again from a slot that is being drained. Returns
-    /// whether there was one.
+    /// Puts a draining slot of an adapter back into service, if there is one.
+    ///
+    /// Returns whether there was one.
     fn cancel_drain(&mut self, adapter: AdapterIdx) -> bool {
         let ready = self.adapters[adapter as usize].ready.clone();
         for engine in ready {
@@ -71,10 +74,12 @@
         false
     }
 
-    /// Looks at the next few adapters for a load ahead of need.
+    /// Considers the next few adapters for prefetching, which is a load before
+    /// any request waits for the adapter.
     ///
-    /// A tick looks at a fixed number of adapters, so that its cost does not
-    /// grow with their number; 24,000 come round in less than ten seconds.
+    /// Each call considers a fixed number of adapters, so that its cost does
+    /// not grow with their number. With ten calls a second, all of 24,000
+    /// adapters are considered in less than ten seconds.
     pub(crate) fn prefetch_next(
         &mut self,
         now: Instant,
@@ -91,7 +96,8 @@
         }
     }
 
-    /// Orders one load ahead of need, from budget that nobody waits for.
+    /// Prefetches an adapter if no request waits for a load and the budget
+    /// allows.
     fn prefetch(
         &mut self,
         candidate: AdapterIdx,
@@ -122,7 +128,8 @@
         }
     }
 
-    /// Returns the adapter whose load removes the largest weighted wait.
+    /// Returns the adapter whose load removes the largest weighted wait, if
+    /// any adapter needs a load.
     fn next_to_load(&self, now: Instant) -> Option<AdapterIdx> {
         let unplaced = self
             .unplaced
@@ -142,7 +149,9 @@
             .map(|(idx, _)| idx)
     }
 
-    /// The weighted wait that a first replica removes per second.
+    /// Returns the weighted wait that a first replica of an adapter removes
+    /// per second: the weight of the waiting requests, of those expected
+    /// during a load, and of aging.
     fn load_value(&self, idx: AdapterIdx, now: Instant) -> f64 {
         let adapter = &self.adapters[idx as usize];
         let ahead_s = self.budget.load_time().as_secs_f64();
@@ -152,7 +161,8 @@
             + self.aged_weight(idx, now)
     }
 
-    /// Lifts what has waited long, so that a rare adapter is loaded at last.
+    /// Returns an additional weight that grows with the square of the waiting
+    /// time, so that a rarely requested adapter is eventually loaded.
     fn aged_weight(&self, idx: AdapterIdx, now: Instant) -> f64 {
         let queue = &self.adapters[idx as usize].queue;
         let aging_s = self.settings.aging.as_secs_f64().max(0.001);
@@ -167,8 +177,10 @@
             .sum()
     }
 
-    /// A further replica serves only the part of the queue that the present
-    /// ones cannot take within the time of a load.
+    /// Returns the weighted wait that a further replica of an adapter removes.
+    ///
+    /// That replica serves only the part of the queue that the present
+    /// replicas cannot serve within the time of a load.
     fn replica_value(&self, idx: AdapterIdx, now: Instant) -> f64 {
         let adapter = &self.adapters[idx as usize];
         let replicas = adapter.ready.len() as f64;
