--- a/crates/state/benches/decisions.rs
+++ b/crates/state/benches/decisions.rs
@@ -1,4 +1,5 @@
-//! The time of decisions, at shards of 8, 32 and 128 engines.
+//! The time that the policy takes for a request and for a tick, in shards of
+//! 8, 32 and 128 engines.
 
 #![allow(missing_docs, reason = "criterion's macro makes a public function")]
 
@@ -25,7 +26,8 @@
 }
 
 impl Bench {
-    /// A shard whose slots are full, each adapter with some popularity.
+    /// Returns a shard whose slots all hold an adapter that has been
+    /// requested.
     fn new(engines: usize, adapters: u32) -> Bench {
         let now = Instant::now();
         let limits = StoreLimits { rate_per_s: 1e9, concurrency: 1e6 };
@@ -63,7 +65,7 @@
         self.next
     }
 
-    /// A request for a loaded adapter, from submission to end.
+    /// Submits and finishes a request for an adapter that an engine holds.
     fn run_resident_request(&mut self, adapter: AdapterIdx) {
         let id = self.submit(adapter);
         let end = RequestEnd::Finished;
@@ -71,7 +73,8 @@
         black_box(&self.actions);
     }
 
-    /// A request for an adapter that must be loaded, with its load.
+    /// Submits a request for an adapter that no engine holds, completes its
+    /// load, and finishes the request.
     fn run_cold_request(&mut self, adapter: AdapterIdx) {
         let id = self.submit(adapter);
         let order = self.actions.iter().find_map(|action| match action {
