--- a/crates/state/tests/allocation_rules.rs
+++ b/crates/state/tests/allocation_rules.rs
@@ -1,4 +1,4 @@
-//! The division of the weight store.
+//! The allocation of the weight store's limits to shards.
 
 use std::time::Duration;
 
@@ -50,7 +50,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
 
-    /// Shards ask in any order and lose answers; an allocator is replaced.
+    /// Shards request allotments in any order, some answers are lost, and the
+    /// allocator is replaced. The rate that all shards may use together must
+    /// stay within the store's limit.
     #[test]
     fn allotments_in_force_never_exceed_the_store(
         steps in prop::collection::vec(
@@ -64,7 +66,7 @@
         let mut now = Instant::now();
         let mut allocator = Allocator::new(limits, names(), now);
         let floor = guaranteed_limits(limits, 5);
-        // What each shard may use, and until when.
+        // The limits that each shard may use, and until when.
         let mut parts = [(floor, now); 5];
         for (shard, demand, pause_ms, is_received, is_replaced) in steps {
             now += Duration::from_millis(pause_ms);
