--- a/crates/state/tests/shard_rules.rs
+++ b/crates/state/tests/shard_rules.rs
@@ -1,4 +1,5 @@
-//! The rules of the policy, after every step of random event orders.
+//! The invariants of the policy under random sequences of events, and single
+//! cases of its rules.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -22,6 +23,9 @@
 const SEATS: u32 = 4;
 const ENTRY: u64 = 7;
 
+/// An event that the harness applies to the shard. `Pass` advances the time by
+/// milliseconds and ticks; `Settle` reports the requests that the entry
+/// instance runs.
 #[derive(Clone, Debug)]
 enum Step {
     Submit { adapter: u32, priority: u8, within_ms: u64 },
@@ -67,7 +71,7 @@
     ]
 }
 
-/// The actual about engines, beside what the policy believes.
+/// The actual state of an engine, as opposed to the shard's state of it.
 #[derive(Default)]
 struct ActualEngine {
     ready: BTreeSet<AdapterIdx>,
@@ -189,8 +193,9 @@
             }
             Step::EndTwice(pick) => {
                 let all = self.ended.clone();
-                // Messages of one entry come in order, so a second end never
-                // meets a later grant.
+                // Messages of one entry instance arrive in order, so a
+                // repeated end never arrives after a later grant of the same
+                // request.
                 if let Some(id) = pick_from(&all, pick)
                     && self.shard.grant(id).is_none()
                 {
@@ -269,7 +274,8 @@
                 );
             }
             Step::EntryLost => {
-                // The entry's connections break, so its engines stop too.
+                // The connections of the entry instance break, so the engines
+                // stop running its requests.
                 let held: Vec<RequestId> =
                     self.granted.keys().copied().collect();
                 for id in held {
@@ -342,7 +348,8 @@
             );
             actual.ready.remove(&victim);
         }
-        // A load on an engine that is leaving or silent serves no need.
+        // A load on a leaving or silent engine does not count, because the
+        // engine will not serve the adapter.
         let engines = self.shard.engines();
         let is_loading = self.loads.iter().any(|load| {
             load.adapter == order.adapter
@@ -416,7 +423,7 @@
         for step in steps {
             harness.apply(step);
         }
-        // Deadlines pass; nothing may wait for ever.
+        // After all deadlines have passed, no request may wait.
         for _ in 0..60 {
             harness.apply(Step::Pass(1_000));
             harness.check_invariants();
@@ -507,7 +514,7 @@
     shard.reconcile_entry(ENTRY, &[], later, &mut Vec::new());
     assert_eq!(shard.granted_len(), 0);
 
-    // Past the time for which any idle adapter stays.
+    // After the minimum time for which an idle adapter stays resident.
     let later = later + Duration::from_secs(1);
     let actions = submit(&mut shard, 2, 1, Priority::High, later);
     assert!(
@@ -589,7 +596,8 @@
     let (mut shard, now) = shard_with_one_engine(4);
     submit(&mut shard, 1, 0, Priority::Normal, now);
     load(&mut shard, 0, now);
-    // Index 1 is another version of the same adapter; it has no replica.
+    // Index 1 stands for another version of the same adapter, which has no
+    // replica.
     let actions = submit(&mut shard, 2, 1, Priority::Normal, now);
     assert!(
         !actions.iter().any(|a| matches!(a, ShardAction::Grant { .. })),
@@ -597,9 +605,9 @@
     );
 }
 
-/// Found by `a_leaving_engine_gets_no_new_work_and_finishes_the_old`: an
-/// adapter that only a leaving engine held counted as placed and was never
-/// loaded elsewhere.
+/// Guards against requests that wait forever: an adapter whose only replica
+/// was on a leaving engine counted as placed and was never loaded on another
+/// one. The same holds for a silent engine.
 #[test]
 fn an_adapter_on_a_leaving_engine_is_loaded_elsewhere() {
     for leaves in [true, false] {
@@ -612,7 +620,7 @@
         if leaves {
             shard.mark_engine_leaving(0, now);
         } else {
-            // Engine b reports, engine a is silent.
+            // Engine "b" reports, engine "a" does not.
             later = now + Duration::from_secs(4);
             shard.apply_report(1, &[], later, later, &mut Vec::new());
             shard.tick(later, &mut Vec::new());
@@ -623,9 +631,9 @@
     }
 }
 
-/// Found by `an_adapter_that_serves_is_not_unloaded_under_pressure`: requests
-/// for an adapter whose slot was being drained waited for ever when nobody
-/// took the slot.
+/// Guards against requests that wait forever: when the request for which a
+/// slot was drained was cancelled, the slot stayed in the draining state, and
+/// new requests for its adapter were never granted.
 #[test]
 fn a_draining_slot_serves_again_when_its_drain_is_not_needed() {
     let (mut shard, now) = shard_with_one_engine(4);
@@ -636,7 +644,8 @@
     shard.tick(later, &mut Vec::new());
     assert_eq!(shard.engines()[0].slots[0].state, SlotState::Draining);
 
-    // The one that the slot was drained for gives up, and others come.
+    // The request for which the slot was drained is cancelled, and a new
+    // request for the drained adapter arrives.
     shard.cancel(request_id(ENTRY, 2), later, &mut Vec::new());
     submit(&mut shard, 3, 0, Priority::Normal, later);
     let mut actions = Vec::new();
@@ -647,8 +656,9 @@
     );
 }
 
-/// Found by the same process test: engines with fewer slots than their group
-/// says turned down load after load and were backed off from.
+/// Guards against repeated failures of loads on an engine that has fewer slots
+/// than its endpoint group is configured with: the engine rejected one load
+/// after another, and the shard backed off from it instead of evicting.
 #[test]
 fn a_reported_slot_shortage_reduces_slot_capacity() {
     let now = Instant::now();
@@ -674,8 +684,9 @@
     assert!(actions.contains(&ShardAction::Load(order)), "{actions:?}");
 }
 
-/// Found by `scripts/bench faults`: a new leader took full engines for empty
-/// ones, and its requests were turned down until their retries were spent.
+/// Guards against a new leader that takes full engines for empty ones before
+/// their first report: it ordered loads for adapters that an engine already
+/// held, and requests were rejected until their retries were spent.
 #[test]
 fn a_new_leader_orders_no_load_before_it_knows_what_an_engine_holds() {
     let now = Instant::now();
@@ -692,9 +703,9 @@
     assert!(matches!(actions[0], ShardAction::Grant { .. }), "{actions:?}");
 }
 
-/// Found by `scripts/bench faults`: after an engine came back empty, requests
-/// went to it again and again until their retries were spent, because others
-/// had been granted there too.
+/// Guards against a stale replica after an engine restarted without adapters:
+/// a rejected request was granted on the same engine again, until its retries
+/// were spent, because the replica was kept while the engine had other grants.
 #[test]
 fn an_engine_that_lacks_an_adapter_gets_no_more_requests_for_it() {
     let (mut shard, now) = shard_with_one_engine(4);
@@ -708,7 +719,8 @@
     assert_eq!(actions, [ShardAction::Load(order)]);
 }
 
-/// Found by the same: a dead engine was asked again until its silence counted.
+/// Guards against repeated grants on an engine that cannot be connected to,
+/// which went on until the engine counted as silent.
 #[test]
 fn an_unreachable_engine_gets_nothing_until_it_reports() {
     let (mut shard, now) = shard_with_one_engine(4);
@@ -724,8 +736,9 @@
     assert!(matches!(actions[0], ShardAction::Grant { .. }));
 }
 
-/// A shard with one empty engine and a slow weight store, after requests for
-/// one new adapter each have come for longer than an overload needs to show.
+/// Returns the number of refused requests in a shard with one empty engine and
+/// a slow weight store. Each request needs another adapter, and they arrive
+/// for longer than it takes to detect an overload.
 fn shard_behind_on_loads(slots: usize) -> usize {
     let now = Instant::now();
     let limits = StoreLimits { rate_per_s: 1.0, concurrency: 1.0 };
@@ -759,8 +772,9 @@
     refused
 }
 
-/// The replay's quiet day refused one request, because the backlog of the
-/// cold start counted as an overload long after it had gone.
+/// Guards against refusals after a cold start: the backlog of loads while the
+/// slots are first filled counted as an overload, and a request was refused
+/// long after the backlog had ended.
 #[test]
 fn a_cold_start_is_not_an_overload() {
     let refused = shard_behind_on_loads(60);
