--- a/crates/state/src/health.rs
+++ b/crates/state/src/health.rs
@@ -1,30 +1,34 @@
-//! How far each engine is trusted: silence, slowness, probation.
+//! Health of engines: silence, slowness and probation.
 //!
-//! An engine is taken out on evidence only, missed reports or a time to the
-//! first token far above its peers', and comes back with a few requests at a
-//! time.
+//! An engine loses work only on evidence: missing reports, failed requests or
+//! connections, or a time to the first token far above that of its peers. It
+//! returns to service with a few requests at a time.
 
 use std::time::Duration;
 
 use sedgewall_clock::Instant;
 
 use crate::{
-    engine::{Health, PROBATION},
+    engine::{Health, PROBATION_PERIOD},
     id::{AdapterIdx, EngineIdx},
     shard::Shard,
 };
 
-/// How much a new time to the first token counts against the earlier ones.
+/// The weight of a new sample in the moving average of the time to the first
+/// token.
 const FIRST_TOKEN_SMOOTHING: f64 = 0.2;
 
-/// An engine this many times slower than the median of its peers is slow.
+/// An engine is slow if its time to the first token exceeds the median of the
+/// shard's engines by this factor.
 const SLOW_FACTOR: f64 = 4.0;
 
-/// No engine is slow below this time to the first token, in seconds.
+/// An engine with a shorter time to the first token than this never counts as
+/// slow, in seconds.
 const MIN_SLOW_S: f64 = 0.5;
 
 impl Shard {
-    /// Notes a time to the first token that an entry saw at an engine.
+    /// Records a time to the first token that an entry instance measured at an
+    /// engine. A slow engine is put on probation.
     pub fn record_first_token(
         &mut self,
         idx: EngineIdx,
@@ -40,8 +44,8 @@
         }
     }
 
-    /// Changes an engine's health, and with it where its adapters count as
-    /// served.
+    /// Sets an engine's health. If it changes, recomputes which adapters count
+    /// as served.
     pub(crate) fn set_health(
         &mut self,
         idx: EngineIdx,
@@ -53,22 +57,22 @@
             return;
         }
         engine.set_health(health, now);
-        self.note_slots(idx);
+        self.update_waiting_sets_on(idx);
     }
 
-    /// Notes anew for all adapters of an engine where they are served.
-    pub(crate) fn note_slots(&mut self, idx: EngineIdx) {
+    /// Calls [`Shard::update_waiting_sets`] for all adapters of an engine.
+    pub(crate) fn update_waiting_sets_on(&mut self, idx: EngineIdx) {
         let adapters: Vec<AdapterIdx> = self.engines[idx as usize]
             .slots
             .iter()
             .map(|slot| slot.adapter)
             .collect();
         for adapter in adapters {
-            self.note_queue_change(adapter);
+            self.update_waiting_sets(adapter);
         }
     }
 
-    pub(crate) fn suspect(&mut self, idx: EngineIdx, now: Instant) {
+    pub(crate) fn put_on_probation(&mut self, idx: EngineIdx, now: Instant) {
         if self.engines[idx as usize].health == Health::Live {
             self.set_health(idx, Health::Probation, now);
         }
@@ -87,19 +91,20 @@
         own > MIN_SLOW_S && own > median * SLOW_FACTOR
     }
 
-    pub(crate) fn note_report(&mut self, idx: EngineIdx, now: Instant) {
+    pub(crate) fn record_report(&mut self, idx: EngineIdx, now: Instant) {
         let is_slow = self.is_slow(idx);
         let engine = &mut self.engines[idx as usize];
-        engine.reported = now;
-        engine.is_known = true;
+        engine.last_report = now;
+        engine.has_reported = true;
         let stayed = now.saturating_duration_since(engine.health_since);
         match engine.health {
             Health::Silent => self.set_health(idx, Health::Probation, now),
-            Health::Probation if stayed >= PROBATION && !is_slow => {
+            Health::Probation if stayed >= PROBATION_PERIOD && !is_slow => {
                 self.set_health(idx, Health::Live, now);
             }
-            Health::Probation if stayed >= PROBATION => {
-                // The evidence must be renewed; a few requests will do it.
+            Health::Probation if stayed >= PROBATION_PERIOD => {
+                // The average is halved, so that the engine leaves probation
+                // unless a few new requests show that it is still slow.
                 engine.first_token_s /= 2.0;
             }
             _ => {}
@@ -110,7 +115,7 @@
         let silent_after = self.settings.silent_after;
         for idx in 0..self.engines.len() {
             let engine = &self.engines[idx];
-            let silence = now.saturating_duration_since(engine.reported);
+            let silence = now.saturating_duration_since(engine.last_report);
             if engine.takes_work() && silence > silent_after {
                 self.set_health(idx as EngineIdx, Health::Silent, now);
             }
--- a/crates/state/tests/shard_rules.rs
+++ b/crates/state/tests/shard_rules.rs
@@ -1,4 +1,5 @@
-//! The rules of the policy, after every step of random event orders.
+//! The invariants of the policy under random sequences of events, and single
+//! cases of its rules.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -22,6 +23,9 @@
 const SEATS: u32 = 4;
 const ENTRY: u64 = 7;
 
+/// An event that the harness applies to the shard. `Pass` advances the time by
+/// milliseconds and ticks; `Settle` reports the requests that the entry
+/// instance runs.
 #[derive(Clone, Debug)]
 enum Step {
     Submit { adapter: u32, priority: u8, within_ms: u64 },
@@ -67,9 +71,9 @@
     ]
 }
 
-/// The truth about engines, beside what the policy believes.
+/// The actual state of an engine, as opposed to the shard's state of it.
 #[derive(Default)]
-struct TrueEngine {
+struct ActualEngine {
     ready: BTreeSet<AdapterIdx>,
     running: BTreeMap<RequestId, AdapterIdx>,
 }
@@ -78,12 +82,12 @@
     shard: Shard,
     now: Instant,
     next: u64,
-    engines: Vec<TrueEngine>,
+    engines: Vec<ActualEngine>,
     loads: Vec<LoadOrder>,
     granted: BTreeMap<RequestId, EngineIdx>,
-    known: Vec<(RequestId, AdapterIdx)>,
-    decided: BTreeMap<RequestId, u32>,
-    starts: Vec<Instant>,
+    submitted: Vec<(RequestId, AdapterIdx)>,
+    decisions: BTreeMap<RequestId, u32>,
+    load_starts: Vec<Instant>,
     limits: StoreLimits,
     ended: Vec<RequestId>,
 }
@@ -106,12 +110,12 @@
             shard,
             now,
             next: 0,
-            engines: (0..ENGINES).map(|_| TrueEngine::default()).collect(),
+            engines: (0..ENGINES).map(|_| ActualEngine::default()).collect(),
             loads: Vec::new(),
             granted: BTreeMap::new(),
-            known: Vec::new(),
-            decided: BTreeMap::new(),
-            starts: Vec::new(),
+            submitted: Vec::new(),
+            decisions: BTreeMap::new(),
+            load_starts: Vec::new(),
             limits,
             ended: Vec::new(),
         }
@@ -135,63 +139,64 @@
         }
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         let mut actions = Vec::new();
         match step {
             Step::Submit { adapter, priority, within_ms } => {
                 self.next += 1;
                 let id = request_id(ENTRY, self.next);
-                self.known.push((id, adapter));
+                self.submitted.push((id, adapter));
                 let priority = Priority::ALL[usize::from(priority)];
                 let request = self.request(id, adapter, priority, within_ms);
                 self.shard.submit(request, self.now, &mut actions);
             }
             Step::SubmitAgain(pick) => {
-                let waiting = self.known.iter().filter(|(id, _)| {
+                let waiting = self.submitted.iter().filter(|(id, _)| {
                     self.shard.is_waiting(*id)
                         || self.shard.grant(*id).is_some()
                 });
                 let all: Vec<_> = waiting.copied().collect();
-                if let Some((id, adapter)) = pick_of(&all, pick) {
+                if let Some((id, adapter)) = pick_from(&all, pick) {
                     let request =
                         self.request(id, adapter, Priority::Normal, 5_000);
                     self.shard.submit(request, self.now, &mut actions);
                 }
             }
             Step::Cancel(pick) => {
-                let all = self.known.clone();
-                if let Some((id, _)) = pick_of(&all, pick) {
-                    self.forget_running(id);
+                let all = self.submitted.clone();
+                if let Some((id, _)) = pick_from(&all, pick) {
+                    self.stop_running(id);
                     self.shard.cancel(id, self.now, &mut actions);
                 }
             }
             Step::End { pick, how } => {
                 let all: Vec<RequestId> =
                     self.granted.keys().copied().collect();
-                if let Some(id) = pick_of(&all, pick) {
+                if let Some(id) = pick_from(&all, pick) {
                     let end = match how {
                         0 => RequestEnd::Finished,
                         1 => RequestEnd::NotLoaded,
                         2 => RequestEnd::Unreachable,
                         _ => RequestEnd::Failed,
                     };
-                    self.forget_running(id);
+                    self.stop_running(id);
                     self.ended.push(id);
-                    let waits_again = matches!(
+                    let is_requeued = matches!(
                         end,
                         RequestEnd::NotLoaded | RequestEnd::Unreachable
                     );
-                    if waits_again {
-                        *self.decided.entry(id).or_default() -= 1;
+                    if is_requeued {
+                        *self.decisions.entry(id).or_default() -= 1;
                     }
                     self.shard.finish(id, end, self.now, &mut actions);
                 }
             }
             Step::EndTwice(pick) => {
                 let all = self.ended.clone();
-                // Messages of one entry come in order, so a second end never
-                // meets a later grant.
-                if let Some(id) = pick_of(&all, pick)
+                // Messages of one entry instance arrive in order, so a
+                // repeated end never arrives after a later grant of the same
+                // request.
+                if let Some(id) = pick_from(&all, pick)
                     && self.shard.grant(id).is_none()
                 {
                     let end = RequestEnd::NotLoaded;
@@ -199,7 +204,7 @@
                 }
             }
             Step::Loaded { pick, is_loaded } => {
-                if let Some(order) = pick_of(&self.loads, pick) {
+                if let Some(order) = pick_from(&self.loads, pick) {
                     self.loads.retain(|load| *load != order);
                     if is_loaded {
                         let engine = &mut self.engines[order.engine as usize];
@@ -215,13 +220,13 @@
                 }
             }
             Step::Report { engine, lag_ms } => {
-                let truth = &self.engines[engine as usize];
-                let slots: Vec<ReportedSlot> = truth
+                let actual = &self.engines[engine as usize];
+                let slots: Vec<ReportedSlot> = actual
                     .ready
                     .iter()
                     .map(|adapter| ReportedSlot {
                         adapter: *adapter,
-                        running_len: truth
+                        running_len: actual
                             .running
                             .values()
                             .filter(|on| *on == adapter)
@@ -239,13 +244,13 @@
                 );
             }
             Step::Restart(engine) => {
-                let truth = &mut self.engines[engine as usize];
-                truth.ready.clear();
-                let cut: Vec<RequestId> =
-                    std::mem::take(&mut truth.running).into_keys().collect();
+                let actual = &mut self.engines[engine as usize];
+                actual.ready.clear();
+                let interrupted: Vec<RequestId> =
+                    std::mem::take(&mut actual.running).into_keys().collect();
                 self.loads.retain(|load| load.engine != engine);
                 self.shard.engine_restarted(engine, self.now);
-                for id in cut {
+                for id in interrupted {
                     self.granted.remove(&id);
                     let end = RequestEnd::Failed;
                     self.shard.finish(id, end, self.now, &mut actions);
@@ -269,16 +274,17 @@
                 );
             }
             Step::EntryLost => {
-                // The entry's connections break, so its engines stop too.
+                // The connections of the entry instance break, so the engines
+                // stop running its requests.
                 let held: Vec<RequestId> =
                     self.granted.keys().copied().collect();
                 for id in held {
-                    self.forget_running(id);
+                    self.stop_running(id);
                 }
                 self.shard.entry_lost(ENTRY, self.now, &mut actions);
-                let known = std::mem::take(&mut self.known);
-                for (id, _) in known {
-                    self.decided.entry(id).or_insert(1);
+                let submitted = std::mem::take(&mut self.submitted);
+                for (id, _) in submitted {
+                    self.decisions.entry(id).or_insert(1);
                 }
             }
             Step::Pass(ms) => {
@@ -286,20 +292,20 @@
                 self.shard.tick(self.now, &mut actions);
             }
         }
-        self.carry_out(actions);
+        self.apply_actions(actions);
     }
 
-    fn forget_running(&mut self, id: RequestId) {
+    fn stop_running(&mut self, id: RequestId) {
         if let Some(engine) = self.granted.remove(&id) {
             self.engines[engine as usize].running.remove(&id);
         }
     }
 
-    fn carry_out(&mut self, actions: Vec<ShardAction>) {
+    fn apply_actions(&mut self, actions: Vec<ShardAction>) {
         for action in actions {
             match action {
                 ShardAction::Grant { request, engine, adapter, .. } => {
-                    *self.decided.entry(request).or_default() += 1;
+                    *self.decisions.entry(request).or_default() += 1;
                     assert!(
                         !self.granted.contains_key(&request),
                         "a request got a second seat while it held one"
@@ -309,40 +315,41 @@
                         .slot(adapter)
                         .is_some_and(|slot| slot.state != SlotState::Loading);
                     assert!(holds, "a seat where the adapter is not ready");
-                    let named = self.known.iter().find(|k| k.0 == request);
+                    let named = self.submitted.iter().find(|k| k.0 == request);
                     assert!(
                         named.is_none_or(|(_, named)| *named == adapter),
                         "a seat for an adapter that was not named"
                     );
-                    let truth = &mut self.engines[engine as usize];
+                    let actual = &mut self.engines[engine as usize];
                     self.granted.insert(request, engine);
-                    if truth.ready.contains(&adapter) {
-                        truth.running.insert(request, adapter);
+                    if actual.ready.contains(&adapter) {
+                        actual.running.insert(request, adapter);
                     }
                 }
                 ShardAction::Refuse { request, .. } => {
-                    *self.decided.entry(request).or_default() += 1;
+                    *self.decisions.entry(request).or_default() += 1;
                     assert!(
                         !self.granted.contains_key(&request),
                         "a request that holds a seat was refused"
                     );
                 }
-                ShardAction::Load(order) => self.order(order),
+                ShardAction::Load(order) => self.apply_load_order(order),
             }
         }
     }
 
-    fn order(&mut self, order: LoadOrder) {
-        self.starts.push(self.now);
-        let truth = &mut self.engines[order.engine as usize];
+    fn apply_load_order(&mut self, order: LoadOrder) {
+        self.load_starts.push(self.now);
+        let actual = &mut self.engines[order.engine as usize];
         if let Some(victim) = order.evict {
             assert!(
-                !truth.running.values().any(|on| *on == victim),
+                !actual.running.values().any(|on| *on == victim),
                 "an adapter that serves a request was to be unloaded"
             );
-            truth.ready.remove(&victim);
+            actual.ready.remove(&victim);
         }
-        // A load on an engine that is leaving or silent serves no need.
+        // A load on a leaving or silent engine does not count, because the
+        // engine will not serve the adapter.
         let engines = self.shard.engines();
         let is_loading = self.loads.iter().any(|load| {
             load.adapter == order.adapter
@@ -352,7 +359,7 @@
         self.loads.push(order);
     }
 
-    fn check(&self) {
+    fn check_invariants(&self) {
         let engines = self.shard.engines();
         for (idx, engine) in engines.iter().enumerate() {
             assert!(engine.slots.len() <= SLOTS, "more adapters than slots");
@@ -375,22 +382,22 @@
             "more loads at once than the store allows"
         );
         let window = Duration::from_secs(1);
-        for start in &self.starts {
+        for start in &self.load_starts {
             let within = self
-                .starts
+                .load_starts
                 .iter()
                 .filter(|s| **s >= *start && **s < *start + window)
                 .count();
             let allowed = 2.0 * self.limits.rate_per_s + 1.0;
             assert!(within as f64 <= allowed, "loads exceed the store's rate");
         }
-        for (id, times) in &self.decided {
+        for (id, times) in &self.decisions {
             assert!(*times <= 1, "request {id:x} was decided {times} times");
         }
     }
 }
 
-fn pick_of<T: Copy>(all: &[T], pick: usize) -> Option<T> {
+fn pick_from<T: Copy>(all: &[T], pick: usize) -> Option<T> {
     (!all.is_empty()).then(|| all[pick % all.len()])
 }
 
@@ -403,29 +410,29 @@
     ) {
         let mut harness = Harness::new();
         for step in steps {
-            harness.take(step);
-            harness.check();
+            harness.apply(step);
+            harness.check_invariants();
         }
     }
 
     #[test]
-    fn every_request_is_decided_in_the_end(
+    fn every_waiting_request_is_eventually_decided(
         steps in prop::collection::vec(step(), 1..80)
     ) {
         let mut harness = Harness::new();
         for step in steps {
-            harness.take(step);
+            harness.apply(step);
         }
-        // Deadlines pass; nothing may wait for ever.
+        // After all deadlines have passed, no request may wait.
         for _ in 0..60 {
-            harness.take(Step::Pass(1_000));
-            harness.check();
+            harness.apply(Step::Pass(1_000));
+            harness.check_invariants();
         }
         prop_assert_eq!(harness.shard.waiting_len(), 0);
     }
 }
 
-fn shard_of_one(seats: u32) -> (Shard, Instant) {
+fn shard_with_one_engine(seats: u32) -> (Shard, Instant) {
     let now = Instant::now();
     let limits = StoreLimits { rate_per_s: 100.0, concurrency: 100.0 };
     let mut shard = Shard::new(PolicySettings::default(), limits, now);
@@ -464,7 +471,7 @@
 
 #[test]
 fn unload_waits_for_last_request() {
-    let (mut shard, now) = shard_of_one(4);
+    let (mut shard, now) = shard_with_one_engine(4);
     submit(&mut shard, 1, 0, Priority::Normal, now);
     load(&mut shard, 0, now);
     let later = now + Duration::from_secs(2);
@@ -484,7 +491,7 @@
 
 #[test]
 fn unload_waits_for_requests_of_a_previous_leader() {
-    let (mut shard, now) = shard_of_one(4);
+    let (mut shard, now) = shard_with_one_engine(4);
     let reported = [ReportedSlot { adapter: 0, running_len: 1 }];
     shard.apply_report(0, &reported, now, now, &mut Vec::new());
     let later = now + Duration::from_secs(2);
@@ -500,14 +507,14 @@
 
 #[test]
 fn an_unused_grant_blocks_eviction_until_a_later_report() {
-    let (mut shard, now) = shard_of_one(4);
+    let (mut shard, now) = shard_with_one_engine(4);
     submit(&mut shard, 1, 0, Priority::Normal, now);
     load(&mut shard, 0, now);
     let later = now + Duration::from_secs(3);
     shard.reconcile_entry(ENTRY, &[], later, &mut Vec::new());
     assert_eq!(shard.granted_len(), 0);
 
-    // Past the time for which any idle adapter stays.
+    // After the minimum time for which an idle adapter stays resident.
     let later = later + Duration::from_secs(1);
     let actions = submit(&mut shard, 2, 1, Priority::High, later);
     assert!(
@@ -524,7 +531,7 @@
 
 #[test]
 fn batch_work_gives_its_seat_to_a_higher_class() {
-    let (mut shard, now) = shard_of_one(1);
+    let (mut shard, now) = shard_with_one_engine(1);
     submit(&mut shard, 1, 0, Priority::Batch, now);
     load(&mut shard, 0, now);
     assert_eq!(shard.granted_len(), 1);
@@ -538,7 +545,7 @@
 
 #[test]
 fn a_leaving_engine_gets_no_new_work() {
-    let (mut shard, now) = shard_of_one(4);
+    let (mut shard, now) = shard_with_one_engine(4);
     submit(&mut shard, 1, 0, Priority::Normal, now);
     load(&mut shard, 0, now);
     shard.mark_engine_leaving(0, now);
@@ -548,7 +555,7 @@
 
 #[test]
 fn a_silent_engine_gets_no_work_and_comes_back_on_probation() {
-    let (mut shard, now) = shard_of_one(32);
+    let (mut shard, now) = shard_with_one_engine(32);
     submit(&mut shard, 1, 0, Priority::Normal, now);
     load(&mut shard, 0, now);
     let later = now + Duration::from_secs(5);
@@ -570,8 +577,8 @@
 }
 
 #[test]
-fn refusals_spread_the_callers() {
-    let (mut shard, now) = shard_of_one(4);
+fn refusals_spread_retry_times() {
+    let (mut shard, now) = shard_with_one_engine(4);
     shard.mark_engine_leaving(0, now);
     let mut times = BTreeSet::new();
     for sequence in 0..50 {
@@ -586,10 +593,11 @@
 
 #[test]
 fn versions_of_an_adapter_are_distinct() {
-    let (mut shard, now) = shard_of_one(4);
+    let (mut shard, now) = shard_with_one_engine(4);
     submit(&mut shard, 1, 0, Priority::Normal, now);
     load(&mut shard, 0, now);
-    // Index 1 is another version of the same adapter; it has no replica.
+    // Index 1 stands for another version of the same adapter, which has no
+    // replica.
     let actions = submit(&mut shard, 2, 1, Priority::Normal, now);
     assert!(
         !actions.iter().any(|a| matches!(a, ShardAction::Grant { .. })),
@@ -597,13 +605,13 @@
     );
 }
 
-/// Found by `a_leaving_engine_gets_no_new_work_and_finishes_the_old`: an
-/// adapter that only a leaving engine held counted as placed and was never
-/// loaded elsewhere.
+/// Guards against requests that wait forever: an adapter whose only replica
+/// was on a leaving engine counted as placed and was never loaded on another
+/// one. The same holds for a silent engine.
 #[test]
 fn an_adapter_on_a_leaving_engine_is_loaded_elsewhere() {
     for leaves in [true, false] {
-        let (mut shard, now) = shard_of_one(4);
+        let (mut shard, now) = shard_with_one_engine(4);
         submit(&mut shard, 1, 0, Priority::Normal, now);
         load(&mut shard, 0, now);
         shard.add_engine("b", 1, 4, now);
@@ -612,7 +620,7 @@
         if leaves {
             shard.mark_engine_leaving(0, now);
         } else {
-            // Engine b reports, engine a is silent.
+            // Engine "b" reports, engine "a" does not.
             later = now + Duration::from_secs(4);
             shard.apply_report(1, &[], later, later, &mut Vec::new());
             shard.tick(later, &mut Vec::new());
@@ -623,12 +631,12 @@
     }
 }
 
-/// Found by `an_adapter_that_serves_is_not_unloaded_under_pressure`: requests
-/// for an adapter whose slot was being drained waited for ever when nobody
-/// took the slot.
+/// Guards against requests that wait forever: when the request for which a
+/// slot was drained was cancelled, the slot stayed in the draining state, and
+/// new requests for its adapter were never granted.
 #[test]
-fn a_drained_adapter_serves_again_when_nobody_takes_its_slot() {
-    let (mut shard, now) = shard_of_one(4);
+fn a_draining_slot_serves_again_when_its_drain_is_not_needed() {
+    let (mut shard, now) = shard_with_one_engine(4);
     submit(&mut shard, 1, 0, Priority::Normal, now);
     load(&mut shard, 0, now);
     let later = now + Duration::from_secs(1);
@@ -636,7 +644,8 @@
     shard.tick(later, &mut Vec::new());
     assert_eq!(shard.engines()[0].slots[0].state, SlotState::Draining);
 
-    // The one that the slot was drained for gives up, and others come.
+    // The request for which the slot was drained is cancelled, and a new
+    // request for the drained adapter arrives.
     shard.cancel(request_id(ENTRY, 2), later, &mut Vec::new());
     submit(&mut shard, 3, 0, Priority::Normal, later);
     let mut actions = Vec::new();
@@ -647,10 +656,11 @@
     );
 }
 
-/// Found by the same process test: engines with fewer slots than their group
-/// says turned down load after load and were backed off from.
+/// Guards against repeated failures of loads on an engine that has fewer slots
+/// than its endpoint group is configured with: the engine rejected one load
+/// after another, and the shard backed off from it instead of evicting.
 #[test]
-fn an_engine_with_fewer_slots_than_configured_is_believed() {
+fn a_reported_slot_shortage_reduces_slot_capacity() {
     let now = Instant::now();
     let limits = StoreLimits { rate_per_s: 100.0, concurrency: 100.0 };
     let mut shard = Shard::new(PolicySettings::default(), limits, now);
@@ -674,8 +684,9 @@
     assert!(actions.contains(&ShardAction::Load(order)), "{actions:?}");
 }
 
-/// Found by `scripts/bench faults`: a new leader took full engines for empty
-/// ones, and its requests were turned down until their retries were spent.
+/// Guards against a new leader that takes full engines for empty ones before
+/// their first report: it ordered loads for adapters that an engine already
+/// held, and requests were rejected until their retries were spent.
 #[test]
 fn a_new_leader_orders_no_load_before_it_knows_what_an_engine_holds() {
     let now = Instant::now();
@@ -692,12 +703,12 @@
     assert!(matches!(actions[0], ShardAction::Grant { .. }), "{actions:?}");
 }
 
-/// Found by `scripts/bench faults`: after an engine came back empty, requests
-/// went to it again and again until their retries were spent, because others
-/// had been granted there too.
+/// Guards against a stale replica after an engine restarted without adapters:
+/// a rejected request was granted on the same engine again, until its retries
+/// were spent, because the replica was kept while the engine had other grants.
 #[test]
-fn an_engine_that_lacks_an_adapter_is_not_asked_again() {
-    let (mut shard, now) = shard_of_one(4);
+fn an_engine_that_lacks_an_adapter_gets_no_more_requests_for_it() {
+    let (mut shard, now) = shard_with_one_engine(4);
     submit(&mut shard, 1, 0, Priority::Normal, now);
     load(&mut shard, 0, now);
     submit(&mut shard, 2, 0, Priority::Normal, now);
@@ -708,10 +719,11 @@
     assert_eq!(actions, [ShardAction::Load(order)]);
 }
 
-/// Found by the same: a dead engine was asked again until its silence counted.
+/// Guards against repeated grants on an engine that cannot be connected to,
+/// which went on until the engine counted as silent.
 #[test]
 fn an_unreachable_engine_gets_nothing_until_it_reports() {
-    let (mut shard, now) = shard_of_one(4);
+    let (mut shard, now) = shard_with_one_engine(4);
     submit(&mut shard, 1, 0, Priority::Normal, now);
     load(&mut shard, 0, now);
     let mut actions = Vec::new();
@@ -724,8 +736,9 @@
     assert!(matches!(actions[0], ShardAction::Grant { .. }));
 }
 
-/// A shard with one empty engine and a slow weight store, after requests for
-/// one new adapter each have come for longer than an overload needs to show.
+/// Returns the number of refused requests in a shard with one empty engine and
+/// a slow weight store. Each request needs another adapter, and they arrive
+/// for longer than it takes to detect an overload.
 fn shard_behind_on_loads(slots: usize) -> usize {
     let now = Instant::now();
     let limits = StoreLimits { rate_per_s: 1.0, concurrency: 1.0 };
@@ -759,16 +772,17 @@
     refused
 }
 
-/// The replay's quiet day refused one request, because the backlog of the
-/// cold start counted as an overload long after it had gone.
+/// Guards against refusals after a cold start: the backlog of loads while the
+/// slots are first filled counted as an overload, and a request was refused
+/// long after the backlog had ended.
 #[test]
-fn a_cold_start_is_no_overload() {
+fn a_cold_start_is_not_an_overload() {
     let refused = shard_behind_on_loads(60);
     assert_eq!(refused, 0);
 }
 
 #[test]
-fn a_filled_shard_that_stays_behind_is_an_overload() {
+fn a_full_shard_with_a_load_backlog_is_overloaded() {
     let refused = shard_behind_on_loads(1);
     assert!(refused > 0);
 }
