--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -142,7 +142,7 @@
 
 /// What became of an attempt to take a lease.
 #[derive(Clone, Debug)]
-pub enum Acquired {
+pub enum AcquireOutcome {
     /// It is ours.
     Held(Lease<Held>),
     /// Somebody else was faster.
@@ -260,13 +260,13 @@
     }
 
     /// Takes in the platform's answer.
-    pub fn answer(self, answer: WriteAnswer, now: Instant) -> Acquired {
+    pub fn answer(self, answer: WriteAnswer, now: Instant) -> AcquireOutcome {
         match answer {
             WriteAnswer::Done(version) => {
-                Acquired::Held(self.into_held(version))
+                AcquireOutcome::Held(self.into_held(version))
             }
-            WriteAnswer::Conflict => Acquired::Lost(self.into_watching(now)),
-            WriteAnswer::Unclear => Acquired::Unclear(self),
+            WriteAnswer::Conflict => AcquireOutcome::Lost(self.into_watching(now)),
+            WriteAnswer::Unclear => AcquireOutcome::Unclear(self),
         }
     }
 
@@ -280,16 +280,16 @@
         self,
         stored: Option<StoredLease>,
         now: Instant,
-    ) -> Acquired {
+    ) -> AcquireOutcome {
         let is_ours = stored
             .as_ref()
             .is_some_and(|s| is_same_holding(&s.record, self.own()));
         if let (true, Some(stored)) = (is_ours, &stored) {
-            return Acquired::Held(self.into_held(stored.version));
+            return AcquireOutcome::Held(self.into_held(stored.version));
         }
         let mut watching = self.into_watching(now);
         watching.observe(stored, now);
-        Acquired::Lost(watching)
+        AcquireOutcome::Lost(watching)
     }
 
     fn own(&self) -> &LeaseRecord {
--- a/crates/coordination/tests/lease_rules.rs
+++ b/crates/coordination/tests/lease_rules.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use sedgewall_clock::Instant;
 use sedgewall_coordination::lease::{
-    Acquired, Acquiring, Candidate, Held, Lease, LeaseRecord, LeaseTimes,
+    AcquireOutcome, Acquiring, Candidate, Held, Lease, LeaseRecord, LeaseTimes,
     LeaseWrite, NotedLease, Renewed, StoredLease, Watching, WriteAnswer,
 };
 
@@ -97,9 +97,9 @@
             let acquiring = watching.acquire(&candidate(player), now);
             let answer = send(platform, acquiring.write());
             match acquiring.answer(answer, now) {
-                Acquired::Held(held) => State::Held(held),
-                Acquired::Lost(watching) => State::Watching(watching),
-                Acquired::Unclear(acquiring) => State::Unclear(acquiring),
+                AcquireOutcome::Held(held) => State::Held(held),
+                AcquireOutcome::Lost(watching) => State::Watching(watching),
+                AcquireOutcome::Unclear(acquiring) => State::Unclear(acquiring),
             }
         }
         State::Unclear(acquiring) => {
@@ -107,9 +107,9 @@
                 return State::Unclear(acquiring);
             }
             match acquiring.settle(platform.stored.clone(), now) {
-                Acquired::Held(held) => State::Held(held),
-                Acquired::Lost(watching) => State::Watching(watching),
-                Acquired::Unclear(acquiring) => State::Unclear(acquiring),
+                AcquireOutcome::Held(held) => State::Held(held),
+                AcquireOutcome::Lost(watching) => State::Watching(watching),
+                AcquireOutcome::Unclear(acquiring) => State::Unclear(acquiring),
             }
         }
         State::Held(held) => {
--- a/crates/coordination/tests/turn_rules.rs
+++ b/crates/coordination/tests/turn_rules.rs
@@ -7,7 +7,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_coordination::{
     lease::{
-        Acquired, Candidate, Held, Lease, LeaseRecord, LeaseTimes, LeaseWrite,
+        AcquireOutcome, Candidate, Held, Lease, LeaseRecord, LeaseTimes, LeaseWrite,
         Renewed, StoredLease, Watching, WriteAnswer,
     },
     turn::{Takeover, Turns},
@@ -157,12 +157,12 @@
         let acquiring = watching.acquire(&self.candidate, now);
         let answer = store.send(acquiring.write(), fault);
         let acquired = match acquiring.answer(answer, now) {
-            Acquired::Unclear(acquiring) => {
+            AcquireOutcome::Unclear(acquiring) => {
                 acquiring.settle(store.stored.clone(), now)
             }
             acquired => acquired,
         };
-        if let Acquired::Held(lease) = acquired {
+        if let AcquireOutcome::Held(lease) = acquired {
             self.begin(lease, before.as_ref(), ended, now);
         }
     }
--- a/crates/sedgewalld/src/election.rs
+++ b/crates/sedgewalld/src/election.rs
@@ -9,7 +9,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_coordination::{
     lease::{
-        Acquired, Acquiring, Candidate, Held, Lease, LeaseRecord, LeaseWrite,
+        AcquireOutcome, Acquiring, Candidate, Held, Lease, LeaseRecord, LeaseWrite,
         Renewed, StoredLease, Watching, WriteAnswer,
     },
     rendezvous,
@@ -108,17 +108,17 @@
 ) -> Result<Lease<Held>, Lease<Watching>> {
     let answer = write(node, acquiring.write()).await;
     let mut unclear = match acquiring.answer(answer, Instant::now()) {
-        Acquired::Held(held) => return Ok(held),
-        Acquired::Lost(watching) => return Err(watching),
-        Acquired::Unclear(acquiring) => acquiring,
+        AcquireOutcome::Held(held) => return Ok(held),
+        AcquireOutcome::Lost(watching) => return Err(watching),
+        AcquireOutcome::Unclear(acquiring) => acquiring,
     };
     loop {
         compio::time::sleep(UNCLEAR_PAUSE).await;
         let Ok(stored) = read(node, shard).await else { continue };
         match unclear.settle(stored, Instant::now()) {
-            Acquired::Held(held) => return Ok(held),
-            Acquired::Lost(watching) => return Err(watching),
-            Acquired::Unclear(acquiring) => unclear = acquiring,
+            AcquireOutcome::Held(held) => return Ok(held),
+            AcquireOutcome::Lost(watching) => return Err(watching),
+            AcquireOutcome::Unclear(acquiring) => unclear = acquiring,
         }
     }
 }
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -10,7 +10,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_coordination::{
     lease::{
-        Acquired, Acquiring, Candidate, Held, Lease, LeaseRecord, LeaseTimes,
+        AcquireOutcome, Acquiring, Candidate, Held, Lease, LeaseRecord, LeaseTimes,
         NotedLease, Renewed, Watching, WriteAnswer,
     },
     turn::{Takeover, Turns},
@@ -221,13 +221,13 @@
 ) -> Option<Lease<Held>> {
     let answer = lease_store::write(node, acquiring.write()).await;
     match acquiring.answer(answer, Instant::now()) {
-        Acquired::Held(held) => Some(held),
-        Acquired::Lost(_) => None,
-        Acquired::Unclear(acquiring) => {
+        AcquireOutcome::Held(held) => Some(held),
+        AcquireOutcome::Lost(_) => None,
+        AcquireOutcome::Unclear(acquiring) => {
             let stored = lease_store::read(node).await.ok()?;
             match acquiring.settle(stored, Instant::now()) {
-                Acquired::Held(held) => Some(held),
-                Acquired::Lost(_) | Acquired::Unclear(_) => None,
+                AcquireOutcome::Held(held) => Some(held),
+                AcquireOutcome::Lost(_) | AcquireOutcome::Unclear(_) => None,
             }
         }
     }
