--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -153,7 +153,7 @@
 
 /// What became of a renewal.
 #[derive(Clone, Debug)]
-pub enum Renewed {
+pub enum RenewOutcome {
     /// It is still ours.
     Held(Lease<Held>),
     /// It was taken or has lapsed.
@@ -366,16 +366,16 @@
         answer: WriteAnswer,
         sent: Instant,
         now: Instant,
-    ) -> Renewed {
+    ) -> RenewOutcome {
         match answer {
             WriteAnswer::Done(version) => {
                 self.state.record = write.record;
                 self.state.version = version;
                 self.state.renewed = sent;
-                Renewed::Held(self)
+                RenewOutcome::Held(self)
             }
-            WriteAnswer::Unclear => Renewed::Held(self),
-            WriteAnswer::Conflict => Renewed::Lost(self.into_watching(now)),
+            WriteAnswer::Unclear => RenewOutcome::Held(self),
+            WriteAnswer::Conflict => RenewOutcome::Lost(self.into_watching(now)),
         }
     }
 
@@ -387,7 +387,7 @@
         mut self,
         stored: Option<StoredLease>,
         now: Instant,
-    ) -> Renewed {
+    ) -> RenewOutcome {
         match stored {
             Some(stored)
                 if is_same_holding(&stored.record, &self.state.record)
@@ -395,12 +395,12 @@
             {
                 self.state.record = stored.record;
                 self.state.version = stored.version;
-                Renewed::Held(self)
+                RenewOutcome::Held(self)
             }
             stored => {
                 let mut watching = self.into_watching(now);
                 watching.observe(stored, now);
-                Renewed::Lost(watching)
+                RenewOutcome::Lost(watching)
             }
         }
     }
--- a/crates/coordination/tests/lease_rules.rs
+++ b/crates/coordination/tests/lease_rules.rs
@@ -7,7 +7,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_coordination::lease::{
     AcquireOutcome, Acquiring, Candidate, Held, Lease, LeaseRecord, LeaseTimes,
-    LeaseWrite, NotedLease, Renewed, StoredLease, Watching, WriteAnswer,
+    LeaseWrite, NotedLease, RenewOutcome, StoredLease, Watching, WriteAnswer,
 };
 
 const PLAYERS: usize = 3;
@@ -116,17 +116,17 @@
             let write = held.renewal();
             let answer = send(platform, &write);
             match held.renewed(write, answer, now, now) {
-                Renewed::Held(held) if answer == WriteAnswer::Unclear => {
+                RenewOutcome::Held(held) if answer == WriteAnswer::Unclear => {
                     if is_out {
                         return State::Held(held);
                     }
                     match held.reconcile(platform.stored.clone(), now) {
-                        Renewed::Held(held) => State::Held(held),
-                        Renewed::Lost(watching) => State::Watching(watching),
+                        RenewOutcome::Held(held) => State::Held(held),
+                        RenewOutcome::Lost(watching) => State::Watching(watching),
                     }
                 }
-                Renewed::Held(held) => State::Held(held),
-                Renewed::Lost(watching) => State::Watching(watching),
+                RenewOutcome::Held(held) => State::Held(held),
+                RenewOutcome::Lost(watching) => State::Watching(watching),
             }
         }
         State::Gone => State::Gone,
--- a/crates/coordination/tests/turn_rules.rs
+++ b/crates/coordination/tests/turn_rules.rs
@@ -8,7 +8,7 @@
 use sedgewall_coordination::{
     lease::{
         AcquireOutcome, Candidate, Held, Lease, LeaseRecord, LeaseTimes, LeaseWrite,
-        Renewed, StoredLease, Watching, WriteAnswer,
+        RenewOutcome, StoredLease, Watching, WriteAnswer,
     },
     turn::{Takeover, Turns},
 };
@@ -193,7 +193,7 @@
         let write = lease.renewal();
         let answer = store.send(&write, fault);
         let renewed = match lease.renewed(write, answer, now, now) {
-            Renewed::Held(lease)
+            RenewOutcome::Held(lease)
                 if answer == WriteAnswer::Unclear && fault != Fault::Out =>
             {
                 lease.reconcile(store.stored.clone(), now)
@@ -201,8 +201,8 @@
             renewed => renewed,
         };
         match renewed {
-            Renewed::Held(lease) => self.held = Some((lease, from)),
-            Renewed::Lost(watching) => self.watching = watching,
+            RenewOutcome::Held(lease) => self.held = Some((lease, from)),
+            RenewOutcome::Lost(watching) => self.watching = watching,
         }
     }
 
--- a/crates/sedgewalld/src/election.rs
+++ b/crates/sedgewalld/src/election.rs
@@ -10,7 +10,7 @@
 use sedgewall_coordination::{
     lease::{
         AcquireOutcome, Acquiring, Candidate, Held, Lease, LeaseRecord, LeaseWrite,
-        Renewed, StoredLease, Watching, WriteAnswer,
+        RenewOutcome, StoredLease, Watching, WriteAnswer,
     },
     rendezvous,
     timeline::EventKind,
@@ -141,7 +141,7 @@
         let answer = write(node, &renewal).await;
         let renewed = held.renewed(renewal, answer, sent, Instant::now());
         let renewed = match (answer, renewed) {
-            (WriteAnswer::Unclear, Renewed::Held(held)) => {
+            (WriteAnswer::Unclear, RenewOutcome::Held(held)) => {
                 reconcile(node, shard, held).await
             }
             // A conflict may be our own renewal whose answer was lost.
@@ -157,8 +157,8 @@
             (_, renewed) => renewed,
         };
         match renewed {
-            Renewed::Held(held) => leader::set_lease(node, shard, held),
-            Renewed::Lost(watching) => {
+            RenewOutcome::Held(held) => leader::set_lease(node, shard, held),
+            RenewOutcome::Lost(watching) => {
                 warn!("lease: {shard} was taken by another instance.");
                 return watching;
             }
@@ -172,11 +172,11 @@
     node: &Rc<Node>,
     shard: &ShardId,
     held: Lease<Held>,
-) -> Renewed {
+) -> RenewOutcome {
     match read(node, shard).await {
         Ok(stored) => held.reconcile(stored, Instant::now()),
         // The platform is out: nobody else can take the lease through it.
-        Err(_) => Renewed::Held(held),
+        Err(_) => RenewOutcome::Held(held),
     }
 }
 
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -11,7 +11,7 @@
 use sedgewall_coordination::{
     lease::{
         AcquireOutcome, Acquiring, Candidate, Held, Lease, LeaseRecord, LeaseTimes,
-        NotedLease, Renewed, Watching, WriteAnswer,
+        NotedLease, RenewOutcome, Watching, WriteAnswer,
     },
     turn::{Takeover, Turns},
 };
@@ -338,7 +338,7 @@
     let renewal = lease.renewal();
     let first_sent = renewal_sent.unwrap_or_else(Instant::now);
     let (answer, way) = lease_store::renew(node, &renewal).await;
-    let Renewed::Held(lease) =
+    let RenewOutcome::Held(lease) =
         lease.renewed(renewal, answer, first_sent, Instant::now())
     else {
         return None;
