--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -162,7 +162,7 @@
 
 /// What a holder told others of its lease, beside the record.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct NotedLease {
+pub struct AnnouncedLease {
     /// Its epoch.
     pub epoch: Epoch,
     /// Which renewal the holder knows of.
@@ -216,7 +216,7 @@
     /// Returns when the lease that was seen last has ended at the latest, on
     /// its holder's own clock: a time to live after we first saw this record,
     /// or sooner if its holder said so of just this renewal.
-    pub fn ended_by(&self, noted: Option<NotedLease>) -> Option<Instant> {
+    pub fn ended_by(&self, noted: Option<AnnouncedLease>) -> Option<Instant> {
         let record = &self.state.seen.as_ref()?.record;
         let seen = self.state.unchanged_since? + self.times.time_to_live;
         let noted = noted.filter(|noted| {
--- a/crates/sedgewalld/src/fleet/instance.rs
+++ b/crates/sedgewalld/src/fleet/instance.rs
@@ -11,7 +11,7 @@
 
 use futures_channel::oneshot;
 use sedgewall_clock::Instant;
-use sedgewall_coordination::lease::{NotedLease, WriteAnswer};
+use sedgewall_coordination::lease::{AnnouncedLease, WriteAnswer};
 use sedgewall_fleet::{
     adapter::AdapterKey,
     catch_up::CatchUp,
@@ -77,7 +77,7 @@
     pub(crate) instance: InstanceId,
     pub(crate) epoch: Epoch,
     /// What it said of its lease.
-    pub(crate) noted: NotedLease,
+    pub(crate) noted: AnnouncedLease,
     pub(crate) holds_until: Instant,
 }
 
@@ -395,7 +395,7 @@
         }
         let instance = instance.to_owned();
         let holds_until = now + next_in * LEADER_LOSSES;
-        let noted = NotedLease {
+        let noted = AnnouncedLease {
             epoch,
             renewal: lead.renewal,
             ends_by: now + Duration::from_millis(lead.left_ms),
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -11,7 +11,7 @@
 use sedgewall_coordination::{
     lease::{
         AcquireOutcome, Acquiring, Candidate, Held, Lease, LeaseRecord, LeaseTimes,
-        NotedLease, RenewOutcome, Watching, WriteAnswer,
+        AnnouncedLease, RenewOutcome, Watching, WriteAnswer,
     },
     turn::{Takeover, Turns},
 };
@@ -206,7 +206,7 @@
     let noted = match contact.reported_outage(REPORT_VALID_FOR + WORD_TRAVELS)
     {
         ReportedOutage::Never => noted,
-        ReportedOutage::Until(end) => noted.map(|noted| NotedLease {
+        ReportedOutage::Until(end) => noted.map(|noted| AnnouncedLease {
             ends_by: noted.ends_by.max(end),
             ..noted
         }),
