--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -169,7 +169,7 @@
     pub renewal: u64,
     /// When the lease ends after that renewal, at the latest: what was left of
     /// it by the holder's clock, counted from when we heard so.
-    pub ends_by: Instant,
+    pub expires_by: Instant,
 }
 
 impl Lease<Watching> {
@@ -222,7 +222,7 @@
         let noted = noted.filter(|noted| {
             (noted.epoch, noted.renewal) == (record.epoch, record.renewal)
         });
-        Some(noted.map_or(seen, |noted| noted.ends_by.min(seen)))
+        Some(noted.map_or(seen, |noted| noted.expires_by.min(seen)))
     }
 
     /// Tries to take a free lease.
--- a/crates/coordination/tests/lease_rules.rs
+++ b/crates/coordination/tests/lease_rules.rs
@@ -255,18 +255,18 @@
 #[test]
 fn what_its_holder_said_ends_a_lease_sooner() {
     let now = Instant::now();
-    let ends_by = now + Duration::from_millis(400);
-    let noted = AnnouncedLease { epoch: 3, renewal: 6, ends_by };
-    assert_eq!(watched(now).ended_by(Some(noted)), Some(ends_by));
+    let expires_by = now + Duration::from_millis(400);
+    let noted = AnnouncedLease { epoch: 3, renewal: 6, expires_by };
+    assert_eq!(watched(now).ended_by(Some(noted)), Some(expires_by));
 }
 
 /// The holder has renewed since, and may believe in that.
 #[test]
 fn what_was_said_of_another_renewal_ends_nothing() {
     let now = Instant::now();
-    let ends_by = now + Duration::from_millis(400);
+    let expires_by = now + Duration::from_millis(400);
     for (epoch, renewal) in [(3, 5), (2, 6), (3, 7)] {
-        let noted = AnnouncedLease { epoch, renewal, ends_by };
+        let noted = AnnouncedLease { epoch, renewal, expires_by };
         let ended = watched(now).ended_by(Some(noted));
         assert_eq!(ended, Some(now + TIMES.time_to_live));
     }
--- a/crates/sedgewalld/src/fleet/instance.rs
+++ b/crates/sedgewalld/src/fleet/instance.rs
@@ -398,7 +398,7 @@
         let noted = AnnouncedLease {
             epoch,
             renewal: lead.renewal,
-            ends_by: now + Duration::from_millis(lead.left_ms),
+            expires_by: now + Duration::from_millis(lead.left_ms),
         };
         *leader = Some(LeaderSeen { instance, epoch, noted, holds_until });
         drop(leader);
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -207,7 +207,7 @@
     {
         ReportedOutage::Never => noted,
         ReportedOutage::Until(end) => noted.map(|noted| AnnouncedLease {
-            ends_by: noted.ends_by.max(end),
+            expires_by: noted.expires_by.max(end),
             ..noted
         }),
         ReportedOutage::Ongoing => None,
