--- a/crates/coordination/src/timeline.rs
+++ b/crates/coordination/src/timeline.rs
@@ -34,11 +34,11 @@
 
 /// A source of stamps.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct HybridClock {
+pub struct HybridLogicalClock {
     last: Stamp,
 }
 
-impl HybridClock {
+impl HybridLogicalClock {
     /// Returns the stamp of a new event.
     pub fn tick(&mut self, wall: SystemTime) -> Stamp {
         let wall_ms = unix_ms(wall);
--- a/crates/sedgewalld/src/node.rs
+++ b/crates/sedgewalld/src/node.rs
@@ -18,7 +18,7 @@
     membership::{
         Heartbeat, InstanceList, Leadership, Membership, MembershipTimes,
     },
-    timeline::{Event, EventKind, HybridClock, Timeline},
+    timeline::{Event, EventKind, HybridLogicalClock, Timeline},
 };
 use sedgewall_protocol::{Envelope, PeerMessage, settings::Settings};
 use sedgewall_state::{Epoch, Incarnation, InstanceId, RequestId, ShardId};
@@ -71,7 +71,7 @@
     pub(crate) requests: RefCell<RequestTable>,
     pub(crate) claims: RefCell<ClaimTable>,
     pub(crate) services: RefCell<ServiceTable>,
-    clock: RefCell<HybridClock>,
+    clock: RefCell<HybridLogicalClock>,
     timeline: RefCell<Timeline>,
     local_tx: mpsc::UnboundedSender<Envelope>,
 }
