--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -21,7 +21,7 @@
 
 /// The times of leases.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LeaseTimes {
+pub struct LeaseTiming {
     /// How long a lease holds after its last renewal.
     pub time_to_live: Duration,
     /// How often the holder renews it.
@@ -31,9 +31,9 @@
     pub margin: Duration,
 }
 
-impl Default for LeaseTimes {
-    fn default() -> LeaseTimes {
-        LeaseTimes {
+impl Default for LeaseTiming {
+    fn default() -> LeaseTiming {
+        LeaseTiming {
             time_to_live: Duration::from_millis(900),
             renew_every: Duration::from_millis(250),
             margin: Duration::from_millis(100),
@@ -137,7 +137,7 @@
 #[derive(Clone, Debug)]
 pub struct Lease<S> {
     state: S,
-    times: LeaseTimes,
+    times: LeaseTiming,
 }
 
 /// What became of an attempt to take a lease.
@@ -174,7 +174,7 @@
 
 impl Lease<Watching> {
     /// Returns a lease of which nothing is known.
-    pub fn new(shard: ShardId, times: LeaseTimes) -> Lease<Watching> {
+    pub fn new(shard: ShardId, times: LeaseTiming) -> Lease<Watching> {
         let state = Watching { shard, seen: None, unchanged_since: None };
         Lease { state, times }
     }
--- a/crates/coordination/tests/lease_rules.rs
+++ b/crates/coordination/tests/lease_rules.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use sedgewall_clock::Instant;
 use sedgewall_coordination::lease::{
-    AcquireOutcome, Acquiring, Candidate, Held, Lease, LeaseRecord, LeaseTimes,
+    AcquireOutcome, Acquiring, Candidate, Held, Lease, LeaseRecord, LeaseTiming,
     LeaseWrite, AnnouncedLease, RenewOutcome, StoredLease, Watching, WriteAnswer,
 };
 
@@ -140,7 +140,7 @@
     fn one_current_holder_at_a_time(
         steps in prop::collection::vec(step(), 1..200)
     ) {
-        let times = LeaseTimes::default();
+        let times = LeaseTiming::default();
         let mut now = Instant::now();
         let mut platform = Platform::default();
         let mut states: Vec<State> = (0..PLAYERS)
@@ -189,7 +189,7 @@
 
 #[test]
 fn a_paused_holder_changes_nothing_when_it_wakes() {
-    let times = LeaseTimes::default();
+    let times = LeaseTiming::default();
     let now = Instant::now();
     let mut platform = Platform::default();
     let first = State::Watching(Lease::new("s".to_owned(), times));
@@ -212,7 +212,7 @@
 
 #[test]
 fn a_lost_answer_is_settled_by_reading_back() {
-    let times = LeaseTimes::default();
+    let times = LeaseTiming::default();
     let now = Instant::now();
     let mut platform = Platform::default();
     let state = State::Watching(Lease::new("s".to_owned(), times));
@@ -222,7 +222,7 @@
     assert!(matches!(state, State::Held(_)));
 }
 
-const TIMES: LeaseTimes = LeaseTimes {
+const TIMES: LeaseTiming = LeaseTiming {
     time_to_live: Duration::from_millis(1_300),
     renew_every: Duration::from_millis(450),
     margin: Duration::from_millis(250),
--- a/crates/coordination/tests/turn_rules.rs
+++ b/crates/coordination/tests/turn_rules.rs
@@ -7,7 +7,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_coordination::{
     lease::{
-        AcquireOutcome, Candidate, Held, Lease, LeaseRecord, LeaseTimes, LeaseWrite,
+        AcquireOutcome, Candidate, Held, Lease, LeaseRecord, LeaseTiming, LeaseWrite,
         RenewOutcome, StoredLease, Watching, WriteAnswer,
     },
     turn::{Takeover, Turns},
@@ -18,7 +18,7 @@
 /// Longer than the lease, so that it can lapse before a first order.
 const TURN: Duration = Duration::from_millis(3_200);
 
-const TIMES: LeaseTimes = LeaseTimes {
+const TIMES: LeaseTiming = LeaseTiming {
     time_to_live: Duration::from_millis(1_300),
     renew_every: Duration::from_millis(450),
     margin: Duration::from_millis(250),
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -6,7 +6,7 @@
 
 use std::{net::SocketAddr, path::Path, time::Duration};
 
-use sedgewall_coordination::lease::LeaseTimes;
+use sedgewall_coordination::lease::LeaseTiming;
 use sedgewall_state::{InstanceId, ZoneName};
 use serde::{Deserialize, Serialize};
 
@@ -155,7 +155,7 @@
 
 impl Default for LeaseSettings {
     fn default() -> LeaseSettings {
-        let times = LeaseTimes::default();
+        let times = LeaseTiming::default();
         LeaseSettings {
             time_to_live_ms: times.time_to_live.as_millis() as u64,
             renew_every_ms: times.renew_every.as_millis() as u64,
@@ -166,8 +166,8 @@
 
 impl LeaseSettings {
     /// Returns the times as the lease works with them.
-    pub fn times(&self) -> LeaseTimes {
-        LeaseTimes {
+    pub fn times(&self) -> LeaseTiming {
+        LeaseTiming {
             time_to_live: Duration::from_millis(self.time_to_live_ms),
             renew_every: Duration::from_millis(self.renew_every_ms),
             margin: Duration::from_millis(self.margin_ms),
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -10,7 +10,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_coordination::{
     lease::{
-        AcquireOutcome, Acquiring, Candidate, Held, Lease, LeaseRecord, LeaseTimes,
+        AcquireOutcome, Acquiring, Candidate, Held, Lease, LeaseRecord, LeaseTiming,
         AnnouncedLease, RenewOutcome, Watching, WriteAnswer,
     },
     turn::{Takeover, Turns},
@@ -133,7 +133,7 @@
 }
 
 fn new_lease() -> Lease<Watching> {
-    let times = LeaseTimes {
+    let times = LeaseTiming {
         time_to_live: TIME_TO_LIVE,
         renew_every: RENEW_EVERY,
         margin: MARGIN,
