--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -94,7 +94,7 @@
 
 /// The times of membership.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct MembershipTimes {
+pub struct MembershipTimeouts {
     /// A peer silent for this long counts as absent.
     pub silent_after: Duration,
     /// A peer that came back waits this long for each recent absence.
@@ -103,9 +103,9 @@
     pub forget_after: Duration,
 }
 
-impl Default for MembershipTimes {
-    fn default() -> MembershipTimes {
-        MembershipTimes {
+impl Default for MembershipTimeouts {
+    fn default() -> MembershipTimeouts {
+        MembershipTimeouts {
             silent_after: Duration::from_millis(1_000),
             damping: Duration::from_millis(1_000),
             forget_after: Duration::from_secs(300),
@@ -138,14 +138,14 @@
 /// All of our own instances, as one of them sees it.
 #[derive(Clone, Debug)]
 pub struct Membership {
-    times: MembershipTimes,
+    times: MembershipTimeouts,
     peers: BTreeMap<InstanceId, Peer>,
     listed: BTreeMap<InstanceId, ListedInstance>,
 }
 
 impl Membership {
     /// Returns a membership that knows nobody.
-    pub fn new(times: MembershipTimes) -> Membership {
+    pub fn new(times: MembershipTimeouts) -> Membership {
         Membership { times, peers: BTreeMap::new(), listed: BTreeMap::new() }
     }
 
--- a/crates/coordination/tests/membership_rules.rs
+++ b/crates/coordination/tests/membership_rules.rs
@@ -6,7 +6,7 @@
 use sedgewall_coordination::{
     membership::{
         Heartbeat, InstanceList, ListedInstance, ListedState, MESH_LEN,
-        Membership, MembershipTimes, NEIGHBOURS_LEN, OWN_GROUP,
+        Membership, MembershipTimeouts, NEIGHBOURS_LEN, OWN_GROUP,
     },
     rendezvous::ranking,
 };
@@ -40,7 +40,7 @@
 #[test]
 fn a_heartbeat_counts_before_the_list_shows_the_instance() {
     let now = Instant::now();
-    let mut membership = Membership::new(MembershipTimes::default());
+    let mut membership = Membership::new(MembershipTimeouts::default());
     assert!(membership.heard(heartbeat("a", 1), now));
     assert!(membership.is_live("a", now));
 }
@@ -48,7 +48,7 @@
 #[test]
 fn silence_counts_before_the_list_drops_the_instance() {
     let now = Instant::now();
-    let mut membership = Membership::new(MembershipTimes::default());
+    let mut membership = Membership::new(MembershipTimeouts::default());
     membership.observe_list(&list(["a".to_owned()].into_iter()));
     membership.heard(heartbeat("a", 1), now);
     assert!(!membership.is_live("a", now + Duration::from_secs(2)));
@@ -57,7 +57,7 @@
 #[test]
 fn who_leaves_is_not_live_again_in_the_same_incarnation() {
     let now = Instant::now();
-    let mut membership = Membership::new(MembershipTimes::default());
+    let mut membership = Membership::new(MembershipTimeouts::default());
     membership.heard(heartbeat("a", 1), now);
     let leaving = Heartbeat { is_leaving: true, ..heartbeat("a", 1) };
     membership.heard(leaving, now);
@@ -71,7 +71,7 @@
 #[test]
 fn a_flapping_instance_waits_longer_to_be_preferred() {
     let mut now = Instant::now();
-    let times = MembershipTimes::default();
+    let times = MembershipTimeouts::default();
     let mut membership = Membership::new(times);
     membership.heard(heartbeat("a", 1), now);
     assert!(membership.is_steady("a", now));
@@ -93,7 +93,7 @@
 #[test]
 fn heartbeats_of_a_node_stay_flat_as_nodes_are_added() {
     let targets = |nodes: usize| {
-        let mut membership = Membership::new(MembershipTimes::default());
+        let mut membership = Membership::new(MembershipTimeouts::default());
         let names = (0..nodes).map(|idx| format!("i{idx}"));
         membership.observe_list(&list(names));
         membership.heartbeat_targets("i0", |id| id == "i5").len()
@@ -113,7 +113,7 @@
     let names = || (0..24).map(|idx| format!("i{idx}"));
     let mut ranked = Vec::new();
     for own in names() {
-        let mut membership = Membership::new(MembershipTimes::default());
+        let mut membership = Membership::new(MembershipTimeouts::default());
         membership.observe_list(&list(names()));
         membership.heard(heartbeat("i3", 1), now);
         let mut ids = membership.candidates(&own, now);
--- a/crates/sedgewalld/src/node.rs
+++ b/crates/sedgewalld/src/node.rs
@@ -16,7 +16,7 @@
 use sedgewall_coordination::{
     config_version::ConfigTracker,
     membership::{
-        Heartbeat, InstanceList, Leadership, Membership, MembershipTimes,
+        Heartbeat, InstanceList, Leadership, Membership, MembershipTimeouts,
     },
     timeline::{Event, EventKind, HybridLogicalClock, Timeline},
 };
@@ -96,7 +96,7 @@
             is_platform_reached: Cell::new(true),
             peers: RefCell::default(),
             membership: RefCell::new(Membership::new(
-                MembershipTimes::default(),
+                MembershipTimeouts::default(),
             )),
             instances: RefCell::default(),
             config: RefCell::default(),
