--- a/crates/coordination/src/turn.rs
+++ b/crates/coordination/src/handover.rs
@@ -16,7 +16,7 @@
 
 /// A lease that was just taken, and what stood there before.
 #[derive(Clone, Copy, Debug)]
-pub struct Takeover<'a> {
+pub struct LeaseTakeover<'a> {
     /// Our record, as it was written.
     pub taken: &'a LeaseRecord,
     /// The record that it replaced.
@@ -27,16 +27,16 @@
 
 /// Knows from when on one instance may give orders.
 #[derive(Clone, Debug)]
-pub struct Turns {
+pub struct HandoverDelay {
     length: Duration,
     /// The last lease that we took, and when its first order was due.
     last: Option<(Epoch, Instant)>,
 }
 
-impl Turns {
+impl HandoverDelay {
     /// Returns the turns of an instance that has held nothing yet.
-    pub fn new(length: Duration) -> Turns {
-        Turns { length, last: None }
+    pub fn new(length: Duration) -> HandoverDelay {
+        HandoverDelay { length, last: None }
     }
 
     /// Takes in that the lease was taken; returns when its first order is due.
@@ -45,8 +45,12 @@
     /// endpoints. Whether the turn after the holder before it had passed is
     /// told by that record; how much of it is left, only by the process that
     /// wrote it. Any other process waits for a whole turn.
-    pub fn begin(&mut self, takeover: Takeover<'_>, now: Instant) -> Instant {
-        let Takeover { taken, before, ended } = takeover;
+    pub fn begin(
+        &mut self,
+        takeover: LeaseTakeover<'_>,
+        now: Instant,
+    ) -> Instant {
+        let LeaseTakeover { taken, before, ended } = takeover;
         let order_from = match before {
             Some(before) if taken.is_turn_pending => {
                 match before.holder == taken.holder {
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -265,7 +265,9 @@
             WriteAnswer::Done(version) => {
                 AcquireOutcome::Held(self.into_held(version))
             }
-            WriteAnswer::Conflict => AcquireOutcome::Lost(self.into_watching(now)),
+            WriteAnswer::Conflict => {
+                AcquireOutcome::Lost(self.into_watching(now))
+            }
             WriteAnswer::Unclear => AcquireOutcome::Unclear(self),
         }
     }
@@ -375,7 +377,9 @@
                 RenewOutcome::Held(self)
             }
             WriteAnswer::Unclear => RenewOutcome::Held(self),
-            WriteAnswer::Conflict => RenewOutcome::Lost(self.into_watching(now)),
+            WriteAnswer::Conflict => {
+                RenewOutcome::Lost(self.into_watching(now))
+            }
         }
     }
 
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -10,8 +10,8 @@
 
 pub mod claim;
 pub mod config_version;
+pub mod handover;
 pub mod lease;
 pub mod membership;
 pub mod rendezvous;
 pub mod timeline;
-pub mod turn;
--- a/crates/coordination/tests/turn_rules.rs
+++ b/crates/coordination/tests/handover_rules.rs
@@ -6,11 +6,11 @@
 use proptest::prelude::*;
 use sedgewall_clock::Instant;
 use sedgewall_coordination::{
+    handover::{HandoverDelay, LeaseTakeover},
     lease::{
-        AcquireOutcome, Candidate, Held, Lease, LeaseRecord, LeaseTiming, LeaseWrite,
-        RenewOutcome, StoredLease, Watching, WriteAnswer,
+        AcquireOutcome, Candidate, Held, Lease, LeaseRecord, LeaseTiming,
+        LeaseWrite, RenewOutcome, StoredLease, Watching, WriteAnswer,
     },
-    turn::{Takeover, Turns},
 };
 
 const PLAYERS: usize = 3;
@@ -109,7 +109,7 @@
 /// What an instance of the fleet does with the lease on orders.
 struct Player {
     candidate: Candidate,
-    turns: Turns,
+    turns: HandoverDelay,
     watching: Lease<Watching>,
     held: Option<(Lease<Held>, Instant)>,
 }
@@ -125,7 +125,7 @@
             incarnation,
             peer_url: String::new(),
         };
-        let turns = Turns::new(TURN);
+        let turns = HandoverDelay::new(TURN);
         Player { candidate, turns, watching: new_lease(), held: None }
     }
 
@@ -174,7 +174,7 @@
         ended: Instant,
         now: Instant,
     ) {
-        let takeover = Takeover { taken: lease.record(), before, ended };
+        let takeover = LeaseTakeover { taken: lease.record(), before, ended };
         let from = self.turns.begin(takeover, now);
         self.held = Some((lease, from));
     }
--- a/crates/coordination/tests/lease_rules.rs
+++ b/crates/coordination/tests/lease_rules.rs
@@ -6,8 +6,9 @@
 use proptest::prelude::*;
 use sedgewall_clock::Instant;
 use sedgewall_coordination::lease::{
-    AcquireOutcome, Acquiring, Candidate, Held, Lease, LeaseRecord, LeaseTiming,
-    LeaseWrite, AnnouncedLease, RenewOutcome, StoredLease, Watching, WriteAnswer,
+    AcquireOutcome, Acquiring, AnnouncedLease, Candidate, Held, Lease,
+    LeaseRecord, LeaseTiming, LeaseWrite, RenewOutcome, StoredLease, Watching,
+    WriteAnswer,
 };
 
 const PLAYERS: usize = 3;
@@ -99,7 +100,9 @@
             match acquiring.answer(answer, now) {
                 AcquireOutcome::Held(held) => State::Held(held),
                 AcquireOutcome::Lost(watching) => State::Watching(watching),
-                AcquireOutcome::Unclear(acquiring) => State::Unclear(acquiring),
+                AcquireOutcome::Unclear(acquiring) => {
+                    State::Unclear(acquiring)
+                }
             }
         }
         State::Unclear(acquiring) => {
@@ -109,7 +112,9 @@
             match acquiring.settle(platform.stored.clone(), now) {
                 AcquireOutcome::Held(held) => State::Held(held),
                 AcquireOutcome::Lost(watching) => State::Watching(watching),
-                AcquireOutcome::Unclear(acquiring) => State::Unclear(acquiring),
+                AcquireOutcome::Unclear(acquiring) => {
+                    State::Unclear(acquiring)
+                }
             }
         }
         State::Held(held) => {
@@ -122,7 +127,9 @@
                     }
                     match held.reconcile(platform.stored.clone(), now) {
                         RenewOutcome::Held(held) => State::Held(held),
-                        RenewOutcome::Lost(watching) => State::Watching(watching),
+                        RenewOutcome::Lost(watching) => {
+                            State::Watching(watching)
+                        }
                     }
                 }
                 RenewOutcome::Held(held) => State::Held(held),
--- a/crates/sedgewalld/src/election.rs
+++ b/crates/sedgewalld/src/election.rs
@@ -9,8 +9,8 @@
 use sedgewall_clock::Instant;
 use sedgewall_coordination::{
     lease::{
-        AcquireOutcome, Acquiring, Candidate, Held, Lease, LeaseRecord, LeaseWrite,
-        RenewOutcome, StoredLease, Watching, WriteAnswer,
+        AcquireOutcome, Acquiring, Candidate, Held, Lease, LeaseRecord,
+        LeaseWrite, RenewOutcome, StoredLease, Watching, WriteAnswer,
     },
     rendezvous,
     timeline::EventKind,
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -9,11 +9,11 @@
 
 use sedgewall_clock::Instant;
 use sedgewall_coordination::{
+    handover::{HandoverDelay, LeaseTakeover},
     lease::{
-        AcquireOutcome, Acquiring, Candidate, Held, Lease, LeaseRecord, LeaseTiming,
-        AnnouncedLease, RenewOutcome, Watching, WriteAnswer,
+        AcquireOutcome, Acquiring, AnnouncedLease, Candidate, Held, Lease,
+        LeaseRecord, LeaseTiming, RenewOutcome, Watching, WriteAnswer,
     },
-    turn::{Takeover, Turns},
 };
 use sedgewall_fleet::{
     note::Note, store_reachability::ReportedOutage,
@@ -84,7 +84,7 @@
 /// Takes the lease when nobody holds it, and keeps it, for ever.
 pub(crate) async fn run(node: Rc<FleetNode>) {
     let turn = Duration::from_millis(node.fleet.order_turn_ms) + TURN_MARGIN;
-    let mut turns = Turns::new(turn);
+    let mut turns = HandoverDelay::new(turn);
     wait_for_peers(&node).await;
     let mut watching = new_lease();
     loop {
@@ -298,9 +298,9 @@
     now - since >= grace.saturating_sub(HAND_OVER)
 }
 
-fn begin(node: &FleetNode, taken: Taken, turns: &mut Turns) -> Kept {
+fn begin(node: &FleetNode, taken: Taken, turns: &mut HandoverDelay) -> Kept {
     let now = Instant::now();
-    let takeover = Takeover {
+    let takeover = LeaseTakeover {
         taken: taken.lease.record(),
         before: taken.before.as_ref(),
         ended: taken.ended,
