--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -340,7 +340,7 @@
 
     /// Notes that the turn after the holder before has passed, so that the next
     /// renewal says so.
-    pub fn end_turn(&mut self) {
+    pub fn complete_handover(&mut self) {
         self.state.record.is_turn_pending = false;
     }
 
--- a/crates/coordination/tests/handover_rules.rs
+++ b/crates/coordination/tests/handover_rules.rs
@@ -188,7 +188,7 @@
         now: Instant,
     ) {
         if now >= from {
-            lease.end_turn();
+            lease.complete_handover();
         }
         let write = lease.renewal();
         let answer = store.send(&write, fault);
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -251,7 +251,7 @@
     loop {
         let now = Instant::now();
         if now >= kept.order_from {
-            kept.lease.end_turn();
+            kept.lease.complete_handover();
         }
         let is_current =
             kept.lease.is_current(now) || node.no_instance_reaches_store(now);
