--- a/crates/coordination/src/handover.rs
+++ b/crates/coordination/src/handover.rs
@@ -4,7 +4,7 @@
 //! holder lets a whole turn pass after the lease of the one before has ended.
 //! The invariant: two instances never give orders within one turn, whatever
 //! lapses, restarts or is taken over meanwhile. What a holder still has to wait
-//! for stands in its record ([`LeaseRecord::is_turn_pending`]), because the
+//! for stands in its record ([`LeaseRecord::is_handover_pending`]), because the
 //! process that took the lease may be gone before its first order.
 
 use std::time::Duration;
@@ -52,7 +52,7 @@
     ) -> Instant {
         let LeaseTakeover { taken, before, ended } = takeover;
         let order_from = match before {
-            Some(before) if taken.is_turn_pending => {
+            Some(before) if taken.is_handover_pending => {
                 match before.holder == taken.holder {
                     true => self.due(before.epoch, now),
                     false => ended + self.length,
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -61,8 +61,8 @@
     /// Whether endpoints may still hear the holder before this one: the turn
     /// between the two has not passed. A record of a release that did not say
     /// so makes its own holder wait once more.
-    #[serde(default = "unknown_is_pending")]
-    pub is_turn_pending: bool,
+    #[serde(rename = "is_turn_pending", default = "unknown_is_pending")]
+    pub is_handover_pending: bool,
 }
 
 fn unknown_is_pending() -> bool {
@@ -233,8 +233,8 @@
     ) -> Lease<Acquiring> {
         let seen = self.state.seen;
         let last_epoch = seen.as_ref().map_or(0, |s| s.record.epoch);
-        let is_turn_pending = seen.as_ref().is_some_and(|before| {
-            before.record.is_turn_pending
+        let is_handover_pending = seen.as_ref().is_some_and(|before| {
+            before.record.is_handover_pending
                 || before.record.holder != candidate.instance
         });
         let record = LeaseRecord {
@@ -245,7 +245,7 @@
             epoch: last_epoch + 1,
             renewal: 0,
             is_released: false,
-            is_turn_pending,
+            is_handover_pending,
         };
         let expected = seen.map(|stored| stored.version);
         let write = LeaseWrite { record, expected };
@@ -341,7 +341,7 @@
     /// Notes that the turn after the holder before has passed, so that the next
     /// renewal says so.
     pub fn complete_handover(&mut self) {
-        self.state.record.is_turn_pending = false;
+        self.state.record.is_handover_pending = false;
     }
 
     /// Returns the renewal to send.
--- a/crates/coordination/tests/lease_rules.rs
+++ b/crates/coordination/tests/lease_rules.rs
@@ -246,7 +246,7 @@
         epoch: 3,
         renewal: 6,
         is_released: false,
-        is_turn_pending: false,
+        is_handover_pending: false,
     };
     watching.observe(Some(StoredLease { record, version: 9 }), now);
     watching
