--- a/crates/coordination/src/handover.rs
+++ b/crates/coordination/src/handover.rs
@@ -28,15 +28,15 @@
 /// Knows from when on one instance may give orders.
 #[derive(Clone, Debug)]
 pub struct HandoverDelay {
-    length: Duration,
+    delay: Duration,
     /// The last lease that we took, and when its first order was due.
     last: Option<(Epoch, Instant)>,
 }
 
 impl HandoverDelay {
     /// Returns the turns of an instance that has held nothing yet.
-    pub fn new(length: Duration) -> HandoverDelay {
-        HandoverDelay { length, last: None }
+    pub fn new(delay: Duration) -> HandoverDelay {
+        HandoverDelay { delay, last: None }
     }
 
     /// Takes in that the lease was taken; returns when its first order is due.
@@ -45,7 +45,7 @@
     /// endpoints. Whether the turn after the holder before it had passed is
     /// told by that record; how much of it is left, only by the process that
     /// wrote it. Any other process waits for a whole turn.
-    pub fn begin(
+    pub fn record_takeover(
         &mut self,
         takeover: LeaseTakeover<'_>,
         now: Instant,
@@ -55,7 +55,7 @@
             Some(before) if taken.is_handover_pending => {
                 match before.holder == taken.holder {
                     true => self.due(before.epoch, now),
-                    false => ended + self.length,
+                    false => ended + self.delay,
                 }
             }
             _ => now,
@@ -67,6 +67,6 @@
     /// Returns when the first order of a lease of ours was due.
     fn due(&self, epoch: Epoch, now: Instant) -> Instant {
         let known = self.last.filter(|(known, _)| *known == epoch);
-        known.map_or(now + self.length, |(_, order_from)| order_from)
+        known.map_or(now + self.delay, |(_, order_from)| order_from)
     }
 }
--- a/crates/coordination/tests/handover_rules.rs
+++ b/crates/coordination/tests/handover_rules.rs
@@ -109,7 +109,7 @@
 /// What an instance of the fleet does with the lease on orders.
 struct Player {
     candidate: Candidate,
-    turns: HandoverDelay,
+    handover_delay: HandoverDelay,
     watching: Lease<Watching>,
     held: Option<(Lease<Held>, Instant)>,
 }
@@ -125,8 +125,8 @@
             incarnation,
             peer_url: String::new(),
         };
-        let turns = HandoverDelay::new(TURN);
-        Player { candidate, turns, watching: new_lease(), held: None }
+        let handover_delay = HandoverDelay::new(TURN);
+        Player { candidate, handover_delay, watching: new_lease(), held: None }
     }
 
     fn act(&mut self, store: &mut Store, fault: Fault, now: Instant) {
@@ -175,7 +175,7 @@
         now: Instant,
     ) {
         let takeover = LeaseTakeover { taken: lease.record(), before, ended };
-        let from = self.turns.begin(takeover, now);
+        let from = self.handover_delay.record_takeover(takeover, now);
         self.held = Some((lease, from));
     }
 
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -84,7 +84,7 @@
 /// Takes the lease when nobody holds it, and keeps it, for ever.
 pub(crate) async fn run(node: Rc<FleetNode>) {
     let turn = Duration::from_millis(node.fleet.order_turn_ms) + TURN_MARGIN;
-    let mut turns = HandoverDelay::new(turn);
+    let mut handover_delay = HandoverDelay::new(turn);
     wait_for_peers(&node).await;
     let mut watching = new_lease();
     loop {
@@ -97,7 +97,7 @@
             continue;
         }
         if let Some(taken) = take(&node, watching).await {
-            let kept = begin(&node, taken, &mut turns);
+            let kept = begin(&node, taken, &mut handover_delay);
             keep(&node, kept).await;
         }
         watching = new_lease();
@@ -305,7 +305,7 @@
         before: taken.before.as_ref(),
         ended: taken.ended,
     };
-    let order_from = turns.begin(takeover, now);
+    let order_from = handover_delay.record_takeover(takeover, now);
     tracing::info!(
         event = "lease_taken",
         epoch = taken.lease.epoch(),
