--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -147,7 +147,7 @@
     Held(Lease<Held>),
     /// Somebody else was faster.
     Lost(Lease<Watching>),
-    /// Nobody knows yet; read the record and call [`Lease::settle`].
+    /// Nobody knows yet; read the record and call [`Lease::resolve`].
     Unclear(Lease<Acquiring>),
 }
 
@@ -216,7 +216,10 @@
     /// Returns when the lease that was seen last has ended at the latest, on
     /// its holder's own clock: a time to live after we first saw this record,
     /// or sooner if its holder said so of just this renewal.
-    pub fn ended_by(&self, noted: Option<AnnouncedLease>) -> Option<Instant> {
+    pub fn latest_expiry(
+        &self,
+        noted: Option<AnnouncedLease>,
+    ) -> Option<Instant> {
         let record = &self.state.seen.as_ref()?.record;
         let seen = self.state.unchanged_since? + self.times.time_to_live;
         let noted = noted.filter(|noted| {
@@ -260,7 +263,11 @@
     }
 
     /// Takes in the platform's answer.
-    pub fn answer(self, answer: WriteAnswer, now: Instant) -> AcquireOutcome {
+    pub fn complete_acquire(
+        self,
+        answer: WriteAnswer,
+        now: Instant,
+    ) -> AcquireOutcome {
         match answer {
             WriteAnswer::Done(version) => {
                 AcquireOutcome::Held(self.into_held(version))
@@ -278,7 +285,7 @@
     /// that does not show our update does not prove that it will never take
     /// effect, so the lease goes back to watching, whose wait covers that: an
     /// update that arrives late shows there as a change.
-    pub fn settle(
+    pub fn resolve(
         self,
         stored: Option<StoredLease>,
         now: Instant,
@@ -362,7 +369,7 @@
     ///
     /// An unclear answer keeps the old time and version; the next read or
     /// conflict settles it through [`Lease::reconcile`].
-    pub fn renewed(
+    pub fn complete_renewal(
         mut self,
         write: LeaseWrite,
         answer: WriteAnswer,
--- a/crates/coordination/tests/handover_rules.rs
+++ b/crates/coordination/tests/handover_rules.rs
@@ -151,14 +151,14 @@
         let is_released = before.as_ref().is_some_and(|b| b.is_released);
         let ended = match is_released {
             true => now,
-            false => self.watching.ended_by(None).unwrap_or(now),
+            false => self.watching.latest_expiry(None).unwrap_or(now),
         };
         let watching = std::mem::replace(&mut self.watching, new_lease());
         let acquiring = watching.acquire(&self.candidate, now);
         let answer = store.send(acquiring.write(), fault);
-        let acquired = match acquiring.answer(answer, now) {
+        let acquired = match acquiring.complete_acquire(answer, now) {
             AcquireOutcome::Unclear(acquiring) => {
-                acquiring.settle(store.stored.clone(), now)
+                acquiring.resolve(store.stored.clone(), now)
             }
             acquired => acquired,
         };
@@ -192,7 +192,7 @@
         }
         let write = lease.renewal();
         let answer = store.send(&write, fault);
-        let renewed = match lease.renewed(write, answer, now, now) {
+        let renewed = match lease.complete_renewal(write, answer, now, now) {
             RenewOutcome::Held(lease)
                 if answer == WriteAnswer::Unclear && fault != Fault::Out =>
             {
--- a/crates/coordination/tests/lease_rules.rs
+++ b/crates/coordination/tests/lease_rules.rs
@@ -97,7 +97,7 @@
             }
             let acquiring = watching.acquire(&candidate(player), now);
             let answer = send(platform, acquiring.write());
-            match acquiring.answer(answer, now) {
+            match acquiring.complete_acquire(answer, now) {
                 AcquireOutcome::Held(held) => State::Held(held),
                 AcquireOutcome::Lost(watching) => State::Watching(watching),
                 AcquireOutcome::Unclear(acquiring) => {
@@ -109,7 +109,7 @@
             if is_out {
                 return State::Unclear(acquiring);
             }
-            match acquiring.settle(platform.stored.clone(), now) {
+            match acquiring.resolve(platform.stored.clone(), now) {
                 AcquireOutcome::Held(held) => State::Held(held),
                 AcquireOutcome::Lost(watching) => State::Watching(watching),
                 AcquireOutcome::Unclear(acquiring) => {
@@ -120,7 +120,7 @@
         State::Held(held) => {
             let write = held.renewal();
             let answer = send(platform, &write);
-            match held.renewed(write, answer, now, now) {
+            match held.complete_renewal(write, answer, now, now) {
                 RenewOutcome::Held(held) if answer == WriteAnswer::Unclear => {
                     if is_out {
                         return State::Held(held);
@@ -255,7 +255,7 @@
 #[test]
 fn a_watched_lease_has_ended_a_time_to_live_after_its_record_was_seen() {
     let now = Instant::now();
-    let ended = watched(now).ended_by(None);
+    let ended = watched(now).latest_expiry(None);
     assert_eq!(ended, Some(now + TIMES.time_to_live));
 }
 
@@ -264,7 +264,7 @@
     let now = Instant::now();
     let expires_by = now + Duration::from_millis(400);
     let noted = AnnouncedLease { epoch: 3, renewal: 6, expires_by };
-    assert_eq!(watched(now).ended_by(Some(noted)), Some(expires_by));
+    assert_eq!(watched(now).latest_expiry(Some(noted)), Some(expires_by));
 }
 
 /// The holder has renewed since, and may believe in that.
@@ -274,7 +274,7 @@
     let expires_by = now + Duration::from_millis(400);
     for (epoch, renewal) in [(3, 5), (2, 6), (3, 7)] {
         let noted = AnnouncedLease { epoch, renewal, expires_by };
-        let ended = watched(now).ended_by(Some(noted));
+        let ended = watched(now).latest_expiry(Some(noted));
         assert_eq!(ended, Some(now + TIMES.time_to_live));
     }
 }
--- a/crates/sedgewalld/src/election.rs
+++ b/crates/sedgewalld/src/election.rs
@@ -107,7 +107,8 @@
     acquiring: Lease<Acquiring>,
 ) -> Result<Lease<Held>, Lease<Watching>> {
     let answer = write(node, acquiring.write()).await;
-    let mut unclear = match acquiring.answer(answer, Instant::now()) {
+    let mut unclear = match acquiring.complete_acquire(answer, Instant::now())
+    {
         AcquireOutcome::Held(held) => return Ok(held),
         AcquireOutcome::Lost(watching) => return Err(watching),
         AcquireOutcome::Unclear(acquiring) => acquiring,
@@ -115,7 +116,7 @@
     loop {
         compio::time::sleep(UNCLEAR_PAUSE).await;
         let Ok(stored) = read(node, shard).await else { continue };
-        match unclear.settle(stored, Instant::now()) {
+        match unclear.resolve(stored, Instant::now()) {
             AcquireOutcome::Held(held) => return Ok(held),
             AcquireOutcome::Lost(watching) => return Err(watching),
             AcquireOutcome::Unclear(acquiring) => unclear = acquiring,
@@ -139,7 +140,8 @@
         let sent = Instant::now();
         let renewal = held.renewal();
         let answer = write(node, &renewal).await;
-        let renewed = held.renewed(renewal, answer, sent, Instant::now());
+        let renewed =
+            held.complete_renewal(renewal, answer, sent, Instant::now());
         let renewed = match (answer, renewed) {
             (WriteAnswer::Unclear, RenewOutcome::Held(held)) => {
                 reconcile(node, shard, held).await
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -177,7 +177,7 @@
         let is_own =
             before.as_ref().is_some_and(|record| record.holder == *node.id());
         if is_own || watching.is_free(now) {
-            let ended = ended_by(node, &watching, now);
+            let ended = latest_expiry(node, &watching, now);
             let acquiring = watching.acquire(&candidate(node), now);
             let lease = acquire(node, acquiring).await?;
             return Some(Taken { lease, before, ended, sent: now });
@@ -188,7 +188,7 @@
 
 /// Returns when the lease that is free now had ended. One that was given up
 /// ended just before we saw so.
-fn ended_by(
+fn latest_expiry(
     node: &FleetNode,
     watching: &Lease<Watching>,
     now: Instant,
@@ -212,7 +212,7 @@
         }),
         ReportedOutage::Ongoing => None,
     };
-    watching.ended_by(noted).unwrap_or(now)
+    watching.latest_expiry(noted).unwrap_or(now)
 }
 
 async fn acquire(
@@ -220,12 +220,12 @@
     acquiring: Lease<Acquiring>,
 ) -> Option<Lease<Held>> {
     let answer = lease_store::write(node, acquiring.write()).await;
-    match acquiring.answer(answer, Instant::now()) {
+    match acquiring.complete_acquire(answer, Instant::now()) {
         AcquireOutcome::Held(held) => Some(held),
         AcquireOutcome::Lost(_) => None,
         AcquireOutcome::Unclear(acquiring) => {
             let stored = lease_store::read(node).await.ok()?;
-            match acquiring.settle(stored, Instant::now()) {
+            match acquiring.resolve(stored, Instant::now()) {
                 AcquireOutcome::Held(held) => Some(held),
                 AcquireOutcome::Lost(_) | AcquireOutcome::Unclear(_) => None,
             }
@@ -298,7 +298,11 @@
     now - since >= grace.saturating_sub(HAND_OVER)
 }
 
-fn begin(node: &FleetNode, taken: Taken, turns: &mut HandoverDelay) -> Kept {
+fn begin(
+    node: &FleetNode,
+    taken: Taken,
+    handover_delay: &mut HandoverDelay,
+) -> Kept {
     let now = Instant::now();
     let takeover = LeaseTakeover {
         taken: taken.lease.record(),
@@ -339,7 +343,7 @@
     let first_sent = renewal_sent.unwrap_or_else(Instant::now);
     let (answer, way) = lease_store::renew(node, &renewal).await;
     let RenewOutcome::Held(lease) =
-        lease.renewed(renewal, answer, first_sent, Instant::now())
+        lease.complete_renewal(renewal, answer, first_sent, Instant::now())
     else {
         return None;
     };
