--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -114,10 +114,10 @@
 }
 
 /// Up to this many instances, all hear each other.
-pub const MESH_LEN: usize = 8;
+pub const MAX_FULL_MESH: usize = 8;
 
 /// Beyond that, how many ring neighbours an instance sends heartbeats to.
-pub const NEIGHBOURS_LEN: usize = 4;
+pub const RING_NEIGHBOURS: usize = 4;
 
 /// The most absences that damping counts.
 const MAX_FLAPS: u32 = 8;
@@ -126,9 +126,9 @@
 #[derive(Clone, Debug)]
 pub struct Peer {
     /// What its last heartbeat said.
-    pub last: Heartbeat,
+    pub last_heartbeat: Heartbeat,
     /// When that came.
-    pub heard: Instant,
+    pub last_heard: Instant,
     /// Since when it has been heard without a gap.
     pub live_since: Instant,
     /// Recent absences.
@@ -160,50 +160,55 @@
     }
 
     /// Takes in a heartbeat. Returns whether the peer is new or restarted.
-    pub fn heard(&mut self, heartbeat: Heartbeat, now: Instant) -> bool {
+    pub fn record_heartbeat(
+        &mut self,
+        heartbeat: Heartbeat,
+        now: Instant,
+    ) -> bool {
         let silent_after = self.times.silent_after;
         let Some(peer) = self.peers.get_mut(&heartbeat.instance) else {
             self.insert(heartbeat, now);
             return true;
         };
-        let is_restarted = peer.last.incarnation != heartbeat.incarnation;
-        if !is_restarted && peer.last.is_leaving {
+        let is_restarted =
+            peer.last_heartbeat.incarnation != heartbeat.incarnation;
+        if !is_restarted && peer.last_heartbeat.is_leaving {
             // What was announced stays so; a late heartbeat changes nothing.
-            peer.heard = now;
+            peer.last_heard = now;
             return false;
         }
-        let gap = now.saturating_duration_since(peer.heard);
+        let gap = now.saturating_duration_since(peer.last_heard);
         if is_restarted || gap > silent_after {
             peer.live_since = now;
             peer.flaps = (peer.flaps + 1).min(MAX_FLAPS);
         }
-        peer.last = heartbeat;
-        peer.heard = now;
+        peer.last_heartbeat = heartbeat;
+        peer.last_heard = now;
         is_restarted
     }
 
     /// Returns whether an instance is live: heard of lately and not leaving.
     pub fn is_live(&self, instance: &str, now: Instant) -> bool {
         let Some(peer) = self.peers.get(instance) else { return false };
-        let silence = now.saturating_duration_since(peer.heard);
+        let silence = now.saturating_duration_since(peer.last_heard);
         silence <= self.times.silent_after
-            && !peer.last.is_leaving
+            && !peer.last_heartbeat.is_leaving
             && !self.is_listed_leaving(instance)
     }
 
     /// Returns whether an instance may be preferred as an owner: live, and
     /// for long enough after its recent absences.
-    pub fn is_steady(&self, instance: &str, now: Instant) -> bool {
+    pub fn is_stable(&self, instance: &str, now: Instant) -> bool {
         let Some(peer) = self.peers.get(instance) else { return false };
         let lived = now.saturating_duration_since(peer.live_since);
         self.is_live(instance, now) && lived >= self.times.damping * peer.flaps
     }
 
     /// Returns the names of the steady instances, in order.
-    pub fn steady(&self, now: Instant) -> Vec<&str> {
+    pub fn stable(&self, now: Instant) -> Vec<&str> {
         self.peers
             .keys()
-            .filter(|id| self.is_steady(id, now))
+            .filter(|id| self.is_stable(id, now))
             .map(String::as_str)
             .collect()
     }
@@ -220,7 +225,8 @@
 
     /// Returns where an instance is reached, heard of or listed.
     pub fn url_of(&self, id: &str) -> Option<&str> {
-        let heard = self.peers.get(id).map(|p| p.last.peer_url.as_str());
+        let heard =
+            self.peers.get(id).map(|p| p.last_heartbeat.peer_url.as_str());
         heard.or_else(|| self.listed.get(id).map(|l| l.address.as_str()))
     }
 
@@ -233,8 +239,8 @@
             .collect();
         for peer in self.peers.values() {
             urls.insert(
-                peer.last.instance.clone(),
-                peer.last.peer_url.clone(),
+                peer.last_heartbeat.instance.clone(),
+                peer.last_heartbeat.peer_url.clone(),
             );
         }
         urls
@@ -251,8 +257,8 @@
 
     /// Returns whether so many instances are known that not all hear each
     /// other.
-    pub fn is_sparse(&self) -> bool {
-        self.peer_urls().len() > MESH_LEN
+    pub fn is_partial_mesh(&self) -> bool {
+        self.peer_urls().len() > MAX_FULL_MESH
     }
 
     /// Returns the other instances that may be preferred as owners, in order.
@@ -260,26 +266,29 @@
     /// While all hear each other, heartbeats decide. Beyond that most are
     /// silent to us and well, and what all see alike is the platform's list.
     pub fn candidates(&self, own: &str, now: Instant) -> Vec<&str> {
-        if !self.is_sparse() {
-            return self.steady(now);
+        if !self.is_partial_mesh() {
+            return self.stable(now);
         }
         self.listed_live()
             .filter(|id| *id != own)
             .filter(|id| {
-                self.peers.get(*id).is_none_or(|peer| !peer.last.is_leaving)
+                self.peers
+                    .get(*id)
+                    .is_none_or(|peer| !peer.last_heartbeat.is_leaving)
             })
             .collect()
     }
 
     /// Returns the availability zone of an instance, heard of or listed.
     pub fn zone_of(&self, id: &str) -> Option<&str> {
-        let heard = self.peers.get(id).map(|peer| peer.last.zone.as_str());
+        let heard =
+            self.peers.get(id).map(|peer| peer.last_heartbeat.zone.as_str());
         heard.or_else(|| self.listed.get(id).map(|l| l.zone.as_str()))
     }
 
     /// Returns whom to send heartbeats to.
     ///
-    /// Few instances all hear each other. Beyond [`MESH_LEN`] each sends to
+    /// Few instances all hear each other. Beyond [`MAX_FULL_MESH`] each sends to
     /// its ring neighbours and to those that `is_partner` names, which are the
     /// leaders that it uses and the entries that use it; the cost of a node
     /// then stays flat as nodes are added.
@@ -290,12 +299,12 @@
     ) -> Vec<String> {
         let urls = self.peer_urls();
         let others = || urls.iter().filter(|(id, _)| id.as_str() != own);
-        if urls.len() <= MESH_LEN {
+        if urls.len() <= MAX_FULL_MESH {
             return others().map(|(_, url)| url.clone()).collect();
         }
         let ids = others().map(|(id, _)| id.as_str());
         let neighbours: BTreeSet<&str> =
-            ranking(ids, own).into_iter().take(NEIGHBOURS_LEN).collect();
+            ranking(ids, own).into_iter().take(RING_NEIGHBOURS).collect();
         others()
             .filter(|(id, _)| {
                 neighbours.contains(id.as_str()) || is_partner(id)
@@ -305,11 +314,11 @@
     }
 
     /// Forgets peers that have been absent for long and are not listed.
-    pub fn sweep(&mut self, now: Instant) {
+    pub fn remove_expired(&mut self, now: Instant) {
         let forget_after = self.times.forget_after;
         let listed = &self.listed;
         self.peers.retain(|id, peer| {
-            let silence = now.saturating_duration_since(peer.heard);
+            let silence = now.saturating_duration_since(peer.last_heard);
             silence < forget_after || listed.contains_key(id)
         });
     }
@@ -322,8 +331,12 @@
 
     fn insert(&mut self, heartbeat: Heartbeat, now: Instant) {
         let id = heartbeat.instance.clone();
-        let peer =
-            Peer { last: heartbeat, heard: now, live_since: now, flaps: 0 };
+        let peer = Peer {
+            last_heartbeat: heartbeat,
+            last_heard: now,
+            live_since: now,
+            flaps: 0,
+        };
         self.peers.insert(id, peer);
     }
 }
--- a/crates/coordination/tests/membership_rules.rs
+++ b/crates/coordination/tests/membership_rules.rs
@@ -5,8 +5,8 @@
 use sedgewall_clock::Instant;
 use sedgewall_coordination::{
     membership::{
-        Heartbeat, InstanceList, ListedInstance, ListedState, MESH_LEN,
-        Membership, MembershipTimeouts, NEIGHBOURS_LEN, OWN_GROUP,
+        Heartbeat, InstanceList, ListedInstance, ListedState, MAX_FULL_MESH,
+        Membership, MembershipTimeouts, OWN_GROUP, RING_NEIGHBOURS,
     },
     rendezvous::ranking,
 };
@@ -41,7 +41,7 @@
 fn a_heartbeat_counts_before_the_list_shows_the_instance() {
     let now = Instant::now();
     let mut membership = Membership::new(MembershipTimeouts::default());
-    assert!(membership.heard(heartbeat("a", 1), now));
+    assert!(membership.record_heartbeat(heartbeat("a", 1), now));
     assert!(membership.is_live("a", now));
 }
 
@@ -50,7 +50,7 @@
     let now = Instant::now();
     let mut membership = Membership::new(MembershipTimeouts::default());
     membership.observe_list(&list(["a".to_owned()].into_iter()));
-    membership.heard(heartbeat("a", 1), now);
+    membership.record_heartbeat(heartbeat("a", 1), now);
     assert!(!membership.is_live("a", now + Duration::from_secs(2)));
 }
 
@@ -58,13 +58,13 @@
 fn who_leaves_is_not_live_again_in_the_same_incarnation() {
     let now = Instant::now();
     let mut membership = Membership::new(MembershipTimeouts::default());
-    membership.heard(heartbeat("a", 1), now);
+    membership.record_heartbeat(heartbeat("a", 1), now);
     let leaving = Heartbeat { is_leaving: true, ..heartbeat("a", 1) };
-    membership.heard(leaving, now);
+    membership.record_heartbeat(leaving, now);
     // A heartbeat that was under way when the stop was announced.
-    membership.heard(heartbeat("a", 1), now);
+    membership.record_heartbeat(heartbeat("a", 1), now);
     assert!(!membership.is_live("a", now));
-    membership.heard(heartbeat("a", 2), now);
+    membership.record_heartbeat(heartbeat("a", 2), now);
     assert!(membership.is_live("a", now));
 }
 
@@ -73,18 +73,18 @@
     let mut now = Instant::now();
     let times = MembershipTimeouts::default();
     let mut membership = Membership::new(times);
-    membership.heard(heartbeat("a", 1), now);
-    assert!(membership.is_steady("a", now));
+    membership.record_heartbeat(heartbeat("a", 1), now);
+    assert!(membership.is_stable("a", now));
     for flap in 1..4u32 {
         now += times.silent_after * 2;
-        membership.heard(heartbeat("a", 1), now);
+        membership.record_heartbeat(heartbeat("a", 1), now);
         assert!(membership.is_live("a", now));
-        assert!(!membership.is_steady("a", now));
+        assert!(!membership.is_stable("a", now));
         let mut waited = Duration::ZERO;
-        while !membership.is_steady("a", now) {
+        while !membership.is_stable("a", now) {
             now += times.silent_after / 2;
             waited += times.silent_after / 2;
-            membership.heard(heartbeat("a", 1), now);
+            membership.record_heartbeat(heartbeat("a", 1), now);
         }
         assert_eq!(waited, times.damping * flap);
     }
@@ -99,9 +99,9 @@
         membership.heartbeat_targets("i0", |id| id == "i5").len()
     };
     assert_eq!(targets(7), 6);
-    assert_eq!(targets(MESH_LEN), MESH_LEN - 1);
-    assert!(targets(100) <= NEIGHBOURS_LEN + 1);
-    assert!(targets(400) <= NEIGHBOURS_LEN + 1);
+    assert_eq!(targets(MAX_FULL_MESH), MAX_FULL_MESH - 1);
+    assert!(targets(100) <= RING_NEIGHBOURS + 1);
+    assert!(targets(400) <= RING_NEIGHBOURS + 1);
 }
 
 /// Found by the slope of nodes: with heartbeats from a few neighbours only,
@@ -115,7 +115,7 @@
     for own in names() {
         let mut membership = Membership::new(MembershipTimeouts::default());
         membership.observe_list(&list(names()));
-        membership.heard(heartbeat("i3", 1), now);
+        membership.record_heartbeat(heartbeat("i3", 1), now);
         let mut ids = membership.candidates(&own, now);
         ids.push(&own);
         let order = ranking(ids, "shard");
--- a/crates/sedgewalld/src/heartbeat.rs
+++ b/crates/sedgewalld/src/heartbeat.rs
@@ -32,7 +32,7 @@
             repaired = Instant::now();
             send_running(&node);
             resubmit_waiting(&node);
-            node.membership.borrow_mut().sweep(Instant::now());
+            node.membership.borrow_mut().remove_expired(Instant::now());
             close_old_links(&node);
         }
         compio::time::sleep(gap(sent as u32)).await;
--- a/crates/sedgewalld/src/inbox.rs
+++ b/crates/sedgewalld/src/inbox.rs
@@ -93,8 +93,10 @@
 }
 
 fn on_heartbeat(node: &Rc<Node>, envelope: &Envelope, heartbeat: &Heartbeat) {
-    let is_new =
-        node.membership.borrow_mut().heard(heartbeat.clone(), Instant::now());
+    let is_new = node
+        .membership
+        .borrow_mut()
+        .record_heartbeat(heartbeat.clone(), Instant::now());
     if is_new {
         info!("member: {} is heard.", heartbeat.instance);
         let detail = "heard";
--- a/crates/sedgewalld/src/operator.rs
+++ b/crates/sedgewalld/src/operator.rs
@@ -84,7 +84,7 @@
         .membership
         .borrow()
         .peers()
-        .map(|peer| peer.last.instance.clone())
+        .map(|peer| peer.last_heartbeat.instance.clone())
         .filter(|id| node.membership.borrow().is_live(id, now))
         .collect();
     let mut leaders: Vec<LeaderStatus> = node
--- a/crates/sedgewalld/src/upkeep.rs
+++ b/crates/sedgewalld/src/upkeep.rs
@@ -241,7 +241,7 @@
     let membership = node.membership.borrow();
     let Some(peer) = membership.peer(&entry.instance) else { return false };
     let silence = now.saturating_duration_since(entry.heard);
-    peer.last.incarnation == incarnation && silence < ENTRY_SILENCE
+    peer.last_heartbeat.incarnation == incarnation && silence < ENTRY_SILENCE
 }
 
 /// Whether every listed instance knows this epoch.
@@ -251,8 +251,8 @@
         if id == node.id() {
             return true;
         }
-        membership
-            .peer(id)
-            .is_some_and(|peer| leader.acked.contains(&peer.last.incarnation))
+        membership.peer(id).is_some_and(|peer| {
+            leader.acked.contains(&peer.last_heartbeat.incarnation)
+        })
     })
 }
