--- a/crates/coordination/src/claim.rs
+++ b/crates/coordination/src/claim.rs
@@ -80,7 +80,7 @@
 
 /// An answer for one request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Answered {
+pub struct AnsweredClaim {
     /// The request.
     pub request: RequestId,
     /// Its answer.
@@ -109,14 +109,14 @@
 
 /// Who has a key, and since which segment.
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct Owner {
     request: RequestId,
     segment: SegmentIdx,
 }
 
 /// A segment that is in the log.
 #[derive(Clone, Copy, Debug)]
-struct KnownSegment {
+struct LoggedSegment {
     idx: SegmentIdx,
     written_ms: u64,
 }
@@ -124,8 +124,8 @@
 /// One partition's log, as one claimer sees it.
 #[derive(Clone, Debug, Default)]
 pub struct ClaimLog {
-    known: HashMap<KeyHash, Known>,
-    segments: VecDeque<KnownSegment>,
+    owners: HashMap<KeyHash, Owner>,
+    segments: VecDeque<LoggedSegment>,
     next: SegmentIdx,
     is_recovered: bool,
     pending: VecDeque<Claim>,
@@ -141,12 +141,12 @@
 
     /// Returns the number of keys that are known.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.owners.len()
     }
 
     /// Returns whether no key is known.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.owners.is_empty()
     }
 
     /// Returns the number of claims that wait for a segment.
@@ -160,33 +160,33 @@
     }
 
     /// Takes in a segment that was found in the log.
-    pub fn learn(&mut self, idx: SegmentIdx, segment: &Segment) {
+    pub fn apply_segment(&mut self, idx: SegmentIdx, segment: &Segment) {
         for claim in &segment.releases {
             if self.owner(claim.key) == Some(claim.request) {
-                self.known.remove(&claim.key);
+                self.owners.remove(&claim.key);
             }
         }
         for claim in &segment.claims {
-            let known = Known { request: claim.request, segment: idx };
-            self.known.entry(claim.key).or_insert(known);
+            let owner = Owner { request: claim.request, segment: idx };
+            self.owners.entry(claim.key).or_insert(owner);
         }
         if idx >= self.next {
             let written_ms = segment.written_ms;
-            self.segments.push_back(KnownSegment { idx, written_ms });
+            self.segments.push_back(LoggedSegment { idx, written_ms });
             self.next = idx + 1;
         }
     }
 
     /// Notes that the log was read to its end, and answers what waited for
     /// that and is known now.
-    pub fn finish_recovery(&mut self) -> Vec<Answered> {
+    pub fn finish_recovery(&mut self) -> Vec<AnsweredClaim> {
         self.is_recovered = true;
-        self.answer_known()
+        self.answer_decided()
     }
 
     /// Takes in a claim; the answer comes now or with a later segment.
     pub fn claim(&mut self, claim: Claim) -> Option<ClaimAnswer> {
-        if let Some(answer) = self.known_answer(claim) {
+        if let Some(answer) = self.decided_answer(claim) {
             return Some(answer);
         }
         self.pending.push_back(claim);
@@ -215,14 +215,14 @@
             return None;
         }
         self.segments.pop_front();
-        self.known.retain(|_, known| known.segment > oldest.idx);
+        self.owners.retain(|_, owner| owner.segment > oldest.idx);
         Some(oldest.idx)
     }
 
     /// Forgets everything but what waits, because the log may have been
     /// written and trimmed by others meanwhile.
-    pub fn forget(&mut self) {
-        self.known.clear();
+    pub fn reset(&mut self) {
+        self.owners.clear();
         self.segments.clear();
         self.next = 0;
         self.is_recovered = false;
@@ -264,15 +264,20 @@
     /// An unclear answer is settled by creating the same segment again: either
     /// it is created now, or the content that is there tells whose it is. The
     /// claims wait meanwhile, and are answered `Unavailable` only by
-    /// [`ClaimLog::give_up`].
-    pub fn written(&mut self, answer: SegmentAnswer) -> Vec<Answered> {
+    /// [`ClaimLog::abandon`].
+    pub fn complete_write(
+        &mut self,
+        answer: SegmentAnswer,
+    ) -> Vec<AnsweredClaim> {
         let Some(write) = self.in_flight.take() else { return Vec::new() };
         match answer {
-            SegmentAnswer::Created => self.accept(write),
+            SegmentAnswer::Created => self.commit(write),
             SegmentAnswer::Exists(found) if found == write.segment => {
-                self.accept(write)
+                self.commit(write)
+            }
+            SegmentAnswer::Exists(found) => {
+                self.requeue_after_conflict(write, &found)
             }
-            SegmentAnswer::Exists(found) => self.yield_to(write, &found),
             SegmentAnswer::Unclear => {
                 self.in_flight = Some(write);
                 Vec::new()
@@ -281,7 +286,7 @@
     }
 
     /// Returns the segment whose answer was unclear, to be sent again.
-    pub fn unsettled(&self) -> Option<&SegmentWrite> {
+    pub fn unresolved_write(&self) -> Option<&SegmentWrite> {
         self.in_flight.as_ref()
     }
 
@@ -289,34 +294,34 @@
     ///
     /// Its claim may still enter the log; that only keeps the key from running
     /// later, which is safe.
-    pub fn give_up(&mut self, request: RequestId) -> bool {
+    pub fn abandon(&mut self, request: RequestId) -> bool {
         let before = self.pending.len();
         self.pending.retain(|claim| claim.request != request);
         before != self.pending.len()
     }
 
-    fn accept(&mut self, write: SegmentWrite) -> Vec<Answered> {
-        self.learn(write.idx, &write.segment);
+    fn commit(&mut self, write: SegmentWrite) -> Vec<AnsweredClaim> {
+        self.apply_segment(write.idx, &write.segment);
         // By who has the key, not by who wrote: an earlier segment decides.
-        let mut answers: Vec<Answered> = write
+        let mut answers: Vec<AnsweredClaim> = write
             .segment
             .claims
             .iter()
             .filter_map(|claim| {
-                let answer = self.known_answer(*claim)?;
-                Some(Answered { request: claim.request, answer })
+                let answer = self.decided_answer(*claim)?;
+                Some(AnsweredClaim { request: claim.request, answer })
             })
             .collect();
-        answers.extend(self.answer_known());
+        answers.extend(self.answer_decided());
         answers
     }
 
-    fn yield_to(
+    fn requeue_after_conflict(
         &mut self,
         write: SegmentWrite,
         found: &Segment,
-    ) -> Vec<Answered> {
-        self.learn(write.idx, found);
+    ) -> Vec<AnsweredClaim> {
+        self.apply_segment(write.idx, found);
         self.releases.extend(write.segment.releases);
         for claim in write.segment.claims.into_iter().rev() {
             // What was released meanwhile must not be claimed after all.
@@ -324,18 +329,17 @@
                 self.pending.push_front(claim);
             }
         }
-        self.answer_known()
+        self.answer_decided()
     }
 
     /// Answers what waits and is now known.
-    fn answer_known(&mut self) -> Vec<Answered> {
+    fn answer_decided(&mut self) -> Vec<AnsweredClaim> {
         let pending = std::mem::take(&mut self.pending);
         let mut answers = Vec::new();
         for claim in pending {
-            match self.known_answer(claim) {
-                Some(answer) => {
-                    answers.push(Answered { request: claim.request, answer })
-                }
+            match self.decided_answer(claim) {
+                Some(answer) => answers
+                    .push(AnsweredClaim { request: claim.request, answer }),
                 None => self.pending.push_back(claim),
             }
         }
@@ -343,10 +347,10 @@
     }
 
     fn owner(&self, key: KeyHash) -> Option<RequestId> {
-        self.known.get(&key).map(|known| known.request)
+        self.owners.get(&key).map(|owner| owner.request)
     }
 
-    fn known_answer(&self, claim: Claim) -> Option<ClaimAnswer> {
+    fn decided_answer(&self, claim: Claim) -> Option<ClaimAnswer> {
         let owner = self.owner(claim.key)?;
         // A claim that is sent again after a lost answer is the same claim.
         Some(if owner == claim.request {
--- a/crates/coordination/tests/claim_rules.rs
+++ b/crates/coordination/tests/claim_rules.rs
@@ -5,7 +5,7 @@
 
 use proptest::prelude::*;
 use sedgewall_coordination::claim::{
-    Answered, Claim, ClaimAnswer, ClaimLog, Segment, SegmentAnswer,
+    AnsweredClaim, Claim, ClaimAnswer, ClaimLog, Segment, SegmentAnswer,
 };
 
 const CLAIMERS: usize = 3;
@@ -54,18 +54,22 @@
         World { claimers, ..World::default() }
     }
 
-    fn recover(&mut self, claimer: usize) -> Vec<Answered> {
+    fn recover(&mut self, claimer: usize) -> Vec<AnsweredClaim> {
         let log = &mut self.claimers[claimer];
         if log.is_recovered() {
             return Vec::new();
         }
         for (idx, segment) in &self.log {
-            log.learn(*idx, segment);
+            log.apply_segment(*idx, segment);
         }
         log.finish_recovery()
     }
 
-    fn note(&mut self, key_of: &HashMap<u128, u128>, answers: Vec<Answered>) {
+    fn note(
+        &mut self,
+        key_of: &HashMap<u128, u128>,
+        answers: Vec<AnsweredClaim>,
+    ) {
         for answered in answers {
             if answered.answer != ClaimAnswer::Granted
                 || self.released.contains(&answered.request)
@@ -99,7 +103,7 @@
                     let claim = Claim { key, request };
                     let answer = world.claimers[claimer].claim(claim);
                     if let Some(answer) = answer {
-                        let answers = vec![Answered { request, answer }];
+                        let answers = vec![AnsweredClaim { request, answer }];
                         world.note(&key_of, answers);
                     }
                 }
@@ -120,7 +124,7 @@
                     let answers = world.recover(claimer);
                     world.note(&key_of, answers);
                     let log = &mut world.claimers[claimer];
-                    let write = match log.unsettled() {
+                    let write = match log.unresolved_write() {
                         Some(write) => Some(write.clone()),
                         None => log.next_write(world.time),
                     };
@@ -136,7 +140,7 @@
                             false => SegmentAnswer::Created,
                         }
                     };
-                    let answers = world.claimers[claimer].written(answer);
+                    let answers = world.claimers[claimer].complete_write(answer);
                     world.note(&key_of, answers);
                 }
                 Step::Restart(claimer) => {
@@ -169,8 +173,8 @@
         claims: vec![Claim { key: 2, request: 0 }],
         ..Segment::default()
     };
-    log.learn(0, &segment);
-    let taken = Answered { request: 1, answer: ClaimAnswer::Taken };
+    log.apply_segment(0, &segment);
+    let taken = AnsweredClaim { request: 1, answer: ClaimAnswer::Taken };
     assert_eq!(log.finish_recovery(), vec![taken]);
     assert_eq!(log.next_write(0), None);
 }
@@ -182,7 +186,7 @@
     for request in 0..3u128 {
         log.claim(Claim { key: request, request });
         log.next_write(request as u64);
-        log.written(SegmentAnswer::Created);
+        log.complete_write(SegmentAnswer::Created);
     }
     assert_eq!(log.trim(100), Some(0));
     assert_eq!(log.trim(100), Some(1));
@@ -196,14 +200,14 @@
     let first = Claim { key: 1, request: 1 };
     log.claim(first);
     log.next_write(0);
-    log.written(SegmentAnswer::Created);
+    log.complete_write(SegmentAnswer::Created);
     log.release(first);
     let second = Claim { key: 1, request: 2 };
     log.next_write(1);
-    log.written(SegmentAnswer::Created);
+    log.complete_write(SegmentAnswer::Created);
     assert_eq!(log.claim(second), None, "it waits for its segment");
     log.next_write(2);
-    let answers = log.written(SegmentAnswer::Created);
-    let granted = Answered { request: 2, answer: ClaimAnswer::Granted };
+    let answers = log.complete_write(SegmentAnswer::Created);
+    let granted = AnsweredClaim { request: 2, answer: ClaimAnswer::Granted };
     assert_eq!(answers, vec![granted]);
 }
--- a/crates/sedgewalld/src/claims.rs
+++ b/crates/sedgewalld/src/claims.rs
@@ -16,7 +16,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_coordination::{
     claim::{
-        Answered, Claim, ClaimAnswer, ClaimLog, PartitionIdx, Segment,
+        AnsweredClaim, Claim, ClaimAnswer, ClaimLog, PartitionIdx, Segment,
         SegmentAnswer, SegmentWrite, key_hash, partition,
     },
     lease::WriteAnswer,
@@ -244,7 +244,7 @@
     let answer = state.log.claim(claim);
     drop(claims);
     if let Some(answer) = answer {
-        let answered = Answered { request: claim.request, answer };
+        let answered = AnsweredClaim { request: claim.request, answer };
         send_answers(node, request.partition, vec![answered]);
     }
     start_writer(node, request.partition);
@@ -266,7 +266,7 @@
     fn refresh(&mut self) {
         let is_stale = self.touched.is_some_and(|t| t.elapsed() > STALE_AFTER);
         if is_stale && !self.is_running {
-            self.log.forget();
+            self.log.reset();
         }
     }
 }
@@ -354,7 +354,9 @@
                 let key = object.key.clone();
                 return Err(PlatformError::Unreadable(key));
             };
-            with_state(node, partition, |s| s.log.learn(idx, &segment));
+            with_state(node, partition, |s| {
+                s.log.apply_segment(idx, &segment)
+            });
         }
         match page.next {
             Some(next) => from = next,
@@ -375,7 +377,7 @@
 fn next_write(node: &Node, partition: PartitionIdx) -> Option<SegmentWrite> {
     let now_ms = unix_ms(SystemTime::now());
     with_state(node, partition, |state| {
-        if let Some(write) = state.log.unsettled() {
+        if let Some(write) = state.log.unresolved_write() {
             return Some(write.clone());
         }
         let write = state.log.next_write(now_ms);
@@ -417,7 +419,7 @@
             state.touched = Some(Instant::now());
             state.written = Some(Instant::now());
         }
-        state.log.written(answer)
+        state.log.complete_write(answer)
     });
     send_answers(node, partition, answers);
 }
@@ -436,9 +438,9 @@
 fn send_answers(
     node: &Rc<Node>,
     partition: PartitionIdx,
-    answers: Vec<Answered>,
+    answers: Vec<AnsweredClaim>,
 ) {
-    for Answered { request, answer } in answers {
+    for AnsweredClaim { request, answer } in answers {
         let reply_to = with_state(node, partition, |state| {
             state.waiting.remove(&request)
         });
