--- a/crates/protocol/src/file.rs
+++ b/crates/protocol/src/file.rs
@@ -27,7 +27,7 @@
 
 /// A fault in a file, with its place.
 #[derive(Clone, Debug, Eq, PartialEq, serde::Serialize)]
-pub struct FileFault {
+pub struct FileDiagnostic {
     /// The file.
     pub file: String,
     /// The line, from 1; 0 if the fault has no line.
@@ -38,7 +38,7 @@
     pub cause: String,
 }
 
-impl fmt::Display for FileFault {
+impl fmt::Display for FileDiagnostic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}: ", self.file, self.line)?;
         if !self.field.is_empty() {
@@ -48,17 +48,17 @@
     }
 }
 
-/// All faults of a file set.
+/// All diagnostics of a file set.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct FileError {
-    /// The faults, in the order in which they were found; never empty.
-    pub faults: Vec<FileFault>,
+    /// The diagnostics, in the order in which they were found; never empty.
+    pub diagnostics: Vec<FileDiagnostic>,
 }
 
 impl fmt::Display for FileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let lines: Vec<String> =
-            self.faults.iter().map(FileFault::to_string).collect();
+            self.diagnostics.iter().map(FileDiagnostic::to_string).collect();
         f.write_str(&lines.join("\n"))
     }
 }
@@ -82,11 +82,11 @@
 /// When a path cannot be read or a folder holds no YAML file.
 pub fn read_paths(paths: &[PathBuf]) -> Result<Vec<SourceFile>, FileError> {
     let mut files = Vec::new();
-    let mut faults = Vec::new();
+    let mut diagnostics = Vec::new();
     for path in paths {
         match expand(path) {
             Ok(found) => files.extend(found),
-            Err(err) => faults.push(FileFault {
+            Err(err) => diagnostics.push(FileDiagnostic {
                 file: path.display().to_string(),
                 line: 0,
                 field: String::new(),
@@ -94,7 +94,11 @@
             }),
         }
     }
-    if faults.is_empty() { Ok(files) } else { Err(FileError { faults }) }
+    if diagnostics.is_empty() {
+        Ok(files)
+    } else {
+        Err(FileError { diagnostics })
+    }
 }
 
 fn expand(path: &Path) -> std::io::Result<Vec<SourceFile>> {
@@ -127,11 +131,15 @@
     for file in files {
         reader.read(file);
     }
-    let Reader { config, mut faults, places, .. } = reader;
-    for fault in config.validation_errors() {
-        faults.push(place_fault(&places, &fault.path, fault.cause));
+    let Reader { config, mut diagnostics, places, .. } = reader;
+    for error in config.validation_errors() {
+        diagnostics.push(place_fault(&places, &error.path, error.cause));
+    }
+    if diagnostics.is_empty() {
+        Ok(config)
+    } else {
+        Err(FileError { diagnostics })
     }
-    if faults.is_empty() { Ok(config) } else { Err(FileError { faults }) }
 }
 
 /// Where a field of the merged configuration came from.
@@ -146,12 +154,12 @@
     places: &HashMap<String, Place>,
     path: &str,
     cause: String,
-) -> FileFault {
+) -> FileDiagnostic {
     let item = path.split_once(']').map(|(head, _)| format!("{head}]"));
     let exact = places.get(path);
     let found = exact.or_else(|| places.get(&item?));
     let Some(place) = found else {
-        return FileFault {
+        return FileDiagnostic {
             file: "(all files)".to_owned(),
             line: 0,
             field: path.to_owned(),
@@ -162,7 +170,7 @@
         (None, Some((_, rest))) => format!("{}{rest}", place.field),
         _ => place.field.clone(),
     };
-    FileFault { file: place.file.clone(), line: place.line, field, cause }
+    FileDiagnostic { file: place.file.clone(), line: place.line, field, cause }
 }
 
 type Fields = BTreeMap<String, Spanned<Value>>;
@@ -226,7 +234,7 @@
 #[derive(Default)]
 struct Reader {
     config: Config,
-    faults: Vec<FileFault>,
+    diagnostics: Vec<FileDiagnostic>,
     places: HashMap<String, Place>,
 }
 
@@ -242,7 +250,7 @@
         for name in sections.unknown {
             let known = LISTS.iter().chain(&MAPS).copied();
             let known: Vec<&str> = known.collect();
-            self.faults.push(FileFault {
+            self.diagnostics.push(FileDiagnostic {
                 file: file.name.clone(),
                 line: line_of_key(&file.text, &name),
                 field: name,
@@ -266,7 +274,7 @@
         let line = err.location().map_or(0, |place| place.line());
         let text = err.to_string();
         let cause = text.lines().next().unwrap_or("cannot be read");
-        self.faults.push(FileFault {
+        self.diagnostics.push(FileDiagnostic {
             file: file.name.clone(),
             line,
             field: String::new(),
@@ -284,7 +292,8 @@
         let field = format!("{section}[{idx}]");
         let merged = format!("{section}[{}]", self.len_of(section));
         self.note_places(file, &field, &merged, &item);
-        let mut fields = FieldReader::new(file, field, item, &mut self.faults);
+        let mut fields =
+            FieldReader::new(file, field, item, &mut self.diagnostics);
         match section {
             "base_models" => {
                 let model = fields.base_model();
@@ -316,7 +325,7 @@
         item: Spanned<Fields>,
     ) {
         if self.places.contains_key(section) {
-            self.faults.push(FileFault {
+            self.diagnostics.push(FileDiagnostic {
                 file: file.name.clone(),
                 line: item.referenced.line(),
                 field: section.to_owned(),
@@ -325,8 +334,12 @@
             return;
         }
         self.note_places(file, section, section, &item);
-        let mut fields =
-            FieldReader::new(file, section.to_owned(), item, &mut self.faults);
+        let mut fields = FieldReader::new(
+            file,
+            section.to_owned(),
+            item,
+            &mut self.diagnostics,
+        );
         match section {
             "weight_store" => {
                 let store = fields.weight_store();
@@ -418,7 +431,7 @@
         adapters: &config.adapters,
     };
     serde_saphyr::to_string(&form).map_err(|err| FileError {
-        faults: vec![FileFault {
+        diagnostics: vec![FileDiagnostic {
             file: "(configuration in force)".to_owned(),
             line: 0,
             field: String::new(),
@@ -454,7 +467,7 @@
     path: String,
     line: u64,
     fields: Fields,
-    faults: &'a mut Vec<FileFault>,
+    diagnostics: &'a mut Vec<FileDiagnostic>,
     is_sound: bool,
 }
 
@@ -463,14 +476,14 @@
         file: &'a SourceFile,
         path: String,
         item: Spanned<Fields>,
-        faults: &'a mut Vec<FileFault>,
+        diagnostics: &'a mut Vec<FileDiagnostic>,
     ) -> FieldReader<'a> {
         FieldReader {
             file: &file.name,
             path,
             line: item.referenced.line(),
             fields: item.value,
-            faults,
+            diagnostics,
             is_sound: true,
         }
     }
@@ -555,7 +568,7 @@
         match self.fields.remove(name) {
             Some(value) => self.convert(name, value),
             None => {
-                self.fault(name, self.line, "is missing".to_owned());
+                self.report(name, self.line, "is missing".to_owned());
                 T::default()
             }
         }
@@ -567,7 +580,7 @@
         match serde_json::from_value(value.value) {
             Ok(value) => value,
             Err(err) => {
-                self.fault(name, line, err.to_string());
+                self.report(name, line, err.to_string());
                 default
             }
         }
@@ -581,7 +594,7 @@
             return SystemTime::UNIX_EPOCH;
         }
         humantime::parse_rfc3339_weak(&text).unwrap_or_else(|err| {
-            self.fault(name, line, format!("{text:?}: {err}"));
+            self.report(name, line, format!("{text:?}: {err}"));
             SystemTime::UNIX_EPOCH
         })
     }
@@ -593,7 +606,7 @@
     ) -> T {
         let line = value.referenced.line();
         serde_json::from_value(value.value).unwrap_or_else(|err| {
-            self.fault(name, line, err.to_string());
+            self.report(name, line, err.to_string());
             T::default()
         })
     }
@@ -603,14 +616,14 @@
         let unknown = std::mem::take(&mut self.fields);
         for (name, value) in unknown {
             let line = value.referenced.line();
-            self.fault(&name, line, "no such field".to_owned());
+            self.report(&name, line, "no such field".to_owned());
         }
         self.is_sound.then_some(item)
     }
 
-    fn fault(&mut self, name: &str, line: u64, cause: String) {
+    fn report(&mut self, name: &str, line: u64, cause: String) {
         self.is_sound = false;
-        self.faults.push(FileFault {
+        self.diagnostics.push(FileDiagnostic {
             file: self.file.to_owned(),
             line,
             field: format!("{}.{name}", self.path),
--- a/crates/protocol/tests/files.rs
+++ b/crates/protocol/tests/files.rs
@@ -7,7 +7,7 @@
         SourceFile { name: "halls.yaml".to_owned(), text: text.to_owned() };
     match parse(&[file]) {
         Ok(_) => Vec::new(),
-        Err(err) => err.faults.iter().map(ToString::to_string).collect(),
+        Err(err) => err.diagnostics.iter().map(ToString::to_string).collect(),
     }
 }
 
--- a/crates/sedgewall/src/files.rs
+++ b/crates/sedgewall/src/files.rs
@@ -1,7 +1,7 @@
 //! `sedgewall check`, and the reading of files for other commands.
 
 use sedgewall_coordination::config_version::ChunkedConfig;
-use sedgewall_protocol::file::{self, FileFault};
+use sedgewall_protocol::file::{self, FileDiagnostic};
 use sedgewall_state::config::Config;
 use serde::Serialize;
 
@@ -15,7 +15,7 @@
 struct Checked {
     is_sound: bool,
     adapters_len: usize,
-    faults: Vec<FileFault>,
+    faults: Vec<FileDiagnostic>,
 }
 
 /// Checks files and prints every fault.
@@ -39,7 +39,7 @@
             output::json(&Checked {
                 is_sound: false,
                 adapters_len: 0,
-                faults: err.faults.clone(),
+                faults: err.diagnostics.clone(),
             })?;
             Err(CommandError::Files(err))
         }
