--- a/crates/protocol/src/caller.rs
+++ b/crates/protocol/src/caller.rs
@@ -31,7 +31,7 @@
 pub const PRIORITY_HEADER: &str = "priority";
 
 /// The longest idempotency key, in bytes.
-pub const MAX_KEY_LEN: usize = 255;
+pub const MAX_IDEMPOTENCY_KEY_LEN: usize = 255;
 
 /// The caller of a request that names none.
 pub const ANONYMOUS: &str = "anonymous";
@@ -219,7 +219,7 @@
         return Ok(None);
     };
     let key = value.to_str().unwrap_or("").trim_matches('"');
-    if key.is_empty() || key.len() > MAX_KEY_LEN {
+    if key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY_LEN {
         let shown = String::from_utf8_lossy(value.as_bytes());
         let expected = "1 to 255 visible ASCII characters";
         return Err(header_error(IDEMPOTENCY_HEADER, &shown, expected));
