--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -155,18 +155,18 @@
 
 impl Default for LeaseSettings {
     fn default() -> LeaseSettings {
-        let times = LeaseTiming::default();
+        let timing = LeaseTiming::default();
         LeaseSettings {
-            time_to_live_ms: times.time_to_live.as_millis() as u64,
-            renew_every_ms: times.renew_every.as_millis() as u64,
-            margin_ms: times.margin.as_millis() as u64,
+            time_to_live_ms: timing.time_to_live.as_millis() as u64,
+            renew_every_ms: timing.renew_every.as_millis() as u64,
+            margin_ms: timing.margin.as_millis() as u64,
         }
     }
 }
 
 impl LeaseSettings {
     /// Returns the times as the lease works with them.
-    pub fn times(&self) -> LeaseTiming {
+    pub fn timing(&self) -> LeaseTiming {
         LeaseTiming {
             time_to_live: Duration::from_millis(self.time_to_live_ms),
             renew_every: Duration::from_millis(self.renew_every_ms),
--- a/crates/sedgewalld/src/election.rs
+++ b/crates/sedgewalld/src/election.rs
@@ -49,7 +49,7 @@
 
 /// Follows one shard's lease until the configuration drops the shard.
 async fn run(node: Rc<Node>, shard: ShardId) {
-    let times = node.settings.lease.times();
+    let times = node.settings.lease.timing();
     let mut watching = Lease::new(shard.clone(), times);
     loop {
         let Some(held) = win(&node, &shard, watching).await else { break };
@@ -67,7 +67,7 @@
     shard: &ShardId,
     mut watching: Lease<Watching>,
 ) -> Option<Lease<Held>> {
-    let look_every = node.settings.lease.times().renew_every;
+    let look_every = node.settings.lease.timing().renew_every;
     let mut free_since = None;
     loop {
         if !is_configured(node, shard) {
@@ -126,10 +126,10 @@
 
 /// Renews the lease until it is lost or given up.
 async fn lead(node: &Rc<Node>, shard: &ShardId) -> Lease<Watching> {
-    let renew_every = node.settings.lease.times().renew_every;
+    let renew_every = node.settings.lease.timing().renew_every;
     loop {
         let Some(held) = leader::lease(node, shard) else {
-            return Lease::new(shard.clone(), node.settings.lease.times());
+            return Lease::new(shard.clone(), node.settings.lease.timing());
         };
         let is_unwanted = node.stage.get() == Stage::Leaving
             || !is_configured(node, shard)
@@ -152,7 +152,7 @@
                 None => {
                     return Lease::new(
                         shard.clone(),
-                        node.settings.lease.times(),
+                        node.settings.lease.timing(),
                     );
                 }
             },
