--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -3,7 +3,7 @@
 //! The rules are those of [`sedgewall_coordination::lease`]; here they meet
 //! the store. Engines that do not check epochs must hear one holder at a time,
 //! so a new holder waits until the last order of the one before is a whole
-//! turn old ([`sedgewall_coordination::turn`]).
+//! turn old ([`sedgewall_coordination::handover`]).
 
 use std::{rc::Rc, time::Duration};
 
