--- a/crates/coordination/src/turn.rs
+++ b/crates/coordination/src/handover.rs
@@ -4,7 +4,7 @@
 //! holder lets a whole turn pass after the lease of the one before has ended.
 //! The invariant: two instances never give orders within one turn, whatever
 //! lapses, restarts or is taken over meanwhile. What a holder still has to wait
-//! for stands in its record ([`LeaseRecord::is_turn_pending`]), because the
+//! for stands in its record ([`LeaseRecord::is_handover_pending`]), because the
 //! process that took the lease may be gone before its first order.
 
 use std::time::Duration;
@@ -16,7 +16,7 @@
 
 /// A lease that was just taken, and what stood there before.
 #[derive(Clone, Copy, Debug)]
-pub struct Takeover<'a> {
+pub struct LeaseTakeover<'a> {
     /// Our record, as it was written.
     pub taken: &'a LeaseRecord,
     /// The record that it replaced.
@@ -27,16 +27,16 @@
 
 /// Knows from when on one instance may give orders.
 #[derive(Clone, Debug)]
-pub struct Turns {
-    length: Duration,
+pub struct HandoverDelay {
+    delay: Duration,
     /// The last lease that we took, and when its first order was due.
     last: Option<(Epoch, Instant)>,
 }
 
-impl Turns {
+impl HandoverDelay {
     /// Returns the turns of an instance that has held nothing yet.
-    pub fn new(length: Duration) -> Turns {
-        Turns { length, last: None }
+    pub fn new(delay: Duration) -> HandoverDelay {
+        HandoverDelay { delay, last: None }
     }
 
     /// Takes in that the lease was taken; returns when its first order is due.
@@ -45,13 +45,17 @@
     /// endpoints. Whether the turn after the holder before it had passed is
     /// told by that record; how much of it is left, only by the process that
     /// wrote it. Any other process waits for a whole turn.
-    pub fn begin(&mut self, takeover: Takeover<'_>, now: Instant) -> Instant {
-        let Takeover { taken, before, ended } = takeover;
+    pub fn record_takeover(
+        &mut self,
+        takeover: LeaseTakeover<'_>,
+        now: Instant,
+    ) -> Instant {
+        let LeaseTakeover { taken, before, ended } = takeover;
         let order_from = match before {
-            Some(before) if taken.is_turn_pending => {
+            Some(before) if taken.is_handover_pending => {
                 match before.holder == taken.holder {
                     true => self.due(before.epoch, now),
-                    false => ended + self.length,
+                    false => ended + self.delay,
                 }
             }
             _ => now,
@@ -63,6 +67,6 @@
     /// Returns when the first order of a lease of ours was due.
     fn due(&self, epoch: Epoch, now: Instant) -> Instant {
         let known = self.last.filter(|(known, _)| *known == epoch);
-        known.map_or(now + self.length, |(_, order_from)| order_from)
+        known.map_or(now + self.delay, |(_, order_from)| order_from)
     }
 }
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -21,7 +21,7 @@
 
 /// The times of leases.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LeaseTimes {
+pub struct LeaseTiming {
     /// How long a lease holds after its last renewal.
     pub time_to_live: Duration,
     /// How often the holder renews it.
@@ -31,9 +31,9 @@
     pub margin: Duration,
 }
 
-impl Default for LeaseTimes {
-    fn default() -> LeaseTimes {
-        LeaseTimes {
+impl Default for LeaseTiming {
+    fn default() -> LeaseTiming {
+        LeaseTiming {
             time_to_live: Duration::from_millis(900),
             renew_every: Duration::from_millis(250),
             margin: Duration::from_millis(100),
@@ -61,8 +61,8 @@
     /// Whether endpoints may still hear the holder before this one: the turn
     /// between the two has not passed. A record of a release that did not say
     /// so makes its own holder wait once more.
-    #[serde(default = "unknown_is_pending")]
-    pub is_turn_pending: bool,
+    #[serde(rename = "is_turn_pending", default = "unknown_is_pending")]
+    pub is_handover_pending: bool,
 }
 
 fn unknown_is_pending() -> bool {
@@ -137,23 +137,23 @@
 #[derive(Clone, Debug)]
 pub struct Lease<S> {
     state: S,
-    times: LeaseTimes,
+    times: LeaseTiming,
 }
 
 /// What became of an attempt to take a lease.
 #[derive(Clone, Debug)]
-pub enum Acquired {
+pub enum AcquireOutcome {
     /// It is ours.
     Held(Lease<Held>),
     /// Somebody else was faster.
     Lost(Lease<Watching>),
-    /// Nobody knows yet; read the record and call [`Lease::settle`].
+    /// Nobody knows yet; read the record and call [`Lease::resolve`].
     Unclear(Lease<Acquiring>),
 }
 
 /// What became of a renewal.
 #[derive(Clone, Debug)]
-pub enum Renewed {
+pub enum RenewOutcome {
     /// It is still ours.
     Held(Lease<Held>),
     /// It was taken or has lapsed.
@@ -162,19 +162,19 @@
 
 /// What a holder told others of its lease, beside the record.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct NotedLease {
+pub struct AnnouncedLease {
     /// Its epoch.
     pub epoch: Epoch,
     /// Which renewal the holder knows of.
     pub renewal: u64,
     /// When the lease ends after that renewal, at the latest: what was left of
     /// it by the holder's clock, counted from when we heard so.
-    pub ends_by: Instant,
+    pub expires_by: Instant,
 }
 
 impl Lease<Watching> {
     /// Returns a lease of which nothing is known.
-    pub fn new(shard: ShardId, times: LeaseTimes) -> Lease<Watching> {
+    pub fn new(shard: ShardId, times: LeaseTiming) -> Lease<Watching> {
         let state = Watching { shard, seen: None, unchanged_since: None };
         Lease { state, times }
     }
@@ -216,13 +216,16 @@
     /// Returns when the lease that was seen last has ended at the latest, on
     /// its holder's own clock: a time to live after we first saw this record,
     /// or sooner if its holder said so of just this renewal.
-    pub fn ended_by(&self, noted: Option<NotedLease>) -> Option<Instant> {
+    pub fn latest_expiry(
+        &self,
+        noted: Option<AnnouncedLease>,
+    ) -> Option<Instant> {
         let record = &self.state.seen.as_ref()?.record;
         let seen = self.state.unchanged_since? + self.times.time_to_live;
         let noted = noted.filter(|noted| {
             (noted.epoch, noted.renewal) == (record.epoch, record.renewal)
         });
-        Some(noted.map_or(seen, |noted| noted.ends_by.min(seen)))
+        Some(noted.map_or(seen, |noted| noted.expires_by.min(seen)))
     }
 
     /// Tries to take a free lease.
@@ -233,8 +236,8 @@
     ) -> Lease<Acquiring> {
         let seen = self.state.seen;
         let last_epoch = seen.as_ref().map_or(0, |s| s.record.epoch);
-        let is_turn_pending = seen.as_ref().is_some_and(|before| {
-            before.record.is_turn_pending
+        let is_handover_pending = seen.as_ref().is_some_and(|before| {
+            before.record.is_handover_pending
                 || before.record.holder != candidate.instance
         });
         let record = LeaseRecord {
@@ -245,7 +248,7 @@
             epoch: last_epoch + 1,
             renewal: 0,
             is_released: false,
-            is_turn_pending,
+            is_handover_pending,
         };
         let expected = seen.map(|stored| stored.version);
         let write = LeaseWrite { record, expected };
@@ -260,13 +263,19 @@
     }
 
     /// Takes in the platform's answer.
-    pub fn answer(self, answer: WriteAnswer, now: Instant) -> Acquired {
+    pub fn complete_acquire(
+        self,
+        answer: WriteAnswer,
+        now: Instant,
+    ) -> AcquireOutcome {
         match answer {
             WriteAnswer::Done(version) => {
-                Acquired::Held(self.into_held(version))
+                AcquireOutcome::Held(self.into_held(version))
             }
-            WriteAnswer::Conflict => Acquired::Lost(self.into_watching(now)),
-            WriteAnswer::Unclear => Acquired::Unclear(self),
+            WriteAnswer::Conflict => {
+                AcquireOutcome::Lost(self.into_watching(now))
+            }
+            WriteAnswer::Unclear => AcquireOutcome::Unclear(self),
         }
     }
 
@@ -276,20 +285,20 @@
     /// that does not show our update does not prove that it will never take
     /// effect, so the lease goes back to watching, whose wait covers that: an
     /// update that arrives late shows there as a change.
-    pub fn settle(
+    pub fn resolve(
         self,
         stored: Option<StoredLease>,
         now: Instant,
-    ) -> Acquired {
+    ) -> AcquireOutcome {
         let is_ours = stored
             .as_ref()
             .is_some_and(|s| is_same_holding(&s.record, self.own()));
         if let (true, Some(stored)) = (is_ours, &stored) {
-            return Acquired::Held(self.into_held(stored.version));
+            return AcquireOutcome::Held(self.into_held(stored.version));
         }
         let mut watching = self.into_watching(now);
         watching.observe(stored, now);
-        Acquired::Lost(watching)
+        AcquireOutcome::Lost(watching)
     }
 
     fn own(&self) -> &LeaseRecord {
@@ -338,8 +347,8 @@
 
     /// Notes that the turn after the holder before has passed, so that the next
     /// renewal says so.
-    pub fn end_turn(&mut self) {
-        self.state.record.is_turn_pending = false;
+    pub fn complete_handover(&mut self) {
+        self.state.record.is_handover_pending = false;
     }
 
     /// Returns the renewal to send.
@@ -360,22 +369,24 @@
     ///
     /// An unclear answer keeps the old time and version; the next read or
     /// conflict settles it through [`Lease::reconcile`].
-    pub fn renewed(
+    pub fn complete_renewal(
         mut self,
         write: LeaseWrite,
         answer: WriteAnswer,
         sent: Instant,
         now: Instant,
-    ) -> Renewed {
+    ) -> RenewOutcome {
         match answer {
             WriteAnswer::Done(version) => {
                 self.state.record = write.record;
                 self.state.version = version;
                 self.state.renewed = sent;
-                Renewed::Held(self)
+                RenewOutcome::Held(self)
+            }
+            WriteAnswer::Unclear => RenewOutcome::Held(self),
+            WriteAnswer::Conflict => {
+                RenewOutcome::Lost(self.into_watching(now))
             }
-            WriteAnswer::Unclear => Renewed::Held(self),
-            WriteAnswer::Conflict => Renewed::Lost(self.into_watching(now)),
         }
     }
 
@@ -387,7 +398,7 @@
         mut self,
         stored: Option<StoredLease>,
         now: Instant,
-    ) -> Renewed {
+    ) -> RenewOutcome {
         match stored {
             Some(stored)
                 if is_same_holding(&stored.record, &self.state.record)
@@ -395,12 +406,12 @@
             {
                 self.state.record = stored.record;
                 self.state.version = stored.version;
-                Renewed::Held(self)
+                RenewOutcome::Held(self)
             }
             stored => {
                 let mut watching = self.into_watching(now);
                 watching.observe(stored, now);
-                Renewed::Lost(watching)
+                RenewOutcome::Lost(watching)
             }
         }
     }
--- a/crates/coordination/tests/turn_rules.rs
+++ b/crates/coordination/tests/handover_rules.rs
@@ -6,11 +6,11 @@
 use proptest::prelude::*;
 use sedgewall_clock::Instant;
 use sedgewall_coordination::{
+    handover::{HandoverDelay, LeaseTakeover},
     lease::{
-        Acquired, Candidate, Held, Lease, LeaseRecord, LeaseTimes, LeaseWrite,
-        Renewed, StoredLease, Watching, WriteAnswer,
+        AcquireOutcome, Candidate, Held, Lease, LeaseRecord, LeaseTiming,
+        LeaseWrite, RenewOutcome, StoredLease, Watching, WriteAnswer,
     },
-    turn::{Takeover, Turns},
 };
 
 const PLAYERS: usize = 3;
@@ -18,7 +18,7 @@
 /// Longer than the lease, so that it can lapse before a first order.
 const TURN: Duration = Duration::from_millis(3_200);
 
-const TIMES: LeaseTimes = LeaseTimes {
+const TIMES: LeaseTiming = LeaseTiming {
     time_to_live: Duration::from_millis(1_300),
     renew_every: Duration::from_millis(450),
     margin: Duration::from_millis(250),
@@ -109,7 +109,7 @@
 /// What an instance of the fleet does with the lease on orders.
 struct Player {
     candidate: Candidate,
-    turns: Turns,
+    handover_delay: HandoverDelay,
     watching: Lease<Watching>,
     held: Option<(Lease<Held>, Instant)>,
 }
@@ -125,8 +125,8 @@
             incarnation,
             peer_url: String::new(),
         };
-        let turns = Turns::new(TURN);
-        Player { candidate, turns, watching: new_lease(), held: None }
+        let handover_delay = HandoverDelay::new(TURN);
+        Player { candidate, handover_delay, watching: new_lease(), held: None }
     }
 
     fn act(&mut self, store: &mut Store, fault: Fault, now: Instant) {
@@ -151,18 +151,18 @@
         let is_released = before.as_ref().is_some_and(|b| b.is_released);
         let ended = match is_released {
             true => now,
-            false => self.watching.ended_by(None).unwrap_or(now),
+            false => self.watching.latest_expiry(None).unwrap_or(now),
         };
         let watching = std::mem::replace(&mut self.watching, new_lease());
         let acquiring = watching.acquire(&self.candidate, now);
         let answer = store.send(acquiring.write(), fault);
-        let acquired = match acquiring.answer(answer, now) {
-            Acquired::Unclear(acquiring) => {
-                acquiring.settle(store.stored.clone(), now)
+        let acquired = match acquiring.complete_acquire(answer, now) {
+            AcquireOutcome::Unclear(acquiring) => {
+                acquiring.resolve(store.stored.clone(), now)
             }
             acquired => acquired,
         };
-        if let Acquired::Held(lease) = acquired {
+        if let AcquireOutcome::Held(lease) = acquired {
             self.begin(lease, before.as_ref(), ended, now);
         }
     }
@@ -174,8 +174,8 @@
         ended: Instant,
         now: Instant,
     ) {
-        let takeover = Takeover { taken: lease.record(), before, ended };
-        let from = self.turns.begin(takeover, now);
+        let takeover = LeaseTakeover { taken: lease.record(), before, ended };
+        let from = self.handover_delay.record_takeover(takeover, now);
         self.held = Some((lease, from));
     }
 
@@ -188,12 +188,12 @@
         now: Instant,
     ) {
         if now >= from {
-            lease.end_turn();
+            lease.complete_handover();
         }
         let write = lease.renewal();
         let answer = store.send(&write, fault);
-        let renewed = match lease.renewed(write, answer, now, now) {
-            Renewed::Held(lease)
+        let renewed = match lease.complete_renewal(write, answer, now, now) {
+            RenewOutcome::Held(lease)
                 if answer == WriteAnswer::Unclear && fault != Fault::Out =>
             {
                 lease.reconcile(store.stored.clone(), now)
@@ -201,8 +201,8 @@
             renewed => renewed,
         };
         match renewed {
-            Renewed::Held(lease) => self.held = Some((lease, from)),
-            Renewed::Lost(watching) => self.watching = watching,
+            RenewOutcome::Held(lease) => self.held = Some((lease, from)),
+            RenewOutcome::Lost(watching) => self.watching = watching,
         }
     }
 
--- a/crates/coordination/tests/lease_rules.rs
+++ b/crates/coordination/tests/lease_rules.rs
@@ -6,8 +6,9 @@
 use proptest::prelude::*;
 use sedgewall_clock::Instant;
 use sedgewall_coordination::lease::{
-    Acquired, Acquiring, Candidate, Held, Lease, LeaseRecord, LeaseTimes,
-    LeaseWrite, NotedLease, Renewed, StoredLease, Watching, WriteAnswer,
+    AcquireOutcome, Acquiring, AnnouncedLease, Candidate, Held, Lease,
+    LeaseRecord, LeaseTiming, LeaseWrite, RenewOutcome, StoredLease, Watching,
+    WriteAnswer,
 };
 
 const PLAYERS: usize = 3;
@@ -96,37 +97,43 @@
             }
             let acquiring = watching.acquire(&candidate(player), now);
             let answer = send(platform, acquiring.write());
-            match acquiring.answer(answer, now) {
-                Acquired::Held(held) => State::Held(held),
-                Acquired::Lost(watching) => State::Watching(watching),
-                Acquired::Unclear(acquiring) => State::Unclear(acquiring),
+            match acquiring.complete_acquire(answer, now) {
+                AcquireOutcome::Held(held) => State::Held(held),
+                AcquireOutcome::Lost(watching) => State::Watching(watching),
+                AcquireOutcome::Unclear(acquiring) => {
+                    State::Unclear(acquiring)
+                }
             }
         }
         State::Unclear(acquiring) => {
             if is_out {
                 return State::Unclear(acquiring);
             }
-            match acquiring.settle(platform.stored.clone(), now) {
-                Acquired::Held(held) => State::Held(held),
-                Acquired::Lost(watching) => State::Watching(watching),
-                Acquired::Unclear(acquiring) => State::Unclear(acquiring),
+            match acquiring.resolve(platform.stored.clone(), now) {
+                AcquireOutcome::Held(held) => State::Held(held),
+                AcquireOutcome::Lost(watching) => State::Watching(watching),
+                AcquireOutcome::Unclear(acquiring) => {
+                    State::Unclear(acquiring)
+                }
             }
         }
         State::Held(held) => {
             let write = held.renewal();
             let answer = send(platform, &write);
-            match held.renewed(write, answer, now, now) {
-                Renewed::Held(held) if answer == WriteAnswer::Unclear => {
+            match held.complete_renewal(write, answer, now, now) {
+                RenewOutcome::Held(held) if answer == WriteAnswer::Unclear => {
                     if is_out {
                         return State::Held(held);
                     }
                     match held.reconcile(platform.stored.clone(), now) {
-                        Renewed::Held(held) => State::Held(held),
-                        Renewed::Lost(watching) => State::Watching(watching),
+                        RenewOutcome::Held(held) => State::Held(held),
+                        RenewOutcome::Lost(watching) => {
+                            State::Watching(watching)
+                        }
                     }
                 }
-                Renewed::Held(held) => State::Held(held),
-                Renewed::Lost(watching) => State::Watching(watching),
+                RenewOutcome::Held(held) => State::Held(held),
+                RenewOutcome::Lost(watching) => State::Watching(watching),
             }
         }
         State::Gone => State::Gone,
@@ -140,7 +147,7 @@
     fn one_current_holder_at_a_time(
         steps in prop::collection::vec(step(), 1..200)
     ) {
-        let times = LeaseTimes::default();
+        let times = LeaseTiming::default();
         let mut now = Instant::now();
         let mut platform = Platform::default();
         let mut states: Vec<State> = (0..PLAYERS)
@@ -189,7 +196,7 @@
 
 #[test]
 fn a_paused_holder_changes_nothing_when_it_wakes() {
-    let times = LeaseTimes::default();
+    let times = LeaseTiming::default();
     let now = Instant::now();
     let mut platform = Platform::default();
     let first = State::Watching(Lease::new("s".to_owned(), times));
@@ -212,7 +219,7 @@
 
 #[test]
 fn a_lost_answer_is_settled_by_reading_back() {
-    let times = LeaseTimes::default();
+    let times = LeaseTiming::default();
     let now = Instant::now();
     let mut platform = Platform::default();
     let state = State::Watching(Lease::new("s".to_owned(), times));
@@ -222,7 +229,7 @@
     assert!(matches!(state, State::Held(_)));
 }
 
-const TIMES: LeaseTimes = LeaseTimes {
+const TIMES: LeaseTiming = LeaseTiming {
     time_to_live: Duration::from_millis(1_300),
     renew_every: Duration::from_millis(450),
     margin: Duration::from_millis(250),
@@ -239,7 +246,7 @@
         epoch: 3,
         renewal: 6,
         is_released: false,
-        is_turn_pending: false,
+        is_handover_pending: false,
     };
     watching.observe(Some(StoredLease { record, version: 9 }), now);
     watching
@@ -248,26 +255,26 @@
 #[test]
 fn a_watched_lease_has_ended_a_time_to_live_after_its_record_was_seen() {
     let now = Instant::now();
-    let ended = watched(now).ended_by(None);
+    let ended = watched(now).latest_expiry(None);
     assert_eq!(ended, Some(now + TIMES.time_to_live));
 }
 
 #[test]
 fn what_its_holder_said_ends_a_lease_sooner() {
     let now = Instant::now();
-    let ends_by = now + Duration::from_millis(400);
-    let noted = NotedLease { epoch: 3, renewal: 6, ends_by };
-    assert_eq!(watched(now).ended_by(Some(noted)), Some(ends_by));
+    let expires_by = now + Duration::from_millis(400);
+    let noted = AnnouncedLease { epoch: 3, renewal: 6, expires_by };
+    assert_eq!(watched(now).latest_expiry(Some(noted)), Some(expires_by));
 }
 
 /// The holder has renewed since, and may believe in that.
 #[test]
 fn what_was_said_of_another_renewal_ends_nothing() {
     let now = Instant::now();
-    let ends_by = now + Duration::from_millis(400);
+    let expires_by = now + Duration::from_millis(400);
     for (epoch, renewal) in [(3, 5), (2, 6), (3, 7)] {
-        let noted = NotedLease { epoch, renewal, ends_by };
-        let ended = watched(now).ended_by(Some(noted));
+        let noted = AnnouncedLease { epoch, renewal, expires_by };
+        let ended = watched(now).latest_expiry(Some(noted));
         assert_eq!(ended, Some(now + TIMES.time_to_live));
     }
 }
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -3,17 +3,17 @@
 //! The rules are those of [`sedgewall_coordination::lease`]; here they meet
 //! the store. Engines that do not check epochs must hear one holder at a time,
 //! so a new holder waits until the last order of the one before is a whole
-//! turn old ([`sedgewall_coordination::turn`]).
+//! turn old ([`sedgewall_coordination::handover`]).
 
 use std::{rc::Rc, time::Duration};
 
 use sedgewall_clock::Instant;
 use sedgewall_coordination::{
+    handover::{HandoverDelay, LeaseTakeover},
     lease::{
-        Acquired, Acquiring, Candidate, Held, Lease, LeaseRecord, LeaseTimes,
-        NotedLease, Renewed, Watching, WriteAnswer,
+        AcquireOutcome, Acquiring, AnnouncedLease, Candidate, Held, Lease,
+        LeaseRecord, LeaseTiming, RenewOutcome, Watching, WriteAnswer,
     },
-    turn::{Takeover, Turns},
 };
 use sedgewall_fleet::{
     note::Note, store_reachability::ReportedOutage,
@@ -84,7 +84,7 @@
 /// Takes the lease when nobody holds it, and keeps it, for ever.
 pub(crate) async fn run(node: Rc<FleetNode>) {
     let turn = Duration::from_millis(node.fleet.order_turn_ms) + TURN_MARGIN;
-    let mut turns = Turns::new(turn);
+    let mut handover_delay = HandoverDelay::new(turn);
     wait_for_peers(&node).await;
     let mut watching = new_lease();
     loop {
@@ -97,7 +97,7 @@
             continue;
         }
         if let Some(taken) = take(&node, watching).await {
-            let kept = begin(&node, taken, &mut turns);
+            let kept = begin(&node, taken, &mut handover_delay);
             keep(&node, kept).await;
         }
         watching = new_lease();
@@ -133,7 +133,7 @@
 }
 
 fn new_lease() -> Lease<Watching> {
-    let times = LeaseTimes {
+    let times = LeaseTiming {
         time_to_live: TIME_TO_LIVE,
         renew_every: RENEW_EVERY,
         margin: MARGIN,
@@ -177,7 +177,7 @@
         let is_own =
             before.as_ref().is_some_and(|record| record.holder == *node.id());
         if is_own || watching.is_free(now) {
-            let ended = ended_by(node, &watching, now);
+            let ended = latest_expiry(node, &watching, now);
             let acquiring = watching.acquire(&candidate(node), now);
             let lease = acquire(node, acquiring).await?;
             return Some(Taken { lease, before, ended, sent: now });
@@ -188,7 +188,7 @@
 
 /// Returns when the lease that is free now had ended. One that was given up
 /// ended just before we saw so.
-fn ended_by(
+fn latest_expiry(
     node: &FleetNode,
     watching: &Lease<Watching>,
     now: Instant,
@@ -206,13 +206,13 @@
     let noted = match contact.reported_outage(REPORT_VALID_FOR + WORD_TRAVELS)
     {
         ReportedOutage::Never => noted,
-        ReportedOutage::Until(end) => noted.map(|noted| NotedLease {
-            ends_by: noted.ends_by.max(end),
+        ReportedOutage::Until(end) => noted.map(|noted| AnnouncedLease {
+            expires_by: noted.expires_by.max(end),
             ..noted
         }),
         ReportedOutage::Ongoing => None,
     };
-    watching.ended_by(noted).unwrap_or(now)
+    watching.latest_expiry(noted).unwrap_or(now)
 }
 
 async fn acquire(
@@ -220,14 +220,14 @@
     acquiring: Lease<Acquiring>,
 ) -> Option<Lease<Held>> {
     let answer = lease_store::write(node, acquiring.write()).await;
-    match acquiring.answer(answer, Instant::now()) {
-        Acquired::Held(held) => Some(held),
-        Acquired::Lost(_) => None,
-        Acquired::Unclear(acquiring) => {
+    match acquiring.complete_acquire(answer, Instant::now()) {
+        AcquireOutcome::Held(held) => Some(held),
+        AcquireOutcome::Lost(_) => None,
+        AcquireOutcome::Unclear(acquiring) => {
             let stored = lease_store::read(node).await.ok()?;
-            match acquiring.settle(stored, Instant::now()) {
-                Acquired::Held(held) => Some(held),
-                Acquired::Lost(_) | Acquired::Unclear(_) => None,
+            match acquiring.resolve(stored, Instant::now()) {
+                AcquireOutcome::Held(held) => Some(held),
+                AcquireOutcome::Lost(_) | AcquireOutcome::Unclear(_) => None,
             }
         }
     }
@@ -251,7 +251,7 @@
     loop {
         let now = Instant::now();
         if now >= kept.order_from {
-            kept.lease.end_turn();
+            kept.lease.complete_handover();
         }
         let is_current =
             kept.lease.is_current(now) || node.no_instance_reaches_store(now);
@@ -298,14 +298,18 @@
     now - since >= grace.saturating_sub(HAND_OVER)
 }
 
-fn begin(node: &FleetNode, taken: Taken, turns: &mut Turns) -> Kept {
+fn begin(
+    node: &FleetNode,
+    taken: Taken,
+    handover_delay: &mut HandoverDelay,
+) -> Kept {
     let now = Instant::now();
-    let takeover = Takeover {
+    let takeover = LeaseTakeover {
         taken: taken.lease.record(),
         before: taken.before.as_ref(),
         ended: taken.ended,
     };
-    let order_from = turns.begin(takeover, now);
+    let order_from = handover_delay.record_takeover(takeover, now);
     tracing::info!(
         event = "lease_taken",
         epoch = taken.lease.epoch(),
@@ -338,8 +342,8 @@
     let renewal = lease.renewal();
     let first_sent = renewal_sent.unwrap_or_else(Instant::now);
     let (answer, way) = lease_store::renew(node, &renewal).await;
-    let Renewed::Held(lease) =
-        lease.renewed(renewal, answer, first_sent, Instant::now())
+    let RenewOutcome::Held(lease) =
+        lease.complete_renewal(renewal, answer, first_sent, Instant::now())
     else {
         return None;
     };
--- a/crates/sedgewalld/src/node.rs
+++ b/crates/sedgewalld/src/node.rs
@@ -16,9 +16,9 @@
 use sedgewall_coordination::{
     config_version::ConfigTracker,
     membership::{
-        Heartbeat, InstanceList, Leadership, Membership, MembershipTimes,
+        Heartbeat, InstanceList, Leadership, Membership, MembershipTimeouts,
     },
-    timeline::{Event, EventKind, HybridClock, Timeline},
+    timeline::{Event, EventKind, HybridLogicalClock, Timeline},
 };
 use sedgewall_protocol::{Envelope, PeerMessage, settings::Settings};
 use sedgewall_state::{Epoch, Incarnation, InstanceId, RequestId, ShardId};
@@ -71,7 +71,7 @@
     pub(crate) requests: RefCell<RequestTable>,
     pub(crate) claims: RefCell<ClaimTable>,
     pub(crate) services: RefCell<ServiceTable>,
-    clock: RefCell<HybridClock>,
+    clock: RefCell<HybridLogicalClock>,
     timeline: RefCell<Timeline>,
     local_tx: mpsc::UnboundedSender<Envelope>,
 }
@@ -96,7 +96,7 @@
             is_platform_reached: Cell::new(true),
             peers: RefCell::default(),
             membership: RefCell::new(Membership::new(
-                MembershipTimes::default(),
+                MembershipTimeouts::default(),
             )),
             instances: RefCell::default(),
             config: RefCell::default(),
