--- a/crates/sedgewalld/src/daemon.rs
+++ b/crates/sedgewalld/src/daemon.rs
@@ -66,7 +66,7 @@
 }
 
 async fn run_on_loop(settings: Settings) -> Result<(), DaemonError> {
-    let signals = Signals::hear();
+    let signals = Signals::install();
     let metrics = PrometheusBuilder::new()
         .install_recorder()
         .map_err(|err| DaemonError::Metrics(err.to_string()))?;
--- a/crates/sedgewalld/src/fleet/daemon.rs
+++ b/crates/sedgewalld/src/fleet/daemon.rs
@@ -60,7 +60,7 @@
     fleet: FleetSettings,
 ) -> Result<(), DaemonError> {
     let log = LogBuffer::install(&settings.log_level);
-    let signals = Signals::hear();
+    let signals = Signals::install();
     let metrics = PrometheusBuilder::new()
         .install_recorder()
         .map_err(|err| DaemonError::Metrics(err.to_string()))?;
--- a/crates/sedgewalld/src/signals.rs
+++ b/crates/sedgewalld/src/signals.rs
@@ -24,12 +24,12 @@
 impl Signals {
     /// Hears signals from now on, for ever: what is dropped is not told any
     /// more, and still ends nothing.
-    pub(crate) fn hear() -> Signals {
-        Signals { stop: hear(SIGTERM), reload: hear(SIGHUP) }
+    pub(crate) fn install() -> Signals {
+        Signals { stop: install(SIGTERM), reload: install(SIGHUP) }
     }
 }
 
-fn hear(signal: i32) -> mpsc::Receiver<()> {
+fn install(signal: i32) -> mpsc::Receiver<()> {
     let (mut tx, rx) = mpsc::channel(0);
     compio::runtime::spawn(listen(signal, move || {
         // A signal before this one has not been heard yet, or nothing hears.
