--- a/crates/fleet/src/catch_up.rs
+++ b/crates/fleet/src/catch_up.rs
@@ -17,7 +17,7 @@
     configuration::ConfigurationVersion,
     departure::Departure,
     poison::Condemned,
-    route::Deployment,
+    route::RoutingConfiguration,
 };
 
 /// How long our own read of the store may take before others are asked. A watch
@@ -44,7 +44,7 @@
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize,
 )]
-pub struct Knowledge {
+pub struct StateSummary {
     /// The version of its configuration.
     pub configuration: ConfigurationVersion,
     /// How many versions of weights were named, counting each rise.
@@ -57,9 +57,9 @@
 
 /// What one instance has and another misses.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Missed {
+pub struct StateDelta {
     /// The configuration in force there, if it is newer.
-    pub deployment: Option<Deployment>,
+    pub deployment: Option<RoutingConfiguration>,
     /// The named versions of weights, if there are more.
     pub versions: Vec<(AdapterKey, WeightVersion)>,
     /// Endpoints that have left.
@@ -73,16 +73,16 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Nothing is missed.
-    Rest,
+    Idle,
     /// To look again then, or when more is heard.
     Wait(Instant),
     /// To ask this instance.
-    Ask(InstanceId),
+    Fetch(InstanceId),
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Told {
-    knows: Knowledge,
+    knows: StateSummary,
     at: Instant,
     is_own_zone: bool,
 }
@@ -96,17 +96,17 @@
     avoided: HashMap<InstanceId, Instant>,
 }
 
-impl Knowledge {
+impl StateSummary {
     /// Returns whether there is anything that the other one has not.
-    pub fn has_more_than(self, other: Knowledge) -> bool {
+    pub fn has_more_than(self, other: StateSummary) -> bool {
         self.configuration > other.configuration
             || self.versions > other.versions
             || self.condemned > other.condemned
     }
 
     /// Returns the most that either has.
-    fn most(self, other: Knowledge) -> Knowledge {
-        Knowledge {
+    fn most(self, other: StateSummary) -> StateSummary {
+        StateSummary {
             configuration: self.configuration.max(other.configuration),
             versions: self.versions.max(other.versions),
             condemned: self.condemned.max(other.condemned),
@@ -116,10 +116,10 @@
 
 impl CatchUp {
     /// Takes in what an instance says that it knows.
-    pub fn hear(
+    pub fn record_peer(
         &mut self,
         from: &InstanceId,
-        knows: Knowledge,
+        knows: StateSummary,
         is_own_zone: bool,
         now: Instant,
     ) {
@@ -133,18 +133,18 @@
     }
 
     /// Returns the most that was heard of lately.
-    pub fn newest_heard(&self, now: Instant) -> Knowledge {
+    pub fn newest_heard(&self, now: Instant) -> StateSummary {
         let recent = self.told.values().filter(|told| told.is_recent(now));
         recent
             .map(|told| told.knows)
-            .fold(Knowledge::default(), Knowledge::most)
+            .fold(StateSummary::default(), StateSummary::most)
     }
 
     /// Returns what to do now for an instance that knows so much, before so many
     /// others. `draw` is a random number.
     pub fn step(
         &mut self,
-        own: Knowledge,
+        own: StateSummary,
         others: usize,
         draw: u64,
         now: Instant,
@@ -152,7 +152,7 @@
         if !self.newest_heard(now).has_more_than(own) {
             self.behind_since = None;
             self.ask_from = None;
-            return Step::Rest;
+            return Step::Idle;
         }
         self.behind_since.get_or_insert(now);
         let first = || {
@@ -166,13 +166,13 @@
         }
         self.ask_from = Some(now + ASK_NEXT);
         match self.whom(own, draw, now) {
-            Some(whom) => Step::Ask(whom),
+            Some(whom) => Step::Fetch(whom),
             None => Step::Wait(now + ASK_NEXT),
         }
     }
 
     /// Makes the next step ask at once: a request waits for what is missed.
-    pub fn hurry(&mut self, now: Instant) {
+    pub fn fetch_now(&mut self, now: Instant) {
         // After a question that brought nothing, the pause before the next holds.
         let is_first = self
             .ask_from
@@ -183,7 +183,7 @@
     }
 
     /// Takes in that an instance did not answer, or had no more than we.
-    pub fn brought_nothing(&mut self, whom: &InstanceId, now: Instant) {
+    pub fn fetch_failed(&mut self, whom: &InstanceId, now: Instant) {
         self.avoided.insert(whom.clone(), now);
     }
 
@@ -203,7 +203,7 @@
     /// another.
     fn whom(
         &self,
-        own: Knowledge,
+        own: StateSummary,
         draw: u64,
         now: Instant,
     ) -> Option<InstanceId> {
--- a/crates/fleet/src/note.rs
+++ b/crates/fleet/src/note.rs
@@ -12,19 +12,19 @@
 
 use crate::{
     adapter::{AdapterKey, WeightVersion},
-    allowance,
     departure::Departure,
     endpoint::{Endpoint, Revision},
-    life::Born,
+    incarnation::Incarnation,
     limit_share::LimitReport,
     poison::Crash,
+    rate_limiter,
     request_digest::RequestDigest,
     work::Work,
 };
 
 /// Up to so many other instances hear each note from its sender, and know well
 /// what each has under way. More take relays, and sums of the holder's.
-pub const FEW_PEERS: usize = 12;
+pub const MAX_DIRECT_PEERS: usize = 12;
 
 /// One datagram.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -33,7 +33,8 @@
     Status(Status),
     /// What was asked for since the last such note, to the holder of the
     /// lease.
-    Asked(Asked),
+    #[serde(rename = "Asked")]
+    DemandReport(DemandReport),
     /// An adapter is being loaded.
     Placed(Placed),
     /// An adapter is being removed.
@@ -46,12 +47,15 @@
     Cleared(RequestDigest),
     /// The store did not answer the holder of the lease: all see whether it
     /// answers them, and say so.
-    StoreFails,
+    #[serde(rename = "StoreFails")]
+    ProbeStore,
     /// The holder of the lease cannot reach the store; whoever gets this renews
     /// the lease for it.
-    RenewForMe(RenewalRequest),
+    #[serde(rename = "RenewForMe")]
+    RenewalRequest(RenewalRequest),
     /// What the store answered to such a renewal.
-    Renewed(RenewalAnswer),
+    #[serde(rename = "Renewed")]
+    RenewalAnswer(RenewalAnswer),
     /// Several instances cannot reach an engine: all leave it out for a while.
     Suspect {
         /// The engine.
@@ -60,14 +64,16 @@
         for_ms: u64,
     },
     /// Up to when does whoever gets this know all changes of the configuration?
-    AskFresh {
+    #[serde(rename = "AskFresh")]
+    FreshnessQuery {
         /// Who asks.
         from: InstanceId,
         /// The number of the question.
         number: u64,
     },
     /// The answer.
-    Fresh {
+    #[serde(rename = "Fresh")]
+    FreshnessAnswer {
         /// The number of the question.
         number: u64,
         /// How long ago all changes were known, in milliseconds.
@@ -78,9 +84,11 @@
     /// Several notes in one datagram.
     Batch(Vec<Note>),
     /// A note to all, on its way through one instance of a group.
-    Relayed(Relayed),
+    #[serde(rename = "Relayed")]
+    GroupRelay(GroupRelay),
     /// A note to all, on its way through one instance of a zone.
-    ForZone(Box<Note>),
+    #[serde(rename = "ForZone")]
+    ZoneRelay(Box<Note>),
 }
 
 /// A renewal of the lease that another instance is to send to the store.
@@ -114,7 +122,7 @@
 
 /// A note that whoever gets it hears, and passes on to its group.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Relayed {
+pub struct GroupRelay {
     /// The number of the group ([`crate::relays::Group`]).
     pub index: u32,
     /// How many groups the zone has.
@@ -125,7 +133,7 @@
 
 /// The lease on orders, as its holder knows it.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Lead {
+pub struct LeaderLease {
     /// Its epoch.
     pub epoch: Epoch,
     /// The last renewal that the store has answered.
@@ -144,7 +152,7 @@
     /// When the next such note is due, in milliseconds.
     pub next_in_ms: u64,
     /// The lease, while its holder is sure to hold it.
-    pub leads: Option<Lead>,
+    pub leads: Option<LeaderLease>,
     /// The version of the configuration that is in force there.
     pub configuration: u64,
     /// How many versions of weights were named, as far as it knows.
@@ -155,7 +163,7 @@
     pub is_leaving: bool,
     /// What customers ask of the sender, or of all if the work is a total.
     #[serde(default)]
-    pub asked_by_customers: Vec<allowance::Asked>,
+    pub asked_by_customers: Vec<rate_limiter::CustomerDemand>,
     /// Endpoints that left lately. An instance of the release before says none.
     #[serde(default)]
     pub departures: Vec<Departure>,
@@ -185,14 +193,14 @@
 
 impl Status {
     /// Returns how long this note counts without another one.
-    pub fn counts_for(&self) -> Duration {
+    pub fn valid_for(&self) -> Duration {
         Duration::from_millis(self.next_in_ms) * STATUS_LOSSES
     }
 }
 
 /// Requests for adapters.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Asked {
+pub struct DemandReport {
     /// Who says so, and is to hear what became of it.
     pub from: InstanceId,
     /// Where they were asked for.
@@ -205,7 +213,7 @@
     pub unreachable: Vec<EndpointId>,
     /// Whether adapters were there when requests were sent to them.
     #[serde(default)]
-    pub arrivals: Vec<Arrived>,
+    pub arrivals: Vec<LoadObservationReport>,
     /// Endpoints that take no more from the sender, and for how long, in
     /// milliseconds.
     #[serde(default)]
@@ -214,7 +222,7 @@
 
 /// What a request showed that was sent to an adapter on its way.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Arrived {
+pub struct LoadObservationReport {
     /// The engine.
     pub endpoint: EndpointId,
     /// The adapter.
@@ -243,7 +251,7 @@
     pub is_cold: bool,
     /// Which life of the engine was ordered, if it tells its lives apart.
     #[serde(default)]
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
 }
 
 /// An adapter that leaves an engine.
@@ -257,5 +265,5 @@
     pub key: AdapterKey,
     /// Which life of the engine was ordered, if it tells its lives apart.
     #[serde(default)]
-    pub born: Option<Born>,
+    pub born: Option<Incarnation>,
 }
--- a/crates/fleet/src/note_schedule.rs
+++ b/crates/fleet/src/note_schedule.rs
@@ -11,7 +11,7 @@
 
 use sedgewall_clock::Instant;
 
-use crate::note::FEW_PEERS;
+use crate::note::MAX_DIRECT_PEERS;
 
 /// How often each instance says what it has under way, at the least.
 const STATUS_EVERY: Duration = Duration::from_millis(150);
@@ -57,7 +57,7 @@
 
 /// The fleet around an instance.
 #[derive(Clone, Copy, Debug)]
-pub struct Surroundings {
+pub struct Topology {
     /// The other instances.
     pub peers: usize,
     /// What this one is to them.
@@ -68,7 +68,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pending {
     /// Whether the store was lost or regained.
-    pub has_news: bool,
+    pub has_store_change: bool,
     /// Whether a large prompt was sent to an engine.
     pub has_large_prompt: bool,
     /// Whether notes wait to go to all.
@@ -85,11 +85,11 @@
     /// What is under way, to all who are told so regularly.
     pub status: bool,
     /// The same between two regular notes.
-    pub work_soon: bool,
+    pub interim_work: bool,
     /// The notes that wait to go to all.
     pub batch: bool,
     /// What was asked for and what requests wait for.
-    pub asked: bool,
+    pub demand: bool,
 }
 
 /// Knows when an instance last said what.
@@ -101,10 +101,10 @@
     asked: Option<Instant>,
 }
 
-impl Surroundings {
+impl Topology {
     /// Returns whether notes to all go through relays and sums.
-    pub fn is_many(self) -> bool {
-        self.peers > FEW_PEERS
+    pub fn uses_relays(self) -> bool {
+        self.peers > MAX_DIRECT_PEERS
     }
 
     /// Returns the pause between two notes of what an instance has under way.
@@ -112,7 +112,7 @@
     /// Without a holder each tells all, less often.
     pub fn status_pause(self) -> Duration {
         match self.role {
-            _ if !self.is_many() => STATUS_EVERY,
+            _ if !self.uses_relays() => STATUS_EVERY,
             Role::Holder => STATUS_EVERY,
             Role::Follower => STATUS_EVERY * 2,
             Role::Leaderless => STATUS_EVERY.max(HEARD_EVERY * self.count()),
@@ -122,13 +122,17 @@
     /// A few instances hear at once what engines get and lose. Many hear it a
     /// little later; who waits for an adapter is told at once in any case.
     fn batch_pause(self) -> Duration {
-        if self.is_many() { BATCH_PAUSE } else { Duration::ZERO }
+        if self.uses_relays() { BATCH_PAUSE } else { Duration::ZERO }
     }
 
     /// The pause between two notes on what was sent: the holder hears those of
     /// all.
     fn sent_pause(self) -> Duration {
-        if self.is_many() { SENT_PAUSE * self.count() } else { Duration::ZERO }
+        if self.uses_relays() {
+            SENT_PAUSE * self.count()
+        } else {
+            Duration::ZERO
+        }
     }
 
     /// Among a few instances, all hear soon what was sent; among many, only
@@ -139,7 +143,7 @@
 
     fn asked_pause(self, pending: Pending) -> Duration {
         match pending {
-            Pending { has_waiting: true, .. } if self.is_many() => {
+            Pending { has_waiting: true, .. } if self.uses_relays() => {
                 WAITING_PAUSE
             }
             Pending { has_waiting: true, .. } => Duration::ZERO,
@@ -158,14 +162,14 @@
     pub fn wait(
         &self,
         pending: Pending,
-        around: Surroundings,
+        around: Topology,
         now: Instant,
     ) -> Duration {
         let left = |last: Option<Instant>, pause: Duration| match last {
             Some(last) => (last + pause).saturating_duration_since(now),
             None => Duration::ZERO,
         };
-        if pending.has_news {
+        if pending.has_store_change {
             return Duration::ZERO;
         }
         let mut wait = left(self.status, around.status_pause())
@@ -183,15 +187,15 @@
     pub fn take(
         &mut self,
         pending: Pending,
-        around: Surroundings,
+        around: Topology,
         now: Instant,
     ) -> Due {
         let is_over = |last: Option<Instant>, pause: Duration| {
             last.is_none_or(|last| now >= last + pause)
         };
-        let status =
-            pending.has_news || is_over(self.status, around.status_pause());
-        let work_soon = !status
+        let status = pending.has_store_change
+            || is_over(self.status, around.status_pause());
+        let interim_work = !status
             && pending.has_large_prompt
             && is_over(self.work, around.soon_pause());
         let batch =
@@ -203,9 +207,9 @@
             }
         };
         note(&mut self.status, status);
-        note(&mut self.work, status || work_soon);
+        note(&mut self.work, status || interim_work);
         note(&mut self.batch, batch);
         note(&mut self.asked, asked);
-        Due { status, work_soon, batch, asked }
+        Due { status, interim_work, batch, demand: asked }
     }
 }
--- a/crates/fleet/src/loader.rs
+++ b/crates/fleet/src/placement.rs
@@ -7,7 +7,7 @@
 //! adapters than it has places, and none before it is known what it holds; and
 //! loads of base models stay within the weight store's rate.
 
-mod homes;
+mod target;
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -18,12 +18,12 @@
     adapter::{AdapterKey, WeightVersion},
     demand::Demand,
     endpoint_state::EndpointState,
-    engine_room::EngineRoom,
+    engine_headroom::EngineHeadroom,
+    load_rate_limiter::LoadRateLimiter,
     load_times::LoadTimes,
     note::{Placed, Removed},
     order::{Order, Task},
-    route::{Deployment, EngineGroup},
-    store_rate::StoreRate,
+    route::{EngineGroup, RoutingConfiguration},
     view::{BUSY_BACKLOG, FleetView},
 };
 
@@ -53,29 +53,38 @@
 
 /// Decides for all engines, while its instance holds the lease.
 #[derive(Clone, Debug)]
-pub struct Loader {
+pub struct PlacementPlanner {
     epoch: Epoch,
-    store: StoreRate,
+    store: LoadRateLimiter,
     ordered: HashMap<(EndpointId, AdapterKey), Instant>,
     /// When all was looked at, not only what requests wait for.
     looked: Option<Instant>,
 }
 
-impl Loader {
+impl PlacementPlanner {
     /// Returns the loader of a new epoch. Whoever held the lease before may
     /// have used the weight store's whole rate until now.
-    pub fn new(epoch: Epoch, mut store: StoreRate, now: Instant) -> Loader {
+    pub fn new(
+        epoch: Epoch,
+        mut store: LoadRateLimiter,
+        now: Instant,
+    ) -> PlacementPlanner {
         if epoch > 1 {
             store.assume_used(now);
         }
-        Loader { epoch, store, ordered: HashMap::new(), looked: None }
+        PlacementPlanner {
+            epoch,
+            store,
+            ordered: HashMap::new(),
+            looked: None,
+        }
     }
 
     /// Decides what to order now. The view is changed as if all orders were
     /// taken.
     pub fn plan(
         &mut self,
-        deployment: &Deployment,
+        routing: &RoutingConfiguration,
         view: &mut FleetView,
         demand: &mut Demand,
         times: &mut LoadTimes,
@@ -88,7 +97,7 @@
             self.forget(now);
         }
         let mut orders = Vec::new();
-        for (service, group) in deployment.engines() {
+        for (service, group) in routing.engines() {
             let mut turn = Turn {
                 loader: self,
                 service,
@@ -122,7 +131,7 @@
 
 /// One look at the engines of one service.
 struct Turn<'a> {
-    loader: &'a mut Loader,
+    loader: &'a mut PlacementPlanner,
     service: &'a str,
     group: &'a EngineGroup,
     view: &'a mut FleetView,
@@ -131,7 +140,7 @@
     now: Instant,
     /// What each engine can take; computed when first asked for, and again
     /// for the engine that gets an order.
-    engines: Option<Vec<EngineRoom>>,
+    engines: Option<Vec<EngineHeadroom>>,
 }
 
 impl Turn<'_> {
@@ -142,7 +151,7 @@
             .view
             .of_service(self.service)
             .filter(|state| !state.endpoint.is_draining)
-            .filter(|state| !state.rest.is_resting(self.now))
+            .filter(|state| !state.cooldown.is_cooling_down(self.now))
             .filter(|state| !state.is_ordered_by_us())
             .map(|state| (state.endpoint.id.clone(), state.endpoint.address))
             .collect();
@@ -183,10 +192,10 @@
     fn replace_versions(&mut self, orders: &mut Vec<Order>) {
         let mut old = Vec::new();
         for state in self.engines() {
-            for (key, seat) in state.seats() {
+            for (key, placement) in state.placements() {
                 let newest = self.view.newest(key);
                 if let Some((newest, _)) = newest
-                    && seat.version < newest
+                    && placement.version < newest
                 {
                     let id = state.endpoint.id.clone();
                     let address = state.endpoint.address;
@@ -212,7 +221,7 @@
                 && self.times.may_begin(self.group.loads_per_s, self.now)
             {
                 let placed = self.placed_cold(&endpoint, &key, newest);
-                self.view.plan_placed(&placed, self.now);
+                self.view.plan_placement(&placed, self.now);
                 orders.push(order(Task::Load(key, newest), true));
             } else {
                 self.remove(&endpoint, &key);
@@ -227,7 +236,7 @@
         let mut wanted: Vec<(f64, AdapterKey)> = Vec::new();
         for (key, demand) in self.demand.iter() {
             if self.is_ours(key)
-                && demand.is_waited_for(self.now)
+                && demand.has_waiting(self.now)
                 && !self.can_be_served(key)
             {
                 wanted.push((demand.standing(self.now), key.clone()));
@@ -281,7 +290,7 @@
         if !may_begin && self.view.warm(key).is_empty() {
             return false;
         }
-        let Some(home) = self.find_home(key) else { return false };
+        let Some(home) = self.find_target(key) else { return false };
         if !home.is_warm && !may_begin {
             return false;
         }
@@ -295,7 +304,7 @@
             true => self.placed_warm(&home.endpoint, key, version),
             false => self.placed_cold(&home.endpoint, key, version),
         };
-        self.view.plan_placed(&placed, self.now);
+        self.view.plan_placement(&placed, self.now);
         self.look_again(&home.endpoint);
         let task = Task::Load(key.clone(), version);
         orders.push(home.order(task, !home.is_warm));
@@ -326,8 +335,9 @@
     }
 
     fn coming(&self, state: &EndpointState) -> bool {
-        let on_their_way =
-            state.seats().filter(|(_, seat)| seat.is_on_way(self.now));
+        let on_their_way = state
+            .placements()
+            .filter(|(_, placement)| placement.is_loading(self.now));
         on_their_way.count() >= COMING_PER_ENGINE
     }
 
@@ -337,7 +347,8 @@
 
     fn engines(&self) -> impl Iterator<Item = &EndpointState> {
         let stays = |state: &&EndpointState| {
-            !state.endpoint.is_draining && !state.rest.is_resting(self.now)
+            !state.endpoint.is_draining
+                && !state.cooldown.is_cooling_down(self.now)
         };
         let is_known = |state: &&EndpointState| state.is_ordered_by_us();
         let engines = self.view.of_service(self.service);
@@ -349,9 +360,9 @@
             epoch: self.loader.epoch,
             endpoint: endpoint.clone(),
             key: key.clone(),
-            born: self.view.life(endpoint),
+            born: self.view.incarnation(endpoint),
         };
-        self.view.hear_removed(&removed, self.now);
+        self.view.apply_removed(&removed, self.now);
     }
 
     /// Begins a load from the weight store.
@@ -391,7 +402,7 @@
             version,
             ready_in_ms: takes.as_millis() as u64,
             is_cold,
-            born: self.view.life(endpoint),
+            born: self.view.incarnation(endpoint),
         }
     }
 
--- a/crates/fleet/src/loader/homes.rs
+++ b/crates/fleet/src/placement/target.rs
@@ -8,7 +8,7 @@
 use crate::{
     adapter::AdapterKey,
     endpoint_state::EndpointState,
-    engine_room::{EngineRoom, Place},
+    engine_headroom::{EngineHeadroom, NextSlot},
     order::{Order, Task},
     view::{BUSY_BACKLOG, OTHER_ZONE_COST},
 };
@@ -22,14 +22,14 @@
 const IN_USE_FOR: Duration = Duration::from_millis(300);
 
 /// The engine that an adapter goes to.
-pub(super) struct Home {
+pub(super) struct PlacementTarget {
     pub(super) endpoint: EndpointId,
     address: SocketAddr,
     pub(super) victim: Option<AdapterKey>,
     pub(super) is_warm: bool,
 }
 
-impl Home {
+impl PlacementTarget {
     pub(super) fn order(&self, task: Task, is_cold: bool) -> Order {
         Order {
             endpoint: self.endpoint.clone(),
@@ -49,18 +49,21 @@
     /// were refused beside 160 free places. Making way for it elsewhere
     /// removes what is asked for there: where places are scarce that costs more than it
     /// brings (`docs/DECISIONS.md`).
-    pub(super) fn find_home(&mut self, key: &AdapterKey) -> Option<Home> {
+    pub(super) fn find_target(
+        &mut self,
+        key: &AdapterKey,
+    ) -> Option<PlacementTarget> {
         let engines = self.engines.take().unwrap_or_else(|| self.rooms());
-        let home = self.cheapest_home(key, &engines);
+        let home = self.cheapest_target(key, &engines);
         self.engines = Some(engines);
         home
     }
 
-    fn cheapest_home(
+    fn cheapest_target(
         &self,
         key: &AdapterKey,
-        engines: &[EngineRoom],
-    ) -> Option<Home> {
+        engines: &[EngineHeadroom],
+    ) -> Option<PlacementTarget> {
         let zone = self.demand.get(key).map(|d| d.zone.as_str());
         let holds: Vec<&EndpointId> =
             self.view.holders(key).map(EndpointState::id).collect();
@@ -73,21 +76,26 @@
                     && !holds.contains(&&engine.endpoint)
             })
         };
-        let is_warm = |engine: &EngineRoom| warm.contains(&engine.endpoint);
-        let has_place =
-            |engine: &EngineRoom| !matches!(engine.place, Place::None);
+        let is_warm =
+            |engine: &EngineHeadroom| warm.contains(&engine.endpoint);
+        let has_place = |engine: &EngineHeadroom| {
+            !matches!(engine.next_slot, NextSlot::None)
+        };
         let is_warm_somewhere = candidates().any(is_warm)
             && (candidates().any(|e| is_warm(e) && has_place(e))
-                || !candidates().any(|e| matches!(e.place, Place::Free)));
-        let mut best: Option<(f64, &EngineRoom)> = None;
+                || !candidates()
+                    .any(|e| matches!(e.next_slot, NextSlot::Free)));
+        let mut best: Option<(f64, &EngineHeadroom)> = None;
         for engine in candidates() {
             if warm.contains(&engine.endpoint) != is_warm_somewhere {
                 continue;
             }
-            let lost = match &engine.place {
-                Place::None => continue,
-                Place::Free => 0.0,
-                Place::Of(_, rate_per_s) => EVICTION_COST + rate_per_s,
+            let lost = match &engine.next_slot {
+                NextSlot::None => continue,
+                NextSlot::Free => 0.0,
+                NextSlot::AfterEvicting(_, rate_per_s) => {
+                    EVICTION_COST + rate_per_s
+                }
             };
             let is_near = Some(engine.zone.as_str()) == zone;
             let expected = engine.rate_per_s * SERVICE_TIME_S;
@@ -100,11 +108,11 @@
             }
         }
         let (_, engine) = best?;
-        let victim = match &engine.place {
-            Place::Of(victim, _) => Some(victim.clone()),
-            Place::None | Place::Free => None,
+        let victim = match &engine.next_slot {
+            NextSlot::AfterEvicting(victim, _) => Some(victim.clone()),
+            NextSlot::None | NextSlot::Free => None,
         };
-        Some(Home {
+        Some(PlacementTarget {
             endpoint: engine.endpoint.clone(),
             address: engine.address,
             victim,
@@ -113,7 +121,7 @@
     }
 
     /// Returns what each engine that is known and usable can take.
-    fn rooms(&self) -> Vec<EngineRoom> {
+    fn rooms(&self) -> Vec<EngineHeadroom> {
         let takes_more = |s: &&EndpointState| {
             s.is_usable(self.now) && !s.is_saturated(self.now)
         };
@@ -121,16 +129,17 @@
         usable.map(|state| self.room(state)).collect()
     }
 
-    fn room(&self, state: &EndpointState) -> EngineRoom {
+    fn room(&self, state: &EndpointState) -> EngineHeadroom {
         // The base model is on all engines, and its share the same on each; to
         // count its holders for each took 0.34 ms an order among 1,010 engines, and the
         // next look came 2 s later.
-        let adapters = state.seats().filter(|(key, _)| key.adapter.is_some());
+        let adapters =
+            state.placements().filter(|(key, _)| key.adapter.is_some());
         let shares = adapters.map(|(key, _)| {
             self.rate(key) / self.holders(key).count().max(1) as f64
         });
         let models = state.endpoint.models.iter();
-        EngineRoom {
+        EngineHeadroom {
             endpoint: state.id().clone(),
             address: state.endpoint.address,
             zone: state.endpoint.zone.clone(),
@@ -139,20 +148,20 @@
             backlog: self.view.backlog(state),
             pressure: self.view.pressure(state),
             rate_per_s: shares.sum(),
-            place: self.next_place(state),
+            next_slot: self.next_place(state),
         }
     }
 
-    fn next_place(&self, state: &EndpointState) -> Place {
+    fn next_place(&self, state: &EndpointState) -> NextSlot {
         if self.coming(state) {
-            return Place::None;
+            return NextSlot::None;
         }
         match self.make_room(state) {
-            None => Place::None,
-            Some(None) => Place::Free,
+            None => NextSlot::None,
+            Some(None) => NextSlot::Free,
             Some(Some(victim)) => {
                 let rate_per_s = self.rate(&victim);
-                Place::Of(victim, rate_per_s)
+                NextSlot::AfterEvicting(victim, rate_per_s)
             }
         }
     }
@@ -179,7 +188,8 @@
         state: &EndpointState,
     ) -> Option<Option<AdapterKey>> {
         let places = self.group.adapter_places();
-        let adapters = || state.seats().filter(|(k, _)| k.adapter.is_some());
+        let adapters =
+            || state.placements().filter(|(k, _)| k.adapter.is_some());
         let replaced = adapters().filter(|(_, s)| s.is_replacing(self.now));
         let taken = adapters().count() + replaced.count();
         if taken < places {
@@ -189,7 +199,7 @@
             return None;
         }
         adapters()
-            .filter(|(_, seat)| seat.is_settled(self.now))
+            .filter(|(_, placement)| placement.is_settled(self.now))
             .filter(|(key, _)| !state.uses(key) && !self.may_be_in_use(key))
             .min_by(|a, b| self.rate(a.0).total_cmp(&self.rate(b.0)))
             .map(|(key, _)| Some(key.clone()))
--- a/crates/fleet/src/poison.rs
+++ b/crates/fleet/src/poison.rs
@@ -13,7 +13,7 @@
 use sedgewall_clock::Instant;
 use serde::{Deserialize, Serialize};
 
-use crate::{life::EndpointLife, request_digest::RequestDigest};
+use crate::{incarnation::EndpointIncarnation, request_digest::RequestDigest};
 
 /// Endpoints that must have ended under a request before it is condemned. The users
 /// allow three.
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Crash {
     /// The endpoint.
-    pub endpoint: EndpointLife,
+    pub endpoint: EndpointIncarnation,
     /// What it ran.
     pub runs: Vec<CrashedRun>,
 }
@@ -88,18 +88,18 @@
     /// How long ago it was condemned, in milliseconds.
     pub ms_ago: u64,
     /// The endpoints that ended under it.
-    pub endpoints: Vec<EndpointLife>,
+    pub endpoints: Vec<EndpointIncarnation>,
 }
 
 /// Why a request is not sent on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Verdict {
     /// The endpoints that ended under it.
-    pub endpoints: Vec<EndpointLife>,
+    pub endpoints: Vec<EndpointIncarnation>,
     /// How long ago it was condemned.
-    pub ago: Duration,
+    pub condemned_ago: Duration,
     /// When it is tried again.
-    pub back_in: Duration,
+    pub released_in: Duration,
 }
 
 /// How a run was lost.
@@ -113,14 +113,14 @@
 
 /// What was seen of requests whose endpoints ended.
 #[derive(Clone, Debug, Default)]
-pub struct Poison {
+pub struct PoisonDetector {
     /// Runs that wait for what becomes of their endpoint.
-    broken: HashMap<EndpointLife, Vec<BrokenRun>>,
+    broken: HashMap<EndpointIncarnation, Vec<BrokenRun>>,
     /// Endpoints that ended lately.
-    ended: HashMap<EndpointLife, Instant>,
+    ended: HashMap<EndpointIncarnation, Instant>,
     suspects: HashMap<RequestDigest, Suspect>,
     /// What others are told again.
-    told: Vec<(EndpointLife, End, RequestDigest)>,
+    told: Vec<(EndpointIncarnation, End, RequestDigest)>,
     /// Requests that were condemned since the last look.
     untold: Vec<RequestDigest>,
 }
@@ -144,7 +144,7 @@
 struct Suspect {
     /// By endpoint, so that what is told twice counts once. Those from before a run
     /// that ended well stay, and count no longer.
-    ends: HashMap<EndpointLife, (End, Counts)>,
+    ends: HashMap<EndpointIncarnation, (End, Counts)>,
     condemned_at: Option<Instant>,
     /// Whether it was condemned before, and one more end is enough.
     is_on_trial: bool,
@@ -155,11 +155,11 @@
 
 /// What became of word that a request was condemned elsewhere.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum TakenIn {
+pub enum MergeOutcome {
     /// It is condemned here now too.
-    News,
+    Added,
     /// It was known, or is over.
-    Known,
+    AlreadyKnown,
     /// A run of it has ended well since; others are to hear so.
     Refuted,
 }
@@ -170,12 +170,12 @@
     No,
 }
 
-impl Poison {
+impl PoisonDetector {
     /// Notes that a run was lost at an endpoint. If that is known to have ended,
     /// returns what others are to be told.
-    pub fn lost(
+    pub fn record_lost_run(
         &mut self,
-        endpoint: &EndpointLife,
+        endpoint: &EndpointIncarnation,
         digest: RequestDigest,
         began: Instant,
         loss: Loss,
@@ -193,7 +193,7 @@
     /// of ours ended with it.
     pub fn endpoint_ended(
         &mut self,
-        endpoint: &EndpointLife,
+        endpoint: &EndpointIncarnation,
         now: Instant,
     ) -> Option<Crash> {
         self.ended.insert(endpoint.clone(), now);
@@ -210,7 +210,11 @@
 
     /// Notes that an endpoint was there at a moment: what broke off before was no end
     /// of it.
-    pub fn endpoint_listens(&mut self, endpoint: &EndpointLife, at: Instant) {
+    pub fn endpoint_alive(
+        &mut self,
+        endpoint: &EndpointIncarnation,
+        at: Instant,
+    ) {
         self.ended.remove(endpoint);
         let Some(broken) = self.broken.get_mut(endpoint) else { return };
         broken.retain(|run| run.broke > at);
@@ -221,7 +225,11 @@
 
     /// Takes in which runs of another instance ended with an endpoint; returns what
     /// others are to be told of ours.
-    pub fn hear(&mut self, crash: &Crash, now: Instant) -> Option<Crash> {
+    pub fn record_crash(
+        &mut self,
+        crash: &Crash,
+        now: Instant,
+    ) -> Option<Crash> {
         let ago = |ms| {
             let time = Duration::from_millis(ms);
             now.checked_sub(time).unwrap_or(now)
@@ -241,9 +249,14 @@
         now: Instant,
     ) -> Option<Verdict> {
         let suspect = self.suspects.get(&digest)?;
-        let ago = now.saturating_duration_since(suspect.condemned_at?);
-        let back_in = CONDEMNED_FOR.checked_sub(ago)?;
-        Some(Verdict { endpoints: suspect.endpoints(), ago, back_in })
+        let condemned_ago =
+            now.saturating_duration_since(suspect.condemned_at?);
+        let released_in = CONDEMNED_FOR.checked_sub(condemned_ago)?;
+        Some(Verdict {
+            endpoints: suspect.endpoints(),
+            condemned_ago,
+            released_in,
+        })
     }
 
     /// Returns whether anything is held against any request. Without that, nobody
@@ -278,18 +291,22 @@
     }
 
     /// Takes in that a request was condemned elsewhere.
-    pub fn take_in(&mut self, condemned: &Condemned, now: Instant) -> TakenIn {
+    pub fn merge_condemned(
+        &mut self,
+        condemned: &Condemned,
+        now: Instant,
+    ) -> MergeOutcome {
         let ago = Duration::from_millis(condemned.ms_ago);
         if ago >= CONDEMNED_FOR {
-            return TakenIn::Known;
+            return MergeOutcome::AlreadyKnown;
         }
         let at = now.checked_sub(ago).unwrap_or(now);
         let suspect = self.suspects.entry(condemned.digest).or_default();
         if suspect.condemned_at.is_some() {
-            return TakenIn::Known;
+            return MergeOutcome::AlreadyKnown;
         }
         if suspect.cleared_at.is_some_and(|cleared| cleared >= at) {
-            return TakenIn::Refuted;
+            return MergeOutcome::Refuted;
         }
         let end = End { began: at, broke: at };
         for endpoint in &condemned.endpoints {
@@ -299,7 +316,7 @@
         suspect.condemned_at = Some(at);
         suspect.last = Some(now);
         self.bound(condemned.digest);
-        TakenIn::News
+        MergeOutcome::Added
     }
 
     /// Returns all requests that are condemned now.
@@ -322,12 +339,12 @@
     }
 
     /// Returns the requests that were condemned by what was seen since the last call.
-    pub fn take_untold(&mut self) -> Vec<RequestDigest> {
+    pub fn take_newly_condemned(&mut self) -> Vec<RequestDigest> {
         std::mem::take(&mut self.untold)
     }
 
     /// Returns what others are told again of our runs, the newest first.
-    pub fn told(&self, now: Instant) -> Vec<Crash> {
+    pub fn recent_crashes(&self, now: Instant) -> Vec<Crash> {
         let mut crashes: Vec<Crash> = Vec::new();
         for (endpoint, end, digest) in self.told.iter().rev().take(TOLD_RUNS) {
             let run = end.told(*digest, now);
@@ -372,7 +389,7 @@
 
     fn note_end(
         &mut self,
-        endpoint: &EndpointLife,
+        endpoint: &EndpointIncarnation,
         digest: RequestDigest,
         end: End,
         now: Instant,
@@ -437,7 +454,7 @@
 }
 
 impl Suspect {
-    fn endpoints(&self) -> Vec<EndpointLife> {
+    fn endpoints(&self) -> Vec<EndpointIncarnation> {
         let mut endpoints: Vec<_> = self.ends.keys().cloned().collect();
         endpoints.sort_unstable();
         endpoints
--- a/crates/fleet/src/good_runs.rs
+++ b/crates/fleet/src/recent_successes.rs
@@ -19,16 +19,16 @@
 
 /// What ended well lately, in two times that follow each other.
 #[derive(Clone, Debug)]
-pub struct GoodRuns {
+pub struct RecentSuccesses {
     newer: HashSet<RequestHash>,
     older: HashSet<RequestHash>,
     newer_since: Instant,
 }
 
-impl GoodRuns {
+impl RecentSuccesses {
     /// Returns an empty memory.
-    pub fn new(now: Instant) -> GoodRuns {
-        GoodRuns {
+    pub fn new(now: Instant) -> RecentSuccesses {
+        RecentSuccesses {
             newer: HashSet::new(),
             older: HashSet::new(),
             newer_since: now,
@@ -36,7 +36,7 @@
     }
 
     /// Notes that a run of a request ended well.
-    pub fn note(&mut self, hash: RequestHash, now: Instant) {
+    pub fn record(&mut self, hash: RequestHash, now: Instant) {
         if self.newer.len() >= MOST || now - self.newer_since >= KEPT_FOR {
             self.older = mem::take(&mut self.newer);
             self.newer_since = now;
@@ -45,7 +45,7 @@
     }
 
     /// Returns whether a run of a request ended well lately.
-    pub fn has(&self, hash: RequestHash) -> bool {
+    pub fn contains(&self, hash: RequestHash) -> bool {
         self.newer.contains(&hash) || self.older.contains(&hash)
     }
 }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -7,12 +7,12 @@
 //! chosen.
 
 mod choice;
-mod departed;
-mod learned;
+mod cooldowns;
+mod departures;
+mod in_flight;
+mod learned_weights;
 mod limits;
-mod rests;
-pub mod spread;
-mod under_way;
+pub mod load_interpretation;
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -24,22 +24,22 @@
 
 pub(crate) use self::choice::{BUSY_BACKLOG, OTHER_ZONE_COST};
 pub use self::choice::{Choice, Need, Target};
-pub use self::limits::AnsweredSend;
-pub use self::under_way::Totals;
-use self::under_way::{HeardTotals, PeerLoad};
+pub use self::in_flight::Totals;
+use self::in_flight::{HeardTotals, PeerLoad};
+pub use self::limits::AnsweredRequest;
 use crate::{
     adapter::{AdapterKey, WeightVersion},
     adapter_index::AdapterIndex,
+    cooldown::Cooldown,
     departure::{Departure, Departures},
     endpoint::{Endpoint, EngineReport, Revision},
     endpoint_state::EndpointState,
-    life::{Born, Lives, Speaks},
+    incarnation::{Incarnation, IncarnationStatus, Incarnations},
+    latency_regression::LatencyRegression,
     limit_share::LimitShares,
     note::{Placed, Removed},
-    pace::Pace,
-    rest::Rest,
+    residence_time::ResidenceTime,
     route::ServiceName,
-    stay::Stay,
 };
 
 /// How long requests may go to the old version after a newer one was named.
@@ -70,17 +70,17 @@
     peer_pause: Duration,
     newest: HashMap<AdapterKey, (WeightVersion, Instant)>,
     departures: Departures,
-    lives: Lives,
+    incarnations: Incarnations,
     /// Our parts of the limits that endpoints announce.
     limits: LimitShares,
     /// Rests of endpoints whose entries lapsed, which may be back before their end.
-    lapsed_rests: HashMap<EndpointId, Rest>,
+    lapsed_rests: HashMap<EndpointId, Cooldown>,
     /// Departures that we saw in the store and the others have not heard of.
-    untold: Vec<Departure>,
+    unsent_departures: Vec<Departure>,
     /// How fast the engines of each service begin to answer.
-    paces: HashMap<ServiceName, Pace>,
+    first_event_times: HashMap<ServiceName, LatencyRegression>,
     /// How long requests of each plain service are under way.
-    stays: HashMap<ServiceName, Stay>,
+    residence_times: HashMap<ServiceName, ResidenceTime>,
     /// When the endpoints' parts were last learned.
     learned_at: Option<Instant>,
     /// What the last load from the weight store was expected to take.
@@ -102,12 +102,12 @@
             peer_pause: Duration::ZERO,
             newest: HashMap::new(),
             departures: Departures::default(),
-            lives: Lives::default(),
+            incarnations: Incarnations::default(),
             limits: LimitShares::default(),
             lapsed_rests: HashMap::new(),
-            untold: Vec::new(),
-            paces: HashMap::new(),
-            stays: HashMap::new(),
+            unsent_departures: Vec::new(),
+            first_event_times: HashMap::new(),
+            residence_times: HashMap::new(),
             learned_at: None,
             load_time: Duration::ZERO,
         }
@@ -122,7 +122,7 @@
     /// Takes in one endpoint's entry. An entry from before it left, which a
     /// list that is seconds old may show, does not bring it back, and one that is
     /// older than what is known changes nothing.
-    pub fn list(&mut self, mut endpoint: Endpoint, now: Instant) {
+    pub fn apply_entry(&mut self, mut endpoint: Endpoint, now: Instant) {
         let id = endpoint.id.clone();
         if endpoint.is_draining {
             self.see_departure(&id, endpoint.revision, true, now);
@@ -132,40 +132,40 @@
             return;
         }
         let (born, revision) = (endpoint.born, endpoint.revision);
-        match self.lives.hear_entry(&id, born, revision, now) {
-            Speaks::OfThis => {}
-            Speaks::OfNew => self.begin_life(&id),
-            Speaks::OfEnded => return,
+        match self.incarnations.apply_entry(&id, born, revision, now) {
+            IncarnationStatus::Current => {}
+            IncarnationStatus::New => self.begin_life(&id),
+            IncarnationStatus::Ended => return,
         }
-        let born = endpoint.born.or(self.lives.born(&id));
+        let born = endpoint.born.or(self.incarnations.born(&id));
         endpoint.is_draining |=
             self.departures.has_left(&id, endpoint.revision, born);
         let is_back = !endpoint.is_draining
             && self.get(&id).is_some_and(|state| state.endpoint.is_draining);
         if is_back {
-            self.lose_track(&id);
+            self.invalidate_contents(&id);
         }
         if !self.endpoints.contains_key(&id) {
             let mut state = EndpointState::new(endpoint.clone());
             state.others_work = self.others_work(&id);
-            state.rest = self.lapsed_rests.remove(&id).unwrap_or_default();
+            state.cooldown = self.lapsed_rests.remove(&id).unwrap_or_default();
             self.endpoints.insert(id.clone(), state);
             let of_service = self.services.entry(endpoint.service.clone());
             of_service.or_default().insert(id.clone());
         }
-        self.change_seats(&id, |state| state.list(endpoint, now));
+        self.change_placements(&id, |state| state.apply_entry(endpoint, now));
     }
 
     /// Takes in entries that another instance knows, without their adapters, while
     /// we do not reach the store: those of new endpoints, and newer ones of engines
     /// whose adapters we know by ourselves.
-    pub fn hear_entries(&mut self, entries: Vec<Endpoint>, now: Instant) {
+    pub fn apply_entries(&mut self, entries: Vec<Endpoint>, now: Instant) {
         for entry in entries {
             let is_useful = self
                 .get(&entry.id)
                 .is_none_or(|state| state.is_ordered_by_us());
             if is_useful {
-                self.list(entry, now);
+                self.apply_entry(entry, now);
             }
         }
     }
@@ -188,19 +188,21 @@
     }
 
     /// Changes what an endpoint holds, and the indexes with it.
-    fn change_seats(
+    fn change_placements(
         &mut self,
         id: &EndpointId,
         change: impl FnOnce(&mut EndpointState),
     ) {
         let Some(state) = self.endpoints.get_mut(id) else { return };
-        let before: Vec<AdapterKey> = state.seats.keys().cloned().collect();
+        let before: Vec<AdapterKey> =
+            state.placements.keys().cloned().collect();
         change(state);
-        for key in before.iter().filter(|k| !state.seats.contains_key(k)) {
+        for key in before.iter().filter(|k| !state.placements.contains_key(k))
+        {
             self.holders.remove(key, id);
         }
         let new: Vec<AdapterKey> = state
-            .seats
+            .placements
             .keys()
             .filter(|key| !before.contains(key))
             .cloned()
@@ -222,7 +224,7 @@
         for key in &state.warm {
             self.warm.remove(key, id);
         }
-        self.change_seats(id, EndpointState::begin_life);
+        self.change_placements(id, EndpointState::begin_life);
     }
 
     fn note_warm(&mut self, id: &EndpointId, key: &AdapterKey) {
@@ -235,28 +237,28 @@
 
     /// Takes in an engine's own report, which is newer than its entry; returns
     /// whether it speaks of the life that the engine has now.
-    pub fn hear_report(
+    pub fn apply_report(
         &mut self,
         id: &EndpointId,
         report: &EngineReport,
         now: Instant,
     ) -> bool {
-        match self.lives.hear(id, report.born, now) {
-            Speaks::OfThis => {}
-            Speaks::OfNew => self.begin_life(id),
-            Speaks::OfEnded => return false,
+        match self.incarnations.apply_report(id, report.born, now) {
+            IncarnationStatus::Current => {}
+            IncarnationStatus::New => self.begin_life(id),
+            IncarnationStatus::Ended => return false,
         }
-        self.change_seats(id, |state| state.hear_report(report, now));
+        self.change_placements(id, |state| state.apply_report(report, now));
         true
     }
 
     /// Returns which life an endpoint has now, if it tells its lives apart.
-    pub fn life(&self, id: &EndpointId) -> Option<Born> {
-        self.lives.born(id)
+    pub fn incarnation(&self, id: &EndpointId) -> Option<Incarnation> {
+        self.incarnations.born(id)
     }
 
     /// Notes that nobody knows what an engine holds, until it reports again.
-    pub fn lose_track(&mut self, id: &EndpointId) {
+    pub fn invalidate_contents(&mut self, id: &EndpointId) {
         if let Some(state) = self.endpoints.get_mut(id) {
             state.is_ordered_by_us = false;
         }
@@ -267,9 +269,9 @@
     pub fn stop_ordering(&mut self, now: Instant) {
         let ids: Vec<EndpointId> = self.endpoints.keys().cloned().collect();
         for id in ids {
-            self.change_seats(&id, |state| {
+            self.change_placements(&id, |state| {
                 if std::mem::take(&mut state.is_ordered_by_us) {
-                    state.list(state.endpoint.clone(), now);
+                    state.apply_entry(state.endpoint.clone(), now);
                 }
             });
         }
@@ -278,7 +280,7 @@
     /// Takes an endpoint out whose entry is gone, as of a revision of the store.
     /// If it may only have lapsed in an outage we are not sure, and tell nobody:
     /// of all instances, the one that waited least would decide for them.
-    pub fn unlist(
+    pub fn remove_entry(
         &mut self,
         id: &EndpointId,
         revision: Revision,
@@ -291,10 +293,10 @@
         };
         self.see_departure(id, revision.max(known), is_sure, now);
         let Some(state) = self.endpoints.remove(id) else { return };
-        if state.rest.is_resting(now) {
-            self.lapsed_rests.insert(id.clone(), state.rest);
+        if state.cooldown.is_cooling_down(now) {
+            self.lapsed_rests.insert(id.clone(), state.cooldown);
         }
-        for key in state.seats.keys() {
+        for key in state.placements.keys() {
             self.holders.remove(key, id);
         }
         for key in &state.warm {
@@ -307,33 +309,34 @@
 
     /// Returns where an adapter is or will be, as a note for an instance that
     /// asks.
-    pub fn whereabouts(
+    pub fn placement_notes(
         &self,
         key: &AdapterKey,
         epoch: Epoch,
         now: Instant,
     ) -> Vec<Placed> {
         let usable = self.holders(key).filter(|s| s.is_usable(now));
-        let seats = usable.filter_map(|s| Some((s, s.seats.get(key)?)));
-        seats
-            .filter(|(_, seat)| seat.is_ordered())
-            .map(|(state, seat)| Placed {
+        let placements =
+            usable.filter_map(|s| Some((s, s.placements.get(key)?)));
+        placements
+            .filter(|(_, placement)| placement.is_ordered())
+            .map(|(state, placement)| Placed {
                 epoch,
                 endpoint: state.endpoint.id.clone(),
                 key: key.clone(),
-                version: seat.version,
-                ready_in_ms: seat
+                version: placement.version,
+                ready_in_ms: placement
                     .ready_at
                     .saturating_duration_since(now)
                     .as_millis() as u64,
-                is_cold: seat.is_unproven,
-                born: self.lives.born(&state.endpoint.id),
+                is_cold: placement.is_unconfirmed,
+                born: self.incarnations.born(&state.endpoint.id),
             })
             .collect()
     }
 
     /// Takes in that several instances cannot reach an endpoint.
-    pub fn hear_suspect(
+    pub fn mark_suspect(
         &mut self,
         id: &EndpointId,
         time: Duration,
@@ -345,19 +348,19 @@
     }
 
     /// Returns the newest version of each model and adapter that one was named of.
-    pub fn named_versions(
+    pub fn newest_versions(
         &self,
     ) -> impl Iterator<Item = (&AdapterKey, WeightVersion)> {
         self.newest.iter().map(|(key, (version, _))| (key, *version))
     }
 
     /// Returns how many versions of weights were named, counting each rise.
-    pub fn versions_named(&self) -> u64 {
+    pub fn versions_announced(&self) -> u64 {
         self.newest.values().map(|(version, _)| version).sum()
     }
 
     /// Notes the newest version of a model or adapter; returns whether it is news.
-    pub fn name_version(
+    pub fn record_version(
         &mut self,
         key: &AdapterKey,
         version: WeightVersion,
@@ -419,67 +422,67 @@
 
     /// Takes in that an adapter is on its way. To a life of its engine that is
     /// over, it is not; of one that we have not heard of, the entry tells soon.
-    pub fn hear_placed(&mut self, placed: &Placed, now: Instant) {
+    pub fn apply_placed(&mut self, placed: &Placed, now: Instant) {
         let id = &placed.endpoint;
-        if !self.lives.is_of_this(id, placed.born) {
+        if !self.incarnations.is_current(id, placed.born) {
             return;
         }
         if placed.is_cold {
             self.load_time = Duration::from_millis(placed.ready_in_ms);
         }
-        self.change_seats(id, |state| state.hear_placed(placed, now));
+        self.change_placements(id, |state| state.apply_placed(placed, now));
         self.note_warm(id, &placed.key);
     }
 
     /// Notes that an adapter is about to be ordered: it takes a place from now on,
     /// and requests once its engine has taken the order.
-    pub fn plan_placed(&mut self, placed: &Placed, now: Instant) {
+    pub fn plan_placement(&mut self, placed: &Placed, now: Instant) {
         let id = &placed.endpoint;
         if placed.is_cold {
             self.load_time = Duration::from_millis(placed.ready_in_ms);
         }
-        self.change_seats(id, |state| state.plan(placed, now));
+        self.change_placements(id, |state| state.plan(placed, now));
         self.note_warm(id, &placed.key);
     }
 
     /// Notes that an engine has taken an order that was planned; returns when the
     /// adapter is likely to be ready.
-    pub fn order_taken(
+    pub fn order_accepted(
         &mut self,
         id: &EndpointId,
         key: &AdapterKey,
         now: Instant,
     ) -> Option<Duration> {
-        self.endpoints.get_mut(id)?.order_taken(key, now)
+        self.endpoints.get_mut(id)?.order_accepted(key, now)
     }
 
     /// Notes that an adapter that was about to be ordered is there already.
-    pub fn was_there(
+    pub fn mark_present(
         &mut self,
         id: &EndpointId,
         key: &AdapterKey,
         now: Instant,
     ) {
         if let Some(state) = self.endpoints.get_mut(id) {
-            state.was_there(key, now);
+            state.mark_present(key, now);
         }
     }
 
     /// Takes in that an adapter leaves an engine.
-    pub fn hear_removed(&mut self, removed: &Removed, now: Instant) {
-        if !self.lives.is_of_this(&removed.endpoint, removed.born) {
+    pub fn apply_removed(&mut self, removed: &Removed, now: Instant) {
+        if !self.incarnations.is_current(&removed.endpoint, removed.born) {
             return;
         }
-        self.change_seats(&removed.endpoint, |state| {
-            state.seats.remove(&removed.key);
+        self.change_placements(&removed.endpoint, |state| {
+            state.placements.remove(&removed.key);
             state.removed.insert(removed.key.clone(), now);
         });
     }
 
     /// Takes an adapter out that a load did not bring after all.
-    pub fn take_back(&mut self, id: &EndpointId, key: &AdapterKey) {
-        self.change_seats(id, |state| {
-            state.seats.remove(key);
+    pub fn remove_placement(&mut self, id: &EndpointId, key: &AdapterKey) {
+        self.change_placements(id, |state| {
+            state.placements.remove(key);
             state.warm.retain(|held| held != key);
         });
         self.warm.remove(key, id);
@@ -488,24 +491,24 @@
     /// Notes that an engine turned a request down because it does not hold an
     /// adapter, or not yet. It is tried again after a pause, or when the list
     /// shows the adapter again.
-    pub fn note_absent(
+    pub fn record_absent(
         &mut self,
         id: &EndpointId,
         key: &AdapterKey,
         now: Instant,
     ) {
-        self.change_seats(id, |state| state.note_absent(key, now));
+        self.change_placements(id, |state| state.record_absent(key, now));
     }
 
     /// Takes in whether an adapter from the weight store was there when a request
     /// was sent to it; returns whether the holder of the lease is to hear of it.
-    pub fn prove(
+    pub fn confirm_load(
         &mut self,
         id: &EndpointId,
         key: &AdapterKey,
         is_there: bool,
     ) -> bool {
         let state = self.endpoints.get_mut(id);
-        state.is_some_and(|state| state.prove(key, is_there))
+        state.is_some_and(|state| state.confirm_load(key, is_there))
     }
 }
--- a/crates/fleet/src/view/rests.rs
+++ b/crates/fleet/src/view/cooldowns.rs
@@ -5,24 +5,24 @@
 use sedgewall_clock::Instant;
 use sedgewall_state::id::EndpointId;
 
-use super::{AnsweredSend, FleetView};
+use super::{AnsweredRequest, FleetView};
 use crate::adapter::AdapterKey;
 
 impl FleetView {
     /// Takes in that an endpoint asked for rest; returns whether it did not rest
     /// before.
-    pub fn announce_rest(
+    pub fn apply_announced_cooldown(
         &mut self,
-        answered: &AnsweredSend,
+        answered: &AnsweredRequest,
         rest: Duration,
         now: Instant,
     ) -> bool {
-        let AnsweredSend { endpoint, born, .. } = answered;
-        if !self.lives.is_of_this(endpoint, *born) {
+        let AnsweredRequest { endpoint, born, .. } = answered;
+        if !self.incarnations.is_current(endpoint, *born) {
             return false;
         }
         match self.endpoints.get_mut(endpoint) {
-            Some(state) => state.rest.ask(rest, now),
+            Some(state) => state.cooldown.ask(rest, now),
             None => {
                 let lapsed = self.lapsed_rests.entry(endpoint.clone());
                 lapsed.or_default().ask(rest, now)
@@ -31,26 +31,26 @@
     }
 
     /// Notes that a request is sent to an endpoint.
-    pub fn note_sent(&mut self, id: &EndpointId, now: Instant) {
+    pub fn record_sent(&mut self, id: &EndpointId, now: Instant) {
         if let Some(state) = self.endpoints.get_mut(id) {
-            state.rest.note_sent(now);
+            state.cooldown.record_sent(now);
         }
     }
 
     /// Notes an answer of an endpoint that asks for no rest; returns whether that
     /// ends its rest.
-    pub fn note_answer(&mut self, answered: &AnsweredSend) -> bool {
+    pub fn record_answer(&mut self, answered: &AnsweredRequest) -> bool {
         let state = self.endpoints.get_mut(&answered.endpoint);
-        state.is_some_and(|state| state.rest.note_answer(answered.sent))
+        state.is_some_and(|state| state.cooldown.record_answer(answered.sent))
     }
 
     /// Returns whether an endpoint asked for rest that is not over.
-    pub fn is_resting(&self, id: &EndpointId, now: Instant) -> bool {
-        self.endpoints.get(id).is_some_and(|s| s.rest.is_resting(now))
+    pub fn is_cooling_down(&self, id: &EndpointId, now: Instant) -> bool {
+        self.endpoints.get(id).is_some_and(|s| s.cooldown.is_cooling_down(now))
     }
 
     /// Returns when the first endpoint of a service that rests takes requests again.
-    pub fn service_rests_for(
+    pub fn service_cooldown(
         &self,
         service: &str,
         now: Instant,
@@ -58,23 +58,23 @@
         let stays = self
             .of_service(service)
             .filter(|state| !state.endpoint.is_draining);
-        stays.filter_map(|state| state.rest.left(now)).min()
+        stays.filter_map(|state| state.cooldown.left(now)).min()
     }
 
     /// Returns the endpoints that hold an adapter and rest, and for how long.
-    pub fn resting_holders(
+    pub fn holders_cooling_down(
         &self,
         key: &AdapterKey,
         now: Instant,
     ) -> Vec<(EndpointId, Duration)> {
         self.holders(key)
-            .filter_map(|s| Some((s.id().clone(), s.rest.left(now)?)))
+            .filter_map(|s| Some((s.id().clone(), s.cooldown.left(now)?)))
             .collect()
     }
 
     /// Forgets the rests of endpoints that are not listed any more. Call it about
     /// once a second.
-    pub fn forget_rests(&mut self, now: Instant) {
-        self.lapsed_rests.retain(|_, rest| rest.is_resting(now));
+    pub fn forget_cooldowns(&mut self, now: Instant) {
+        self.lapsed_rests.retain(|_, rest| rest.is_cooling_down(now));
     }
 }
--- a/crates/fleet/src/view/spread.rs
+++ b/crates/fleet/src/view/load_interpretation.rs
@@ -23,7 +23,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::{Choice, FleetView, Need};
-use crate::{endpoint_state::EndpointState, stay::Stay};
+use crate::{endpoint_state::EndpointState, residence_time::ResidenceTime};
 
 /// How much an endpoint that fails loses of its capacity: one that fails half of
 /// its requests gets an eighth of what another gets.
@@ -81,7 +81,7 @@
 
 impl FleetView {
     /// Chooses among the endpoints of a plain service.
-    pub(super) fn choose_spread<'a>(
+    pub(super) fn choose_balanced<'a>(
         &'a self,
         usable: impl Iterator<Item = &'a EndpointState>,
         need: Need<'_>,
@@ -96,7 +96,7 @@
             }
         }
         if open.is_empty() {
-            return if is_full { Choice::Full } else { Choice::Nobody };
+            return if is_full { Choice::Full } else { Choice::NoEndpoint };
         }
         if !self.admits(&open, need) {
             return Choice::Full;
@@ -134,8 +134,10 @@
         if load < 1.0 {
             return true;
         }
-        let stay = self.stays.get(need.service);
-        let Some(takes) = stay.and_then(|stay| stay.predict(load)) else {
+        let residence = self.residence_times.get(need.service);
+        let Some(takes) =
+            residence.and_then(|residence| residence.predict(load))
+        else {
             return true;
         };
         let target_s = need.target_latency.as_secs_f64().max(1e-3);
@@ -154,7 +156,7 @@
         Capacity {
             slots: slots
                 * zone
-                * state.part
+                * state.weight
                 * good.powi(FAILURE_POWER).max(f64::EPSILON),
             in_flight: f64::from(state.in_flight()),
         }
@@ -171,9 +173,12 @@
     ) -> f64 {
         let under_way: f64 = endpoints.iter().map(|e| e.in_flight).sum();
         let unseen = self.unseen_for(now);
-        let stay = self.stays.get(service).map(Stay::mean);
-        let turns = match stay {
-            Some(stay) => unseen.as_secs_f64() / stay.as_secs_f64().max(1e-3),
+        let residence =
+            self.residence_times.get(service).map(ResidenceTime::mean);
+        let turns = match residence {
+            Some(residence) => {
+                unseen.as_secs_f64() / residence.as_secs_f64().max(1e-3)
+            }
             None if unseen.is_zero() => 0.0,
             None => 1.0,
         };
@@ -195,7 +200,7 @@
 
     /// Takes in how long a request was under way at an endpoint that had so many
     /// others for each slot, as far as was known.
-    pub fn observe_stay(
+    pub fn observe_residence_time(
         &mut self,
         id: &EndpointId,
         load: f64,
@@ -203,10 +208,11 @@
     ) {
         let Some(state) = self.endpoints.get(id) else { return };
         let service = &state.endpoint.service;
-        match self.stays.get_mut(service) {
-            Some(stay) => stay.observe(load, took),
+        match self.residence_times.get_mut(service) {
+            Some(residence) => residence.observe(load, took),
             None => {
-                self.stays.insert(service.clone(), Stay::of(load, took));
+                self.residence_times
+                    .insert(service.clone(), ResidenceTime::of(load, took));
             }
         }
     }
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -8,7 +8,9 @@
     customer::Customers,
     endpoint::{Endpoint, EngineReport, HostedModel},
     note::Status,
-    route::{BaseModel, CallerLimits, Deployment, EngineGroup, Service},
+    route::{
+        BaseModel, CallerLimits, EngineGroup, RoutingConfiguration, Service,
+    },
     view::{Choice, FleetView, Need},
     work::Work,
 };
@@ -49,14 +51,14 @@
 pub fn report(adapters: &[u32], orders_taken: u64) -> EngineReport {
     EngineReport {
         models: vec![hosted(adapters)],
-        coming: Vec::new(),
+        loading: Vec::new(),
         is_busy: false,
         orders_taken,
         born: None,
     }
 }
 
-pub fn deployment() -> Deployment {
+pub fn routing() -> RoutingConfiguration {
     let model = BaseModel {
         name: MODEL.to_owned(),
         weights_mb: 65_000.0,
@@ -73,7 +75,7 @@
         models: vec![model],
     };
     let service = Service { max_connections: 200, engine: Some(engine) };
-    Deployment {
+    RoutingConfiguration {
         version: 1,
         routes: Vec::new(),
         services: BTreeMap::from([(SERVICE.to_owned(), service)]),
@@ -137,6 +139,6 @@
         draw: 7,
         prompt_tokens: 600,
         target_latency: Duration::from_millis(600),
-        is_patient: false,
+        may_wait: false,
     }
 }
--- a/crates/fleet/tests/rest_rules.rs
+++ b/crates/fleet/tests/cooldown_rules.rs
@@ -9,14 +9,14 @@
 use proptest::prelude::*;
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    rest::Rest,
-    view::{AnsweredSend, Choice, FleetView},
+    cooldown::Cooldown,
+    view::{AnsweredRequest, Choice, FleetView},
 };
 
 const REST: Duration = Duration::from_secs(3);
 
-fn answered(sent: Instant) -> AnsweredSend {
-    AnsweredSend { endpoint: "e1".to_owned(), born: None, sent }
+fn answered(sent: Instant) -> AnsweredRequest {
+    AnsweredRequest { endpoint: "e1".to_owned(), born: None, sent }
 }
 
 fn is_chosen(view: &FleetView, now: Instant) -> bool {
@@ -29,12 +29,15 @@
 fn an_endpoint_that_rests_is_not_chosen() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
-    assert!(view.announce_rest(&answered(now), REST, now));
-    assert!(!view.announce_rest(&answered(now), REST, now), "no news");
-    assert_eq!(choose(&view, &key(1), now), Choice::Nobody);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
+    assert!(view.apply_announced_cooldown(&answered(now), REST, now));
+    assert!(
+        !view.apply_announced_cooldown(&answered(now), REST, now),
+        "no news"
+    );
+    assert_eq!(choose(&view, &key(1), now), Choice::NoEndpoint);
     let service = &endpoint("e1", "z1", &[1]).service;
-    assert_eq!(view.service_rests_for(service, now), Some(REST));
+    assert_eq!(view.service_cooldown(service, now), Some(REST));
     assert!(is_chosen(&view, now + REST));
 }
 
@@ -42,15 +45,15 @@
 fn one_request_shows_whether_a_rest_is_over() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
-    view.announce_rest(&answered(now), REST, now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
+    view.apply_announced_cooldown(&answered(now), REST, now);
     let over = now + REST;
-    view.note_sent(&"e1".to_owned(), over);
+    view.record_sent(&"e1".to_owned(), over);
     assert!(!is_chosen(&view, over), "the first one has no answer yet");
     // What was sent before the rest was over says nothing of it.
-    assert!(!view.note_answer(&answered(now)));
+    assert!(!view.record_answer(&answered(now)));
     assert!(!is_chosen(&view, over));
-    assert!(view.note_answer(&answered(over)));
+    assert!(view.record_answer(&answered(over)));
     assert!(is_chosen(&view, over));
 }
 
@@ -58,10 +61,10 @@
 fn a_request_whose_caller_left_does_not_keep_others_away() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
-    view.announce_rest(&answered(now), REST, now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
+    view.apply_announced_cooldown(&answered(now), REST, now);
     let over = now + REST;
-    view.note_sent(&"e1".to_owned(), over);
+    view.record_sent(&"e1".to_owned(), over);
     assert!(is_chosen(&view, over + Duration::from_secs(1)));
 }
 
@@ -69,13 +72,13 @@
 fn a_rest_outlasts_a_lapse_of_the_entry() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[1]), now);
-    view.announce_rest(&answered(now), REST, now);
-    view.unlist(&"e1".to_owned(), 0, false, now);
-    view.forget_rests(now);
+    view.apply_entry(endpoint("e1", "z1", &[1]), now);
+    view.apply_announced_cooldown(&answered(now), REST, now);
+    view.remove_entry(&"e1".to_owned(), 0, false, now);
+    view.forget_cooldowns(now);
     let mut entry = endpoint("e1", "z1", &[1]);
     entry.revision = 9;
-    view.list(entry, now);
+    view.apply_entry(entry, now);
     assert!(!is_chosen(&view, now));
     assert!(is_chosen(&view, now + REST));
 }
@@ -93,19 +96,19 @@
         entry
     };
     let mut view = FleetView::new("z1");
-    view.list(of_life(1, 1), now);
-    let answered = AnsweredSend { born: Some(1), ..answered(now) };
-    view.announce_rest(&answered, REST, now);
+    view.apply_entry(of_life(1, 1), now);
+    let answered = AnsweredRequest { born: Some(1), ..answered(now) };
+    view.apply_announced_cooldown(&answered, REST, now);
     let later = now + Duration::from_secs(1);
-    view.list(of_life(2, 2), later);
+    view.apply_entry(of_life(2, 2), later);
     assert!(!is_chosen(&view, later));
     assert!(is_chosen(&view, now + REST));
 
     // A long one of the life before is void soon.
-    view.announce_rest(&answered, REST, now);
-    let answered = AnsweredSend { born: Some(2), ..answered };
-    view.announce_rest(&answered, Duration::from_secs(600), later);
-    view.list(of_life(3, 3), later + Duration::from_secs(10));
+    view.apply_announced_cooldown(&answered, REST, now);
+    let answered = AnsweredRequest { born: Some(2), ..answered };
+    view.apply_announced_cooldown(&answered, Duration::from_secs(600), later);
+    view.apply_entry(of_life(3, 3), later + Duration::from_secs(10));
     assert!(is_chosen(&view, later + Duration::from_secs(10)));
 }
 
@@ -117,7 +120,7 @@
         steps in prop::collection::vec((0..4_u8, 0..900_u64, 0..4_000_u64), 1..80),
     ) {
         let start = Instant::now();
-        let (mut rest, mut now) = (Rest::default(), start);
+        let (mut rest, mut now) = (Cooldown::default(), start);
         let (mut sent, mut ends) = (start, start);
         for (step, pause_ms, rest_ms) in steps {
             now += Duration::from_millis(pause_ms);
@@ -128,12 +131,12 @@
                     ends = ends.max(now + time);
                 }
                 1 => {
-                    rest.note_answer(sent);
+                    rest.record_answer(sent);
                 }
                 _ => {
                     if rest.left(now).is_none() {
                         prop_assert!(now >= ends);
-                        rest.note_sent(now);
+                        rest.record_sent(now);
                         sent = now;
                     }
                 }
--- a/crates/fleet/tests/life_rules.rs
+++ b/crates/fleet/tests/incarnation_rules.rs
@@ -9,7 +9,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
     endpoint::{Endpoint, EngineReport},
-    life::Born,
+    incarnation::Incarnation,
     note::{Placed, Removed},
     view::{Choice, FleetView},
 };
@@ -17,7 +17,7 @@
 const ID: &str = "e1";
 
 /// The starts of four lives in a row, by clocks that run ahead and behind.
-const BORN: [Born; 4] = [5_000, 9_000, 2_000, 7_000];
+const BORN: [Incarnation; 4] = [5_000, 9_000, 2_000, 7_000];
 
 /// The entry of a life, which holds the adapter of that number.
 fn entry(life: usize, revision: u64) -> Endpoint {
@@ -45,17 +45,17 @@
 
 fn holds(view: &FleetView, life: usize) -> bool {
     let state = view.get(&ID.to_owned()).expect("it is listed");
-    state.seat(&key(life as u32)).is_some()
+    state.placement(&key(life as u32)).is_some()
 }
 
 #[test]
 fn a_new_life_holds_nothing_of_the_one_before() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(entry(0, 1), now);
-    view.hear_report(&ID.to_owned(), &reported(0), now);
+    view.apply_entry(entry(0, 1), now);
+    view.apply_report(&ID.to_owned(), &reported(0), now);
     assert_eq!(sent_to(&choose(&view, &key(0), now)), Some(ID));
-    view.list(entry(1, 2), now);
+    view.apply_entry(entry(1, 2), now);
     assert_eq!(choose(&view, &key(0), now), Choice::Absent);
     // What it holds is asked for before it gets orders.
     assert!(!view.get(&ID.to_owned()).expect("listed").is_ordered_by_us());
@@ -68,20 +68,20 @@
 fn an_older_entry_after_a_report_of_the_new_life_says_nothing() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(entry(0, 1), now);
-    assert!(view.hear_report(&ID.to_owned(), &reported(1), now));
-    view.list(entry(0, 2), now);
+    view.apply_entry(entry(0, 1), now);
+    assert!(view.apply_report(&ID.to_owned(), &reported(1), now));
+    view.apply_entry(entry(0, 2), now);
     assert!(holds(&view, 1) && !holds(&view, 0));
-    assert_eq!(view.life(&ID.to_owned()), Some(BORN[1]));
+    assert_eq!(view.incarnation(&ID.to_owned()), Some(BORN[1]));
 }
 
 #[test]
 fn an_older_report_after_the_new_life_began_says_nothing() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(entry(0, 1), now);
-    view.list(entry(1, 2), now);
-    assert!(!view.hear_report(&ID.to_owned(), &reported(0), now));
+    view.apply_entry(entry(0, 1), now);
+    view.apply_entry(entry(1, 2), now);
+    assert!(!view.apply_report(&ID.to_owned(), &reported(0), now));
     assert!(holds(&view, 1) && !holds(&view, 0));
 }
 
@@ -89,9 +89,9 @@
 fn older_notes_after_the_new_life_began_say_nothing() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(entry(0, 1), now);
-    view.list(entry(1, 2), now);
-    view.hear_placed(&placed(0), now);
+    view.apply_entry(entry(0, 1), now);
+    view.apply_entry(entry(1, 2), now);
+    view.apply_placed(&placed(0), now);
     assert!(!holds(&view, 0));
     let removed = Removed {
         epoch: 1,
@@ -99,7 +99,7 @@
         key: key(1),
         born: Some(BORN[0]),
     };
-    view.hear_removed(&removed, now);
+    view.apply_removed(&removed, now);
     assert!(holds(&view, 1));
 }
 
@@ -109,11 +109,11 @@
 fn a_stale_list_does_not_bring_an_older_life_back() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(entry(1, 8), now);
-    view.unlist(&ID.to_owned(), 9, true, now);
-    view.list(entry(0, 3), now);
-    assert_eq!(choose(&view, &key(0), now), Choice::Nobody);
-    view.list(entry(2, 12), now);
+    view.apply_entry(entry(1, 8), now);
+    view.remove_entry(&ID.to_owned(), 9, true, now);
+    view.apply_entry(entry(0, 3), now);
+    assert_eq!(choose(&view, &key(0), now), Choice::NoEndpoint);
+    view.apply_entry(entry(2, 12), now);
     assert_eq!(sent_to(&choose(&view, &key(2), now)), Some(ID));
 }
 
@@ -123,18 +123,18 @@
 fn a_new_life_is_not_blamed_for_the_one_before() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(entry(0, 1), now);
+    view.apply_entry(entry(0, 1), now);
     let id = ID.to_owned();
     for _ in 0..8 {
         view.get_mut(&id).expect("it is listed").health.failed(now);
     }
-    view.hear_suspect(&id, Duration::from_secs(9), now);
-    assert_eq!(choose(&view, &key(0), now), Choice::Nobody);
-    view.list(entry(1, 2), now);
+    view.mark_suspect(&id, Duration::from_secs(9), now);
+    assert_eq!(choose(&view, &key(0), now), Choice::NoEndpoint);
+    view.apply_entry(entry(1, 2), now);
     assert_eq!(sent_to(&choose(&view, &key(1), now)), Some(ID));
-    view.list(Endpoint { is_draining: true, ..entry(1, 3) }, now);
-    assert_eq!(choose(&view, &key(1), now), Choice::Nobody);
-    view.list(entry(2, 4), now);
+    view.apply_entry(Endpoint { is_draining: true, ..entry(1, 3) }, now);
+    assert_eq!(choose(&view, &key(1), now), Choice::NoEndpoint);
+    view.apply_entry(entry(2, 4), now);
     assert_eq!(sent_to(&choose(&view, &key(2), now)), Some(ID));
 }
 
@@ -171,12 +171,12 @@
         let mut heard = [false; 4];
         let mut listed = None;
         for (life, word, nth) in words {
-            let known = view.life(&id);
+            let known = view.incarnation(&id);
             // A life's entries lie after those of the life before.
             let revision = life as u64 * 20 + nth + 1;
             match word {
-                Word::Entry => view.list(entry(life, revision), now),
-                Word::Gone => view.unlist(&id, revision + 10, true, now),
+                Word::Entry => view.apply_entry(entry(life, revision), now),
+                Word::Gone => view.remove_entry(&id, revision + 10, true, now),
                 // An endpoint is asked once it is listed, and an answer that is
                 // late comes from a life that was heard of.
                 _ if view.get(&id).is_none() => continue,
@@ -184,32 +184,32 @@
                     continue;
                 }
                 Word::Report => {
-                    view.hear_report(&id, &reported(life), now);
+                    view.apply_report(&id, &reported(life), now);
                 }
-                Word::Note => view.hear_placed(&placed(life), now),
+                Word::Note => view.apply_placed(&placed(life), now),
             }
             // A life is left for good once an entry has shown a later one.
             if heard[life] && listed.is_some_and(|listed| life < listed) {
-                prop_assert_eq!(view.life(&id), known);
+                prop_assert_eq!(view.incarnation(&id), known);
             }
             if matches!(word, Word::Entry)
-                && view.life(&id) == Some(BORN[life])
+                && view.incarnation(&id) == Some(BORN[life])
             {
                 listed = listed.max(Some(life));
             }
-            heard[life] |= view.life(&id) == Some(BORN[life]);
+            heard[life] |= view.incarnation(&id) == Some(BORN[life]);
             let Some(state) = view.get(&id) else { continue };
             let held = (0..BORN.len())
-                .filter(|n| state.seat(&key(*n as u32)).is_some());
+                .filter(|n| state.placement(&key(*n as u32)).is_some());
             for held in held {
-                prop_assert_eq!(view.life(&id), Some(BORN[held]));
+                prop_assert_eq!(view.incarnation(&id), Some(BORN[held]));
             }
         }
         let last = BORN.len() - 1;
         let later = now + Duration::from_secs(10);
-        view.list(entry(last, 1_000), later);
-        prop_assert_eq!(view.life(&id), Some(BORN[last]));
+        view.apply_entry(entry(last, 1_000), later);
+        prop_assert_eq!(view.incarnation(&id), Some(BORN[last]));
         prop_assert!(holds(&view, last));
-        prop_assert!(view.hear_report(&id, &reported(last), later));
+        prop_assert!(view.apply_report(&id, &reported(last), later));
     }
 }
--- a/crates/fleet/tests/limit_model.rs
+++ b/crates/fleet/tests/limit_model.rs
@@ -14,7 +14,7 @@
     limit_share::{
         LimitReport, LimitShares, Permit, PermitRequest, ReportSource,
     },
-    note::FEW_PEERS,
+    note::MAX_DIRECT_PEERS,
 };
 
 const ENDPOINT: &str = "e1";
@@ -105,7 +105,7 @@
     let count = run.instances;
     let mut shares = vec![LimitShares::default(); count];
     let mut buckets = vec![EqualBucket { tokens: 0.0, filled_ms: 0 }; count];
-    let is_many = count - 1 > FEW_PEERS;
+    let is_many = count - 1 > MAX_DIRECT_PEERS;
     let weights: Vec<f64> = (0..count)
         .map(|n| match run.load {
             Load::Skewed => 9.0 - 8.0 * n as f64 / count as f64,
@@ -128,7 +128,7 @@
             let from = format!("i{from}");
             let source = ReportSource { from: &from, is_total, until };
             for report in &reports {
-                shares[to].hear(report, source, now);
+                shares[to].apply_report(report, source, now);
             }
         }
         for (from, phase) in phases.iter().enumerate() {
@@ -167,7 +167,7 @@
                 continue;
             }
             let draw: f64 = rng.random();
-            shares[n].want(&endpoint, now);
+            shares[n].record_demand(&endpoint, now);
             let is_limited = ms >= ANNOUNCED_MS;
             let is_sent = !is_limited
                 || match run.way {
--- a/crates/fleet/tests/loader_rules.rs
+++ b/crates/fleet/tests/placement_rules.rs
@@ -5,50 +5,49 @@
 use std::time::Duration;
 
 use common::{
-    MODEL, PLACES, SERVICE, deployment, endpoint, key, report, requests,
-    status,
+    MODEL, PLACES, SERVICE, endpoint, key, report, requests, routing, status,
 };
 use proptest::prelude::*;
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
     adapter::AdapterKey,
     demand::Demand,
+    load_rate_limiter::LoadRateLimiter,
     load_times::LoadTimes,
-    loader::Loader,
     order::{Order, Task},
-    store_rate::StoreRate,
+    placement::PlacementPlanner,
     view::FleetView,
     work::Work,
 };
 
 const WINDOW: Duration = Duration::from_secs(5);
 
-fn loader(epoch: u64, now: Instant) -> Loader {
-    Loader::new(epoch, StoreRate::new(WINDOW, 1.1), now)
+fn loader(epoch: u64, now: Instant) -> PlacementPlanner {
+    PlacementPlanner::new(epoch, LoadRateLimiter::new(WINDOW, 1.1), now)
 }
 
 /// Plans as a holder that knows nothing of load times yet.
 fn plan(
-    loader: &mut Loader,
+    loader: &mut PlacementPlanner,
     view: &mut FleetView,
     demand: &mut Demand,
     now: Instant,
 ) -> Vec<Order> {
     let mut times = LoadTimes::default();
-    loader.plan(&deployment(), view, demand, &mut times, now)
+    loader.plan(&routing(), view, demand, &mut times, now)
 }
 
 fn asked(demand: &mut Demand, n: u32, times: u32, now: Instant) {
     demand.add(&key(n), times, "z1", now);
-    demand.wait(&key(n), 1);
+    demand.mark_waiting(&key(n), 1);
 }
 
 /// A table of engines that have all reported.
 fn synced(engines: &[(&str, &[u32])], now: Instant) -> FleetView {
     let mut view = FleetView::new("z1");
     for (id, adapters) in engines {
-        view.list(endpoint(id, "z1", adapters), now);
-        view.hear_report(&(*id).to_owned(), &report(adapters, 0), now);
+        view.apply_entry(endpoint(id, "z1", adapters), now);
+        view.apply_report(&(*id).to_owned(), &report(adapters, 0), now);
     }
     view
 }
@@ -67,7 +66,7 @@
 fn an_engine_gets_no_order_before_it_has_reported() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    view.list(endpoint("e1", "z1", &[]), now);
+    view.apply_entry(endpoint("e1", "z1", &[]), now);
     let mut demand = Demand::default();
     asked(&mut demand, 1, 1, now);
     let mut loader = loader(1, now);
@@ -126,7 +125,7 @@
     }
     let mut theirs = Work::default();
     theirs.begin(Some(&key(2)), 100);
-    view.hear_status(status("peer", vec![("e1".to_owned(), theirs)]), now);
+    view.apply_status(status("peer", vec![("e1".to_owned(), theirs)]), now);
     let mut demand = Demand::default();
     demand.add(&key(3), 1, "z1", now);
     demand.add(&key(4), 2, "z1", now);
@@ -145,14 +144,14 @@
     let mut demand = Demand::default();
     let mut loader = loader(1, now);
     asked(&mut demand, 9, 1, now);
-    view.list(endpoint("e3", "z1", &[]), now);
+    view.apply_entry(endpoint("e3", "z1", &[]), now);
     let orders = plan(&mut loader, &mut view, &mut demand, now);
     assert_eq!(loads(&orders), [("e2", key(9))]);
     let later = now + Duration::from_secs(4);
     let home = "e2".to_owned();
-    view.hear_report(&home, &report(&[], 2), later);
+    view.apply_report(&home, &report(&[], 2), later);
     // Another engine has less to do, and would need the weight store.
-    view.hear_report(&"e3".to_owned(), &report(&[], 0), later);
+    view.apply_report(&"e3".to_owned(), &report(&[], 0), later);
     if let Some(state) = view.get_mut(&home) {
         state.own_work = requests(8);
     }
@@ -181,7 +180,7 @@
     let mut view = synced(&[("e1", &[1]), ("e2", &[]), ("e3", &[])], now);
     for n in 1..40_u64 {
         let took = Duration::from_millis(n * 50);
-        view.observe_pace(SERVICE, n * 1_000, took);
+        view.observe_first_event(SERVICE, n * 1_000, took);
     }
     for id in ["e1", "e2"] {
         if let Some(state) = view.get_mut(&id.to_owned()) {
@@ -205,7 +204,7 @@
     let mut view = synced(&[("e1", &[1])], now);
     let mut demand = Demand::default();
     demand.add(&key(1), 1, "z1", now);
-    view.name_version(&key(1), 2, now);
+    view.record_version(&key(1), 2, now);
     let mut loader = loader(1, now);
     let orders = plan(&mut loader, &mut view, &mut demand, now);
     let tasks: Vec<_> = orders.iter().map(|o| o.task.clone()).collect();
@@ -220,10 +219,10 @@
     let mut view = synced(&[("e1", &[1, 2, 3, 4])], now);
     let mut demand = Demand::default();
     demand.add(&key(1), 1, "z1", now);
-    view.name_version(&key(1), 2, now);
+    view.record_version(&key(1), 2, now);
     let mut full = loader(1, now);
     let orders = full.plan(
-        &deployment(),
+        &routing(),
         &mut view,
         &mut demand,
         &mut LoadTimes::default(),
@@ -233,14 +232,14 @@
     assert_eq!(tasks, [Task::Unload(key(1))]);
     // One place is free: the replacement takes it, and nothing else does.
     let mut view = synced(&[("e1", &[1, 2, 3])], now);
-    view.name_version(&key(1), 2, now);
+    view.record_version(&key(1), 2, now);
     for n in [1, 2, 3] {
         demand.add(&key(n), 1, "z1", now);
     }
     asked(&mut demand, 9, 1, now);
     let mut free = loader(1, now);
     let orders = free.plan(
-        &deployment(),
+        &routing(),
         &mut view,
         &mut demand,
         &mut LoadTimes::default(),
@@ -256,10 +255,10 @@
     let mut view = FleetView::new("z1");
     let mut empty = endpoint("e1", "z1", &[]);
     empty.models.clear();
-    view.list(empty, now);
+    view.apply_entry(empty, now);
     let mut nothing = report(&[], 0);
     nothing.models.clear();
-    view.hear_report(&"e1".to_owned(), &nothing, now);
+    view.apply_report(&"e1".to_owned(), &nothing, now);
     let mut loader = loader(1, now);
     let mut demand = Demand::default();
     let orders = plan(&mut loader, &mut view, &mut demand, now);
@@ -273,7 +272,7 @@
     let mut view = synced(&[("e1", &[])], now);
     let mut leaving = endpoint("e1", "z1", &[]);
     leaving.is_draining = true;
-    view.list(leaving, now);
+    view.apply_entry(leaving, now);
     let mut demand = Demand::default();
     asked(&mut demand, 1, 1, now);
     let mut loader = loader(1, now);
@@ -325,7 +324,7 @@
         let mut held: Vec<Vec<AdapterKey>> = vec![Vec::new(); 3];
         let mut view = FleetView::new("z1");
         for id in ids {
-            view.list(endpoint(id, "z1", &[]), now);
+            view.apply_entry(endpoint(id, "z1", &[]), now);
         }
         let mut demand = Demand::default();
         let mut loader = loader(1, now);
@@ -334,16 +333,16 @@
                 Step::Asked(n, times) => asked(&mut demand, n, times, now),
                 Step::Later(ms) => now += Duration::from_millis(ms),
                 Step::Unlisted(e) => {
-                    view.unlist(&ids[e].to_owned(), revision, true, now);
+                    view.remove_entry(&ids[e].to_owned(), revision, true, now);
                 }
                 Step::Listed(e, adapters) => {
                     let mut entry = endpoint(ids[e], "z1", &adapters);
                     entry.revision = revision;
-                    view.list(entry, now);
+                    view.apply_entry(entry, now);
                 }
                 Step::TurnedAway(e, n) => {
                     let id = ids[e].to_owned();
-                    view.note_absent(&id, &key(n), now);
+                    view.record_absent(&id, &key(n), now);
                 }
             }
             let orders =
@@ -356,7 +355,7 @@
                         let mut state = report(&[], 0);
                         let adapters = &mut state.models[0].adapters;
                         adapters.extend(held[e].iter().map(|k| (k.clone(), 1)));
-                        view.hear_report(&order.endpoint, &state, now);
+                        view.apply_report(&order.endpoint, &state, now);
                     }
                     Task::Load(key, _) => {
                         if !held[e].contains(&key) {
@@ -385,7 +384,7 @@
     assert_eq!(loads(&orders), [("e1", key(9))]);
 
     for order in &orders {
-        order.take_back(&mut view);
+        order.revert(&mut view);
     }
     let later = now + Duration::from_secs(1);
     asked(&mut demand, 10, 1, later);
@@ -424,7 +423,7 @@
 fn a_free_place_is_taken_while_the_engine_at_hand_has_none() {
     let now = Instant::now();
     let mut view = synced(&[("e1", &[9]), ("e2", &[])], now);
-    view.hear_report(&"e1".to_owned(), &report(&[1, 2, 3, 4], 0), now);
+    view.apply_report(&"e1".to_owned(), &report(&[1, 2, 3, 4], 0), now);
     if let Some(state) = view.get_mut(&"e1".to_owned()) {
         for n in 1..=4 {
             state.own_work.begin(Some(&key(n)), 100);
@@ -436,7 +435,7 @@
     let mut loader = loader(1, now);
     let mut times = LoadTimes::default();
     let orders =
-        loader.plan(&deployment(), &mut view, &mut demand, &mut times, now);
+        loader.plan(&routing(), &mut view, &mut demand, &mut times, now);
     assert_eq!(loads(&orders), [("e2", key(9))]);
 }
 
@@ -453,7 +452,7 @@
     let mut demand = Demand::default();
     for n in 1..=100 {
         asked(&mut demand, n, 1, now);
-        demand.wait(&key(n), 1);
+        demand.mark_waiting(&key(n), 1);
     }
     let orders = plan(&mut loader(1, now), &mut view, &mut demand, now);
     let placed = loads(&orders);
@@ -478,7 +477,7 @@
     let mut loader = loader(1, now);
     let mut times = LoadTimes::default();
     let mut demand = Demand::default();
-    let mut roomy = deployment();
+    let mut roomy = routing();
     for service in roomy.services.values_mut() {
         let engine = service.engine.as_mut().expect("an engine");
         engine.adapter_slots = 9;
@@ -493,16 +492,16 @@
     let first = ordered(1..=3, &mut view, now);
     assert_eq!(first.len(), 3);
     for key in &first {
-        view.order_taken(&"e1".to_owned(), key, now);
+        view.order_accepted(&"e1".to_owned(), key, now);
     }
     let expected = Duration::from_millis(280);
     let later = now + expected + Duration::from_millis(20);
     assert_eq!(ordered(4..=4, &mut view, later).len(), 1);
     // Nine places would do, but four may be on their way.
-    view.order_taken(&"e1".to_owned(), &key(4), later);
+    view.order_accepted(&"e1".to_owned(), &key(4), later);
     assert!(ordered(5..=5, &mut view, later).is_empty());
     // A request has shown that one is there.
-    view.prove(&"e1".to_owned(), &first[0], true);
+    view.confirm_load(&"e1".to_owned(), &first[0], true);
     let soon = later + Duration::from_millis(10);
     assert_eq!(ordered(5..=5, &mut view, soon).len(), 1);
 }
@@ -521,7 +520,7 @@
 
     let time = Duration::from_secs(1);
     for id in ["e1", "e2"] {
-        view.hear_saturated(&id.to_owned(), time, now);
+        view.mark_saturated(&id.to_owned(), time, now);
     }
     asked(&mut demand, 1, 1, now);
     let orders = plan(&mut loader, &mut view, &mut demand, now);
--- a/crates/fleet/tests/poison_model.rs
+++ b/crates/fleet/tests/poison_model.rs
@@ -1,7 +1,7 @@
 //! Instances that together stop a request which ends endpoints, in virtual time:
 //! with notes that are lost, cuts between instances and to the store, and restarts.
 //!
-//! What an instance does around [`Poison`] is written down here a second time, without
+//! What an instance does around [`PoisonDetector`] is written down here a second time, without
 //! I/O: it tells of a crash at once and again with its regular notes, asks whoever has
 //! condemned more, writes what is condemned to the store, and reads what stands there.
 
@@ -11,8 +11,8 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    life::EndpointLife,
-    poison::{Condemned, Crash, Loss, Poison},
+    incarnation::EndpointIncarnation,
+    poison::{Condemned, Crash, Loss, PoisonDetector},
     request_digest::{RequestDigest, RequestParts},
 };
 
@@ -98,7 +98,7 @@
 
 #[derive(Default)]
 struct Instance {
-    poison: Poison,
+    poison: PoisonDetector,
     heard_ms: HashMap<usize, u64>,
     ask_at: Option<(u64, usize)>,
     write_at: Option<u64>,
@@ -137,8 +137,8 @@
     })
 }
 
-fn life(n: u32) -> EndpointLife {
-    EndpointLife { id: format!("e{n}"), born: None }
+fn life(n: u32) -> EndpointIncarnation {
+    EndpointIncarnation { id: format!("e{n}"), born: None }
 }
 
 impl Model<'_> {
@@ -256,7 +256,7 @@
             let (began, at) = (self.at(began), self.at(now));
             let poison = &mut self.instances[n].poison;
             let of = life(endpoint);
-            poison.lost(&of, digest(), began, Loss::Broken, at);
+            poison.record_lost_run(&of, digest(), began, Loss::Broken, at);
             let crash = poison.endpoint_ended(&of, at);
             if let Some(crash) = crash {
                 self.tell(n, &[crash], now);
@@ -275,13 +275,13 @@
             }
             let at = self.at(now);
             for crash in crashes {
-                let _ = self.instances[m].poison.hear(crash, at);
+                let _ = self.instances[m].poison.record_crash(crash, at);
             }
         }
     }
 
     fn tell_status(&mut self, n: usize, now: u64) {
-        let crashes = self.instances[n].poison.told(self.at(now));
+        let crashes = self.instances[n].poison.recent_crashes(self.at(now));
         self.tell(n, &crashes, now);
         let known = self.instances[n].poison.condemned_len();
         for m in (0..INSTANCES).filter(|m| *m != n) {
@@ -306,7 +306,8 @@
         if self.hears(n, whom, now) {
             let at = self.at(now);
             for condemned in self.instances[whom].poison.condemned(at) {
-                let _ = self.instances[n].poison.take_in(&condemned, at);
+                let _ =
+                    self.instances[n].poison.merge_condemned(&condemned, at);
             }
         }
     }
@@ -328,7 +329,7 @@
                 if reads {
                     let ms_ago = condemned.ms_ago + now - since;
                     let condemned = Condemned { ms_ago, ..condemned.clone() };
-                    let _ = instance.poison.take_in(&condemned, at);
+                    let _ = instance.poison.merge_condemned(&condemned, at);
                 }
             }
             (None, Some(own)) => {
--- a/crates/fleet/tests/revocation_rules.rs
+++ b/crates/fleet/tests/revocation_rules.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use sedgewall_clock::Instant;
-use sedgewall_fleet::revocation::{Asking, KeysKnown};
+use sedgewall_fleet::revocation::{FreshnessPoll, KeyFreshness};
 
 /// Within this time a key that was taken away must stop.
 const WITHIN: Duration = Duration::from_millis(5_000);
@@ -81,7 +81,7 @@
     store: &'a Store,
     way: Way,
     start: Instant,
-    known: KeysKnown,
+    known: KeyFreshness,
     known_until_ms: u64,
     /// Changes until then were heard.
     heard_ms: u64,
@@ -96,7 +96,7 @@
 impl<'a> Play<'a> {
     fn new(store: &'a Store, way: Way) -> Play<'a> {
         let start = Instant::now();
-        let mut known = KeysKnown::new(Some(WITHIN));
+        let mut known = KeyFreshness::new(Some(WITHIN));
         known.confirm(start);
         Play {
             store,
@@ -137,7 +137,8 @@
                 (MOST_MS - MOST_MS.min(age.as_millis() as u64)) * 2 / 3 + 1
             }
             Way::Watcher => {
-                self.known.watch_time(now).expect("bounded").as_millis() as u64
+                self.known.watch_timeout(now).expect("bounded").as_millis()
+                    as u64
             }
         }
     }
@@ -220,9 +221,9 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
-    let mut known = KeysKnown::new(Some(WITHIN));
+    let mut known = KeyFreshness::new(Some(WITHIN));
     known.confirm(start);
-    let mut asking = Asking::default();
+    let mut asking = FreshnessPoll::default();
     let mut cost = Cost::default();
     let mut read_again_ms = 0;
     // Changes until then are in force here.
@@ -238,9 +239,9 @@
                 has_ms = now_ms;
             }
         }
-        if known.ask_in(&asking, now) == Some(Duration::ZERO) {
-            let watcher = &watchers[asking.whom(watchers.len())];
-            let number = asking.ask(now);
+        if known.next_poll_in(&asking, now) == Some(Duration::ZERO) {
+            let watcher = &watchers[asking.next_target(watchers.len())];
+            let number = asking.start(now);
             let heard = watcher.confirmed.iter().rev();
             let until = heard.copied().find(|c| c.0 <= now_ms);
             let age_ms = until.map(|(_, until)| now_ms - until);
@@ -248,7 +249,7 @@
                 && !rng.random_bool(lost)
             {
                 let age = Duration::from_millis(age_ms);
-                let until = asking.answered(number, age);
+                let until = asking.record_answer(number, age);
                 let until = until.expect("the answer is to the question");
                 // Another version is in force there: it is read first.
                 let newer = store.next_change(has_ms);
@@ -261,7 +262,7 @@
                 }
             }
         }
-        cost.unsure_ms += if known.is_sure(now) { 0 } else { LOOK_MS };
+        cost.unsure_ms += if known.is_fresh(now) { 0 } else { LOOK_MS };
         now_ms += LOOK_MS;
     }
     cost
@@ -325,12 +326,12 @@
 fn a_late_answer_says_nothing_newer_than_its_question() {
     let start = Instant::now();
     let ms = Duration::from_millis;
-    let mut asking = Asking::default();
-    let first = asking.ask(start + ms(1_000));
-    assert_eq!(asking.answered(first, ms(300)), Some(start + ms(700)));
-    let second = asking.ask(start + ms(2_000));
-    assert_eq!(asking.answered(first, ms(0)), None);
-    assert_eq!(asking.answered(second, ms(0)), Some(start + ms(2_000)));
+    let mut asking = FreshnessPoll::default();
+    let first = asking.start(start + ms(1_000));
+    assert_eq!(asking.record_answer(first, ms(300)), Some(start + ms(700)));
+    let second = asking.start(start + ms(2_000));
+    assert_eq!(asking.record_answer(first, ms(0)), None);
+    assert_eq!(asking.record_answer(second, ms(0)), Some(start + ms(2_000)));
 }
 
 /// What a cut takes, wherever it falls between watches: less than with watches of
--- a/crates/sedgewalld/src/election.rs
+++ b/crates/sedgewalld/src/election.rs
@@ -9,8 +9,8 @@
 use sedgewall_clock::Instant;
 use sedgewall_coordination::{
     lease::{
-        Acquired, Acquiring, Candidate, Held, Lease, LeaseRecord, LeaseWrite,
-        Renewed, StoredLease, Watching, WriteAnswer,
+        AcquireOutcome, Acquiring, Candidate, Held, Lease, LeaseRecord,
+        LeaseWrite, RenewOutcome, StoredLease, Watching, WriteAnswer,
     },
     rendezvous,
     timeline::EventKind,
@@ -49,7 +49,7 @@
 
 /// Follows one shard's lease until the configuration drops the shard.
 async fn run(node: Rc<Node>, shard: ShardId) {
-    let times = node.settings.lease.times();
+    let times = node.settings.lease.timing();
     let mut watching = Lease::new(shard.clone(), times);
     loop {
         let Some(held) = win(&node, &shard, watching).await else { break };
@@ -67,7 +67,7 @@
     shard: &ShardId,
     mut watching: Lease<Watching>,
 ) -> Option<Lease<Held>> {
-    let look_every = node.settings.lease.times().renew_every;
+    let look_every = node.settings.lease.timing().renew_every;
     let mut free_since = None;
     loop {
         if !is_configured(node, shard) {
@@ -107,28 +107,29 @@
     acquiring: Lease<Acquiring>,
 ) -> Result<Lease<Held>, Lease<Watching>> {
     let answer = write(node, acquiring.write()).await;
-    let mut unclear = match acquiring.answer(answer, Instant::now()) {
-        Acquired::Held(held) => return Ok(held),
-        Acquired::Lost(watching) => return Err(watching),
-        Acquired::Unclear(acquiring) => acquiring,
+    let mut unclear = match acquiring.complete_acquire(answer, Instant::now())
+    {
+        AcquireOutcome::Held(held) => return Ok(held),
+        AcquireOutcome::Lost(watching) => return Err(watching),
+        AcquireOutcome::Unclear(acquiring) => acquiring,
     };
     loop {
         compio::time::sleep(UNCLEAR_PAUSE).await;
         let Ok(stored) = read(node, shard).await else { continue };
-        match unclear.settle(stored, Instant::now()) {
-            Acquired::Held(held) => return Ok(held),
-            Acquired::Lost(watching) => return Err(watching),
-            Acquired::Unclear(acquiring) => unclear = acquiring,
+        match unclear.resolve(stored, Instant::now()) {
+            AcquireOutcome::Held(held) => return Ok(held),
+            AcquireOutcome::Lost(watching) => return Err(watching),
+            AcquireOutcome::Unclear(acquiring) => unclear = acquiring,
         }
     }
 }
 
 /// Renews the lease until it is lost or given up.
 async fn lead(node: &Rc<Node>, shard: &ShardId) -> Lease<Watching> {
-    let renew_every = node.settings.lease.times().renew_every;
+    let renew_every = node.settings.lease.timing().renew_every;
     loop {
         let Some(held) = leader::lease(node, shard) else {
-            return Lease::new(shard.clone(), node.settings.lease.times());
+            return Lease::new(shard.clone(), node.settings.lease.timing());
         };
         let is_unwanted = node.stage.get() == Stage::Leaving
             || !is_configured(node, shard)
@@ -139,9 +140,10 @@
         let sent = Instant::now();
         let renewal = held.renewal();
         let answer = write(node, &renewal).await;
-        let renewed = held.renewed(renewal, answer, sent, Instant::now());
+        let renewed =
+            held.complete_renewal(renewal, answer, sent, Instant::now());
         let renewed = match (answer, renewed) {
-            (WriteAnswer::Unclear, Renewed::Held(held)) => {
+            (WriteAnswer::Unclear, RenewOutcome::Held(held)) => {
                 reconcile(node, shard, held).await
             }
             // A conflict may be our own renewal whose answer was lost.
@@ -150,15 +152,15 @@
                 None => {
                     return Lease::new(
                         shard.clone(),
-                        node.settings.lease.times(),
+                        node.settings.lease.timing(),
                     );
                 }
             },
             (_, renewed) => renewed,
         };
         match renewed {
-            Renewed::Held(held) => leader::set_lease(node, shard, held),
-            Renewed::Lost(watching) => {
+            RenewOutcome::Held(held) => leader::set_lease(node, shard, held),
+            RenewOutcome::Lost(watching) => {
                 warn!("lease: {shard} was taken by another instance.");
                 return watching;
             }
@@ -172,11 +174,11 @@
     node: &Rc<Node>,
     shard: &ShardId,
     held: Lease<Held>,
-) -> Renewed {
+) -> RenewOutcome {
     match read(node, shard).await {
         Ok(stored) => held.reconcile(stored, Instant::now()),
         // The platform is out: nobody else can take the lease through it.
-        Err(_) => Renewed::Held(held),
+        Err(_) => RenewOutcome::Held(held),
     }
 }
 
--- a/crates/sedgewalld/src/fleet/admit.rs
+++ b/crates/sedgewalld/src/fleet/admit.rs
@@ -5,12 +5,12 @@
 
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    configuration::DecidedBy,
+    configuration::ConfigurationStatus,
     customer::{Customer, KeyDigest},
-    route::{Deployment, Route},
+    route::{Route, RoutingConfiguration},
 };
 
-use super::{attempt::CallerRequest, node::FleetNode, refusal::Reason};
+use super::{attempt::CallerRequest, instance::FleetNode, refusal::Reason};
 
 /// How long a request that the configuration refuses waits for a newer one that was
 /// heard of: two questions to other instances.
@@ -25,10 +25,10 @@
 
 /// A request that the configuration allows.
 pub(super) struct Admitted {
-    pub(super) deployment: Rc<Deployment>,
+    pub(super) routing: Rc<RoutingConfiguration>,
     pub(super) route: Route,
     pub(super) customer: Option<Rc<Customer>>,
-    pub(super) decided_by: DecidedBy,
+    pub(super) decided_by: ConfigurationStatus,
 }
 
 /// Decides by the configuration in force; where that refuses for good and a newer one
@@ -53,13 +53,13 @@
 }
 
 fn admit(node: &FleetNode, asked: &Asked) -> Result<Admitted, Reason> {
-    let deployment = node.deployment().ok_or(Reason::NoConfiguration)?;
-    let route = deployment.route(&asked.host, &asked.path);
+    let routing = node.routing().ok_or(Reason::NoConfiguration)?;
+    let route = routing.route(&asked.host, &asked.path);
     let route = route.ok_or(Reason::NoRoute)?.clone();
     let credential = asked.credential.as_ref();
-    let customer = admit_key(node, &deployment, &route, credential)?;
+    let customer = admit_key(node, &routing, &route, credential)?;
     let decided_by = node.decides();
-    Ok(Admitted { deployment, route, customer, decided_by })
+    Ok(Admitted { routing, route, customer, decided_by })
 }
 
 /// Returns whose a request is. Each request is looked at by itself: a key that
@@ -67,11 +67,11 @@
 /// on.
 fn admit_key(
     node: &FleetNode,
-    deployment: &Deployment,
+    routing: &RoutingConfiguration,
     route: &Route,
     credential: Option<&KeyDigest>,
 ) -> Result<Option<Rc<Customer>>, Reason> {
-    let customers = &deployment.customers;
+    let customers = &routing.customers;
     if customers.is_empty() {
         return Ok(None);
     }
@@ -81,7 +81,7 @@
     if !node.keys.are_sure() {
         return Err(Reason::KeysUnsure);
     }
-    let known = customers.of_key(credential).cloned();
+    let known = customers.find_by_key(credential).cloned();
     known.map(Some).ok_or(Reason::UnknownKey)
 }
 
@@ -105,5 +105,5 @@
     let Some(allowance) = customer.allowance else { return };
     let tokens = call.facts.prompt_tokens + call.facts.answer_tokens;
     let units = allowance.unit.count(tokens);
-    node.shares.borrow_mut().give_back(customer, units);
+    node.shares.borrow_mut().refund(customer, units);
 }
--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -12,13 +12,13 @@
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
     adapter::AdapterKey,
-    configuration::DecidedBy,
+    configuration::ConfigurationStatus,
     customer::Customer,
-    good_runs::RequestHash,
     poison::Loss,
+    recent_successes::RequestHash,
     request_digest::{RequestDigest, RequestParts},
     route::{Repetition, Route},
-    view::{AnsweredSend, Target},
+    view::{AnsweredRequest, Target},
 };
 use sedgewall_platform::{
     AnswerFacts, CallFacts,
@@ -29,9 +29,9 @@
 
 use super::{
     announcements,
-    node::{FleetNode, SeenArrival},
+    in_flight::UnderWay,
+    instance::{FleetNode, SeenArrival},
     poison,
-    under_way::UnderWay,
 };
 
 /// The longest time for a connection to an endpoint. Within a region a
@@ -47,7 +47,7 @@
     pub(crate) body: Bytes,
     pub(crate) route: Route,
     /// By which configuration it was routed.
-    pub(crate) decided_by: DecidedBy,
+    pub(crate) decided_by: ConfigurationStatus,
     pub(crate) service: String,
     pub(crate) is_engine: bool,
     pub(crate) arrived: Instant,
@@ -159,7 +159,7 @@
     /// Returns the rank: the customer's comes before the route's.
     pub(crate) fn rank(&self) -> u8 {
         let route = self.route.priority;
-        self.customer.as_ref().map_or(route, |c| c.rank(route))
+        self.customer.as_ref().map_or(route, |c| c.effective_priority(route))
     }
 
     /// Returns whether the request may run more than once.
@@ -190,12 +190,12 @@
         UnderWay::begin(node, &target.id, call.key(), prompt_tokens);
     let request = build(call, target, last_event);
     let began = Instant::now();
-    let answered = AnsweredSend {
+    let answered = AnsweredRequest {
         endpoint: target.id.clone(),
-        born: node.view.borrow().life(&target.id),
+        born: node.view.borrow().incarnation(&target.id),
         sent: began,
     };
-    node.view.borrow_mut().note_sent(&target.id, began);
+    node.view.borrow_mut().record_sent(&target.id, began);
     let sending = node.pool.send(target.address, request, CONNECT_TIME);
     let ended = match compio::time::timeout(limits.within, sending).await {
         Ok(Ok(answer)) => {
@@ -220,7 +220,7 @@
     if ended.is_ok() && call.key().is_some() {
         let tokens = target.unread_tokens + prompt_tokens;
         let mut view = node.view.borrow_mut();
-        view.observe_pace(&call.service, tokens, began.elapsed());
+        view.observe_first_event(&call.service, tokens, began.elapsed());
     }
     note_arrival(node, call, target, &ended, began);
     note(node, call, target, &ended);
@@ -297,7 +297,7 @@
         Err(AttemptError::Misdirected) => false,
         _ => return,
     };
-    if !node.view.borrow_mut().prove(&target.id, key, is_there) {
+    if !node.view.borrow_mut().confirm_load(&target.id, key, is_there) {
         return;
     }
     node.arrivals.borrow_mut().push(SeenArrival {
@@ -323,10 +323,10 @@
         let is_absent = matches!(ended, Err(AttemptError::Misdirected));
         let is_coming = view
             .get(&target.id)
-            .and_then(|state| state.seat(key))
-            .is_some_and(|seat| !seat.is_listed());
+            .and_then(|state| state.placement(key))
+            .is_some_and(|placement| !placement.is_listed());
         if is_absent || is_coming {
-            view.note_absent(&target.id, key, now);
+            view.record_absent(&target.id, key, now);
         }
     }
     let Some(state) = view.get_mut(&target.id) else { return };
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -15,11 +15,11 @@
 use hyper::body::Incoming;
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    configuration::DecidedBy,
+    configuration::ConfigurationStatus,
     customer::Customer,
-    patience::{Held, Obstacle, come_back},
     poison::Loss,
     view::{Choice, Need, Target},
+    wait_policy::{WaitReason, WaitingRequest, retry_delay},
 };
 use sedgewall_platform::{CallFacts, call::to_caller};
 use sedgewall_state::id::EndpointId;
@@ -36,12 +36,12 @@
     attempt::{
         self, AttemptError, CallerRequest, GoodAnswer, SendLimits, SentTo,
     },
-    node::{FleetNode, Stage},
+    in_flight::OpenRequest,
+    instance::{FleetNode, Stage},
     permits::{Permits, PermittedChoice},
     poison,
     refusal::{self, Reason},
     relay, request_log,
-    under_way::OpenRequest,
 };
 
 /// How long a body may take to come in.
@@ -100,7 +100,7 @@
     request_id: String,
     path: String,
     customer: Option<Rc<Customer>>,
-    decided_by: DecidedBy,
+    decided_by: ConfigurationStatus,
 }
 
 fn refuse_unread(refused: Unread, arrived: Instant) -> Response<LocalBody> {
@@ -123,13 +123,13 @@
         held_ms = ms(arrived.elapsed()),
         allowed_per_s = denied.and(allowance).map(|a| a.per_s),
         balance = denied.map(|denied| denied.balance.round()),
-        part = denied.map(|denied| denied.part),
+        part = denied.map(|denied| denied.share),
         total_per_s = denied.and_then(|denied| denied.total_per_s),
         total_age_ms = denied.and_then(|d| d.total_age).map(ms),
-        back_in_ms = denied.map(|denied| ms(denied.back_in)),
+        back_in_ms = denied.map(|denied| ms(denied.retry_in)),
     );
     let draw = draw_of(&refused.request_id);
-    let after = come_back(PATIENCE_UNSTATED, None, draw);
+    let after = retry_delay(PATIENCE_UNSTATED, None, draw);
     refusal::answer(refused.reason, after)
 }
 
@@ -156,7 +156,7 @@
         credential: facts.as_ref().and_then(|f| f.credential),
     };
     let admitted = admit_by_newest(node, &asked).await.map_err(&refuse)?;
-    let Admitted { deployment, route, customer, decided_by } = admitted;
+    let Admitted { routing, route, customer, decided_by } = admitted;
     let facts = facts.ok_or_else(|| refuse(Reason::NoRequestId))?;
     let tokens = facts.prompt_tokens + facts.answer_tokens;
     if let Some(customer) = &customer {
@@ -165,7 +165,7 @@
             ..refuse(reason)
         })?;
     }
-    let most = deployment.limits.body_bytes;
+    let most = routing.limits.body_bytes;
     let body = read_body(body, most, BODY_TIME).await.map_err(|err| {
         refuse(match err {
             BodyError::TooLong(_) => Reason::BodyTooLong,
@@ -180,7 +180,7 @@
         .pick_service(draw_of(&facts.request_id))
         .ok_or_else(|| refuse(Reason::NobodyThere))?
         .clone();
-    let is_engine = deployment.engine_group(&service).is_some();
+    let is_engine = routing.engine_group(&service).is_some();
     Ok(CallerRequest {
         facts,
         method: head.method,
@@ -370,7 +370,7 @@
     let mut permits = Permits::default();
     loop {
         let now = Instant::now();
-        let is_patient = now < patient_until;
+        let may_wait = now < patient_until;
         let need = Need {
             service: &call.service,
             key: call.key(),
@@ -378,15 +378,15 @@
             draw,
             prompt_tokens: call.facts.prompt_tokens,
             target_latency: target,
-            is_patient,
+            may_wait,
         };
         let PermittedChoice { choice, limited_for } =
             permits.choose(node, need, now);
         progress.waited = now - began;
         let (reason, obstacle, pause) = match choice {
             Choice::Send(found) => return Ok(found),
-            Choice::Coming(ready_in) => {
-                let obstacle = Obstacle::Coming(ready_in);
+            Choice::Loading(ready_in) => {
+                let obstacle = WaitReason::AdapterLoading(ready_in);
                 (Reason::AdapterAbsent, obstacle, ready_in)
             }
             Choice::Absent => {
@@ -396,7 +396,7 @@
                 let limited_for = limited_for.or(resting);
                 ask_for(node, call);
                 let load_time = node.view.borrow().load_time();
-                let obstacle = Obstacle::Absent { load_time };
+                let obstacle = WaitReason::AdapterNotLoaded { load_time };
                 match limited_for {
                     Some(ready_in) => {
                         let pause = ready_in.min(target);
@@ -407,7 +407,7 @@
             }
             Choice::Full => {
                 ask_for(node, call);
-                (Reason::Full, Obstacle::NoPlace, look_again)
+                (Reason::Full, WaitReason::NoCapacity, look_again)
             }
             Choice::Busy(ready_in) => {
                 if ready_in.is_none() {
@@ -418,34 +418,36 @@
                     .await;
                 continue;
             }
-            Choice::Nobody => {
+            Choice::NoEndpoint => {
                 // All have failed it; what may run again goes round again.
                 if progress.runs > 0 {
                     progress.tried.clear();
                 }
                 let resting = || {
                     let view = node.view.borrow();
-                    view.service_rests_for(&call.service, now)
+                    view.service_cooldown(&call.service, now)
                 };
                 match limited_for.or_else(resting) {
                     Some(ready_in) => {
-                        let obstacle = Obstacle::Limited(ready_in);
+                        let obstacle = WaitReason::Saturated(ready_in);
                         let pause = ready_in.max(look_again);
                         (Reason::EndpointsLimited, obstacle, pause)
                     }
-                    None => {
-                        (Reason::NobodyThere, Obstacle::NoPlace, look_again)
-                    }
+                    None => (
+                        Reason::NobodyThere,
+                        WaitReason::NoCapacity,
+                        look_again,
+                    ),
                 }
             }
         };
-        let until = held.until(obstacle, now);
+        let until = held.wait_until(obstacle, now);
         if now >= until {
             progress.gone_in = match obstacle {
-                Obstacle::Coming(ready_in) | Obstacle::Limited(ready_in) => {
-                    Some(ready_in)
-                }
-                Obstacle::Absent { .. } | Obstacle::NoPlace => limited_for,
+                WaitReason::AdapterLoading(ready_in)
+                | WaitReason::Saturated(ready_in) => Some(ready_in),
+                WaitReason::AdapterNotLoaded { .. }
+                | WaitReason::NoCapacity => limited_for,
             };
             return Err(reason);
         }
@@ -456,7 +458,7 @@
 /// Returns when a caller whose request is rejected may come back.
 fn come_back_of(call: &CallerRequest, progress: &Progress) -> Duration {
     let draw = draw_of(&call.facts.request_id);
-    come_back(call.left(), progress.gone_in, draw)
+    retry_delay(call.left(), progress.gone_in, draw)
 }
 
 /// Returns a number between 0 and 1 that is drawn for a request.
@@ -465,15 +467,17 @@
 }
 
 /// Returns what is known of a request that may have to wait.
-fn held(node: &FleetNode, call: &CallerRequest) -> Held {
+fn held(node: &FleetNode, call: &CallerRequest) -> WaitingRequest {
     let tokens = call.facts.prompt_tokens;
     let engine_time = match call.key() {
-        Some(_) => node.view.borrow().engine_time(&call.service, tokens),
+        Some(_) => {
+            node.view.borrow().idle_first_event_time(&call.service, tokens)
+        }
         None => Duration::ZERO,
     };
-    Held {
+    WaitingRequest {
         arrived: call.arrived,
-        end: call.end,
+        deadline: call.end,
         target: call.route.target_latency,
         engine_time,
         is_later_try: call.is_later_try && call.is_engine,
--- a/crates/sedgewalld/src/fleet/catch_up.rs
+++ b/crates/sedgewalld/src/fleet/catch_up.rs
@@ -11,16 +11,16 @@
 use http::{Request, Response, StatusCode, header};
 use hyper::body::Incoming;
 use sedgewall_clock::Instant;
-use sedgewall_fleet::catch_up::{Knowledge, Missed, Step};
+use sedgewall_fleet::catch_up::{StateDelta, StateSummary, Step};
 use sedgewall_state::id::InstanceId;
 use sedgewall_transport::{
     Handler, LocalBody, SendError, ServerLimits, serve, server::read_body,
 };
 
 use super::{
-    follow_configuration::{Source, put_in_force},
-    node::FleetNode,
+    instance::FleetNode,
     notes, poison,
+    watch_configuration::{Source, put_in_force},
 };
 
 /// The path of what an instance misses.
@@ -65,24 +65,24 @@
     loop {
         let own = node.knowledge();
         match next_step(&node, own) {
-            Step::Rest => node.catch_up_notified(REST).await,
+            Step::Idle => node.catch_up_notified(REST).await,
             Step::Wait(until) => {
                 let now = Instant::now();
                 let pause = until.saturating_duration_since(now);
                 node.catch_up_notified(pause).await;
             }
-            Step::Ask(whom) => ask_one(&node, &whom, own).await,
+            Step::Fetch(whom) => ask_one(&node, &whom, own).await,
         }
     }
 }
 
-fn next_step(node: &FleetNode, own: Knowledge) -> Step {
+fn next_step(node: &FleetNode, own: StateSummary) -> Step {
     let others = node.peers.borrow().len();
     let mut catch_up = node.catch_up.borrow_mut();
     catch_up.step(own, others, rand::random(), Instant::now())
 }
 
-async fn ask_one(node: &FleetNode, whom: &InstanceId, own: Knowledge) {
+async fn ask_one(node: &FleetNode, whom: &InstanceId, own: StateSummary) {
     let began = Instant::now();
     let asked = compio::time::timeout(ANSWER_TIME, ask(node, whom, own));
     let answer = asked.await.unwrap_or(Err(AskError::Unanswered));
@@ -116,14 +116,14 @@
         }
     }
     let mut catch_up = node.catch_up.borrow_mut();
-    catch_up.brought_nothing(whom, Instant::now());
+    catch_up.fetch_failed(whom, Instant::now());
 }
 
 async fn ask(
     node: &FleetNode,
     whom: &InstanceId,
-    own: Knowledge,
-) -> Result<(Missed, usize), AskError> {
+    own: StateSummary,
+) -> Result<(StateDelta, usize), AskError> {
     let address = node.address_of(whom).ok_or(AskError::Unknown)?;
     let request = question(address, own)?;
     let sent = node.peer_pool.send(address, request, CONNECT_TIME).await;
@@ -139,7 +139,7 @@
 
 fn question(
     address: SocketAddr,
-    own: Knowledge,
+    own: StateSummary,
 ) -> Result<Request<http_body_util::Full<Bytes>>, AskError> {
     let unreadable = |cause: String| AskError::Unreadable(cause);
     let body = rmp_serde::to_vec(&own);
@@ -151,11 +151,11 @@
 }
 
 /// Takes in what another instance has; returns whether any of it is news.
-fn take_in(node: &FleetNode, missed: Missed) -> bool {
+fn take_in(node: &FleetNode, missed: StateDelta) -> bool {
     let before = node.knowledge();
     let now = Instant::now();
-    if let Some(deployment) = missed.deployment {
-        put_in_force(node, deployment, Source::Instance);
+    if let Some(routing) = missed.deployment {
+        put_in_force(node, routing, Source::Instance);
     }
     for (key, version) in &missed.versions {
         node.name_version(key, *version);
@@ -214,17 +214,17 @@
 }
 
 /// Returns what an instance misses that knows so much.
-fn missed_by(node: &FleetNode, known: Knowledge) -> Missed {
+fn missed_by(node: &FleetNode, known: StateSummary) -> StateDelta {
     let newer = |version| version > known.configuration;
-    let deployment = node.deployment().filter(|d| newer(d.version));
+    let routing = node.routing().filter(|d| newer(d.version));
     let condemned = node.poison.borrow().condemned(Instant::now());
     let view = node.view.borrow();
-    let versions = match view.versions_named() > known.versions {
-        true => view.named_versions().map(|(k, v)| (k.clone(), v)).collect(),
+    let versions = match view.versions_announced() > known.versions {
+        true => view.newest_versions().map(|(k, v)| (k.clone(), v)).collect(),
         false => Vec::new(),
     };
-    Missed {
-        deployment: deployment.map(|deployment| (*deployment).clone()),
+    StateDelta {
+        deployment: routing.map(|routing| (*routing).clone()),
         versions,
         departures: view.all_departures(),
         condemned,
--- a/crates/sedgewalld/src/fleet/under_way.rs
+++ b/crates/sedgewalld/src/fleet/in_flight.rs
@@ -6,7 +6,7 @@
 use sedgewall_fleet::adapter::AdapterKey;
 use sedgewall_state::id::EndpointId;
 
-use super::node::FleetNode;
+use super::instance::FleetNode;
 
 /// A prompt that an engine reads for this long is told of at once: with fewer
 /// notes, others send to the same engine; a note for each
@@ -33,7 +33,7 @@
         prompt_tokens: u64,
     ) -> UnderWay {
         let mut view = node.view.borrow_mut();
-        let reads_for = view.reading_time(endpoint, prompt_tokens);
+        let reads_for = view.prefill_time(endpoint, prompt_tokens);
         let mut load = 0.0;
         if let Some(state) = view.get_mut(endpoint) {
             load = state.load();
@@ -77,7 +77,7 @@
         }
         if self.key.is_none() {
             let took = self.began.elapsed();
-            view.observe_stay(&self.endpoint, self.load, took);
+            view.observe_residence_time(&self.endpoint, self.load, took);
         }
     }
 }
--- a/crates/sedgewalld/src/fleet/node.rs
+++ b/crates/sedgewalld/src/fleet/instance.rs
@@ -11,22 +11,22 @@
 
 use futures_channel::oneshot;
 use sedgewall_clock::Instant;
-use sedgewall_coordination::lease::{NotedLease, WriteAnswer};
+use sedgewall_coordination::lease::{AnnouncedLease, WriteAnswer};
 use sedgewall_fleet::{
     adapter::AdapterKey,
-    allowance::Shares,
     catch_up::CatchUp,
     demand::Demand,
-    good_runs::GoodRuns,
     load_times::LoadTimes,
-    note::{Lead, Note},
-    poison::Poison,
+    note::{LeaderLease, Note},
+    poison::PoisonDetector,
+    rate_limiter::RateLimiter,
+    recent_successes::RecentSuccesses,
     retry_budget::{RetryAllowance, RetryBudget},
-    route::Deployment,
-    store_contact::{CallFailure, StoreContact},
+    route::RoutingConfiguration,
+    store_reachability::{CallFailure, StoreReachability},
+    store_reports::{REPORT_VALID_FOR, StoreReports},
     suspicion::Suspicions,
     view::FleetView,
-    vouch::{LastWords, WORD_HOLDS},
 };
 use sedgewall_platform::{Store, StoreError};
 use sedgewall_protocol::settings::{FleetSettings, Settings};
@@ -36,7 +36,7 @@
 use sedgewall_transport::EndpointPool;
 
 use super::{
-    follow_poison::PoisonRecords, keys::Keys, notify::Notify, peers::HeardAt,
+    keys::Keys, notify::Notify, peers::HeardAt, watch_poison::PoisonRecords,
 };
 
 /// Notes of the holder that may be lost in a row before it is missed.
@@ -77,7 +77,7 @@
     pub(crate) instance: InstanceId,
     pub(crate) epoch: Epoch,
     /// What it said of its lease.
-    pub(crate) noted: NotedLease,
+    pub(crate) noted: AnnouncedLease,
     pub(crate) holds_until: Instant,
 }
 
@@ -118,7 +118,7 @@
     /// of the others.
     pub(crate) fn left(&self, now: Instant) -> Duration {
         match self.current_until.saturating_duration_since(now) {
-            Duration::ZERO => WORD_HOLDS,
+            Duration::ZERO => REPORT_VALID_FOR,
             left => left,
         }
     }
@@ -132,7 +132,7 @@
     pub(crate) stage: Cell<Stage>,
     /// When it was told to stop.
     pub(crate) leaving_since: Cell<Option<Instant>>,
-    pub(crate) deployment: RefCell<Option<Rc<Deployment>>>,
+    pub(crate) routing: RefCell<Option<Rc<RoutingConfiguration>>>,
     /// When it was last read, from the store or another instance.
     pub(crate) configuration_read: Cell<Option<Instant>>,
     /// What others know, and whom we ask for what we miss.
@@ -148,13 +148,13 @@
     pub(crate) asked: RefCell<HashMap<AdapterKey, u32>>,
     pub(crate) waiting: RefCell<HashMap<AdapterKey, u8>>,
     /// Our part of what customers may use.
-    pub(crate) shares: RefCell<Shares>,
+    pub(crate) shares: RefCell<RateLimiter>,
     /// Whether keys that were taken away are sure to be known.
     pub(crate) keys: Keys,
     /// Whether the store answers us.
-    pub(crate) store_contact: RefCell<StoreContact>,
+    pub(crate) store_contact: RefCell<StoreReachability>,
     /// What the other instances say of themselves.
-    pub(crate) last_words: RefCell<LastWords>,
+    pub(crate) store_reports: RefCell<StoreReports>,
     /// Endpoints that take no more from us, and until when, for the holder to hear.
     pub(crate) saturated: RefCell<BTreeMap<EndpointId, Instant>>,
     /// When a value of an answer's head that cannot be read was last logged.
@@ -183,9 +183,9 @@
     pub(crate) held: Cell<Option<HeldLease>>,
     pub(crate) pool: EndpointPool,
     /// What was seen of requests that end endpoints.
-    pub(crate) poison: RefCell<Poison>,
+    pub(crate) poison: RefCell<PoisonDetector>,
     /// What ended well here lately, by hashes that this process keys.
-    pub(crate) good_runs: RefCell<GoodRuns>,
+    pub(crate) recent_successes: RefCell<RecentSuccesses>,
     pub(crate) hash_key: RandomState,
     /// What of it stands in the store.
     pub(crate) poison_records: RefCell<PoisonRecords>,
@@ -257,7 +257,7 @@
             incarnation: rand::random(),
             stage: Cell::new(Stage::Starting),
             leaving_since: Cell::new(None),
-            deployment: RefCell::default(),
+            routing: RefCell::default(),
             configuration_read: Cell::default(),
             catch_up: RefCell::default(),
             configuration_waiters: RefCell::default(),
@@ -270,7 +270,7 @@
             shares: RefCell::default(),
             keys: Keys::new(revoke_within),
             store_contact: RefCell::default(),
-            last_words: RefCell::default(),
+            store_reports: RefCell::default(),
             saturated: RefCell::default(),
             unreadable_logged: Cell::default(),
             unreachable: RefCell::default(),
@@ -287,7 +287,9 @@
             store: Store::new(EndpointPool::new(), store_address),
             pool,
             poison: RefCell::default(),
-            good_runs: RefCell::new(GoodRuns::new(Instant::now())),
+            recent_successes: RefCell::new(RecentSuccesses::new(
+                Instant::now(),
+            )),
             hash_key: RandomState::new(),
             poison_records: RefCell::default(),
             poison_records_notify: Notify::default(),
@@ -324,7 +326,7 @@
 
     /// Returns whether requests need keys.
     pub(crate) fn has_customers(&self) -> bool {
-        self.deployment().is_some_and(|d| !d.customers.is_empty())
+        self.routing().is_some_and(|d| !d.customers.is_empty())
     }
 
     /// Returns whether requests may come here: those that need a key could not be
@@ -338,20 +340,20 @@
     /// or while the store is out for all who could take it.
     pub(crate) fn current_lease(&self, now: Instant) -> Option<HeldLease> {
         let held = self.held.get()?;
-        (now < held.current_until || self.nobody_reaches_store(now))
+        (now < held.current_until || self.no_instance_reaches_store(now))
             .then_some(held)
     }
 
     /// Returns whether no instance can take the lease now.
-    pub(crate) fn nobody_reaches_store(&self, now: Instant) -> bool {
+    pub(crate) fn no_instance_reaches_store(&self, now: Instant) -> bool {
         let peers = self.peers.borrow();
-        let words = self.last_words.borrow();
-        !peers.is_empty() && words.nobody_reaches_store(peers.keys(), now)
+        let words = self.store_reports.borrow();
+        !peers.is_empty() && words.no_instance_reaches_store(peers.keys(), now)
     }
 
     /// Notes that the store answered; others hear at once what changed.
     pub(crate) fn store_reached(&self) {
-        if self.store_contact.borrow_mut().reached(Instant::now()) {
+        if self.store_contact.borrow_mut().record_success(Instant::now()) {
             self.notify_notes();
         }
     }
@@ -363,7 +365,7 @@
             noticed: Instant::now(),
             is_unanswered: matches!(err, StoreError::Unanswered),
         };
-        if self.store_contact.borrow_mut().failed(failure) {
+        if self.store_contact.borrow_mut().record_failure(failure) {
             self.notify_notes();
         }
     }
@@ -378,7 +380,7 @@
     pub(crate) fn hear_leader(
         &self,
         instance: &str,
-        lead: Lead,
+        lead: LeaderLease,
         next_in: Duration,
     ) {
         let epoch = lead.epoch;
@@ -393,10 +395,10 @@
         }
         let instance = instance.to_owned();
         let holds_until = now + next_in * LEADER_LOSSES;
-        let noted = NotedLease {
+        let noted = AnnouncedLease {
             epoch,
             renewal: lead.renewal,
-            ends_by: now + Duration::from_millis(lead.left_ms),
+            expires_by: now + Duration::from_millis(lead.left_ms),
         };
         *leader = Some(LeaderSeen { instance, epoch, noted, holds_until });
         drop(leader);
--- a/crates/sedgewalld/src/fleet/keys.rs
+++ b/crates/sedgewalld/src/fleet/keys.rs
@@ -15,14 +15,14 @@
 
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    catch_up::Knowledge,
+    catch_up::StateSummary,
     configuration::ConfigurationVersion,
     note::Note,
-    revocation::{Asking, KeysKnown},
+    revocation::{FreshnessPoll, KeyFreshness},
 };
 use sedgewall_state::id::InstanceId;
 
-use super::{node::FleetNode, note_sender::NoteSender, notes};
+use super::{instance::FleetNode, note_sender::NoteSender, notes};
 
 /// Instances that watch for all. Three may be cut off at once and one still
 /// answers.
@@ -36,8 +36,8 @@
 
 /// What an instance knows of the keys in force.
 pub(crate) struct Keys {
-    known: Cell<KeysKnown>,
-    asking: RefCell<Asking>,
+    known: Cell<KeyFreshness>,
+    asking: RefCell<FreshnessPoll>,
     /// Whom the last question went to.
     asked: RefCell<Option<InstanceId>>,
     /// Whether this instance watches for all.
@@ -50,7 +50,7 @@
 impl Keys {
     pub(crate) fn new(within: Option<Duration>) -> Keys {
         Keys {
-            known: Cell::new(KeysKnown::new(within)),
+            known: Cell::new(KeyFreshness::new(within)),
             asking: RefCell::default(),
             asked: RefCell::default(),
             is_watching: Cell::new(false),
@@ -64,7 +64,7 @@
         let mut known = self.known.get();
         known.confirm(until);
         self.known.set(known);
-        let is_sure = known.is_sure(Instant::now());
+        let is_sure = known.is_fresh(Instant::now());
         if is_sure && self.has_told_unsure.replace(false) {
             tracing::info!(event = "keys_sure");
         }
@@ -75,7 +75,7 @@
     pub(crate) fn are_sure(&self) -> bool {
         let known = self.known.get();
         let now = Instant::now();
-        let is_sure = known.is_sure(now);
+        let is_sure = known.is_fresh(now);
         if !is_sure && !self.has_told_unsure.replace(true) {
             let known_ms_ago =
                 known.age(now).map(|age| age.as_millis() as u64);
@@ -90,7 +90,7 @@
 pub(crate) fn own_watch(node: &FleetNode) -> Option<Duration> {
     let is_watching = node.has_customers() && node.rank(0) < WATCHERS;
     node.keys.is_watching.set(is_watching);
-    let wait = node.keys.known.get().watch_time(Instant::now());
+    let wait = node.keys.known.get().watch_timeout(Instant::now());
     wait.filter(|_| is_watching)
 }
 
@@ -114,7 +114,7 @@
 fn ask_in(node: &FleetNode) -> Option<Duration> {
     let asks = node.has_customers() && !node.keys.is_watching.get();
     let asking = node.keys.asking.borrow();
-    let due = node.keys.known.get().ask_in(&asking, Instant::now());
+    let due = node.keys.known.get().next_poll_in(&asking, Instant::now());
     due.filter(|_| asks)
 }
 
@@ -132,11 +132,13 @@
 fn ask(node: &FleetNode, sender: &NoteSender, now: Instant) {
     let watchers = node.largest_peers(WATCHERS);
     let mut asking = node.keys.asking.borrow_mut();
-    let number = asking.ask(now);
-    let Some(whom) = watchers.get(asking.whom(watchers.len())) else { return };
+    let number = asking.start(now);
+    let Some(whom) = watchers.get(asking.next_target(watchers.len())) else {
+        return;
+    };
     let from = node.id().clone();
     *node.keys.asked.borrow_mut() = Some(whom.clone());
-    sender.send_to_peer(node, whom, &Note::AskFresh { from, number });
+    sender.send_to_peer(node, whom, &Note::FreshnessQuery { from, number });
 }
 
 /// Gets a newer configuration from an instance that has it; the next question says
@@ -148,7 +150,7 @@
     now: Instant,
 ) {
     let Some(whom) = whom else { return read_anew(node, now) };
-    let told = Knowledge { configuration, ..node.knowledge() };
+    let told = StateSummary { configuration, ..node.knowledge() };
     notes::hear_knowledge(node, whom, told, now);
     node.notify_catch_up();
 }
@@ -161,7 +163,7 @@
     number: u64,
 ) {
     let Some(age) = node.keys.known.get().age(Instant::now()) else { return };
-    let answer = Note::Fresh {
+    let answer = Note::FreshnessAnswer {
         number,
         // Rounded up: what is said to be known must be.
         age_ms: age.as_millis() as u64 + 1,
@@ -184,7 +186,7 @@
         return behind(node, whom.as_ref(), configuration, now);
     }
     let age = Duration::from_millis(age_ms);
-    let until = node.keys.asking.borrow_mut().answered(number, age);
+    let until = node.keys.asking.borrow_mut().record_answer(number, age);
     if let Some(until) = until {
         node.keys.confirm(until);
     }
--- a/crates/sedgewalld/src/fleet/knowledge.rs
+++ b/crates/sedgewalld/src/fleet/knowledge.rs
@@ -7,12 +7,12 @@
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
     adapter::{AdapterKey, WeightVersion},
-    catch_up::Knowledge,
-    configuration::{ConfigurationVersion, DecidedBy},
-    route::Deployment,
+    catch_up::StateSummary,
+    configuration::{ConfigurationStatus, ConfigurationVersion},
+    route::RoutingConfiguration,
 };
 
-use super::node::FleetNode;
+use super::instance::FleetNode;
 
 impl FleetNode {
     /// Returns the time within which an acknowledged change must be in force.
@@ -21,24 +21,24 @@
     }
 
     /// Returns the configuration in force.
-    pub(crate) fn deployment(&self) -> Option<Rc<Deployment>> {
-        self.deployment.borrow().clone()
+    pub(crate) fn routing(&self) -> Option<Rc<RoutingConfiguration>> {
+        self.routing.borrow().clone()
     }
 
     /// Returns the version of the configuration in force.
     pub(crate) fn configuration_version(
         &self,
     ) -> Option<ConfigurationVersion> {
-        self.deployment.borrow().as_ref().map(|known| known.version)
+        self.routing.borrow().as_ref().map(|known| known.version)
     }
 
     /// Returns by which configuration a request is decided that comes now.
-    pub(crate) fn decides(&self) -> DecidedBy {
+    pub(crate) fn decides(&self) -> ConfigurationStatus {
         let now = Instant::now();
         let version = self.configuration_version();
         let read = self.configuration_read.get();
         let heard = self.catch_up.borrow().newest_heard(now).configuration;
-        DecidedBy {
+        ConfigurationStatus {
             version,
             read_ago: read.map(|at| now.saturating_duration_since(at)),
             newest_heard: heard.max(version.unwrap_or(0)),
@@ -46,10 +46,10 @@
     }
 
     /// Returns how much we have of what all must know.
-    pub(crate) fn knowledge(&self) -> Knowledge {
-        Knowledge {
+    pub(crate) fn knowledge(&self) -> StateSummary {
+        StateSummary {
             configuration: self.configuration_version().unwrap_or(0),
-            versions: self.view.borrow().versions_named(),
+            versions: self.view.borrow().versions_announced(),
             condemned: self.poison.borrow().condemned_len() as u64,
         }
     }
@@ -68,7 +68,7 @@
         version: WeightVersion,
     ) {
         let mut view = self.view.borrow_mut();
-        if !view.name_version(key, version, Instant::now()) {
+        if !view.record_version(key, version, Instant::now()) {
             return;
         }
         drop(view);
@@ -81,7 +81,7 @@
     pub(crate) async fn newer_configuration(&self, within: Duration) {
         let (tx, rx) = oneshot::channel();
         self.configuration_waiters.borrow_mut().push(tx);
-        self.catch_up.borrow_mut().hurry(Instant::now());
+        self.catch_up.borrow_mut().fetch_now(Instant::now());
         self.catch_up_notify.notify();
         // Either way the request is looked at again.
         let _ = compio::time::timeout(within, rx).await;
--- a/crates/sedgewalld/src/fleet/leader.rs
+++ b/crates/sedgewalld/src/fleet/leader.rs
@@ -3,9 +3,11 @@
 use std::{rc::Rc, time::Duration};
 
 use sedgewall_clock::Instant;
-use sedgewall_fleet::{loader::Loader, store_rate::StoreRate};
+use sedgewall_fleet::{
+    load_rate_limiter::LoadRateLimiter, placement::PlacementPlanner,
+};
 
-use super::{node::FleetNode, orders::Orders};
+use super::{instance::FleetNode, orders::Orders};
 use crate::process;
 
 /// How often the holder looks at demand when nothing waits.
@@ -50,14 +52,14 @@
             epoch = Some(held.epoch);
             node.view.borrow_mut().stop_ordering(now);
             let window = Duration::from_secs_f64(node.fleet.store_window_s);
-            let rate = StoreRate::new(window, node.fleet.store_overage);
-            let loader = Loader::new(held.epoch, rate, now);
+            let rate = LoadRateLimiter::new(window, node.fleet.store_overage);
+            let loader = PlacementPlanner::new(held.epoch, rate, now);
             *orders.loader.borrow_mut() = Some(loader);
         }
-        let Some(deployment) = node.deployment() else { continue };
+        let Some(routing) = node.routing() else { continue };
         let planned = match orders.loader.borrow_mut().as_mut() {
             Some(loader) => loader.plan(
-                &deployment,
+                &routing,
                 &mut node.view.borrow_mut(),
                 &mut node.demand.borrow_mut(),
                 &mut node.load_times.borrow_mut(),
@@ -74,9 +76,9 @@
 /// Forgets who asked for what nobody waits for any more.
 fn forget_askers(node: &FleetNode, now: Instant) {
     let demand = node.demand.borrow();
-    node.askers.borrow_mut().retain(|key, _| {
-        demand.get(key).is_some_and(|d| d.is_waited_for(now))
-    });
+    node.askers
+        .borrow_mut()
+        .retain(|key, _| demand.get(key).is_some_and(|d| d.has_waiting(now)));
 }
 
 /// One line a second: what is asked for and what the engines hold.
@@ -84,16 +86,18 @@
     if node.current_lease(now).is_none() {
         return;
     }
-    let Some(deployment) = node.deployment() else { return };
+    let Some(routing) = node.routing() else { return };
     let demand = node.demand.borrow();
     let view = node.view.borrow();
     let mut times = node.load_times.borrow_mut();
-    let (pace, on_way) = (times.pace(), times.on_way(now));
-    for (service, group) in deployment.engines() {
+    let (pace, on_way) = (times.estimate(), times.in_flight(now));
+    for (service, group) in routing.engines() {
         let engines =
             || view.endpoints().filter(|s| s.endpoint.service == service);
         let adapters: usize = engines()
-            .map(|s| s.seats().filter(|(k, _)| k.adapter.is_some()).count())
+            .map(|s| {
+                s.placements().filter(|(k, _)| k.adapter.is_some()).count()
+            })
             .sum();
         let loads_left = orders
             .loader
@@ -109,12 +113,12 @@
             places = group.adapter_places() * engines().count(),
             asked_for = demand.iter().count(),
             waiting =
-                demand.iter().filter(|(_, d)| d.is_waited_for(now)).count(),
+                demand.iter().filter(|(_, d)| d.has_waiting(now)).count(),
             loads_left,
-            load_ms = pace.full_speed.as_millis() as u64,
-            loads_at_once = pace.at_once,
+            load_ms = pace.load_time.as_millis() as u64,
+            loads_at_once = pace.concurrency,
             loads_on_way = on_way,
-            load_answers = times.answers(),
+            load_answers = times.observations(),
             notes_heard = node.work.notes_heard.get(),
             asked_heard = node.work.asked_heard.get(),
             cpu_ms = process::cpu_ms(),
--- a/crates/sedgewalld/src/fleet/lease_store.rs
+++ b/crates/sedgewalld/src/fleet/lease_store.rs
@@ -20,7 +20,7 @@
 use sedgewall_state::id::InstanceId;
 use serde::Deserialize;
 
-use super::{node::FleetNode, note_sender::NoteSender};
+use super::{instance::FleetNode, note_sender::NoteSender};
 
 /// The kind of leases in the store.
 const LEASES_KIND: &str = "sedgewall-leases";
@@ -113,7 +113,7 @@
     node: &FleetNode,
     renewal: &LeaseWrite,
 ) -> (WriteAnswer, Way) {
-    if !node.store_contact.borrow().is_out() {
+    if !node.store_contact.borrow().is_unreachable() {
         let answer = renew_own_way(node, renewal).await;
         if answer != WriteAnswer::Unclear {
             return (answer, Way::Own);
@@ -150,8 +150,12 @@
     renewal: &LeaseWrite,
 ) -> WriteAnswer {
     let now = Instant::now();
-    let mut peers: Vec<InstanceId> =
-        node.last_words.borrow().reaching_store(now).cloned().collect();
+    let mut peers: Vec<InstanceId> = node
+        .store_reports
+        .borrow()
+        .instances_reaching_store(now)
+        .cloned()
+        .collect();
     peers.shuffle(&mut rand::rng());
     for asked in peers.chunks(PEERS_ASKED).take(ROUNDS) {
         let answer = renew_through(node, asked, renewal).await;
@@ -186,7 +190,7 @@
         known_revision: node.view.borrow().newest_revision(),
     };
     for peer in peers {
-        let note = Note::RenewForMe(request.clone());
+        let note = Note::RenewalRequest(request.clone());
         node.letters.borrow_mut().push((peer.clone(), note));
     }
     node.notify_notes();
@@ -212,14 +216,14 @@
         answer = ?answer,
     );
     let view = node.view.borrow();
-    let versions = view.named_versions();
+    let versions = view.newest_versions();
     let answer = RenewalAnswer {
         number,
         answer,
         endpoints: view.entries_since(known_revision),
         versions: versions.map(|(key, v)| (key.clone(), v)).collect(),
     };
-    sender.send_to_peer(node, &from, &Note::Renewed(answer));
+    sender.send_to_peer(node, &from, &Note::RenewalAnswer(answer));
 }
 
 /// Takes in what the store answered to another instance. An answer to an older
@@ -230,7 +234,7 @@
 pub(super) fn hear_answer(node: &FleetNode, heard: RenewalAnswer) {
     let now = Instant::now();
     let mut view = node.view.borrow_mut();
-    view.hear_entries(heard.endpoints, now);
+    view.apply_entries(heard.endpoints, now);
     drop(view);
     for (key, version) in &heard.versions {
         node.name_version(key, *version);
--- a/crates/sedgewalld/src/fleet/follow.rs
+++ b/crates/sedgewalld/src/fleet/list_watch.rs
@@ -7,14 +7,14 @@
 
 use futures_util::{FutureExt, select};
 use sedgewall_clock::Instant;
-use sedgewall_fleet::back_off::{BackOff, Calls};
+use sedgewall_fleet::back_off::{BackOff, CallKind};
 use sedgewall_platform::{
     StoreError,
     config::{CONFIG_KIND, CONFIG_NAME},
     store::{Change, Freshness, Listing, Revision},
 };
 
-use super::{node::FleetNode, notify::Notify};
+use super::{instance::FleetNode, notify::Notify};
 
 /// How long a watch waits, but for that of endpoints. Each call has a price, and what
 /// other instances know in a newer version is listed soon. It is well within the
@@ -71,7 +71,7 @@
 
 /// Starts to follow one kind.
 pub(crate) fn spawn<F: Follower + 'static>(node: &Rc<FleetNode>, follower: F) {
-    compio::runtime::spawn(follow(node.clone(), follower)).detach();
+    compio::runtime::spawn(run(node.clone(), follower)).detach();
 }
 
 /// How far the following of one kind has come.
@@ -89,7 +89,7 @@
     back_off: BackOff,
 }
 
-async fn follow<F: Follower>(node: Rc<FleetNode>, follower: F) {
+async fn run<F: Follower>(node: Rc<FleetNode>, follower: F) {
     let in_force_within = node.in_force_within();
     let mut following = Following {
         node,
@@ -233,11 +233,11 @@
         // that the store is regained, and what was missed.
         let is_list = self.since.take().is_none();
         let calls = match rank_freshness(&self.node) {
-            Freshness::Newest => Calls::Watcher,
-            Freshness::SecondsOld if F::TRIES_FIRST => Calls::First,
-            Freshness::SecondsOld => Calls::Rung,
+            Freshness::Newest => CallKind::Watcher,
+            Freshness::SecondsOld if F::TRIES_FIRST => CallKind::First,
+            Freshness::SecondsOld => CallKind::Notified,
         };
-        let is_out = self.node.store_contact.borrow().is_out();
+        let is_out = self.node.store_contact.borrow().is_unreachable();
         let pause = self.back_off.failed(calls, is_out);
         tracing::info!(
             event = "store_call_failed",
@@ -259,7 +259,7 @@
         loop {
             let left = until.saturating_duration_since(Instant::now());
             let is_notified = notify.wait(left).await;
-            let is_out = self.node.store_contact.borrow().is_out();
+            let is_out = self.node.store_contact.borrow().is_unreachable();
             if !is_notified || !is_out {
                 return;
             }
@@ -313,7 +313,7 @@
             };
             node.store_failed(sent, &err);
             compio::time::sleep(PROBE_AGAIN).await;
-            if !node.store_contact.borrow().is_out() {
+            if !node.store_contact.borrow().is_unreachable() {
                 break;
             }
         }
--- a/crates/sedgewalld/src/fleet/note_sender.rs
+++ b/crates/sedgewalld/src/fleet/note_sender.rs
@@ -14,12 +14,12 @@
 
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    note::{FEW_PEERS, Note, Relayed},
-    relays::{Group, heads, relays},
+    note::{GroupRelay, MAX_DIRECT_PEERS, Note},
+    relays::{Group, relays, zone_relays},
 };
 use sedgewall_state::id::InstanceId;
 
-use super::node::FleetNode;
+use super::instance::FleetNode;
 
 /// The longest datagram that IPv4 carries, less some room for its head.
 pub(crate) const LARGEST_NOTE: usize = 60_000;
@@ -54,7 +54,7 @@
     /// Sends a note to all other instances, through relays if there are many.
     pub(crate) fn broadcast(&self, node: &FleetNode, note: &Note) {
         let peers = node.peers.borrow();
-        if peers.len() <= FEW_PEERS {
+        if peers.len() <= MAX_DIRECT_PEERS {
             let Some(bytes) = encode(note) else { return };
             if peers.is_empty() {
                 for address in node.heard_addresses() {
@@ -70,8 +70,10 @@
         let (now, view) = (Instant::now(), node.view.borrow());
         let zones = peers.iter().map(|(id, peer)| (id, &peer.zone));
         let own = &node.settings.zone;
-        for id in heads(zones, own, |id| view.hears(id, now), turn) {
-            let for_zone = Note::ForZone(note.clone().into());
+        for id in
+            zone_relays(zones, own, |id| view.is_live_peer(id, now), turn)
+        {
+            let for_zone = Note::ZoneRelay(note.clone().into());
             self.send_to(peers[id].address, &for_zone);
         }
         drop(view);
@@ -86,10 +88,12 @@
         let own = &node.settings.zone;
         let zones = peers.iter().map(|(id, peer)| (id, &peer.zone));
         let zones = zones.filter(|(_, zone)| *zone == own);
-        for (id, group) in relays(zones, |id| view.hears(id, now), turn) {
+        for (id, group) in relays(zones, |id| view.is_live_peer(id, now), turn)
+        {
             let Group { index, count } = group;
-            let relayed = Relayed { index, count, note: note.clone().into() };
-            self.send_to(peers[id].address, &Note::Relayed(relayed));
+            let relayed =
+                GroupRelay { index, count, note: note.clone().into() };
+            self.send_to(peers[id].address, &Note::GroupRelay(relayed));
         }
     }
 
@@ -101,11 +105,11 @@
     }
 
     /// Passes a note on to the rest of its group.
-    pub(crate) fn pass_on(&self, node: &FleetNode, relayed: &Relayed) {
+    pub(crate) fn pass_on(&self, node: &FleetNode, relayed: &GroupRelay) {
         let Some(bytes) = encode(&relayed.note) else { return };
         let group = Group { index: relayed.index, count: relayed.count };
         for (id, peer) in node.peers.borrow().iter() {
-            if peer.zone == node.settings.zone && group.has(id) {
+            if peer.zone == node.settings.zone && group.contains(id) {
                 self.send(peer.address, &bytes);
             }
         }
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -11,15 +11,15 @@
 use futures_util::StreamExt;
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    loader::Loader,
     note::{Note, Placed, Removed},
     order::{Order, Task},
-    view::AnsweredSend,
+    placement::PlacementPlanner,
+    view::AnsweredRequest,
 };
 use sedgewall_platform::engine::{self, Holder, OrderAnswer, ReportError};
 use sedgewall_state::id::{EndpointId, Epoch};
 
-use super::{announcements, node::FleetNode, note_sender::NoteSender};
+use super::{announcements, instance::FleetNode, note_sender::NoteSender};
 
 /// What must be left of the lease when an order goes out: an order travels,
 /// and its engine may hear it only while the lease holds.
@@ -46,7 +46,7 @@
 pub(crate) struct Orders {
     node: Rc<FleetNode>,
     sender: Rc<NoteSender>,
-    pub(crate) loader: Rc<RefCell<Option<Loader>>>,
+    pub(crate) loader: Rc<RefCell<Option<PlacementPlanner>>>,
     queues: Rc<RefCell<HashMap<EndpointId, mpsc::UnboundedSender<Batch>>>>,
 }
 
@@ -133,7 +133,7 @@
             epoch,
             lease_is_current = self.may_order(epoch),
         );
-        order.take_back(&mut self.node.view.borrow_mut());
+        order.revert(&mut self.node.view.borrow_mut());
         self.forget_load(order);
     }
 
@@ -151,13 +151,13 @@
                     event = "engine_synced",
                     endpoint = order.endpoint,
                     orders_taken = report.orders_taken,
-                    coming = report.coming.len(),
+                    coming = report.loading.len(),
                     born = report.born,
                 );
                 let now = Instant::now();
                 let mut view = self.node.view.borrow_mut();
                 let is_of_this_life =
-                    view.hear_report(&order.endpoint, &report, now);
+                    view.apply_report(&order.endpoint, &report, now);
                 taken.count = is_of_this_life.then_some(report.orders_taken);
             }
             Ok(_) => {
@@ -177,13 +177,13 @@
     }
 
     fn is_resting(&self, endpoint: &EndpointId) -> bool {
-        self.node.view.borrow().is_resting(endpoint, Instant::now())
+        self.node.view.borrow().is_cooling_down(endpoint, Instant::now())
     }
 
     fn hear_rest(&self, endpoint: &EndpointId, rest: Duration) {
-        let answered = AnsweredSend {
+        let answered = AnsweredRequest {
             endpoint: endpoint.clone(),
-            born: self.node.view.borrow().life(endpoint),
+            born: self.node.view.borrow().incarnation(endpoint),
             sent: Instant::now(),
         };
         announcements::hear_rest(&self.node, &answered, rest, "order");
@@ -204,7 +204,7 @@
         order: &Order,
         taken: u64,
     ) -> Option<u64> {
-        let born = self.node.view.borrow().life(&order.endpoint);
+        let born = self.node.view.borrow().incarnation(&order.endpoint);
         if let Task::Unload(key) = &order.task {
             let (endpoint, key) = (order.endpoint.clone(), key.clone());
             let removed = Removed { epoch, endpoint, key, born };
@@ -232,14 +232,14 @@
             took_ms = sent.elapsed().as_millis() as u64,
         );
         metrics::counter!("sedgewall_orders_total").increment(1);
-        if self.node.view.borrow().life(&order.endpoint) != born {
+        if self.node.view.borrow().incarnation(&order.endpoint) != born {
             // Whatever its engine said, it has started again since and forgotten it.
             tracing::info!(
                 event = "order_outlived",
                 endpoint = order.endpoint
             );
             self.forget_load(order);
-            order.take_back(&mut self.node.view.borrow_mut());
+            order.revert(&mut self.node.view.borrow_mut());
             return None;
         }
         let count = match (&answer, &order.task) {
@@ -272,7 +272,7 @@
             }
         }
         if count.is_none() {
-            order.take_back(&mut self.node.view.borrow_mut());
+            order.revert(&mut self.node.view.borrow_mut());
         }
         count
     }
@@ -289,7 +289,7 @@
     fn note_taken(&self, order: &Order) {
         let Task::Load(key, _) = &order.task else { return };
         let mut times = self.node.load_times.borrow_mut();
-        times.order_taken(&order.endpoint, key, Instant::now());
+        times.order_accepted(&order.endpoint, key, Instant::now());
     }
 
     /// Notes that an engine held the adapter already: nothing is loaded, so that
@@ -298,15 +298,15 @@
         let Task::Load(key, _) = &order.task else { return };
         self.forget_load(order);
         let mut view = self.node.view.borrow_mut();
-        view.was_there(&order.endpoint, key, Instant::now());
+        view.mark_present(&order.endpoint, key, Instant::now());
     }
 
     fn tell_placed(&self, epoch: Epoch, order: &Order, is_cold: bool) {
         let Task::Load(key, version) = &order.task else { return };
         let now = Instant::now();
         let mut view = self.node.view.borrow_mut();
-        let ready_in = view.order_taken(&order.endpoint, key, now);
-        let born = view.life(&order.endpoint);
+        let ready_in = view.order_accepted(&order.endpoint, key, now);
+        let born = view.incarnation(&order.endpoint);
         drop(view);
         let ready_in = ready_in.unwrap_or_default();
         let placed = Placed {
--- a/crates/sedgewalld/src/fleet/peers.rs
+++ b/crates/sedgewalld/src/fleet/peers.rs
@@ -9,7 +9,7 @@
 use sedgewall_state::id::InstanceId;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::node::{FleetNode, Peer};
+use super::instance::{FleetNode, Peer};
 
 /// An instance that was not heard for this long after its entry was read is
 /// not there.
@@ -99,7 +99,7 @@
 
     fn is_there(&self, id: &InstanceId, peer: &Peer, now: Instant) -> bool {
         now - peer.known_since < NEW_PEER_FOR
-            || self.view.borrow().hears(id, now)
+            || self.view.borrow().is_live_peer(id, now)
     }
 }
 
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -8,9 +8,9 @@
 
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    life::EndpointLife,
+    incarnation::EndpointIncarnation,
     note::Note,
-    poison::{Condemned, Crash, Loss, TakenIn, Verdict},
+    poison::{Condemned, Crash, Loss, MergeOutcome, Verdict},
     request_digest::RequestDigest,
     view::Target,
 };
@@ -18,7 +18,7 @@
 use sedgewall_transport::Presence;
 
 use super::{
-    attempt::CallerRequest, follow_poison, node::FleetNode, refusal::Reason,
+    attempt::CallerRequest, instance::FleetNode, refusal::Reason, watch_poison,
 };
 
 /// The longest time for an endpoint's machine to say whether it listens: within a
@@ -44,7 +44,7 @@
     };
     log_refused(call, &verdict);
     Err(match runs {
-        0 => Reason::CrashesEndpoints(verdict.back_in),
+        0 => Reason::CrashesEndpoints(verdict.released_in),
         _ => Reason::OutcomeUnknown,
     })
 }
@@ -58,8 +58,8 @@
         path = call.uri.path(),
         customer = call.customer.as_ref().map(|c| c.name.as_str()),
         ended = names(&verdict.endpoints),
-        condemned_ms_ago = verdict.ago.as_millis() as u64,
-        back_in_ms = verdict.back_in.as_millis() as u64,
+        condemned_ms_ago = verdict.condemned_ago.as_millis() as u64,
+        back_in_ms = verdict.released_in.as_millis() as u64,
     );
 }
 
@@ -90,14 +90,15 @@
 /// many callers send alike is at each endpoint that ends. Without that, such a read
 /// was condemned beside a request that ended all three endpoints of a service.
 pub(crate) fn run_lost(node: &FleetNode, call: &CallerRequest, loss: Loss) {
-    if node.good_runs.borrow().has(call.hash(&node.hash_key)) {
+    if node.recent_successes.borrow().contains(call.hash(&node.hash_key)) {
         return;
     }
     let Some(sent) = call.sent_to.borrow().clone() else { return };
     let life = life_of(node, &sent.endpoint);
     let now = Instant::now();
     let mut poison = node.poison.borrow_mut();
-    let crash = poison.lost(&life, call.digest(), sent.at, loss, now);
+    let crash =
+        poison.record_lost_run(&life, call.digest(), sent.at, loss, now);
     drop(poison);
     tell(node, crash);
 }
@@ -105,7 +106,7 @@
 /// Notes that a run of a request ended well: it is none that ends endpoints.
 pub(crate) fn ended_well(node: &FleetNode, call: &CallerRequest) {
     let hash = call.hash(&node.hash_key);
-    node.good_runs.borrow_mut().note(hash, Instant::now());
+    node.recent_successes.borrow_mut().record(hash, Instant::now());
     if !node.poison.borrow().has_suspects() {
         return;
     }
@@ -116,7 +117,7 @@
     let request = &call.facts.request_id;
     tracing::info!(event = "poison_cleared", %digest, request);
     tell_cleared(node, digest);
-    follow_poison::refute(node, digest);
+    watch_poison::refute(node, digest);
 }
 
 /// Looks whether an endpoint is still there, once at a time for each.
@@ -139,7 +140,7 @@
         match presence {
             Presence::Listens => {
                 let mut poison = node.poison.borrow_mut();
-                poison.endpoint_listens(&life, began);
+                poison.endpoint_alive(&life, began);
             }
             Presence::Refuses => life_ended(&node, &life),
             // Its entry will go, or another instance can tell.
@@ -159,7 +160,7 @@
     life_ended(node, &life_of(node, id));
 }
 
-fn life_ended(node: &FleetNode, life: &EndpointLife) {
+fn life_ended(node: &FleetNode, life: &EndpointIncarnation) {
     let now = Instant::now();
     let crash = node.poison.borrow_mut().endpoint_ended(life, now);
     tell(node, crash);
@@ -167,7 +168,7 @@
 
 /// Hears which runs of another instance ended with an endpoint.
 pub(crate) fn hear(node: &FleetNode, crash: &Crash) {
-    let ours = node.poison.borrow_mut().hear(crash, Instant::now());
+    let ours = node.poison.borrow_mut().record_crash(crash, Instant::now());
     tell(node, ours);
 }
 
@@ -183,20 +184,20 @@
     node: &FleetNode,
     condemned: &Condemned,
     from: &str,
-) -> TakenIn {
+) -> MergeOutcome {
     let now = Instant::now();
-    let taken_in = node.poison.borrow_mut().take_in(condemned, now);
+    let taken_in = node.poison.borrow_mut().merge_condemned(condemned, now);
     let digest = condemned.digest;
     match taken_in {
-        TakenIn::News => tracing::info!(
+        MergeOutcome::Added => tracing::info!(
             event = "poison_heard",
             %digest,
             ended = names(&condemned.endpoints),
             condemned_ms_ago = condemned.ms_ago,
             from,
         ),
-        TakenIn::Known => {}
-        TakenIn::Refuted => tell_cleared(node, digest),
+        MergeOutcome::AlreadyKnown => {}
+        MergeOutcome::Refuted => tell_cleared(node, digest),
     }
     taken_in
 }
@@ -218,7 +219,7 @@
         node.outbox.borrow_mut().push(Note::Crashed(crash));
         node.notify_notes();
     }
-    let condemned = node.poison.borrow_mut().take_untold();
+    let condemned = node.poison.borrow_mut().take_newly_condemned();
     for digest in &condemned {
         let verdict = node.poison.borrow().verdict(*digest, Instant::now());
         let endpoints = verdict.map_or(Vec::new(), |v| v.endpoints);
@@ -230,7 +231,7 @@
         );
     }
     if !condemned.is_empty() {
-        follow_poison::notify(node);
+        watch_poison::notify(node);
     }
 }
 
@@ -239,12 +240,12 @@
     node.notify_notes();
 }
 
-fn life_of(node: &FleetNode, id: &EndpointId) -> EndpointLife {
-    let born = node.view.borrow().life(id);
-    EndpointLife { id: id.clone(), born }
+fn life_of(node: &FleetNode, id: &EndpointId) -> EndpointIncarnation {
+    let born = node.view.borrow().incarnation(id);
+    EndpointIncarnation { id: id.clone(), born }
 }
 
-fn names(endpoints: &[EndpointLife]) -> String {
+fn names(endpoints: &[EndpointIncarnation]) -> String {
     let ids: Vec<&str> = endpoints.iter().map(|e| e.id.as_str()).collect();
     ids.join(" ")
 }
--- a/crates/sedgewalld/src/fleet/follow_endpoints.rs
+++ b/crates/sedgewalld/src/fleet/watch_endpoints.rs
@@ -19,7 +19,9 @@
 };
 use sedgewall_state::id::EndpointId;
 
-use super::{follow::Follower, node::FleetNode, notify::Notify, poison};
+use super::{
+    instance::FleetNode, list_watch::Follower, notify::Notify, poison,
+};
 
 /// How long a watch of endpoints waits for a change. A channel that went dead
 /// without a word is noticed after this time; then all is listed anew.
@@ -115,7 +117,7 @@
         // One that is there again belongs to the same life of its endpoint, but
         // what that holds is asked for anew.
         if self.lapsed.borrow_mut().remove(&endpoint.id).is_some() {
-            view.lose_track(&endpoint.id);
+            view.invalidate_contents(&endpoint.id);
         }
         let known = view.get(&endpoint.id);
         let was_draining = known.map(|state| state.endpoint.is_draining);
@@ -130,7 +132,7 @@
                 revision = endpoint.revision,
             );
         }
-        view.list(endpoint, Instant::now());
+        view.apply_entry(endpoint, Instant::now());
     }
 
     /// Takes an endpoint out whose entry was missing at a revision of the store.
@@ -139,7 +141,7 @@
     fn entry_gone(&self, id: &EndpointId, revision: Revision) {
         let now = Instant::now();
         let contact = self.node.store_contact.borrow();
-        let left = contact.entries_return_within(now);
+        let left = contact.missing_entry_grace(now);
         if left.is_zero() {
             take_out(&self.node, id, revision);
             return;
@@ -155,7 +157,7 @@
             endpoint = id,
             revision,
             left_ms = left.as_millis() as u64,
-            known_out_ms_ago = last.map(|last| ms_ago(last.known_out_at())),
+            known_out_ms_ago = last.map(|last| ms_ago(last.unreachable_at())),
         );
         let (node, lapsed) = (self.node.clone(), self.lapsed.clone());
         let id = id.clone();
@@ -176,18 +178,18 @@
 fn take_out(node: &FleetNode, id: &EndpointId, revision: Revision) {
     let now = Instant::now();
     let contact = node.store_contact.borrow();
-    let is_sure = !contact.was_out_within(IN_DOUBT_FOR, now);
+    let is_sure = !contact.was_unreachable_within(IN_DOUBT_FOR, now);
     tracing::info!(event = "endpoint_gone", endpoint = id, revision, is_sure);
     if is_sure {
         poison::endpoint_ended(node, id);
     }
-    node.view.borrow_mut().unlist(id, revision, is_sure, now);
+    node.view.borrow_mut().remove_entry(id, revision, is_sure, now);
 }
 
 /// Tells all others of endpoints that we saw leave: their watches may be late,
 /// or their way to the store cut.
 pub(crate) fn tell_departures(node: &FleetNode) {
-    let untold = node.view.borrow_mut().take_untold();
+    let untold = node.view.borrow_mut().take_unsent_departures();
     if untold.is_empty() {
         return;
     }
--- a/crates/sedgewalld/src/fleet/follow_poison.rs
+++ b/crates/sedgewalld/src/fleet/watch_poison.rs
@@ -13,9 +13,9 @@
 
 use sedgewall_clock::Instant;
 use sedgewall_fleet::{
-    back_off::{BackOff, Calls},
-    life::EndpointLife,
-    poison::{CONDEMNED_FOR, Condemned, TakenIn},
+    back_off::{BackOff, CallKind},
+    incarnation::EndpointIncarnation,
+    poison::{CONDEMNED_FOR, Condemned, MergeOutcome},
     request_digest::RequestDigest,
 };
 use sedgewall_platform::{
@@ -25,8 +25,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    follow::{FRESH_WATCHERS, Follower, QUIET_WATCH},
-    node::FleetNode,
+    instance::FleetNode,
+    list_watch::{FRESH_WATCHERS, Follower, QUIET_WATCH},
     notify::Notify,
     poison,
 };
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct PoisonRecord {
     /// The endpoints that ended under it.
-    endpoints: Vec<EndpointLife>,
+    endpoints: Vec<EndpointIncarnation>,
     /// When it was condemned, in milliseconds of Unix time.
     condemned_unix_ms: u64,
 }
@@ -171,7 +171,7 @@
         let known = KnownRecord {
             revision: object.revision,
             over_at: Instant::now() + left + RECORD_MARGIN,
-            is_refuted: taken_in == TakenIn::Refuted,
+            is_refuted: taken_in == MergeOutcome::Refuted,
         };
         self.node.poison_records.borrow_mut().0.insert(digest, known);
         notify(&self.node);
@@ -232,7 +232,7 @@
                 Err(err) => {
                     let cause = err.to_string();
                     tracing::info!(event = "poison_record_failed", cause);
-                    let pause = back_off.failed(Calls::Watcher, true);
+                    let pause = back_off.failed(CallKind::Watcher, true);
                     compio::time::sleep(pause).await;
                 }
             }
--- a/crates/sedgewalld/src/upkeep.rs
+++ b/crates/sedgewalld/src/upkeep.rs
@@ -10,7 +10,7 @@
 use sedgewall_protocol::engine::{EngineAdapter, EngineReport};
 use sedgewall_state::{
     EngineIdx, Epoch, Incarnation, ShardAction, ShardId,
-    allocation::ASK_EVERY, shard::ReportedSlot,
+    allocation::ALLOCATION_INTERVAL, shard::ReportedSlot,
 };
 
 use crate::{
@@ -64,7 +64,7 @@
             Upkeep::Tick => TICK,
             Upkeep::Reports => report_every(node, shard_id),
             Upkeep::Slow => UPKEEP_EVERY,
-            Upkeep::Store => ASK_EVERY,
+            Upkeep::Store => ALLOCATION_INTERVAL,
         }
     }
 }
@@ -170,7 +170,7 @@
             .collect();
         // Reports lag, so they only count for what is older than the lag.
         let made = asked.checked_sub(REPORT_LAG).unwrap_or(asked);
-        leader.shard.report(engine, &slots, made, now, actions);
+        leader.shard.apply_report(engine, &slots, made, now, actions);
     });
 }
 
@@ -241,7 +241,7 @@
     let membership = node.membership.borrow();
     let Some(peer) = membership.peer(&entry.instance) else { return false };
     let silence = now.saturating_duration_since(entry.heard);
-    peer.last.incarnation == incarnation && silence < ENTRY_SILENCE
+    peer.last_heartbeat.incarnation == incarnation && silence < ENTRY_SILENCE
 }
 
 /// Whether every listed instance knows this epoch.
@@ -251,8 +251,8 @@
         if id == node.id() {
             return true;
         }
-        membership
-            .peer(id)
-            .is_some_and(|peer| leader.acked.contains(&peer.last.incarnation))
+        membership.peer(id).is_some_and(|peer| {
+            leader.acked.contains(&peer.last_heartbeat.incarnation)
+        })
     })
 }
--- a/crates/state/benches/decisions.rs
+++ b/crates/state/benches/decisions.rs
@@ -1,4 +1,5 @@
-//! The time of decisions, at shards of 8, 32 and 128 engines.
+//! The time that the policy takes for a request and for a tick, in shards of
+//! 8, 32 and 128 engines.
 
 #![allow(missing_docs, reason = "criterion's macro makes a public function")]
 
@@ -25,7 +26,8 @@
 }
 
 impl Bench {
-    /// A shard whose slots are full, each adapter with some popularity.
+    /// Returns a shard whose slots all hold an adapter that has been
+    /// requested.
     fn new(engines: usize, adapters: u32) -> Bench {
         let now = Instant::now();
         let limits = StoreLimits { rate_per_s: 1e9, concurrency: 1e6 };
@@ -36,12 +38,12 @@
         for engine in 0..engines {
             let name = engine.to_string();
             let idx = shard.add_engine(&name, SLOTS, SEATS, now);
-            shard.report(idx, &[], now, now, &mut Vec::new());
+            shard.apply_report(idx, &[], now, now, &mut Vec::new());
         }
         let actions = Vec::new();
         let mut bench = Bench { shard, now, next: 0, adapters, actions };
         for adapter in 0..(engines * SLOTS) as u32 {
-            bench.cold(adapter);
+            bench.run_cold_request(adapter);
         }
         bench.now += Duration::from_secs(1);
         bench
@@ -63,16 +65,17 @@
         self.next
     }
 
-    /// A request for a loaded adapter, from submission to end.
-    fn resident(&mut self, adapter: AdapterIdx) {
+    /// Submits and finishes a request for an adapter that an engine holds.
+    fn run_resident_request(&mut self, adapter: AdapterIdx) {
         let id = self.submit(adapter);
         let end = RequestEnd::Finished;
         self.shard.finish(id, end, self.now, &mut self.actions);
         black_box(&self.actions);
     }
 
-    /// A request for an adapter that must be loaded, with its load.
-    fn cold(&mut self, adapter: AdapterIdx) {
+    /// Submits a request for an adapter that no engine holds, completes its
+    /// load, and finishes the request.
+    fn run_cold_request(&mut self, adapter: AdapterIdx) {
         let id = self.submit(adapter);
         let order = self.actions.iter().find_map(|action| match action {
             ShardAction::Load(order) => Some(*order),
@@ -98,28 +101,28 @@
             let size = format!("{engines} engines, {adapters} adapters");
             let loaded = (engines * SLOTS) as u32;
             let mut bench = Bench::new(engines, adapters);
-            let mut turn = 0u32;
+            let mut iteration = 0u32;
             criterion.bench_with_input(
                 BenchmarkId::new("resident request", &size),
                 &loaded,
                 |b, loaded| {
                     b.iter(|| {
-                        turn = turn.wrapping_add(7);
-                        bench.resident(turn % loaded);
+                        iteration = iteration.wrapping_add(7);
+                        bench.run_resident_request(iteration % loaded);
                     });
                 },
             );
             let mut bench = Bench::new(engines, adapters);
-            let mut turn = 0u32;
+            let mut iteration = 0u32;
             criterion.bench_with_input(
                 BenchmarkId::new("cold request with load", &size),
                 &loaded,
                 |b, loaded| {
                     b.iter(|| {
-                        turn = turn.wrapping_add(1);
+                        iteration = iteration.wrapping_add(1);
                         bench.now += Duration::from_secs(1);
                         let rest = bench.adapters - loaded;
-                        bench.cold(loaded + turn % rest);
+                        bench.run_cold_request(loaded + iteration % rest);
                     });
                 },
             );
--- a/crates/state/src/dispatch.rs
+++ b/crates/state/src/dispatch.rs
@@ -1,9 +1,9 @@
-//! Which waiting request takes a free seat.
+//! Dispatch of waiting requests to free seats.
 //!
-//! Requests are bound late: a request is tied to an engine only when a seat is
-//! free on an engine that has its adapter ready. Priority goes first, then the
-//! deadline. Waiting lifts a request by one class after the aging time, so
-//! that nothing starves.
+//! Requests are bound late: a request is assigned to an engine only when a
+//! seat is free on an engine that has its adapter ready. Requests are ordered
+//! by priority class, then by deadline. Each aging time that a request has
+//! waited raises it by one class, so that no request starves.
 
 use sedgewall_clock::Instant;
 
@@ -15,15 +15,16 @@
     shard::{Grant, Shard, ShardAction},
 };
 
-/// How urgent a waiting request is: the smaller, the sooner.
+/// The key by which waiting requests are ordered; the smallest is dispatched
+/// first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Urgency {
+struct DispatchKey {
     rank: usize,
     deadline: Instant,
 }
 
 impl Shard {
-    /// Grants as many waiting requests of one adapter as find seats.
+    /// Grants waiting requests of one adapter while seats are free.
     pub(crate) fn dispatch_adapter(
         &mut self,
         adapter: AdapterIdx,
@@ -31,7 +32,7 @@
         actions: &mut Vec<ShardAction>,
     ) {
         while let Some(priority) = self.most_urgent_class(adapter, now) {
-            let Some(engine) = self.seat_for(adapter, priority) else {
+            let Some(engine) = self.engine_for(adapter, priority) else {
                 return;
             };
             self.grant_head(adapter, priority, engine, now, actions);
@@ -45,22 +46,23 @@
         now: Instant,
         actions: &mut Vec<ShardAction>,
     ) {
-        while let Some((adapter, priority)) = self.best_for(engine, now) {
+        while let Some((adapter, priority)) = self.next_for_engine(engine, now)
+        {
             self.grant_head(adapter, priority, engine, now, actions);
         }
     }
 
-    /// Returns the engine whose seat a request of one adapter should take.
+    /// Returns the engine on which a request of one adapter should run.
     ///
-    /// The batch weight leans towards the engine with the fullest batch that
-    /// still has a seat, the stall weight towards the emptiest, which keeps
-    /// steps short.
-    pub(crate) fn seat_for(
+    /// If the batch weight exceeds the stall weight, it is the engine with the
+    /// fewest free seats. Otherwise it is the engine with the most, which
+    /// keeps the steps of its batch short.
+    pub(crate) fn engine_for(
         &self,
         adapter: AdapterIdx,
         priority: Priority,
     ) -> Option<EngineIdx> {
-        let packs = self.settings.packs();
+        let prefers_full_batches = self.settings.prefers_full_batches();
         self.adapters[adapter as usize]
             .ready
             .iter()
@@ -74,11 +76,11 @@
             })
             .min_by_key(|idx| {
                 let free = self.engines[*idx as usize].free_seats(priority);
-                if packs { free } else { u32::MAX - free }
+                if prefers_full_batches { free } else { u32::MAX - free }
             })
     }
 
-    fn best_for(
+    fn next_for_engine(
         &self,
         engine: EngineIdx,
         now: Instant,
@@ -87,18 +89,19 @@
         host.slots
             .iter()
             .filter(|slot| slot.state == SlotState::Ready)
-            .filter_map(|slot| self.head_on(engine, slot.adapter, now))
-            .min_by_key(|(urgency, adapter, _)| (*urgency, *adapter))
+            .filter_map(|slot| self.most_urgent_on(engine, slot.adapter, now))
+            .min_by_key(|(key, adapter, _)| (*key, *adapter))
             .map(|(_, adapter, priority)| (adapter, priority))
     }
 
-    /// The most urgent request of an adapter that finds a seat on an engine.
-    fn head_on(
+    /// Returns the key, adapter and priority class of an adapter's most urgent
+    /// request that has a free seat on an engine.
+    fn most_urgent_on(
         &self,
         engine: EngineIdx,
         adapter: AdapterIdx,
         now: Instant,
-    ) -> Option<(Urgency, AdapterIdx, Priority)> {
+    ) -> Option<(DispatchKey, AdapterIdx, Priority)> {
         let host = &self.engines[engine as usize];
         let queue = &self.adapters[adapter as usize].queue;
         Priority::ALL
@@ -106,7 +109,7 @@
             .filter(|priority| host.free_seats(**priority) > 0)
             .filter_map(|priority| {
                 let head = self.waiting.head(queue, *priority)?;
-                Some((self.urgency(head, now), adapter, *priority))
+                Some((self.dispatch_key(head, now), adapter, *priority))
             })
             .min()
     }
@@ -121,18 +124,18 @@
             .iter()
             .filter_map(|priority| {
                 let head = self.waiting.head(queue, *priority)?;
-                Some((self.urgency(head, now), *priority))
+                Some((self.dispatch_key(head, now), *priority))
             })
             .min()
             .map(|(_, priority)| priority)
     }
 
-    fn urgency(&self, request: &Request, now: Instant) -> Urgency {
+    fn dispatch_key(&self, request: &Request, now: Instant) -> DispatchKey {
         let waited = now.saturating_duration_since(request.submitted);
         let aging = self.settings.aging.as_secs_f64().max(0.001);
-        let lifted = (waited.as_secs_f64() / aging) as usize;
-        Urgency {
-            rank: request.priority.rank().saturating_sub(lifted),
+        let raised = (waited.as_secs_f64() / aging) as usize;
+        DispatchKey {
+            rank: request.priority.rank().saturating_sub(raised),
             deadline: request.deadline,
         }
     }
@@ -147,7 +150,7 @@
     ) {
         let queue = &mut self.adapters[adapter as usize].queue;
         let Some(request) = self.waiting.pop(queue, priority) else { return };
-        self.note_queue_change(adapter);
+        self.update_waiting_sets(adapter);
         let grant = Grant {
             adapter,
             engine,
@@ -156,7 +159,7 @@
             expires: now + self.settings.grant_validity,
             request: request.clone(),
         };
-        self.occupy(&grant, now);
+        self.acquire_seat(&grant, now);
         self.grants.insert(request.id, grant);
         actions.push(ShardAction::Grant {
             request: request.id,
--- a/crates/state/src/eviction.rs
+++ b/crates/state/src/eviction.rs
@@ -1,9 +1,9 @@
-//! Which adapter leaves an engine to make room.
+//! Eviction: the choice of the adapter that a load replaces on an engine.
 //!
-//! The victim is the idle adapter with the least expected need per replica.
-//! The module keeps one invariant: an adapter with granted or running requests
-//! is never a victim. Where every slot is busy, a slot may be *drained*: it
-//! gets nothing new and becomes a victim when its last request ends.
+//! The victim is the idle adapter with the lowest expected request rate per
+//! replica. The module keeps one invariant: an adapter with granted or running
+//! requests is never evicted. If every slot is busy, a slot may be *drained*:
+//! it gets no new requests and can be evicted when its last request ends.
 
 use std::time::Duration;
 
@@ -15,75 +15,97 @@
     shard::Shard,
 };
 
-/// A place for a load, with what has to leave.
+/// The engine for a load, the adapter to evict there, and the cost, in
+/// expected requests per second.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Place {
+pub(crate) struct PlacementTarget {
     pub(crate) engine: EngineIdx,
     pub(crate) evict: Option<AdapterIdx>,
     pub(crate) cost: f64,
 }
 
-/// A freshly loaded adapter is kept at least this long once idle, because the
-/// requests that it was loaded for are often followed by more.
-const MIN_STAY: Duration = Duration::from_millis(500);
+/// The shortest time for which an adapter stays resident after its last use,
+/// because the requests that it was loaded for are often followed by more.
+const MIN_RESIDENCY: Duration = Duration::from_millis(500);
 
-/// What a full batch costs (or, where batches count more, earns) against a
-/// victim's need in requests per second.
+/// The cost of placing a load on an engine whose batch is full, in the unit of
+/// a victim's retention value, requests per second. If full batches are
+/// preferred, it is a gain.
 const BUSY_COST: f64 = 0.05;
 
 impl Shard {
-    /// Returns the cheapest place for an adapter, if there is one.
-    pub(crate) fn cheapest_place(
+    /// Returns the target with the lowest cost for the load of an adapter, if
+    /// there is any.
+    pub(crate) fn cheapest_target(
         &self,
         adapter: AdapterIdx,
         now: Instant,
-    ) -> Option<Place> {
+    ) -> Option<PlacementTarget> {
         (0..self.engines.len() as EngineIdx)
-            .filter_map(|engine| self.place_on(engine, adapter, now))
+            .filter_map(|engine| self.target_on(engine, adapter, now))
             .min_by(|a, b| a.cost.total_cmp(&b.cost))
     }
 
-    fn place_on(
+    fn target_on(
         &self,
         engine: EngineIdx,
         adapter: AdapterIdx,
         now: Instant,
-    ) -> Option<Place> {
+    ) -> Option<PlacementTarget> {
         let host = &self.engines[engine as usize];
         if !host.may_load(now) || host.slot(adapter).is_some() {
             return None;
         }
         let busy =
             f64::from(host.running_len()) / f64::from(host.seats.max(1));
-        let busy_cost = busy * BUSY_COST * self.settings.spread();
+        let busy_cost = busy * BUSY_COST * self.settings.spread_preference();
         if host.has_empty_slot() {
-            return Some(Place { engine, evict: None, cost: busy_cost });
+            return Some(PlacementTarget {
+                engine,
+                evict: None,
+                cost: busy_cost,
+            });
         }
         let (victim, need) = host
             .idle_slots(now)
             .filter(|slot| self.is_evictable(slot, now))
-            .map(|slot| (slot.adapter, self.keep_value(slot.adapter, now)))
+            .map(|slot| {
+                (slot.adapter, self.retention_value(slot.adapter, now))
+            })
             .min_by(|a, b| a.1.total_cmp(&b.1))?;
-        Some(Place { engine, evict: Some(victim), cost: need + busy_cost })
+        Some(PlacementTarget {
+            engine,
+            evict: Some(victim),
+            cost: need + busy_cost,
+        })
     }
 
     fn is_evictable(&self, slot: &Slot, now: Instant) -> bool {
-        let stayed = now.saturating_duration_since(slot.used);
+        let stayed = now.saturating_duration_since(slot.last_used);
         slot.state == SlotState::Draining
-            || (stayed >= MIN_STAY
+            || (stayed >= MIN_RESIDENCY
                 && self.adapters[slot.adapter as usize].queue.is_empty())
     }
 
-    /// Returns what one replica of an adapter is worth, in expected requests
-    /// per second.
-    pub(crate) fn keep_value(&self, idx: AdapterIdx, now: Instant) -> f64 {
+    /// Returns the value of retaining one replica of an adapter: the expected
+    /// requests per second, divided by the number of replicas.
+    pub(crate) fn retention_value(
+        &self,
+        idx: AdapterIdx,
+        now: Instant,
+    ) -> f64 {
         let adapter = &self.adapters[idx as usize];
         let replicas = adapter.ready.len() + adapter.loading.len();
         adapter.rate_per_s(now) / replicas.max(1) as f64
     }
 
-    /// Starts to drain the busy slot that is worth least, for an adapter that
-    /// has waited too long. Returns whether a slot drains now.
+    /// Starts to drain a busy slot for an adapter for which there is no
+    /// placement target: the slot with the lowest sum of running requests and
+    /// retention value, of those whose own queue weighs less than that of the
+    /// adapter.
+    ///
+    /// Returns whether a drain was started. At most one slot of the shard
+    /// drains at a time.
     pub(crate) fn drain_for(
         &mut self,
         adapter: AdapterIdx,
@@ -102,7 +124,7 @@
             return false;
         };
         slot.state = SlotState::Draining;
-        self.note_queue_change(victim);
+        self.update_waiting_sets(victim);
         true
     }
 
@@ -122,10 +144,10 @@
             })
             .filter(|(_, slot)| slot.state == SlotState::Ready)
             .map(|(idx, slot)| {
-                let busy = f64::from(slot.granted_len + slot.foreign_len);
+                let busy = f64::from(slot.granted_len + slot.untracked_len);
                 let queued =
                     self.adapters[slot.adapter as usize].queue.weight();
-                let value = self.keep_value(slot.adapter, now);
+                let value = self.retention_value(slot.adapter, now);
                 (idx, slot.adapter, queued, busy + value)
             })
             .filter(|(_, _, queued, _)| *queued < wanted)
--- a/crates/state/src/report.rs
+++ b/crates/state/src/report.rs
@@ -1,8 +1,9 @@
-//! What engines say of themselves, late and with gaps.
+//! Reconciliation of the shard's state with the reports of engines.
 //!
-//! A report shows what we do not know: adapters that are gone, adapters and
-//! requests of a previous leader. It never contradicts what we did after it
-//! was made.
+//! Reports arrive late and may be lost. They show what the leader does not
+//! know: adapters that an engine no longer holds, and adapters and requests of
+//! a previous leader. A report never overrides a load or a grant that the
+//! leader made after the time of the report.
 
 use sedgewall_clock::Instant;
 
@@ -14,35 +15,37 @@
 };
 
 impl Shard {
-    /// Takes in an engine's report: what it holds and runs.
+    /// Applies an engine's report of the adapters that it holds and the number
+    /// of requests that it runs on each.
     ///
-    /// Reports lag, so a report never contradicts a load that we ordered or a
-    /// request that we granted after it was made; it only shows adapters that
-    /// are gone, and running requests that we do not know.
-    pub fn report(
+    /// Reports lag, so a report never overrides a load that was ordered or a
+    /// request that was granted after `report_time`. It only removes adapters
+    /// that the engine no longer holds, and adds adapters and running requests
+    /// that the leader does not know.
+    pub fn apply_report(
         &mut self,
         engine: EngineIdx,
         reported: &[ReportedSlot],
-        made: Instant,
+        report_time: Instant,
         now: Instant,
         actions: &mut Vec<ShardAction>,
     ) {
-        self.note_report(engine, now);
+        self.record_report(engine, now);
         let host = &mut self.engines[engine as usize];
-        let shown = reported.len().min(host.slots_configured);
-        host.slots_len = host.slots_len.max(shown);
-        self.drop_missing(engine, reported, made);
+        let shown = reported.len().min(host.configured_slots);
+        host.slot_capacity = host.slot_capacity.max(shown);
+        self.remove_unreported(engine, reported, report_time);
         for slot in reported {
-            self.note_reported(engine, slot, made, now);
+            self.apply_reported_slot(engine, slot, report_time, now);
         }
         self.dispatch_engine(engine, now, actions);
-        self.place(now, actions);
+        self.schedule_loads(now, actions);
     }
 
-    /// Forgets all that an engine held, because it restarted empty.
+    /// Removes all adapters of an engine that restarted and holds none.
     ///
-    /// Its running requests are settled by the entries, which see their
-    /// connections break.
+    /// The entry instances report the end of the requests that ran on the
+    /// engine, because their connections to it break.
     pub fn engine_restarted(&mut self, idx: EngineIdx, now: Instant) {
         let adapters: Vec<AdapterIdx> = self.engines[idx as usize]
             .slots
@@ -51,37 +54,39 @@
             .collect();
         for adapter in adapters {
             self.abandon_load(idx, adapter);
-            self.vacate(idx, adapter);
+            self.remove_replica(idx, adapter);
         }
         self.set_health(idx, Health::Probation, now);
     }
 
-    pub(crate) fn drop_missing(
+    pub(crate) fn remove_unreported(
         &mut self,
         engine: EngineIdx,
         reported: &[ReportedSlot],
-        made: Instant,
+        report_time: Instant,
     ) {
         let missing: Vec<AdapterIdx> = self.engines[engine as usize]
             .slots
             .iter()
             .filter(|slot| slot.state != SlotState::Loading)
-            .filter(|slot| slot.granted_len == 0 && slot.used < made)
+            .filter(|slot| {
+                slot.granted_len == 0 && slot.last_used < report_time
+            })
             .filter(|slot| {
                 !reported.iter().any(|seen| seen.adapter == slot.adapter)
             })
             .map(|slot| slot.adapter)
             .collect();
         for adapter in missing {
-            self.vacate(engine, adapter);
+            self.remove_replica(engine, adapter);
         }
     }
 
-    pub(crate) fn note_reported(
+    pub(crate) fn apply_reported_slot(
         &mut self,
         engine: EngineIdx,
         reported: &ReportedSlot,
-        made: Instant,
+        report_time: Instant,
         now: Instant,
     ) {
         let idx = reported.adapter;
@@ -89,8 +94,8 @@
         let has_empty_slot = host.has_empty_slot();
         match host.slot_mut(idx) {
             Some(slot) if slot.state == SlotState::Loading => {}
-            Some(slot) if slot.used <= made => {
-                slot.foreign_len =
+            Some(slot) if slot.last_used <= report_time => {
+                slot.untracked_len =
                     reported.running_len.saturating_sub(slot.granted_len);
             }
             Some(_) => {}
@@ -99,12 +104,12 @@
                     adapter: idx,
                     state: SlotState::Ready,
                     granted_len: 0,
-                    foreign_len: reported.running_len,
-                    ready: now,
-                    used: now,
+                    untracked_len: reported.running_len,
+                    ready_at: now,
+                    last_used: now,
                 });
                 self.adapters[idx as usize].ready.push(engine);
-                self.note_queue_change(idx);
+                self.update_waiting_sets(idx);
             }
             None => {}
         }
