--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -1,11 +1,14 @@
-//! One shard: engines of one base model and everything that waits for them.
+//! The state of one shard: engines of one base model and the requests for
+//! them.
 //!
-//! [`Shard`] owns the state and keeps its parts consistent; the choices are in
-//! [`admission`](crate::admission), [`dispatch`](crate::dispatch),
+//! [`Shard`] owns the state and keeps its parts consistent. The decisions are
+//! in [`admission`](crate::admission), [`dispatch`](crate::dispatch),
 //! [`placement`](crate::placement) and [`eviction`](crate::eviction). Each
-//! method takes one event and appends the resulting actions. The invariant of
-//! the whole is that every submitted request gets exactly one grant or one
-//! refusal, unless it is cancelled or its engine gives it back.
+//! method takes one event and appends the resulting actions.
+//!
+//! The invariant is that every submitted request gets exactly one grant or one
+//! refusal, unless it is cancelled, its entry instance is lost, or it is
+//! requeued because its engine rejected it.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -20,7 +23,7 @@
 };
 use crate::{
     adapter::Adapter,
-    admission::{Overload, RefusalReason},
+    admission::{OverloadDetector, RefusalReason},
     allocation::StoreDemand,
     budget::{LoadBudget, StoreLimits},
     engine::{Engine, Health, SlotState},
@@ -28,35 +31,41 @@
     queue::{Request, WaitingRequests},
 };
 
-/// The state of one shard.
+/// The scheduling state of one shard, which its leader holds in memory.
 #[derive(Debug)]
 pub struct Shard {
     pub(crate) settings: PolicySettings,
     pub(crate) adapters: Vec<Adapter>,
     pub(crate) engines: Vec<Engine>,
     pub(crate) waiting: WaitingRequests,
-    /// Granted requests; those of one entry stand together, because an id
-    /// begins with its entry's incarnation.
+    /// The grants that have not ended. Those of one entry instance are
+    /// adjacent, because a request id begins with the incarnation of its entry
+    /// instance.
     pub(crate) grants: BTreeMap<RequestId, Grant>,
-    /// Adapters that something waits for and no engine holds or loads.
+    /// Adapters with waiting requests that no available engine serves or
+    /// loads.
     pub(crate) unplaced: BTreeSet<AdapterIdx>,
-    /// Adapters that something waits for although an engine holds them.
-    pub(crate) crowded: BTreeSet<AdapterIdx>,
+    /// Adapters with waiting requests that an available engine serves.
+    pub(crate) backlogged: BTreeSet<AdapterIdx>,
     pub(crate) budget: LoadBudget,
-    /// The smoothed time that a request holds its seat, in seconds.
+    /// The moving average of the time for which a request holds its seat, in
+    /// seconds.
     pub(crate) service_s: f64,
-    pub(crate) overload: Overload,
-    /// The next adapter to be looked at for prefetching.
+    pub(crate) overload: OverloadDetector,
+    /// The next adapter to be considered for prefetching.
     pub(crate) prefetch_cursor: AdapterIdx,
     pub(crate) engine_by_id: HashMap<EndpointId, EngineIdx>,
     pub(crate) load_started: HashMap<(EngineIdx, AdapterIdx), Instant>,
 }
 
+/// The weight of a new sample in the moving average of the service time.
 const SERVICE_SMOOTHING: f64 = 0.05;
+
+/// The service time that is assumed before the first sample, in seconds.
 const DEFAULT_SERVICE_S: f64 = 2.0;
 
 impl Shard {
-    /// Returns a shard without engines.
+    /// Returns a shard without engines and adapters.
     pub fn new(
         settings: PolicySettings,
         limits: StoreLimits,
@@ -69,17 +78,18 @@
             waiting: WaitingRequests::default(),
             grants: BTreeMap::new(),
             unplaced: BTreeSet::new(),
-            crowded: BTreeSet::new(),
+            backlogged: BTreeSet::new(),
             budget: LoadBudget::new(limits, now),
             service_s: DEFAULT_SERVICE_S,
-            overload: Overload::default(),
+            overload: OverloadDetector::default(),
             prefetch_cursor: 0,
             engine_by_id: HashMap::new(),
             load_started: HashMap::new(),
         }
     }
 
-    /// Replaces settings and limits; nothing that waits or runs is touched.
+    /// Replaces the settings and the limits of the weight store. Waiting and
+    /// granted requests and loads in flight are not affected.
     pub fn reconfigure(
         &mut self,
         settings: PolicySettings,
@@ -96,12 +106,14 @@
         (self.adapters.len() - 1) as AdapterIdx
     }
 
-    /// Marks an adapter version as named, or not, by the configuration.
+    /// Sets whether the current configuration contains an adapter version.
+    /// Requests for other adapter versions are refused.
     pub fn set_configured(&mut self, idx: AdapterIdx, is_configured: bool) {
         self.adapters[idx as usize].is_configured = is_configured;
     }
 
-    /// Declares that an adapter will be asked for, until a time.
+    /// Sets the rate of requests that an operator expects for an adapter until
+    /// a time.
     pub fn expect_rate(
         &mut self,
         idx: AdapterIdx,
@@ -113,47 +125,50 @@
         adapter.expected_until = Some(until);
     }
 
-    /// Returns an adapter version's state.
+    /// Returns the state of an adapter version.
     pub fn adapter(&self, idx: AdapterIdx) -> &Adapter {
         &self.adapters[idx as usize]
     }
 
-    /// Returns the number of adapter versions ever added.
+    /// Returns the number of adapter versions that were added, including those
+    /// that the configuration no longer contains.
     pub fn adapters_len(&self) -> usize {
         self.adapters.len()
     }
 
-    /// Returns all engines, by index.
+    /// Returns all engines that were added, by index, including those that are
+    /// leaving.
     pub fn engines(&self) -> &[Engine] {
         &self.engines
     }
 
-    /// Returns the index of an engine that was added before.
+    /// Returns the index of the engine with an endpoint id, if it was added.
     pub fn engine_idx(&self, endpoint: &str) -> Option<EngineIdx> {
         self.engine_by_id.get(endpoint).copied()
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of waiting requests.
     pub fn waiting_len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Returns the number of requests that hold a seat.
+    /// Returns the number of granted requests, each of which holds a seat.
     pub fn granted_len(&self) -> usize {
         self.grants.len()
     }
 
-    /// Returns the grant of a request.
+    /// Returns the grant of a request, if the request holds a seat.
     pub fn grant(&self, id: RequestId) -> Option<&Grant> {
         self.grants.get(&id)
     }
 
-    /// Returns whether a request waits here.
+    /// Returns whether a request waits in this shard.
     pub fn is_waiting(&self, id: RequestId) -> bool {
         self.waiting.contains(id)
     }
 
-    /// Returns what the shard would do with the weight store.
+    /// Returns the shard's demand for the weight store, by which the allocator
+    /// divides it: the requests that wait for a load, and their adapters.
     pub fn store_demand(&self) -> StoreDemand {
         let waiting = self.unplaced.iter();
         let waiting_weight = waiting
@@ -163,29 +178,31 @@
         StoreDemand { waiting_weight, adapters }
     }
 
-    /// Replaces the shard's part of the weight store.
+    /// Replaces the shard's limits of the weight store.
     pub fn set_store_limits(&mut self, limits: StoreLimits) {
         self.budget.set_limits(limits);
     }
 
-    /// Returns the loads under way.
+    /// Returns the number of loads in flight.
     pub fn loads_in_flight(&self) -> u32 {
         self.budget.in_flight()
     }
 
-    /// Adds an engine, or brings a leaving one back, and returns its index.
+    /// Adds an engine or updates a known one, and returns its index.
+    ///
+    /// A known engine that is leaving returns to service on probation.
     pub fn add_engine(
         &mut self,
         endpoint: &str,
-        slots_len: usize,
+        slot_capacity: usize,
         seats: u32,
         now: Instant,
     ) -> EngineIdx {
         if let Some(idx) = self.engine_idx(endpoint) {
             let engine = &mut self.engines[idx as usize];
-            if engine.slots_configured != slots_len {
-                engine.slots_configured = slots_len;
-                engine.slots_len = slots_len;
+            if engine.configured_slots != slot_capacity {
+                engine.configured_slots = slot_capacity;
+                engine.slot_capacity = slot_capacity;
             }
             engine.seats = seats;
             if engine.health == Health::Leaving {
@@ -194,27 +211,30 @@
             return idx;
         }
         let idx = self.engines.len() as EngineIdx;
-        let engine = Engine::new(endpoint.to_owned(), slots_len, seats, now);
+        let engine =
+            Engine::new(endpoint.to_owned(), slot_capacity, seats, now);
         self.engines.push(engine);
         self.engine_by_id.insert(endpoint.to_owned(), idx);
         idx
     }
 
-    /// Forbids evictions on an engine until a time, because requests that a
-    /// previous leader granted may still arrive.
-    pub fn guard_engine(&mut self, idx: EngineIdx, until: Instant) {
+    /// Forbids evictions on an engine until a time.
+    ///
+    /// Requests that a previous leader granted may still arrive at the engine
+    /// and need their adapter.
+    pub fn defer_evictions(&mut self, idx: EngineIdx, until: Instant) {
         self.engines[idx as usize].evict_after = until;
     }
 
-    /// Stops new work for an engine that is leaving.
-    pub fn leave_engine(&mut self, idx: EngineIdx, now: Instant) {
+    /// Marks an engine as leaving, so that it gets no new requests and loads.
+    pub fn mark_engine_leaving(&mut self, idx: EngineIdx, now: Instant) {
         self.set_health(idx, Health::Leaving, now);
     }
 
-    /// Takes in a request.
+    /// Admits a request to the queue or refuses it, then dispatches.
     ///
-    /// A request that already waits or runs is ignored, so a resubmission
-    /// after a lost message is harmless.
+    /// A request that already waits or holds a seat is ignored, so that an
+    /// entry instance may resubmit a request after a lost message.
     pub fn submit(
         &mut self,
         mut request: Request,
@@ -241,24 +261,27 @@
         let adapter = &mut self.adapters[idx as usize];
         request.was_resident = is_served;
         self.waiting.push(&mut adapter.queue, request);
-        self.note_queue_change(idx);
+        self.update_waiting_sets(idx);
         self.dispatch_adapter(idx, now, actions);
-        self.place(now, actions);
+        self.schedule_loads(now, actions);
     }
 
-    /// Forgets a request that its caller gave up, waiting or running.
+    /// Removes a request whose caller disconnected, whether it waits or runs.
     pub fn cancel(
         &mut self,
         id: RequestId,
         now: Instant,
         actions: &mut Vec<ShardAction>,
     ) {
-        if self.take_waiting(id).is_none() {
+        if self.remove_waiting(id).is_none() {
             self.finish(id, RequestEnd::Finished, now, actions);
         }
     }
 
-    /// Notes how a granted request ended and reuses its seat.
+    /// Records the outcome of a granted request and dispatches to its seat.
+    ///
+    /// A request without a grant is ignored, so that a repeated message is
+    /// harmless.
     pub fn finish(
         &mut self,
         id: RequestId,
@@ -267,36 +290,38 @@
         actions: &mut Vec<ShardAction>,
     ) {
         let Some(grant) = self.grants.remove(&id) else { return };
-        self.release(&grant);
+        self.release_seat(&grant);
         match end {
-            RequestEnd::Finished => self.learn_service_time(&grant, now),
+            RequestEnd::Finished => self.record_service_time(&grant, now),
             RequestEnd::NotLoaded => {
-                self.forget_slot(&grant);
-                self.put_back(&grant);
+                self.remove_stale_replica(&grant);
+                self.requeue(&grant);
             }
             RequestEnd::Unreachable => {
                 if self.engines[grant.engine as usize].takes_work() {
                     self.set_health(grant.engine, Health::Silent, now);
                 }
-                self.put_back(&grant);
+                self.requeue(&grant);
             }
-            RequestEnd::Failed => self.suspect(grant.engine, now),
+            RequestEnd::Failed => self.put_on_probation(grant.engine, now),
         }
         self.dispatch_engine(grant.engine, now, actions);
         self.dispatch_adapter(grant.adapter, now, actions);
-        self.place(now, actions);
+        self.schedule_loads(now, actions);
     }
 
-    /// Does what time alone causes: deadlines, silence, loads that can now
-    /// start. Call it at least ten times a second.
+    /// Handles events that only the passing of time causes: deadlines, silent
+    /// engines, and loads that may now start. Must be called at least ten
+    /// times a second.
     pub fn tick(&mut self, now: Instant, actions: &mut Vec<ShardAction>) {
         self.refuse_expired(now, actions);
         self.check_health(now);
-        self.place(now, actions);
+        self.schedule_loads(now, actions);
         self.prefetch_next(now, actions);
     }
 
-    /// Gives up all waiting requests, because the shard is led elsewhere now.
+    /// Refuses all waiting requests, because another instance leads the shard
+    /// now.
     pub fn refuse_all(
         &mut self,
         reason: RefusalReason,
@@ -306,35 +331,35 @@
             self.waiting.iter().map(|request| request.id).collect();
         ids.sort_unstable();
         for id in ids {
-            self.take_waiting(id);
+            self.remove_waiting(id);
             let refusal = self.refusal(reason, id, Duration::ZERO);
             actions.push(ShardAction::Refuse { request: id, refusal });
         }
     }
 
-    pub(crate) fn take_waiting(&mut self, id: RequestId) -> Option<Request> {
+    pub(crate) fn remove_waiting(&mut self, id: RequestId) -> Option<Request> {
         let idx = self.waiting.get(id)?.adapter;
         let queue = &mut self.adapters[idx as usize].queue;
         let request = self.waiting.remove(queue, id);
-        self.note_queue_change(idx);
+        self.update_waiting_sets(idx);
         request
     }
 
-    /// Keeps `unplaced` and `crowded` in step with one adapter.
-    pub(crate) fn note_queue_change(&mut self, idx: AdapterIdx) {
+    /// Recomputes whether one adapter belongs to `unplaced` and `backlogged`.
+    pub(crate) fn update_waiting_sets(&mut self, idx: AdapterIdx) {
         let adapter = &self.adapters[idx as usize];
         let waits = !adapter.queue.is_empty();
         let is_served = self.is_served(idx);
         let is_coming = self.is_loading(idx);
         let is_unplaced = waits && !is_served && !is_coming;
         set_membership(&mut self.unplaced, idx, is_unplaced);
-        set_membership(&mut self.crowded, idx, waits && is_served);
+        set_membership(&mut self.backlogged, idx, waits && is_served);
     }
 
-    /// Returns whether some engine that takes work has an adapter ready.
+    /// Returns whether an available engine serves an adapter.
     ///
-    /// A replica on a leaving or silent engine, or in a slot that is being
-    /// drained, serves nobody who comes now.
+    /// A replica on a leaving or silent engine, or in a draining slot, does
+    /// not count, because it takes no new requests.
     pub fn is_served(&self, idx: AdapterIdx) -> bool {
         self.adapters[idx as usize].ready.iter().any(|engine| {
             let engine = &self.engines[*engine as usize];
@@ -344,7 +369,7 @@
         })
     }
 
-    /// Returns whether some engine that takes work is loading an adapter.
+    /// Returns whether an available engine is loading an adapter.
     pub fn is_loading(&self, idx: AdapterIdx) -> bool {
         self.adapters[idx as usize]
             .loading
@@ -352,16 +377,16 @@
             .any(|engine| self.engines[*engine as usize].takes_work())
     }
 
-    pub(crate) fn occupy(&mut self, grant: &Grant, now: Instant) {
+    pub(crate) fn acquire_seat(&mut self, grant: &Grant, now: Instant) {
         let engine = &mut self.engines[grant.engine as usize];
         engine.running[grant.priority.rank()] += 1;
         if let Some(slot) = engine.slot_mut(grant.adapter) {
             slot.granted_len += 1;
-            slot.used = now;
+            slot.last_used = now;
         }
     }
 
-    pub(crate) fn release(&mut self, grant: &Grant) {
+    pub(crate) fn release_seat(&mut self, grant: &Grant) {
         let engine = &mut self.engines[grant.engine as usize];
         let count = &mut engine.running[grant.priority.rank()];
         *count = count.saturating_sub(1);
@@ -370,29 +395,30 @@
         }
     }
 
-    pub(crate) fn learn_service_time(&mut self, grant: &Grant, now: Instant) {
+    pub(crate) fn record_service_time(&mut self, grant: &Grant, now: Instant) {
         let took = now.saturating_duration_since(grant.granted).as_secs_f64();
         let share = SERVICE_SMOOTHING;
         self.service_s = (1.0 - share) * self.service_s + share * took;
     }
 
-    /// Believes an engine that it does not hold an adapter, unless it was
-    /// loaded after the grant.
-    fn forget_slot(&mut self, grant: &Grant) {
+    /// Removes a replica after its engine rejected a request because it does
+    /// not hold the adapter, unless the adapter was loaded after the grant.
+    fn remove_stale_replica(&mut self, grant: &Grant) {
         let is_gone = self.engines[grant.engine as usize]
             .slot(grant.adapter)
             .is_some_and(|slot| {
-                slot.state != SlotState::Loading && slot.ready <= grant.granted
+                slot.state != SlotState::Loading
+                    && slot.ready_at <= grant.granted
             });
         if is_gone {
-            self.vacate(grant.engine, grant.adapter);
+            self.remove_replica(grant.engine, grant.adapter);
         }
     }
 
-    fn put_back(&mut self, grant: &Grant) {
+    fn requeue(&mut self, grant: &Grant) {
         let adapter = &mut self.adapters[grant.adapter as usize];
         self.waiting.push_front(&mut adapter.queue, grant.request.clone());
-        self.note_queue_change(grant.adapter);
+        self.update_waiting_sets(grant.adapter);
     }
 
     fn refuse_expired(
@@ -401,7 +427,7 @@
         actions: &mut Vec<ShardAction>,
     ) {
         for id in self.waiting.expired(now) {
-            self.take_waiting(id);
+            self.remove_waiting(id);
             let reason = RefusalReason::DeadlinePassed;
             let refusal = self.refusal(reason, id, Duration::ZERO);
             actions.push(ShardAction::Refuse { request: id, refusal });
--- a/crates/state/tests/allocation_rules.rs
+++ b/crates/state/tests/allocation_rules.rs
@@ -1,4 +1,4 @@
-//! The division of the weight store.
+//! The allocation of the weight store's limits to shards.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use sedgewall_clock::Instant;
 use sedgewall_state::{
     allocation::{
-        ALLOTMENT_VALIDITY, Allocator, StoreDemand, divide, guaranteed,
+        ALLOTMENT_VALIDITY, Allocator, StoreDemand, divide, guaranteed_limits,
     },
     budget::StoreLimits,
 };
@@ -19,7 +19,7 @@
 
 proptest! {
     #[test]
-    fn parts_never_exceed_the_store(
+    fn allotments_never_exceed_the_store(
         demands in prop::collection::vec(demand(), 1..64),
         rate_per_s in 0.5f64..50.0,
         concurrency in 1u32..32,
@@ -31,7 +31,7 @@
         let at_once: f64 = parts.iter().map(|p| p.concurrency).sum();
         prop_assert!(rate <= rate_per_s * 1.000_001);
         prop_assert!(at_once <= concurrency * 1.000_001);
-        let least = guaranteed(limits, demands.len());
+        let least = guaranteed_limits(limits, demands.len());
         for part in &parts {
             prop_assert!(part.rate_per_s >= least.rate_per_s * 0.999_999);
         }
@@ -50,9 +50,11 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
 
-    /// Shards ask in any order and lose answers; an allocator is replaced.
+    /// Shards request allotments in any order, some answers are lost, and the
+    /// allocator is replaced. The rate that all shards may use together must
+    /// stay within the store's limit.
     #[test]
-    fn what_is_in_force_never_exceeds_the_store(
+    fn allotments_in_force_never_exceed_the_store(
         steps in prop::collection::vec(
             (0usize..5, demand(), 0u64..900, prop::bool::weighted(0.8),
              prop::bool::weighted(0.05)),
@@ -63,16 +65,16 @@
         let names = || (0..5).map(|idx| idx.to_string());
         let mut now = Instant::now();
         let mut allocator = Allocator::new(limits, names(), now);
-        let floor = guaranteed(limits, 5);
-        // What each shard may use, and until when.
+        let floor = guaranteed_limits(limits, 5);
+        // The limits that each shard may use, and until when.
         let mut parts = [(floor, now); 5];
-        for (shard, demand, pause_ms, is_heard, is_replaced) in steps {
+        for (shard, demand, pause_ms, is_received, is_replaced) in steps {
             now += Duration::from_millis(pause_ms);
             if is_replaced {
                 allocator = Allocator::new(limits, names(), now);
             }
-            let part = allocator.ask(&shard.to_string(), demand, now);
-            if is_heard {
+            let part = allocator.allocate(&shard.to_string(), demand, now);
+            if is_received {
                 parts[shard] = (part, now + ALLOTMENT_VALIDITY);
             }
             let rate: f64 = parts
