--- a/crates/fleet/src/back_off.rs
+++ b/crates/fleet/src/back_off.rs
@@ -5,24 +5,24 @@
 use std::time::Duration;
 
 /// The first pause after a failed call; it doubles.
-const FIRST: Duration = Duration::from_millis(150);
+const FIRST_DELAY: Duration = Duration::from_millis(150);
 
 /// The longest pause of an instance that watches for the others.
-const LONGEST_OF_WATCHERS: Duration = Duration::from_millis(1_200);
+const MAX_WATCHER_DELAY: Duration = Duration::from_millis(1_200);
 
 /// The longest pause of any other instance, for what it tries first.
-const LONGEST: Duration = Duration::from_millis(2_500);
+const MAX_DELAY: Duration = Duration::from_millis(2_500);
 
 /// The longest pause for all else: once the first call reaches the store again, it
 /// rings for all.
-const UNTIL_RUNG: Duration = Duration::from_secs(12);
+const MAX_NOTIFIED_DELAY: Duration = Duration::from_secs(12);
 
 /// The longest time that a call waits for its answer, and one more that is answered.
 /// A call that was sent just before a path is whole again ends so much later.
 const CALL_TIME: Duration = Duration::from_millis(1_250);
 
 /// The time within which a change must be in force where none is set.
-const IN_FORCE_WITHIN: Duration = Duration::from_millis(2_000);
+const DEFAULT_IN_FORCE_WITHIN: Duration = Duration::from_millis(2_000);
 
 /// What an instance's calls of one kind are for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -36,11 +36,11 @@
 }
 
 impl CallKind {
-    fn longest_pause(self) -> Duration {
+    fn max_delay(self) -> Duration {
         match self {
-            CallKind::Watcher => LONGEST_OF_WATCHERS,
-            CallKind::First => LONGEST,
-            CallKind::Notified => UNTIL_RUNG,
+            CallKind::Watcher => MAX_WATCHER_DELAY,
+            CallKind::First => MAX_DELAY,
+            CallKind::Notified => MAX_NOTIFIED_DELAY,
         }
     }
 }
@@ -50,12 +50,12 @@
 pub struct BackOff {
     next: Duration,
     /// The longest pause of calls that nobody rings for.
-    most: Duration,
+    max_unnotified_delay: Duration,
 }
 
 impl Default for BackOff {
     fn default() -> BackOff {
-        BackOff::within(IN_FORCE_WITHIN)
+        BackOff::within(DEFAULT_IN_FORCE_WITHIN)
     }
 }
 
@@ -66,29 +66,30 @@
     /// A path that is whole again is used within that time. With pauses of up to 2.5 s
     /// whatever was promised, it was used up to 3.7 s later.
     pub fn within(in_force_within: Duration) -> BackOff {
-        let most = in_force_within.saturating_sub(CALL_TIME).max(FIRST);
-        BackOff { next: FIRST, most }
+        let max_unnotified_delay =
+            in_force_within.saturating_sub(CALL_TIME).max(FIRST_DELAY);
+        BackOff { next: FIRST_DELAY, max_unnotified_delay }
     }
 
     /// Returns how long to wait after another failed call. Where all calls fail,
     /// those that are rung for wait for that.
     pub fn failed(&mut self, calls: CallKind, is_out: bool) -> Duration {
-        let longest = match calls {
-            CallKind::Notified => calls.longest_pause(),
+        let max_delay = match calls {
+            CallKind::Notified => calls.max_delay(),
             CallKind::Watcher | CallKind::First => {
-                calls.longest_pause().min(self.most)
+                calls.max_delay().min(self.max_unnotified_delay)
             }
         };
-        let pause = match calls {
-            CallKind::Notified if is_out => longest,
-            _ => self.next.min(longest),
+        let delay = match calls {
+            CallKind::Notified if is_out => max_delay,
+            _ => self.next.min(max_delay),
         };
-        self.next = (self.next * 2).min(longest);
-        pause
+        self.next = (self.next * 2).min(max_delay);
+        delay
     }
 
     /// Takes in that a call was answered.
     pub fn answered(&mut self) {
-        self.next = FIRST;
+        self.next = FIRST_DELAY;
     }
 }
--- a/crates/fleet/src/cooldown.rs
+++ b/crates/fleet/src/cooldown.rs
@@ -11,11 +11,11 @@
 
 /// How long the first request after a rest keeps others away without an answer: its
 /// caller may have left.
-const PROBE_TIME: Duration = Duration::from_millis(500);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How late an entry may show that an endpoint has begun a new life: what was asked
 /// for in this time before may be the new life's wish.
-const ENTRY_LATE: Duration = Duration::from_secs(4);
+const MAX_ENTRY_DELAY: Duration = Duration::from_secs(4);
 
 /// The rest of one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
@@ -23,7 +23,7 @@
     /// When it ends or ended; none once a request was answered otherwise since.
     until: Option<Instant>,
     /// When it was last asked for.
-    asked: Option<Instant>,
+    requested_at: Option<Instant>,
     /// When a request was sent since it ended.
     probe_sent: Option<Instant>,
 }
@@ -31,12 +31,13 @@
 impl Cooldown {
     /// Takes in that the endpoint asks for rest; returns whether it did not rest
     /// before.
-    pub fn ask(&mut self, rest: Duration, now: Instant) -> bool {
+    pub fn extend(&mut self, cooldown: Duration, now: Instant) -> bool {
         let is_news = self.until.is_none_or(|until| now >= until);
-        let until = self.until.map_or(now + rest, |u| u.max(now + rest));
+        let until =
+            self.until.map_or(now + cooldown, |u| u.max(now + cooldown));
         *self = Cooldown {
             until: Some(until),
-            asked: Some(now),
+            requested_at: Some(now),
             probe_sent: None,
         };
         is_news
@@ -44,8 +45,8 @@
 
     /// Returns what is left of it where the endpoint turns out to have begun a new
     /// life: what the life before asked for is void.
-    pub fn in_new_life(&self) -> Cooldown {
-        let longest = self.asked.map(|asked| asked + ENTRY_LATE);
+    pub fn in_new_incarnation(&self) -> Cooldown {
+        let longest = self.requested_at.map(|at| at + MAX_ENTRY_DELAY);
         let until = self.until.zip(longest).map(|(u, most)| u.min(most));
         Cooldown { until, ..*self }
     }
@@ -53,7 +54,7 @@
     /// Returns when a request may be sent; nothing if it may be now.
     pub fn left(&self, now: Instant) -> Option<Duration> {
         let until = self.until?;
-        let probed = self.probe_sent.map(|sent| sent + PROBE_TIME);
+        let probed = self.probe_sent.map(|sent| sent + PROBE_TIMEOUT);
         let from = probed.map_or(until, |probed| until.max(probed));
         let left = from.saturating_duration_since(now);
         (!left.is_zero()).then_some(left)
--- a/crates/fleet/src/departure.rs
+++ b/crates/fleet/src/departure.rs
@@ -19,15 +19,15 @@
 /// How long each instance says again what it knows to have left: a note is due
 /// every 150 ms to 2.4 s, and one in a hundred may be lost. An instance that
 /// starts may list what is 3 s old.
-const TOLD_FOR: Duration = Duration::from_secs(4);
+const REPEATED_FOR: Duration = Duration::from_secs(4);
 
 /// Departures in one note at most, the newest first, so that a note stays in
 /// one packet: 16 take some 400 bytes.
-const TOLD_LEN: usize = 16;
+const MAX_REPEATED: usize = 16;
 
 /// How long a departure is kept. It outlasts all notes and lists that may be
 /// older: those of a frozen instance, which the platform ends after some seconds.
-const KEPT_FOR: Duration = Duration::from_secs(120);
+const RETENTION: Duration = Duration::from_secs(120);
 
 /// An endpoint that is leaving or gone.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -53,7 +53,7 @@
 struct Known {
     revision: Revision,
     since: Instant,
-    is_told: bool,
+    is_repeated: bool,
     is_announced: bool,
     born: Option<Incarnation>,
 }
@@ -102,10 +102,10 @@
 impl Departures {
     /// Notes a departure, and whether others are to be told of it; returns
     /// whether it is news.
-    pub fn note(
+    pub fn record(
         &mut self,
         departure: &Departure,
-        is_told: bool,
+        is_repeated: bool,
         now: Instant,
     ) -> bool {
         let Departure { endpoint, revision, is_announced, born } = departure;
@@ -119,7 +119,7 @@
         let mut new = Known {
             revision: *revision,
             since: now,
-            is_told,
+            is_repeated,
             is_announced: *is_announced,
             born: *born,
         };
@@ -148,14 +148,16 @@
     }
 
     /// Returns the departures that others are still told of.
-    pub fn told(&self, now: Instant) -> Vec<Departure> {
+    pub fn repeated(&self, now: Instant) -> Vec<Departure> {
         let mut recent: Vec<(&EndpointId, &Known)> = self
             .0
             .iter()
-            .filter(|(_, known)| known.is_told && now - known.since < TOLD_FOR)
+            .filter(|(_, known)| {
+                known.is_repeated && now - known.since < REPEATED_FOR
+            })
             .collect();
         recent.sort_by_key(|(id, known)| (Reverse(known.since), *id));
-        recent.truncate(TOLD_LEN);
+        recent.truncate(MAX_REPEATED);
         recent.into_iter().map(|(id, known)| known.departure(id)).collect()
     }
 
@@ -172,7 +174,7 @@
         now: Instant,
     ) {
         self.0.retain(|id, known| {
-            let is_recent = now - known.since < KEPT_FOR;
+            let is_recent = now - known.since < RETENTION;
             is_recent || (known.is_announced && is_listed(id))
         });
     }
--- a/crates/fleet/src/endpoint_state.rs
+++ b/crates/fleet/src/endpoint_state.rs
@@ -24,10 +24,10 @@
 
 /// How long a note is believed over a list that does not show it. Endpoints
 /// write their entries about once a second, and a load may wait its turn.
-const NOTE_HOLDS: Duration = Duration::from_millis(4_000);
+const NOTE_PRECEDENCE: Duration = Duration::from_millis(4_000);
 
 /// When an adapter that a report shows on its way is looked for again.
-const COMING_FOR: Duration = Duration::from_millis(300);
+const REPORTED_LOAD_TIME: Duration = Duration::from_millis(300);
 
 /// Adapters that an endpoint keeps at hand of those it held. Fewer than engines
 /// keep, so that a load which is taken for a fast one is one.
@@ -35,26 +35,26 @@
 
 /// An adapter on its way that is not there yet is tried again after this, or
 /// after a part of the time for which it has been on its way, if that is longer.
-const NOT_YET_PAUSE: Duration = Duration::from_millis(40);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(40);
 
 /// The part, as a divisor: each further try costs a repeat, and waits too long by
 /// half of this part.
-const NOT_YET_PART: u32 = 8;
+const RETRY_DELAY_DIVISOR: u32 = 8;
 
 /// How long the version before a replacement counts as there after the new one
 /// should be ready: it waits for its runs, which take seconds at most.
-const REPLACEMENT_HOLDS: Duration = Duration::from_secs(6);
+const REPLACED_VERSION_HELD_FOR: Duration = Duration::from_secs(6);
 
 /// A load that nothing has shown to be over counts as on its way for this many times
 /// as long as it was expected to take: a new holder of the lease knows the weight
 /// store's pace only after some answers, and must not order more loads than an engine
 /// takes at once.
-const ON_WAY_TIMES: u32 = 4;
+const LOAD_TIME_FACTOR: u32 = 4;
 
 /// An adapter that is on its way may come this much later than expected, when
 /// the weight store is busy. Its removal would be answered as done, and it would
 /// come all the same.
-const LATE_LOAD: Duration = Duration::from_millis(2_000);
+const MAX_LOAD_OVERRUN: Duration = Duration::from_millis(2_000);
 
 /// An adapter on an engine.
 #[derive(Clone, Debug)]
@@ -64,7 +64,7 @@
     /// From when on it takes requests.
     pub ready_at: Instant,
     /// When a note or an outcome last spoke of it.
-    pub(crate) noted: Instant,
+    pub(crate) updated_at: Instant,
     /// Whether the platform's list shows it.
     pub(crate) is_listed: bool,
     /// Whether it replaces another version, which stays until its runs end.
@@ -73,12 +73,12 @@
     /// it is there.
     pub(crate) is_unconfirmed: bool,
     /// When its load was first heard of.
-    pub(crate) began: Instant,
+    pub(crate) load_started: Instant,
     /// Whether its engine has taken the order; before that it takes a place, and
     /// nothing else.
     pub(crate) is_ordered: bool,
     /// Until when it may still be on its way.
-    pub(crate) on_way_until: Instant,
+    pub(crate) loading_until: Instant,
 }
 
 /// One endpoint, as this instance sees it.
@@ -89,11 +89,11 @@
     /// What this instance has under way there.
     pub own_work: Work,
     /// Our part in what the holder of the lease was told last.
-    pub(crate) told_work: Work,
+    pub(crate) published_work: Work,
     /// What the other instances have under way there, as each says itself.
-    pub(crate) others_work: Work,
+    pub(crate) peer_work: Work,
     /// What the holder, if that is us, told last of all instances' work there.
-    pub(crate) told_total: Work,
+    pub(crate) published_total: Work,
     /// What all instances have under way there, as the holder of the lease
     /// says. Where many say so, it is newer than what each says itself.
     pub(crate) total_work: Option<Work>,
@@ -128,17 +128,18 @@
 
     /// Returns whether its load is sure to be over.
     pub fn is_settled(&self, now: Instant) -> bool {
-        self.is_ready(now) && (self.is_listed || now >= self.noted + LATE_LOAD)
+        self.is_ready(now)
+            && (self.is_listed || now >= self.updated_at + MAX_LOAD_OVERRUN)
     }
 
     /// Returns whether the version before may still take a place beside it.
     pub fn is_replacing(&self, now: Instant) -> bool {
-        self.is_replacement && now < self.ready_at + REPLACEMENT_HOLDS
+        self.is_replacement && now < self.ready_at + REPLACED_VERSION_HELD_FOR
     }
 
     /// Returns whether its load may still be under way.
     pub fn is_loading(&self, now: Instant) -> bool {
-        now < self.ready_at.max(self.on_way_until)
+        now < self.ready_at.max(self.loading_until)
     }
 
     /// Returns whether the platform's list shows it.
@@ -152,9 +153,9 @@
         EndpointState {
             endpoint,
             own_work: Work::default(),
-            told_work: Work::default(),
-            told_total: Work::default(),
-            others_work: Work::default(),
+            published_work: Work::default(),
+            published_total: Work::default(),
+            peer_work: Work::default(),
             total_work: None,
             health: Health::default(),
             weight: 1.0,
@@ -168,7 +169,7 @@
     }
 
     /// Forgets what it held, what requests showed and what was learned of it.
-    pub(crate) fn begin_life(&mut self) {
+    pub(crate) fn begin_incarnation(&mut self) {
         self.placements.clear();
         self.removed.clear();
         self.warm.clear();
@@ -176,7 +177,7 @@
         self.health = Health::default();
         self.weight = 1.0;
         self.saturated_until = None;
-        self.cooldown = self.cooldown.in_new_life();
+        self.cooldown = self.cooldown.in_new_incarnation();
     }
 
     /// Returns its id.
@@ -188,9 +189,9 @@
     pub fn in_flight(&self) -> u32 {
         let others = match &self.total_work {
             Some(total) => {
-                total.requests.saturating_sub(self.told_work.requests)
+                total.requests.saturating_sub(self.published_work.requests)
             }
-            None => self.others_work.requests,
+            None => self.peer_work.requests,
         };
         self.own_work.requests + others
     }
@@ -201,15 +202,15 @@
         let others = match &self.total_work {
             Some(total) => total
                 .unread_tokens
-                .saturating_sub(self.told_work.unread_tokens),
-            None => self.others_work.unread_tokens,
+                .saturating_sub(self.published_work.unread_tokens),
+            None => self.peer_work.unread_tokens,
         };
         self.own_work.unread_tokens + others
     }
 
     /// Returns whether requests run on an adapter there, as far as we know.
     pub fn uses(&self, key: &AdapterKey) -> bool {
-        self.own_work.uses(key) || self.others_work.uses(key)
+        self.own_work.uses(key) || self.peer_work.uses(key)
     }
 
     /// Returns the requests under way as a part of its slots.
@@ -253,7 +254,7 @@
     }
 
     /// Notes that it holds an adapter; returns what it no longer has at hand.
-    pub(crate) fn note_warm(
+    pub(crate) fn record_warm(
         &mut self,
         key: &AdapterKey,
     ) -> Option<AdapterKey> {
@@ -271,7 +272,7 @@
             self.endpoint = endpoint;
             return;
         }
-        let holds = |at: Instant| now - at < NOTE_HOLDS;
+        let holds = |at: Instant| now - at < NOTE_PRECEDENCE;
         self.removed.retain(|_, at| holds(*at));
         let mut placements = HashMap::new();
         for model in &endpoint.models {
@@ -285,13 +286,13 @@
                 let placement = Placement {
                     version: *version,
                     ready_at: now,
-                    noted: now,
+                    updated_at: now,
                     is_listed: true,
                     is_replacement: false,
                     is_unconfirmed: false,
-                    began: now,
+                    load_started: now,
                     is_ordered: true,
-                    on_way_until: now,
+                    loading_until: now,
                 };
                 placements.insert(key.clone(), placement);
             }
@@ -300,7 +301,8 @@
             let is_newer = placements
                 .get(key)
                 .is_none_or(|listed| listed.version < placement.version);
-            if is_newer && !placement.is_listed && holds(placement.noted) {
+            if is_newer && !placement.is_listed && holds(placement.updated_at)
+            {
                 placements.insert(key.clone(), placement.clone());
             }
         }
@@ -323,14 +325,14 @@
         for (key, version) in &report.loading {
             let placement = Placement {
                 version: *version,
-                ready_at: now + COMING_FOR,
-                noted: now,
+                ready_at: now + REPORTED_LOAD_TIME,
+                updated_at: now,
                 is_listed: false,
                 is_replacement: self.placements.contains_key(key),
                 is_unconfirmed: false,
-                began: now,
+                load_started: now,
                 is_ordered: true,
-                on_way_until: now + COMING_FOR * ON_WAY_TIMES,
+                loading_until: now + REPORTED_LOAD_TIME * LOAD_TIME_FACTOR,
             };
             self.placements.insert(key.clone(), placement);
         }
@@ -349,13 +351,14 @@
         let placement = Placement {
             version: placed.version,
             ready_at: now + takes,
-            noted: now,
+            updated_at: now,
             is_listed: false,
             is_replacement,
             is_unconfirmed: placed.is_cold && !is_replacement,
-            began: known.map_or(now, |placement| placement.began),
+            load_started: known
+                .map_or(now, |placement| placement.load_started),
             is_ordered: true,
-            on_way_until: now + takes * ON_WAY_TIMES,
+            loading_until: now + takes * LOAD_TIME_FACTOR,
         };
         self.placements.insert(placed.key.clone(), placement);
     }
@@ -377,12 +380,13 @@
     ) -> Option<Duration> {
         let placement = self.placements.get_mut(key)?;
         if !std::mem::replace(&mut placement.is_ordered, true) {
-            let takes =
-                placement.ready_at.saturating_duration_since(placement.noted);
+            let takes = placement
+                .ready_at
+                .saturating_duration_since(placement.updated_at);
             placement.ready_at = now + takes;
-            placement.on_way_until = now + takes * ON_WAY_TIMES;
-            placement.noted = now;
-            placement.began = now;
+            placement.loading_until = now + takes * LOAD_TIME_FACTOR;
+            placement.updated_at = now;
+            placement.load_started = now;
         }
         Some(placement.ready_at.saturating_duration_since(now))
     }
@@ -393,7 +397,7 @@
             placement.is_ordered = true;
             placement.is_unconfirmed = false;
             placement.ready_at = now;
-            placement.on_way_until = now;
+            placement.loading_until = now;
         }
     }
 
@@ -410,7 +414,7 @@
         let is_news = placement.is_unconfirmed;
         if is_there {
             placement.is_unconfirmed = false;
-            placement.on_way_until = placement.began;
+            placement.loading_until = placement.load_started;
         }
         is_news
     }
@@ -418,8 +422,8 @@
     /// Notes that it turned a request down for want of an adapter.
     pub(crate) fn record_absent(&mut self, key: &AdapterKey, now: Instant) {
         let Some(placement) = self.placements.get_mut(key) else { return };
-        let elapsed = now.saturating_duration_since(placement.began);
-        let pause = NOT_YET_PAUSE.max(elapsed / NOT_YET_PART);
+        let elapsed = now.saturating_duration_since(placement.load_started);
+        let pause = MIN_RETRY_DELAY.max(elapsed / RETRY_DELAY_DIVISOR);
         // The holder's table must not lose what takes a place.
         if placement.is_listed && !self.is_ordered_by_us {
             self.placements.remove(key);
--- a/crates/fleet/src/incarnation.rs
+++ b/crates/fleet/src/incarnation.rs
@@ -23,18 +23,18 @@
 
 /// How many lives that are over are kept for each endpoint: what is said late is
 /// seconds old, and an endpoint takes a second at least to start.
-const ENDED_LEN: usize = 8;
+const MAX_ENDED: usize = 8;
 
 /// How late an entry may show a life that is over: endpoints write theirs once a
 /// second, and a watch that waits for many changes is 2.5 s late.
-const ENTRY_LATE: Duration = Duration::from_secs(4);
+const MAX_ENTRY_DELAY: Duration = Duration::from_secs(4);
 
 /// How late an endpoint's own word may come: a call for it waits for 0.8 s.
-const WORD_LATE: Duration = Duration::from_secs(1);
+const MAX_REPORT_DELAY: Duration = Duration::from_secs(1);
 
 /// How long lives are kept after they were last heard of: longer than any list or
 /// note may be late.
-const KEPT_FOR: Duration = Duration::from_secs(300);
+const RETENTION: Duration = Duration::from_secs(300);
 
 /// One life of an endpoint.
 #[derive(
@@ -71,13 +71,13 @@
     revision: Revision,
     /// The life that a word of the endpoint's ended, and until when entries of it
     /// are taken for late ones.
-    doubted: Option<(Incarnation, Instant)>,
+    superseded: Option<(Incarnation, Instant)>,
     /// Lives that only their own words showed, left for another one, and until when
     /// words of them are taken for late ones. Their entries may yet come.
     unlisted: VecDeque<(Incarnation, Instant)>,
     /// Lives that were followed by another one.
     ended: VecDeque<Incarnation>,
-    heard: Instant,
+    last_heard: Instant,
 }
 
 impl Incarnations {
@@ -95,7 +95,7 @@
             return IncarnationStatus::Current;
         };
         if known.born == born {
-            known.list(revision, now);
+            known.confirm_listed(revision, now);
             return IncarnationStatus::Current;
         }
         if revision < known.revision || known.is_over(born, now) {
@@ -103,10 +103,10 @@
         }
         match known.is_listed {
             true => known.end(known.born),
-            false => known.leave_unlisted(now),
+            false => known.replace_unlisted(now),
         }
         known.born = born;
-        known.list(revision, now);
+        known.confirm_listed(revision, now);
         IncarnationStatus::New
     }
 
@@ -126,7 +126,7 @@
             return IncarnationStatus::Current;
         };
         if known.born == born {
-            known.heard = now;
+            known.last_heard = now;
             return IncarnationStatus::Current;
         }
         let is_late = known
@@ -137,12 +137,14 @@
             return IncarnationStatus::Ended;
         }
         match known.is_listed {
-            true => known.doubted = Some((known.born, now + ENTRY_LATE)),
-            false => known.leave_unlisted(now),
+            true => {
+                known.superseded = Some((known.born, now + MAX_ENTRY_DELAY))
+            }
+            false => known.replace_unlisted(now),
         }
         known.born = born;
         known.is_listed = false;
-        known.heard = now;
+        known.last_heard = now;
         IncarnationStatus::New
     }
 
@@ -167,7 +169,7 @@
     /// Forgets endpoints that were not heard of for long.
     pub fn forget(&mut self, now: Instant) {
         self.0.retain(|_, known| {
-            now.saturating_duration_since(known.heard) < KEPT_FOR
+            now.saturating_duration_since(known.last_heard) < RETENTION
         });
     }
 }
@@ -178,43 +180,43 @@
             born,
             is_listed: true,
             revision,
-            doubted: None,
+            superseded: None,
             unlisted: VecDeque::new(),
             ended: VecDeque::new(),
-            heard: now,
+            last_heard: now,
         }
     }
 
     /// Notes that an entry shows the life that is known: the one before is over.
-    fn list(&mut self, revision: Revision, now: Instant) {
+    fn confirm_listed(&mut self, revision: Revision, now: Instant) {
         self.is_listed = true;
         self.revision = self.revision.max(revision);
-        self.heard = now;
-        if let Some((doubted, _)) = self.doubted.take()
-            && doubted != self.born
+        self.last_heard = now;
+        if let Some((superseded, _)) = self.superseded.take()
+            && superseded != self.born
         {
-            self.end(doubted);
+            self.end(superseded);
         }
     }
 
     fn end(&mut self, born: Incarnation) {
         self.ended.push_back(born);
-        if self.ended.len() > ENDED_LEN {
+        if self.ended.len() > MAX_ENDED {
             self.ended.pop_front();
         }
     }
 
-    fn leave_unlisted(&mut self, now: Instant) {
-        self.unlisted.push_back((self.born, now + WORD_LATE));
-        if self.unlisted.len() > ENDED_LEN {
+    fn replace_unlisted(&mut self, now: Instant) {
+        self.unlisted.push_back((self.born, now + MAX_REPORT_DELAY));
+        if self.unlisted.len() > MAX_ENDED {
             self.unlisted.pop_front();
         }
     }
 
     fn is_over(&self, born: Incarnation, now: Instant) -> bool {
-        let is_doubted = self
-            .doubted
+        let is_superseded = self
+            .superseded
             .is_some_and(|(known, until)| known == born && now < until);
-        is_doubted || self.ended.contains(&born)
+        is_superseded || self.ended.contains(&born)
     }
 }
--- a/crates/fleet/src/latency_regression.rs
+++ b/crates/fleet/src/latency_regression.rs
@@ -9,13 +9,13 @@
 
 /// What each new answer leaves of the weight of those before it: the last 50
 /// or so count, which a busy instance sees within some seconds.
-const REMEMBERED_PART: f64 = 0.98;
+const DECAY_FACTOR: f64 = 0.98;
 
 /// Answers that must have been seen before the line counts.
-const LEAST_ANSWERS: f64 = 8.0;
+const MIN_ANSWERS: f64 = 8.0;
 
 /// The longest time that is predicted, in seconds; no caller waits so long.
-const LONGEST_S: f64 = 3_600.0;
+const MAX_PREDICTION_S: f64 = 3_600.0;
 
 /// Fits the time to the first event against the tokens to read before it.
 #[derive(Clone, Debug, Default)]
@@ -32,20 +32,20 @@
     /// of it and its own, and the time until it began.
     pub fn observe(&mut self, tokens: u64, took: Duration) {
         let (tokens, ms) = (tokens as f64, took.as_secs_f64() * 1_000.0);
-        let fade = |sum: &mut f64, new: f64| {
-            *sum = *sum * REMEMBERED_PART + new;
+        let accumulate = |sum: &mut f64, new: f64| {
+            *sum = *sum * DECAY_FACTOR + new;
         };
-        fade(&mut self.weight, 1.0);
-        fade(&mut self.tokens, tokens);
-        fade(&mut self.ms, ms);
-        fade(&mut self.tokens_tokens, tokens * tokens);
-        fade(&mut self.tokens_ms, tokens * ms);
+        accumulate(&mut self.weight, 1.0);
+        accumulate(&mut self.tokens, tokens);
+        accumulate(&mut self.ms, ms);
+        accumulate(&mut self.tokens_tokens, tokens * tokens);
+        accumulate(&mut self.tokens_ms, tokens * ms);
     }
 
     /// Returns the time to the first event of an answer before which so many
     /// tokens are to be read; none before enough was seen.
     pub fn predict(&self, tokens: u64) -> Option<Duration> {
-        if self.weight < LEAST_ANSWERS {
+        if self.weight < MIN_ANSWERS {
             return None;
         }
         let (ms_per_token, base_ms) = self.line();
@@ -55,7 +55,7 @@
     /// Returns how long an engine reads so many tokens; nothing before enough
     /// was seen.
     pub fn prefill_time(&self, tokens: u64) -> Duration {
-        if self.weight < LEAST_ANSWERS {
+        if self.weight < MIN_ANSWERS {
             return Duration::ZERO;
         }
         let (ms_per_token, _) = self.line();
@@ -66,18 +66,18 @@
     fn line(&self) -> (f64, f64) {
         let mean_tokens = self.tokens / self.weight;
         let mean_ms = self.ms / self.weight;
-        let spread =
+        let variance =
             self.tokens_tokens / self.weight - mean_tokens * mean_tokens;
-        let common = self.tokens_ms / self.weight - mean_tokens * mean_ms;
-        if spread < 1.0 {
+        let covariance = self.tokens_ms / self.weight - mean_tokens * mean_ms;
+        if variance < 1.0 {
             return (0.0, mean_ms);
         }
-        let ms_per_token = (common / spread).max(0.0);
+        let ms_per_token = (covariance / variance).max(0.0);
         let base_ms = (mean_ms - ms_per_token * mean_tokens).max(0.0);
         (ms_per_token, base_ms)
     }
 }
 
 fn time(ms: f64) -> Duration {
-    Duration::from_secs_f64((ms / 1_000.0).clamp(0.0, LONGEST_S))
+    Duration::from_secs_f64((ms / 1_000.0).clamp(0.0, MAX_PREDICTION_S))
 }
--- a/crates/fleet/src/limit_share.rs
+++ b/crates/fleet/src/limit_share.rs
@@ -21,7 +21,7 @@
 /// The time constant of the demand estimate. Longer than the pause between two notes
 /// among many instances, and short enough that a burst after a calm time is seen
 /// before it exceeds the limit.
-const DEMAND_MEMORY: Duration = Duration::from_millis(700);
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_millis(700);
 
 /// The fraction of a limit that buckets give out. The rest absorbs parts that
 /// overlap while demand moves.
@@ -48,7 +48,7 @@
 
 /// The least rate that is used of any limit, in requests a second by all instances:
 /// an endpoint that gets no request cannot announce that its limit is over.
-const LEAST_PER_S: f64 = 0.25;
+const MIN_LIMIT_PER_S: f64 = 0.25;
 
 /// The number of instances that is assumed while the others are not known.
 const ASSUMED_INSTANCES: usize = 32;
@@ -62,7 +62,7 @@
 
 /// Limits in one note at most, the most wanted first: each takes some 40 bytes, and a
 /// note must fit a datagram beside all else.
-const REPORTS_LEN: usize = 64;
+const MAX_REPORTS: usize = 64;
 
 /// A limit as an instance reports it to the others.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -132,9 +132,9 @@
     per_s: Option<f64>,
     /// The time of the newest evidence.
     announced: Instant,
-    wanted: Demand,
+    own_demand: Demand,
     /// What other instances want to send, and until when that counts.
-    peers: HashMap<InstanceId, (f64, Instant)>,
+    peer_demand: HashMap<InstanceId, (f64, Instant)>,
     /// What all want to send, as the holder of the lease sums it up.
     total: Option<(f64, Instant)>,
     tokens: f64,
@@ -213,15 +213,15 @@
             }
             false => None,
         };
-        let wanted = f64::from(report.wanted_per_s);
+        let demand = f64::from(report.wanted_per_s);
         if let Some(limit) = self.0.get_mut(&report.endpoint)
-            && is_sound(wanted)
+            && is_sound(demand)
         {
-            let heard = (wanted, source.until);
+            let heard = (demand, source.until);
             match source.is_total {
                 true => limit.total = Some(heard),
                 false => {
-                    limit.peers.insert(source.from.clone(), heard);
+                    limit.peer_demand.insert(source.from.clone(), heard);
                 }
             }
         }
@@ -251,7 +251,7 @@
     /// Counts a request that would go to an endpoint without a limit.
     pub fn record_demand(&mut self, endpoint: &EndpointId, now: Instant) {
         if let Some(limit) = self.0.get_mut(endpoint) {
-            limit.wanted.count(now);
+            limit.own_demand.count(now);
         }
     }
 
@@ -266,7 +266,7 @@
             return Permit::Granted;
         };
         let Some(per_s) = limit.per_s else { return Permit::Granted };
-        let per_s = per_s.max(LEAST_PER_S);
+        let per_s = per_s.max(MIN_LIMIT_PER_S);
         let instances = request.instances.unwrap_or(ASSUMED_INSTANCES).max(1);
         let buckets = per_s * BUCKETS_PER_RATE + BUCKETS_BEYOND_RATE;
         match (instances as f64) <= buckets {
@@ -282,9 +282,9 @@
         });
         let mut reports: Vec<LimitReport> = told
             .map(|(endpoint, limit)| {
-                let own = limit.wanted.per_s(now);
+                let own = limit.own_demand.per_s(now);
                 let wanted_per_s = match is_total {
-                    true => limit.total_of_peers(now).unwrap_or(0.0) + own,
+                    true => limit.total_peer_demand(now).unwrap_or(0.0) + own,
                     false => own,
                 };
                 LimitReport {
@@ -297,16 +297,16 @@
             })
             .collect();
         let rank = |report: &LimitReport| {
-            let wanted = (report.wanted_per_s * 1_000.0) as u64;
-            (Reverse(wanted), report.endpoint.clone())
+            let demand = (report.wanted_per_s * 1_000.0) as u64;
+            (Reverse(demand), report.endpoint.clone())
         };
         reports.sort_by_key(rank);
-        reports.truncate(REPORTS_LEN);
+        reports.truncate(MAX_REPORTS);
         reports
     }
 
     /// Forgets the limit of an endpoint that has begun a new life or is gone.
-    pub fn end_life(&mut self, endpoint: &EndpointId) {
+    pub fn end_incarnation(&mut self, endpoint: &EndpointId) {
         self.0.remove(endpoint);
     }
 
@@ -318,7 +318,7 @@
         now: Instant,
     ) {
         self.0.retain(|endpoint, limit| {
-            limit.peers.retain(|_, (_, until)| now < *until);
+            limit.peer_demand.retain(|_, (_, until)| now < *until);
             let is_current = limit.per_s.is_some() && is_listed(endpoint);
             is_current || limit.age(now) < END_KEPT_FOR
         });
@@ -331,8 +331,8 @@
             born: None,
             per_s: None,
             announced: now,
-            wanted: Demand { count: 0.0, updated: now },
-            peers: HashMap::new(),
+            own_demand: Demand { count: 0.0, updated: now },
+            peer_demand: HashMap::new(),
             total: None,
             tokens: 0.0,
             filled: now,
@@ -350,8 +350,8 @@
         instances: usize,
         now: Instant,
     ) -> Permit {
-        let part = self.part(per_s, instances, now);
-        let rate_per_s = per_s * BUCKET_FRACTION * part;
+        let share = self.share(per_s, instances, now);
+        let rate_per_s = per_s * BUCKET_FRACTION * share;
         let since = now.saturating_duration_since(self.filled).as_secs_f64();
         let most = 1.0 + rate_per_s * BURST.as_secs_f64();
         self.tokens = (self.tokens + since * rate_per_s).min(most);
@@ -366,8 +366,8 @@
     }
 
     /// Returns this instance's part; parts by the same reports add up to one.
-    fn part(&self, per_s: f64, instances: usize, now: Instant) -> f64 {
-        let own = self.wanted.per_s(now);
+    fn share(&self, per_s: f64, instances: usize, now: Instant) -> f64 {
+        let own = self.own_demand.per_s(now);
         let total = self.total(now).unwrap_or(own).max(own);
         let assumed = per_s * ASSUMED_DEMAND;
         (own + assumed / instances as f64) / (total + assumed)
@@ -382,7 +382,7 @@
         draw: f64,
         now: Instant,
     ) -> Permit {
-        let own = self.wanted.per_s(now);
+        let own = self.own_demand.per_s(now);
         let total = self.total(now).unwrap_or(own * instances as f64);
         let fraction = per_s * RANDOM_FRACTION / total.max(own).max(1e-9);
         match draw < fraction {
@@ -399,31 +399,32 @@
         match self.total {
             Some((total, until)) if now < until => Some(total),
             _ => {
-                let peers = self.total_of_peers(now)?;
-                Some(peers + self.wanted.per_s(now))
+                let peer_demand = self.total_peer_demand(now)?;
+                Some(peer_demand + self.own_demand.per_s(now))
             }
         }
     }
 
-    fn total_of_peers(&self, now: Instant) -> Option<f64> {
-        let live = || self.peers.values().filter(|(_, until)| now < *until);
+    fn total_peer_demand(&self, now: Instant) -> Option<f64> {
+        let live =
+            || self.peer_demand.values().filter(|(_, until)| now < *until);
         live().next()?;
-        Some(live().map(|(wanted, _)| wanted).sum())
+        Some(live().map(|(demand, _)| demand).sum())
     }
 }
 
 impl Demand {
     fn count(&mut self, now: Instant) {
-        self.count = self.faded(now) + 1.0;
+        self.count = self.decayed(now) + 1.0;
         self.updated = now;
     }
 
     fn per_s(&self, now: Instant) -> f64 {
-        self.faded(now) / DEMAND_MEMORY.as_secs_f64()
+        self.decayed(now) / DEMAND_TIME_CONSTANT.as_secs_f64()
     }
 
-    fn faded(&self, now: Instant) -> f64 {
+    fn decayed(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.updated).as_secs_f64();
-        self.count * (-age / DEMAND_MEMORY.as_secs_f64()).exp()
+        self.count * (-age / DEMAND_TIME_CONSTANT.as_secs_f64()).exp()
     }
 }
--- a/crates/fleet/src/recent_successes.rs
+++ b/crates/fleet/src/recent_successes.rs
@@ -8,11 +8,11 @@
 use sedgewall_clock::Instant;
 
 /// How long a good run is remembered at least, and twice that at most.
-const KEPT_FOR: Duration = Duration::from_secs(120);
+const PERIOD: Duration = Duration::from_secs(120);
 
 /// Requests that are remembered of one such time: at 66 a second all of them. Both
 /// times take 0.5 MB.
-const MOST: usize = 8_192;
+const MAX_PER_PERIOD: usize = 8_192;
 
 /// A hash of a request, keyed for this process: callers cannot make two collide.
 pub type RequestHash = u64;
@@ -37,7 +37,9 @@
 
     /// Notes that a run of a request ended well.
     pub fn record(&mut self, hash: RequestHash, now: Instant) {
-        if self.newer.len() >= MOST || now - self.newer_since >= KEPT_FOR {
+        if self.newer.len() >= MAX_PER_PERIOD
+            || now - self.newer_since >= PERIOD
+        {
             self.older = mem::take(&mut self.newer);
             self.newer_since = now;
         }
--- a/crates/fleet/src/store_reports.rs
+++ b/crates/fleet/src/store_reports.rs
@@ -25,10 +25,10 @@
 
 /// What each instance said last.
 #[derive(Clone, Debug, Default)]
-pub struct StoreReports(HashMap<InstanceId, LastWord>);
+pub struct StoreReports(HashMap<InstanceId, StoreReport>);
 
 #[derive(Clone, Copy, Debug)]
-struct LastWord {
+struct StoreReport {
     heard: Instant,
     store_is_out: bool,
     is_leaving: bool,
@@ -43,8 +43,8 @@
         is_leaving: bool,
         now: Instant,
     ) {
-        let word = LastWord { heard: now, store_is_out, is_leaving };
-        self.0.insert(from.clone(), word);
+        let report = StoreReport { heard: now, store_is_out, is_leaving };
+        self.0.insert(from.clone(), report);
     }
 
     /// Returns the instances that said just now that the store answers them.
@@ -52,13 +52,13 @@
         &self,
         now: Instant,
     ) -> impl Iterator<Item = &InstanceId> {
-        let reaches = move |word: &LastWord| {
-            now - word.heard < REPORT_VALID_FOR
-                && !word.store_is_out
-                && !word.is_leaving
+        let reaches = move |report: &StoreReport| {
+            now - report.heard < REPORT_VALID_FOR
+                && !report.store_is_out
+                && !report.is_leaving
         };
-        let words = self.0.iter();
-        words.filter(move |(_, word)| reaches(word)).map(|(id, _)| id)
+        let reports = self.0.iter();
+        reports.filter(move |(_, report)| reaches(report)).map(|(id, _)| id)
     }
 
     /// Returns whether none of the known instances, and nobody else that was
@@ -68,21 +68,23 @@
         known: impl Iterator<Item = &'a InstanceId>,
         now: Instant,
     ) -> bool {
-        let holds = |word: &LastWord| now - word.heard < REPORT_VALID_FOR;
+        let holds =
+            |report: &StoreReport| now - report.heard < REPORT_VALID_FOR;
         // One that leaves takes no lease, and comes back without a
         // configuration, which only the store gives.
-        let cannot = |word: &LastWord| {
-            word.is_leaving || (word.store_is_out && holds(word))
+        let cannot = |report: &StoreReport| {
+            report.is_leaving || (report.store_is_out && holds(report))
         };
-        let is_reached_by_any = self
-            .0
-            .values()
-            .any(|word| holds(word) && !word.store_is_out && !word.is_leaving);
+        let is_reached_by_any = self.0.values().any(|report| {
+            holds(report) && !report.store_is_out && !report.is_leaving
+        });
         let (mut cannot_len, mut gone_len) = (0, 0);
         for id in known {
             match self.0.get(id) {
-                Some(word) if cannot(word) => cannot_len += 1,
-                Some(word) if now - word.heard < GONE_AFTER => return false,
+                Some(report) if cannot(report) => cannot_len += 1,
+                Some(report) if now - report.heard < GONE_AFTER => {
+                    return false;
+                }
                 Some(_) | None => gone_len += 1,
             }
         }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -48,7 +48,7 @@
 
 /// Entries in one note at most: each takes some 80 bytes, and a datagram holds
 /// 64 kB.
-const ENTRIES_LEN: usize = 256;
+const MAX_ENTRIES: usize = 256;
 
 /// One instance's table of endpoints.
 #[derive(Clone, Debug)]
@@ -65,7 +65,7 @@
     /// The holder's sums, while they count.
     totals: Option<HeardTotals>,
     /// Whose sums are told next in turn.
-    next_told: usize,
+    next_total: usize,
     /// How often each other instance says what it has under way.
     peer_pause: Duration,
     newest: HashMap<AdapterKey, (WeightVersion, Instant)>,
@@ -74,7 +74,7 @@
     /// Our parts of the limits that endpoints announce.
     limits: LimitShares,
     /// Rests of endpoints whose entries lapsed, which may be back before their end.
-    lapsed_rests: HashMap<EndpointId, Cooldown>,
+    lapsed_cooldowns: HashMap<EndpointId, Cooldown>,
     /// Departures that we saw in the store and the others have not heard of.
     unsent_departures: Vec<Departure>,
     /// How fast the engines of each service begin to answer.
@@ -98,13 +98,13 @@
             warm: AdapterIndex::default(),
             peers: HashMap::new(),
             totals: None,
-            next_told: 0,
+            next_total: 0,
             peer_pause: Duration::ZERO,
             newest: HashMap::new(),
             departures: Departures::default(),
             incarnations: Incarnations::default(),
             limits: LimitShares::default(),
-            lapsed_rests: HashMap::new(),
+            lapsed_cooldowns: HashMap::new(),
             unsent_departures: Vec::new(),
             first_event_times: HashMap::new(),
             residence_times: HashMap::new(),
@@ -134,7 +134,7 @@
         let (born, revision) = (endpoint.born, endpoint.revision);
         match self.incarnations.apply_entry(&id, born, revision, now) {
             IncarnationStatus::Current => {}
-            IncarnationStatus::New => self.begin_life(&id),
+            IncarnationStatus::New => self.begin_incarnation(&id),
             IncarnationStatus::Ended => return,
         }
         let born = endpoint.born.or(self.incarnations.born(&id));
@@ -147,8 +147,9 @@
         }
         if !self.endpoints.contains_key(&id) {
             let mut state = EndpointState::new(endpoint.clone());
-            state.others_work = self.others_work(&id);
-            state.cooldown = self.lapsed_rests.remove(&id).unwrap_or_default();
+            state.peer_work = self.peer_work(&id);
+            state.cooldown =
+                self.lapsed_cooldowns.remove(&id).unwrap_or_default();
             self.endpoints.insert(id.clone(), state);
             let of_service = self.services.entry(endpoint.service.clone());
             of_service.or_default().insert(id.clone());
@@ -183,7 +184,7 @@
         let mut newer: Vec<&EndpointState> =
             self.endpoints.values().filter(newer).collect();
         newer.sort_by_key(|state| state.endpoint.revision);
-        newer.truncate(ENTRIES_LEN);
+        newer.truncate(MAX_ENTRIES);
         newer.iter().map(|s| s.endpoint.without_adapters()).collect()
     }
 
@@ -209,28 +210,28 @@
             .collect();
         for key in new {
             self.holders.insert(&key, id);
-            self.note_warm(id, &key);
+            self.record_warm(id, &key);
         }
     }
 
     /// Forgets all that an endpoint held and showed in the life before. What we
     /// have under way there ends by itself, request by request.
-    fn begin_life(&mut self, id: &EndpointId) {
-        self.limits.end_life(id);
-        if let Some(rest) = self.lapsed_rests.get_mut(id) {
-            *rest = rest.in_new_life();
+    fn begin_incarnation(&mut self, id: &EndpointId) {
+        self.limits.end_incarnation(id);
+        if let Some(rest) = self.lapsed_cooldowns.get_mut(id) {
+            *rest = rest.in_new_incarnation();
         }
         let Some(state) = self.endpoints.get(id) else { return };
         for key in &state.warm {
             self.warm.remove(key, id);
         }
-        self.change_placements(id, EndpointState::begin_life);
+        self.change_placements(id, EndpointState::begin_incarnation);
     }
 
-    fn note_warm(&mut self, id: &EndpointId, key: &AdapterKey) {
+    fn record_warm(&mut self, id: &EndpointId, key: &AdapterKey) {
         let Some(state) = self.endpoints.get_mut(id) else { return };
         self.warm.insert(key, id);
-        if let Some(cold) = state.note_warm(key) {
+        if let Some(cold) = state.record_warm(key) {
             self.warm.remove(&cold, id);
         }
     }
@@ -245,7 +246,7 @@
     ) -> bool {
         match self.incarnations.apply_report(id, report.born, now) {
             IncarnationStatus::Current => {}
-            IncarnationStatus::New => self.begin_life(id),
+            IncarnationStatus::New => self.begin_incarnation(id),
             IncarnationStatus::Ended => return false,
         }
         self.change_placements(id, |state| state.apply_report(report, now));
@@ -294,7 +295,7 @@
         self.see_departure(id, revision.max(known), is_sure, now);
         let Some(state) = self.endpoints.remove(id) else { return };
         if state.cooldown.is_cooling_down(now) {
-            self.lapsed_rests.insert(id.clone(), state.cooldown);
+            self.lapsed_cooldowns.insert(id.clone(), state.cooldown);
         }
         for key in state.placements.keys() {
             self.holders.remove(key, id);
@@ -431,7 +432,7 @@
             self.load_time = Duration::from_millis(placed.ready_in_ms);
         }
         self.change_placements(id, |state| state.apply_placed(placed, now));
-        self.note_warm(id, &placed.key);
+        self.record_warm(id, &placed.key);
     }
 
     /// Notes that an adapter is about to be ordered: it takes a place from now on,
@@ -442,7 +443,7 @@
             self.load_time = Duration::from_millis(placed.ready_in_ms);
         }
         self.change_placements(id, |state| state.plan(placed, now));
-        self.note_warm(id, &placed.key);
+        self.record_warm(id, &placed.key);
     }
 
     /// Notes that an engine has taken an order that was planned; returns when the
--- a/crates/fleet/src/view/choice.rs
+++ b/crates/fleet/src/view/choice.rs
@@ -31,24 +31,24 @@
 /// What is drawn for each request and endpoint, in parts of an endpoint's load:
 /// among few instances, which know well what the others do, it only tells
 /// equal endpoints apart.
-const FEW_DOUBT: f64 = 0.05;
+const NOISE_FEW_PEERS: f64 = 0.05;
 
 /// The same among many. What they know of each other is older than a short
 /// request lasts; without the draw all choose the same endpoint until the next
 /// note.
-const MANY_DOUBT: f64 = 0.4;
+const NOISE_MANY_PEERS: f64 = 0.4;
 
 /// Requests on an engine, as a multiple of its slots, beyond which it gets no
 /// more: those behind would wait for a whole answer to end.
-const ENGINE_FILL: f64 = 1.1;
+const MAX_ENGINE_LOAD: f64 = 1.1;
 
 /// The same for a plain service, whose requests are short: three waiting
 /// behind each slot still come in time.
-const SERVICE_FILL: f64 = 4.0;
+const MAX_SERVICE_LOAD: f64 = 4.0;
 
 /// An adapter whose engine has not taken the order yet is looked for again after
 /// this, when it should have been there.
-const LEAST_COMING: Duration = Duration::from_millis(20);
+const MIN_LOADING_DELAY: Duration = Duration::from_millis(20);
 
 /// An engine that reads prompts for longer than this before a new one's turn
 /// is busy: an adapter would come to another engine from the weight store in a
@@ -144,7 +144,7 @@
         let mut best: Option<(f64, &EndpointState)> = None;
         for state in usable {
             if let Some(obstacle) = self.obstacle(state, need, now) {
-                found = nearer(found, obstacle);
+                found = closer_obstacle(found, obstacle);
                 continue;
             }
             let cost = self.cost(state, need);
@@ -176,11 +176,11 @@
         need: Need<'_>,
         now: Instant,
     ) -> Option<Choice> {
-        let fill = match need.key {
-            Some(_) => ENGINE_FILL,
-            None => SERVICE_FILL,
+        let max_load = match need.key {
+            Some(_) => MAX_ENGINE_LOAD,
+            None => MAX_SERVICE_LOAD,
         };
-        let full = (state.load() >= fill).then_some(Choice::Full);
+        let full = (state.load() >= max_load).then_some(Choice::Full);
         let Some(key) = need.key else { return full };
         let Some(placement) = state.placements.get(key) else {
             return Some(Choice::Absent);
@@ -190,7 +190,7 @@
         }
         if !placement.is_ready(now) {
             let left = placement.ready_at.saturating_duration_since(now);
-            return Some(Choice::Loading(left.max(LEAST_COMING)));
+            return Some(Choice::Loading(left.max(MIN_LOADING_DELAY)));
         }
         full
     }
@@ -235,14 +235,14 @@
         let hash = xxh3_64(state.endpoint.id.as_bytes()) ^ need.draw;
         let spread = xxh3_64(&hash.to_le_bytes()) as f64 / u64::MAX as f64;
         let failures = state.health.failed_share() * FAILURE_COST;
-        let doubt = match self.peers.len() > MAX_DIRECT_PEERS {
-            true => MANY_DOUBT,
-            false => FEW_DOUBT,
+        let noise = match self.peers.len() > MAX_DIRECT_PEERS {
+            true => NOISE_MANY_PEERS,
+            false => NOISE_FEW_PEERS,
         };
         let wait = self.predicted(state, need).map_or(0.0, |wait| {
             wait.as_secs_f64() / need.target_latency.as_secs_f64().max(1e-3)
         });
-        state.load() + wait + zone + failures + spread * doubt
+        state.load() + wait + zone + failures + spread * noise
     }
 
     /// Returns when a request's answer is likely to begin at an endpoint.
@@ -308,7 +308,7 @@
 }
 
 /// Returns which of two reasons not to send is nearer to a send.
-fn nearer(a: Choice, b: Choice) -> Choice {
+fn closer_obstacle(a: Choice, b: Choice) -> Choice {
     let rank = |choice: &Choice| match choice {
         Choice::Send(_) | Choice::Busy(_) => 0,
         Choice::Full => 1,
--- a/crates/fleet/src/view/cooldowns.rs
+++ b/crates/fleet/src/view/cooldowns.rs
@@ -14,7 +14,7 @@
     pub fn apply_announced_cooldown(
         &mut self,
         answered: &AnsweredRequest,
-        rest: Duration,
+        cooldown: Duration,
         now: Instant,
     ) -> bool {
         let AnsweredRequest { endpoint, born, .. } = answered;
@@ -22,10 +22,10 @@
             return false;
         }
         match self.endpoints.get_mut(endpoint) {
-            Some(state) => state.cooldown.ask(rest, now),
+            Some(state) => state.cooldown.extend(cooldown, now),
             None => {
-                let lapsed = self.lapsed_rests.entry(endpoint.clone());
-                lapsed.or_default().ask(rest, now)
+                let lapsed = self.lapsed_cooldowns.entry(endpoint.clone());
+                lapsed.or_default().extend(cooldown, now)
             }
         }
     }
@@ -75,6 +75,7 @@
     /// Forgets the rests of endpoints that are not listed any more. Call it about
     /// once a second.
     pub fn forget_cooldowns(&mut self, now: Instant) {
-        self.lapsed_rests.retain(|_, rest| rest.is_cooling_down(now));
+        self.lapsed_cooldowns
+            .retain(|_, cooldown| cooldown.is_cooling_down(now));
     }
 }
--- a/crates/fleet/src/view/departures.rs
+++ b/crates/fleet/src/view/departures.rs
@@ -21,7 +21,7 @@
             .get(id)
             .is_some_and(|state| state.endpoint.is_draining);
         let departure = Departure::of_entry(id, revision);
-        let is_news = self.departures.note(&departure, is_sure, now);
+        let is_news = self.departures.record(&departure, is_sure, now);
         if is_news && is_sure && !was_leaving {
             self.unsent_departures.push(departure);
         }
@@ -34,7 +34,7 @@
         departure: &Departure,
         now: Instant,
     ) -> bool {
-        if !self.departures.note(departure, true, now) {
+        if !self.departures.record(departure, true, now) {
             return false;
         }
         let Departure { endpoint: id, .. } = departure;
@@ -76,7 +76,7 @@
 
     /// Returns the departures that others are told of again.
     pub fn departures(&self, now: Instant) -> Vec<Departure> {
-        self.departures.told(now)
+        self.departures.repeated(now)
     }
 
     /// Returns all departures that are known, for an instance that missed some.
--- a/crates/fleet/src/view/in_flight.rs
+++ b/crates/fleet/src/view/in_flight.rs
@@ -12,11 +12,11 @@
 /// Endpoints in one note of sums at most: each takes some 20 bytes, and a relay
 /// passes a note on to nine others each 150 ms, over 10 Mbit/s at the least. All of
 /// 1,010 took a sixth of its link, all of 3,000 more than it has.
-const TOTALS_LEN: usize = 256;
+const MAX_TOTALS: usize = 256;
 
 /// Of them, so many are told in turn: one that was missed is repaired after some
 /// seconds, since a note in a hundred may be lost.
-const IN_TURN: usize = 32;
+const ROTATED_TOTALS: usize = 32;
 
 /// What the holder of the lease tells of all instances' work.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct PeerLoad {
     sequence: u64,
-    holds_until: Instant,
+    valid_until: Instant,
     work: Vec<(EndpointId, Work)>,
 }
 
@@ -53,7 +53,7 @@
     pub fn apply_status(&mut self, status: Status, now: Instant) {
         if let Some(last) = self.peers.get(&status.from)
             && last.sequence >= status.sequence
-            && now < last.holds_until
+            && now < last.valid_until
         {
             return;
         }
@@ -77,7 +77,7 @@
         }
         let load = PeerLoad {
             sequence: status.sequence,
-            holds_until: now + holds,
+            valid_until: now + holds,
             work: match status.is_total {
                 true => Vec::new(),
                 false => status.work,
@@ -96,7 +96,7 @@
         if self.totals.is_some_and(|heard| now >= heard.until) {
             self.forget_totals();
         }
-        let is_silent = |load: &PeerLoad| now >= load.holds_until;
+        let is_silent = |load: &PeerLoad| now >= load.valid_until;
         let silent: Vec<InstanceId> = self
             .peers
             .iter()
@@ -124,7 +124,7 @@
     pub fn publish_work(&mut self) -> Vec<(EndpointId, Work)> {
         let mut told = Vec::new();
         for (id, state) in &mut self.endpoints {
-            state.told_work = state.own_work.without_adapters();
+            state.published_work = state.own_work.without_adapters();
             if !state.own_work.is_empty() {
                 told.push((id.clone(), state.own_work.clone()));
             }
@@ -138,14 +138,14 @@
     pub fn publish_totals(&mut self) -> Totals {
         let mut all = Vec::new();
         for (id, state) in &mut self.endpoints {
-            state.told_work = state.own_work.without_adapters();
-            let mut total = state.told_work.clone();
-            total.add(&state.others_work.without_adapters());
-            let known = state.told_total.requests;
+            state.published_work = state.own_work.without_adapters();
+            let mut total = state.published_work.clone();
+            total.add(&state.peer_work.without_adapters());
+            let known = state.published_total.requests;
             all.push((total.requests.abs_diff(known), id.clone(), total));
         }
         let busy = all.iter().filter(|(_, _, total)| !total.is_empty());
-        let is_part = busy.count() > TOTALS_LEN;
+        let is_part = busy.count() > MAX_TOTALS;
         match is_part {
             true => self.choose_totals(&mut all),
             false => all.retain(|(_, _, total)| !total.is_empty()),
@@ -154,52 +154,52 @@
             all.into_iter().map(|(_, id, total)| (id, total)).collect();
         if !is_part {
             for state in self.endpoints.values_mut() {
-                state.told_total = Work::default();
+                state.published_total = Work::default();
             }
         }
         for (id, total) in &work {
             if let Some(state) = self.endpoints.get_mut(id) {
-                state.told_total.clone_from(total);
+                state.published_total.clone_from(total);
             }
         }
         Totals { work, is_part }
     }
 
     fn choose_totals(&mut self, all: &mut Vec<(u32, EndpointId, Work)>) {
-        let first = self.next_told % all.len().max(1);
-        self.next_told = first + IN_TURN;
+        let first = self.next_total % all.len().max(1);
+        self.next_total = first + ROTATED_TOTALS;
         let len = all.len();
-        let is_due = |idx: usize| (idx + len - first) % len < IN_TURN;
+        let is_due = |idx: usize| (idx + len - first) % len < ROTATED_TOTALS;
         for (idx, (change, ..)) in all.iter_mut().enumerate() {
             if is_due(idx) {
                 *change = u32::MAX;
             }
         }
         all.sort_by_key(|(change, ..)| Reverse(*change));
-        all.truncate(TOTALS_LEN);
+        all.truncate(MAX_TOTALS);
     }
 
     fn count_peer(&mut self, load: &PeerLoad, count: fn(&mut Work, &Work)) {
         for (id, work) in &load.work {
             if let Some(state) = self.endpoints.get_mut(id) {
-                count(&mut state.others_work, work);
+                count(&mut state.peer_work, work);
             }
         }
     }
 
     /// Returns whether another instance was heard lately.
     pub fn is_live_peer(&self, id: &InstanceId, now: Instant) -> bool {
-        self.peers.get(id).is_some_and(|load| now < load.holds_until)
+        self.peers.get(id).is_some_and(|load| now < load.valid_until)
     }
 
     /// Returns how many other instances were heard lately.
     pub fn live_peers(&self, now: Instant) -> usize {
-        let holds = |load: &&PeerLoad| now < load.holds_until;
+        let holds = |load: &&PeerLoad| now < load.valid_until;
         self.peers.values().filter(holds).count()
     }
 
     /// Returns what the others have under way at an endpoint, as each says.
-    pub(super) fn others_work(&self, id: &EndpointId) -> Work {
+    pub(super) fn peer_work(&self, id: &EndpointId) -> Work {
         let mut sum = Work::default();
         let all = self.peers.values().flat_map(|load| &load.work);
         for (_, work) in all.filter(|(known, _)| known == id) {
--- a/crates/fleet/src/view/learned_weights.rs
+++ b/crates/fleet/src/view/learned_weights.rs
@@ -21,42 +21,42 @@
 const FADE_TIME: Duration = Duration::from_secs(20);
 
 /// The least time between two looks.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The longest time that one look counts for.
-const LONGEST_LOOK: Duration = Duration::from_millis(500);
+const MAX_UPDATE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Requests for each slot below which loads say nothing of speeds.
-const LEAST_LOAD: f64 = 0.05;
+const MIN_LOAD: f64 = 0.05;
 
 /// How far one endpoint's load counts, against the mean.
-const LARGEST_EXCESS: f64 = 2.0;
+const MAX_EXCESS: f64 = 2.0;
 
 /// The least and the largest part, against an endpoint that is as the others.
-const WEIGHTS: (f64, f64) = (0.1, 3.0);
+const WEIGHT_RANGE: (f64, f64) = (0.1, 3.0);
 
 impl FleetView {
     /// Learns from what is known of all endpoints now.
     pub(super) fn learn_weights(&mut self, now: Instant) {
         let since = self
             .learned_at
-            .map_or(LOOK_EVERY, |at| now.saturating_duration_since(at));
-        if since < LOOK_EVERY {
+            .map_or(UPDATE_INTERVAL, |at| now.saturating_duration_since(at));
+        if since < UPDATE_INTERVAL {
             return;
         }
         self.learned_at = Some(now);
-        let look = since.min(LONGEST_LOOK).as_secs_f64();
+        let interval_s = since.min(MAX_UPDATE_INTERVAL).as_secs_f64();
         let services: Vec<Vec<EndpointId>> = self
             .services
             .values()
             .map(|ids| ids.iter().cloned().collect())
             .collect();
         for ids in services {
-            self.learn_service(&ids, look);
+            self.learn_service_weights(&ids, interval_s);
         }
     }
 
-    fn learn_service(&mut self, ids: &[EndpointId], look_s: f64) {
+    fn learn_service_weights(&mut self, ids: &[EndpointId], interval_s: f64) {
         let states = || ids.iter().filter_map(|id| self.endpoints.get(id));
         // What has models is chosen by what it holds.
         if states().any(|state| !state.endpoint.models.is_empty()) {
@@ -65,14 +65,15 @@
         let mean = states().map(|s| s.load()).sum::<f64>() / ids.len() as f64;
         for id in ids {
             let Some(state) = self.endpoints.get_mut(id) else { continue };
-            let faded = state.weight.ln() * look_s / FADE_TIME.as_secs_f64();
-            let excess = match mean < LEAST_LOAD {
+            let faded =
+                state.weight.ln() * interval_s / FADE_TIME.as_secs_f64();
+            let excess = match mean < MIN_LOAD {
                 true => 0.0,
-                false => (state.load() / mean - 1.0).min(LARGEST_EXCESS),
+                false => (state.load() / mean - 1.0).min(MAX_EXCESS),
             };
-            let learned = excess * look_s / LEARN_TIME.as_secs_f64();
+            let learned = excess * interval_s / LEARN_TIME.as_secs_f64();
             let weight = state.weight * (-learned - faded).exp();
-            state.weight = weight.clamp(WEIGHTS.0, WEIGHTS.1);
+            state.weight = weight.clamp(WEIGHT_RANGE.0, WEIGHT_RANGE.1);
         }
     }
 }
--- a/crates/fleet/src/view/load_interpretation.rs
+++ b/crates/fleet/src/view/load_interpretation.rs
@@ -56,18 +56,18 @@
 
 /// Returns how many of the requests to come each endpoint gets, so that all are
 /// filled to one level, as far as they lie below it.
-pub fn shares(endpoints: &[Capacity], to_come: f64) -> Vec<f64> {
-    let level = level(endpoints, to_come);
-    let lack = |e: &Capacity| (level * e.slots - e.in_flight).max(0.0);
-    endpoints.iter().map(lack).collect()
+pub fn shares(endpoints: &[Capacity], expected_arrivals: f64) -> Vec<f64> {
+    let level = level(endpoints, expected_arrivals);
+    let shortfall = |e: &Capacity| (level * e.slots - e.in_flight).max(0.0);
+    endpoints.iter().map(shortfall).collect()
 }
 
 /// Returns the requests for each slot to which so many more fill the endpoints.
-fn level(endpoints: &[Capacity], to_come: f64) -> f64 {
+fn level(endpoints: &[Capacity], expected_arrivals: f64) -> f64 {
     let load = |e: &Capacity| e.in_flight / e.slots;
     let mut by_load: Vec<&Capacity> = endpoints.iter().collect();
     by_load.sort_by(|a, b| load(a).total_cmp(&load(b)));
-    let (mut slots, mut requests, mut level) = (0.0, to_come, 0.0);
+    let (mut slots, mut requests, mut level) = (0.0, expected_arrivals, 0.0);
     for endpoint in by_load {
         if slots > 0.0 && load(endpoint) >= level {
             break;
@@ -102,10 +102,11 @@
             return Choice::Full;
         }
         let capacities: Vec<Capacity> = open.iter().map(|o| o.1).collect();
-        let to_come = self.to_come(need.service, &capacities, now);
-        let shares = shares(&capacities, to_come);
+        let expected_arrivals =
+            self.expected_arrivals(need.service, &capacities, now);
+        let shares = shares(&capacities, expected_arrivals);
         let send = need.draw ^ need.exclude.len() as u64;
-        let mut left = drawn(send) * shares.iter().sum::<f64>();
+        let mut left = unit_draw(send) * shares.iter().sum::<f64>();
         let chosen = shares.iter().position(|share| {
             left -= share;
             left < 0.0
@@ -142,7 +143,7 @@
         };
         let target_s = need.target_latency.as_secs_f64().max(1e-3);
         let beyond = takes.as_secs_f64() / target_s - ADMITS_ALL_BELOW;
-        let draw = drawn(need.draw ^ ADMISSION_SALT);
+        let draw = unit_draw(need.draw ^ ADMISSION_SALT);
         draw < 1.0 - beyond / ADMITS_LESS_OVER
     }
 
@@ -165,21 +166,21 @@
     /// Returns how many requests come to a service, this one included, from what
     /// the sums show until they show what is sent now. By Little's law as many
     /// come in the time that a request lasts as are under way.
-    fn to_come(
+    fn expected_arrivals(
         &self,
         service: &str,
         endpoints: &[Capacity],
         now: Instant,
     ) -> f64 {
         let under_way: f64 = endpoints.iter().map(|e| e.in_flight).sum();
-        let unseen = self.unseen_for(now);
+        let staleness = self.staleness(now);
         let residence =
             self.residence_times.get(service).map(ResidenceTime::mean);
         let turns = match residence {
             Some(residence) => {
-                unseen.as_secs_f64() / residence.as_secs_f64().max(1e-3)
+                staleness.as_secs_f64() / residence.as_secs_f64().max(1e-3)
             }
-            None if unseen.is_zero() => 0.0,
+            None if staleness.is_zero() => 0.0,
             None => 1.0,
         };
         under_way * turns + 1.0
@@ -188,7 +189,7 @@
     /// Returns how long it takes from a send until all know of it, and what came
     /// before it in that time: instances speak at random moments, so what each
     /// says is half a pause old, and heard half a pause later.
-    fn unseen_for(&self, now: Instant) -> Duration {
+    fn staleness(&self, now: Instant) -> Duration {
         match self.totals {
             // The others tell the holder half as often as it tells all.
             Some(heard) => {
@@ -219,6 +220,6 @@
 }
 
 /// Returns a number between 0 and 1.
-fn drawn(seed: u64) -> f64 {
+fn unit_draw(seed: u64) -> f64 {
     xxh3_64(&seed.to_le_bytes()) as f64 / u64::MAX as f64
 }
--- a/crates/fleet/tests/cooldown_rules.rs
+++ b/crates/fleet/tests/cooldown_rules.rs
@@ -127,7 +127,7 @@
             match step {
                 0 => {
                     let time = Duration::from_millis(rest_ms);
-                    rest.ask(time, now);
+                    rest.extend(time, now);
                     ends = ends.max(now + time);
                 }
                 1 => {
--- a/crates/fleet/tests/store_reports_rules.rs
+++ b/crates/fleet/tests/store_reports_rules.rs
@@ -11,11 +11,11 @@
 
 /// What three instances say, all of whom the store does not answer.
 fn all_out(now: Instant) -> StoreReports {
-    let mut words = StoreReports::default();
+    let mut reports = StoreReports::default();
     for id in &ids() {
-        words.record(id, true, false, now);
+        reports.record(id, true, false, now);
     }
-    words
+    reports
 }
 
 #[test]
@@ -27,51 +27,51 @@
 #[test]
 fn one_that_reaches_the_store_can() {
     let now = Instant::now();
-    let mut words = all_out(now);
-    words.record(&ids()[1], false, false, now);
-    assert!(!words.no_instance_reaches_store(ids().iter(), now));
+    let mut reports = all_out(now);
+    reports.record(&ids()[1], false, false, now);
+    assert!(!reports.no_instance_reaches_store(ids().iter(), now));
 }
 
 #[test]
 fn one_that_was_not_heard_lately_may() {
     let now = Instant::now();
-    let mut words = all_out(now);
+    let mut reports = all_out(now);
     let later = now + REPORT_VALID_FOR;
-    words.record(&ids()[0], true, false, later);
-    words.record(&ids()[1], true, false, later);
-    assert!(!words.no_instance_reaches_store(ids().iter(), later));
+    reports.record(&ids()[0], true, false, later);
+    reports.record(&ids()[1], true, false, later);
+    assert!(!reports.no_instance_reaches_store(ids().iter(), later));
 }
 
 #[test]
 fn few_that_were_not_heard_for_long_are_gone() {
     let now = Instant::now();
     let known = ["i1", "i2", "i3", "gone"].map(str::to_owned);
-    let mut words = all_out(now);
-    assert!(words.no_instance_reaches_store(known.iter(), now));
+    let mut reports = all_out(now);
+    assert!(reports.no_instance_reaches_store(known.iter(), now));
     let later = now + Duration::from_secs(6);
-    words.record(&ids()[0], true, false, later);
+    reports.record(&ids()[0], true, false, later);
     // Two were not heard for long, and that is no fewer than were heard.
     let known = ["i1", "i2"].map(str::to_owned);
-    assert!(!words.no_instance_reaches_store(known.iter(), later));
+    assert!(!reports.no_instance_reaches_store(known.iter(), later));
 }
 
 #[test]
 fn one_that_is_not_in_the_list_and_reaches_the_store_can() {
     let now = Instant::now();
-    let mut words = all_out(now);
-    words.record(&"new".to_owned(), false, false, now);
-    assert!(!words.no_instance_reaches_store(ids().iter(), now));
+    let mut reports = all_out(now);
+    reports.record(&"new".to_owned(), false, false, now);
+    assert!(!reports.no_instance_reaches_store(ids().iter(), now));
 }
 
 #[test]
 fn one_that_leaves_cannot() {
     let now = Instant::now();
-    let mut words = all_out(now);
-    words.record(&ids()[2], false, true, now);
+    let mut reports = all_out(now);
+    reports.record(&ids()[2], false, true, now);
     let later = now + Duration::from_millis(900);
-    assert!(words.no_instance_reaches_store(ids().iter(), later));
+    assert!(reports.no_instance_reaches_store(ids().iter(), later));
     let much_later = now + Duration::from_secs(3);
-    words.record(&ids()[0], true, false, much_later);
-    words.record(&ids()[1], true, false, much_later);
-    assert!(words.no_instance_reaches_store(ids().iter(), much_later));
+    reports.record(&ids()[0], true, false, much_later);
+    reports.record(&ids()[1], true, false, much_later);
+    assert!(reports.no_instance_reaches_store(ids().iter(), much_later));
 }
