--- a/crates/fleet/src/adapter.rs
+++ b/crates/fleet/src/adapter.rs
@@ -1,21 +1,21 @@
-//! What a request runs on: a base model, or an adapter of one.
+//! The models that requests run on: base models, and adapters of these.
 
 use std::fmt;
 
 use sedgewall_state::id::{AdapterName, ModelName};
 use serde::{Deserialize, Serialize};
 
-/// The version of weights; it only rises.
+/// The version of a model's or adapter's weights, which only increases.
 pub type WeightVersion = u64;
 
-/// A base model, or an adapter of it.
+/// The key of a base model, or of an adapter of one.
 #[derive(
     Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct AdapterKey {
-    /// The base model.
+    /// The name of the base model.
     pub model: ModelName,
-    /// The adapter; none means the base model itself.
+    /// The name of the adapter; `None` for the base model itself.
     pub adapter: Option<AdapterName>,
 }
 
@@ -25,7 +25,7 @@
         AdapterKey { model: model.to_owned(), adapter: None }
     }
 
-    /// Returns the key of an adapter.
+    /// Returns the key of an adapter of a base model.
     pub fn new(model: &str, adapter: &str) -> AdapterKey {
         let adapter = Some(adapter.to_owned());
         AdapterKey { model: model.to_owned(), adapter }
--- a/crates/fleet/src/adapter_index.rs
+++ b/crates/fleet/src/adapter_index.rs
@@ -1,5 +1,5 @@
-//! Which endpoints an adapter belongs to, so that neither a request nor a
-//! decision has to look at every endpoint.
+//! An index from adapters to endpoints, so that neither a request nor a
+//! planning pass has to scan all endpoints.
 
 use std::collections::HashMap;
 
@@ -7,12 +7,12 @@
 
 use crate::adapter::AdapterKey;
 
-/// The endpoints of each adapter, in no order.
+/// The endpoints of each adapter, in no particular order.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AdapterIndex(HashMap<AdapterKey, Vec<EndpointId>>);
 
 impl AdapterIndex {
-    /// Adds an endpoint to an adapter; one that is there stays there once.
+    /// Adds an endpoint to an adapter's endpoints, unless it is already there.
     pub(crate) fn insert(&mut self, key: &AdapterKey, id: &EndpointId) {
         let Some(ids) = self.0.get_mut(key) else {
             self.0.insert(key.clone(), vec![id.clone()]);
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Takes an endpoint from an adapter.
+    /// Removes an endpoint from an adapter's endpoints.
     pub(crate) fn remove(&mut self, key: &AdapterKey, id: &EndpointId) {
         let Some(ids) = self.0.get_mut(key) else { return };
         ids.retain(|known| known != id);
--- a/crates/fleet/src/endpoint.rs
+++ b/crates/fleet/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What the platform's list says about one endpoint.
+//! Endpoints as the platform's store lists them, and the reports of engines.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,50 +11,54 @@
     route::ServiceName,
 };
 
-/// A revision of the platform's store, which counts each change.
+/// A revision of the platform's store, which increases by one with each
+/// change.
 pub type Revision = u64;
 
-/// An endpoint, in one of its lives.
+/// An endpoint, in one incarnation.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Endpoint {
-    /// Its id.
+    /// The endpoint's id, which a restarted endpoint may use again.
     pub id: EndpointId,
-    /// The store's revision at which its entry was last changed.
+    /// The store's revision at which the endpoint's entry was last changed.
     pub revision: Revision,
-    /// The service that it belongs to.
+    /// The service that the endpoint belongs to.
     pub service: ServiceName,
-    /// Where it listens. Others may listen there after it is gone.
+    /// The address on which the endpoint listens. Another endpoint may listen
+    /// on the same address after this one is gone.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// The availability zone that the endpoint runs in.
     pub zone: ZoneName,
-    /// Requests that it works on at once.
+    /// The number of requests that the endpoint processes concurrently.
     pub slots: u32,
-    /// Whether it is leaving; it gets no new work.
+    /// Whether the endpoint is draining; a draining endpoint gets no new
+    /// requests.
     pub is_draining: bool,
-    /// How long it is still there, if it is taken away at short notice.
+    /// The time until the endpoint is terminated, if it was preempted at short
+    /// notice.
     pub remaining: Option<Duration>,
-    /// The base models that it holds.
+    /// The base models that the endpoint serves.
     pub models: Vec<HostedModel>,
-    /// When this life of it began, if it says so. An instance of the release
-    /// before does not pass it on.
+    /// The incarnation's start time, if the endpoint reports one. An instance
+    /// of the previous release does not pass it on.
     #[serde(default)]
     pub born: Option<Incarnation>,
 }
 
-/// A base model on an engine.
+/// A base model that an engine serves, with its loaded adapters.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct HostedModel {
-    /// The model without an adapter.
+    /// The key of the base model, without an adapter.
     pub key: AdapterKey,
-    /// The version of its weights.
+    /// The version of the base model's weights.
     pub version: WeightVersion,
-    /// The adapters that are ready, with their versions.
+    /// The loaded adapters, with their versions.
     pub adapters: Vec<(AdapterKey, WeightVersion)>,
 }
 
 impl Endpoint {
-    /// Returns the same without the adapters that it holds, for whoever asks it
-    /// for these anyway.
+    /// Returns a copy without the adapters, for instances that get these from
+    /// the engine's report instead.
     pub fn without_adapters(&self) -> Endpoint {
         let mut endpoint = self.clone();
         for model in &mut endpoint.models {
@@ -64,17 +68,18 @@
     }
 }
 
-/// What an engine reports of itself.
+/// An engine's own report of its state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineReport {
-    /// The base models that it holds.
+    /// The base models that the engine serves, with their loaded adapters.
     pub models: Vec<HostedModel>,
-    /// The adapters on their way to it.
+    /// The adapters that are being loaded, with their versions.
     pub loading: Vec<(AdapterKey, WeightVersion)>,
-    /// Whether it carries out an order that it can do only one of.
+    /// Whether the engine is executing an order of a kind of which it executes
+    /// only one at a time.
     pub is_busy: bool,
-    /// The orders that it has taken in this life.
+    /// The number of orders that the engine has accepted in this incarnation.
     pub orders_taken: u64,
-    /// When its life began, if it says so.
+    /// The incarnation's start time, if the engine reports one.
     pub born: Option<Incarnation>,
 }
--- a/crates/fleet/src/endpoint_state.rs
+++ b/crates/fleet/src/endpoint_state.rs
@@ -1,9 +1,9 @@
-//! One endpoint, as an instance sees it: its entry, its load, its health, and
-//! which adapters it holds.
+//! The state of one endpoint as this instance knows it: entry, load, health,
+//! and adapter placements.
 //!
-//! What an engine holds comes from the platform's list, which is late, from
-//! notes, which are early and lost now and then, or, at the holder of the
-//! lease, from its report and our own orders alone.
+//! Placements come from three sources: the platform's list, which is late;
+//! notes of other instances, which are early but may be lost; and, at the
+//! lease holder, the engine's report and the holder's own orders alone.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -22,127 +22,141 @@
     work::Work,
 };
 
-/// How long a note is believed over a list that does not show it. Endpoints
-/// write their entries about once a second, and a load may wait its turn.
+/// How long a note takes precedence over a list that does not show its change.
+/// Endpoints write their entries about once a second, and a load may be queued
+/// before it starts.
 const NOTE_PRECEDENCE: Duration = Duration::from_millis(4_000);
 
-/// When an adapter that a report shows on its way is looked for again.
+/// The time after which an adapter that a report shows as loading is expected
+/// to be ready.
 const REPORTED_LOAD_TIME: Duration = Duration::from_millis(300);
 
-/// Adapters that an endpoint keeps at hand of those it held. Fewer than engines
-/// keep, so that a load which is taken for a fast one is one.
+/// The number of recently held adapters that an endpoint is assumed to have
+/// cached. It is below the cache size of real engines, so that a load which is
+/// expected to be fast is fast.
 const WARM_ADAPTERS: usize = 80;
 
-/// An adapter on its way that is not there yet is tried again after this, or
-/// after a part of the time for which it has been on its way, if that is longer.
+/// The minimum delay before a request is sent again to an adapter that was not
+/// loaded yet. The delay is the greater of this and the elapsed load time
+/// divided by [`RETRY_DELAY_DIVISOR`].
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(40);
 
-/// The part, as a divisor: each further try costs a repeat, and waits too long by
-/// half of this part.
+/// The divisor of the elapsed load time that gives the retry delay. Each retry
+/// costs a repeated request, and a delay overshoots the end of the load by
+/// half its length on average.
 const RETRY_DELAY_DIVISOR: u32 = 8;
 
-/// How long the version before a replacement counts as there after the new one
-/// should be ready: it waits for its runs, which take seconds at most.
+/// How long the previous version of a replaced adapter is assumed to occupy a
+/// slot after the new version should be ready. It is unloaded once its running
+/// requests end, which takes seconds at most.
 const REPLACED_VERSION_HELD_FOR: Duration = Duration::from_secs(6);
 
-/// A load that nothing has shown to be over counts as on its way for this many times
-/// as long as it was expected to take: a new holder of the lease knows the weight
-/// store's pace only after some answers, and must not order more loads than an engine
-/// takes at once.
+/// A load whose end was not confirmed counts as in progress for this multiple
+/// of its expected duration. A new lease holder learns the weight store's
+/// speed only from the first loads, and must not order more loads than an
+/// engine accepts concurrently.
 const LOAD_TIME_FACTOR: u32 = 4;
 
-/// An adapter that is on its way may come this much later than expected, when
-/// the weight store is busy. Its removal would be answered as done, and it would
-/// come all the same.
+/// How much later than expected a load may finish when the weight store is
+/// busy. An engine would answer an order to remove the adapter with success,
+/// and load the adapter all the same.
 const MAX_LOAD_OVERRUN: Duration = Duration::from_millis(2_000);
 
-/// An adapter on an engine.
+/// The placement of an adapter on an engine.
 #[derive(Clone, Debug)]
 pub struct Placement {
-    /// The version that is there, or that the load brings.
+    /// The version that is loaded or being loaded.
     pub version: WeightVersion,
-    /// From when on it takes requests.
+    /// The time from which the adapter is expected to serve requests.
     pub ready_at: Instant,
-    /// When a note or an outcome last spoke of it.
+    /// When a note or the outcome of an order last changed this placement.
     pub(crate) updated_at: Instant,
-    /// Whether the platform's list shows it.
+    /// Whether the platform's list shows the adapter.
     pub(crate) is_listed: bool,
-    /// Whether it replaces another version, which stays until its runs end.
+    /// Whether the load replaces another version, which stays loaded until its
+    /// running requests end.
     pub(crate) is_replacement: bool,
-    /// Whether it comes from the weight store, and no request has shown yet that
-    /// it is there.
+    /// Whether the adapter is loaded from the weight store and no request has
+    /// confirmed the load yet.
     pub(crate) is_unconfirmed: bool,
-    /// When its load was first heard of.
+    /// When this instance first learned of the load.
     pub(crate) load_started: Instant,
-    /// Whether its engine has taken the order; before that it takes a place, and
-    /// nothing else.
+    /// Whether the engine has accepted the order. Before that the placement
+    /// reserves a slot but gets no requests.
     pub(crate) is_ordered: bool,
-    /// Until when it may still be on its way.
+    /// The latest time at which the load may still be in progress.
     pub(crate) loading_until: Instant,
 }
 
-/// One endpoint, as this instance sees it.
+/// One endpoint, as this instance knows it.
 #[derive(Clone, Debug)]
 pub struct EndpointState {
-    /// What the platform's list says.
+    /// The endpoint's entry in the platform's list.
     pub endpoint: Endpoint,
-    /// What this instance has under way there.
+    /// This instance's requests in flight at the endpoint.
     pub own_work: Work,
-    /// Our part in what the holder of the lease was told last.
+    /// This instance's own work as it last published it; a total of the lease
+    /// holder contains it.
     pub(crate) published_work: Work,
-    /// What the other instances have under way there, as each says itself.
+    /// The work in flight there of all other instances, as each reports its
+    /// own.
     pub(crate) peer_work: Work,
-    /// What the holder, if that is us, told last of all instances' work there.
+    /// The total that this instance last published for the endpoint, if it is
+    /// the lease holder.
     pub(crate) published_total: Work,
-    /// What all instances have under way there, as the holder of the lease
-    /// says. Where many say so, it is newer than what each says itself.
+    /// The total work in flight there, as published by the lease holder. With
+    /// many instances the totals are fresher than the reports of single
+    /// instances.
     pub(crate) total_work: Option<Work>,
-    /// What our requests show.
+    /// The endpoint's health, from the outcomes of this instance's requests.
     pub health: Health,
-    /// What it is worth against an endpoint as the others, for plain services.
+    /// The endpoint's learned capacity relative to an average endpoint, for
+    /// plain services.
     pub(crate) weight: f64,
     pub(crate) placements: HashMap<AdapterKey, Placement>,
     pub(crate) removed: HashMap<AdapterKey, Instant>,
-    /// Whether our own orders alone decide what it holds; then the list, which
-    /// is late, says nothing about that.
+    /// Whether the engine's report and this instance's orders alone determine
+    /// what the engine holds. The platform's list, which is late, is then
+    /// ignored.
     pub(crate) is_ordered_by_us: bool,
-    /// What it held lately, the newest last.
+    /// The adapters that the endpoint held recently, the newest last.
     pub(crate) warm: VecDeque<AdapterKey>,
-    /// Until when it takes no more from some instance: what requests wait for needs
-    /// another place.
+    /// The time until which the endpoint is saturated for some instance;
+    /// adapters with waiting requests need another engine until then.
     pub(crate) saturated_until: Option<Instant>,
-    /// The rest that it asked us for.
+    /// The cooldown that the endpoint asked this instance for.
     pub(crate) cooldown: Cooldown,
 }
 
 impl Placement {
-    /// Returns whether the seat takes requests.
+    /// Returns whether the adapter is expected to serve requests now.
     pub fn is_ready(&self, now: Instant) -> bool {
         self.is_ordered && now >= self.ready_at
     }
 
-    /// Returns whether its engine has taken the order for it.
+    /// Returns whether the engine has accepted the order for this placement.
     pub fn is_ordered(&self) -> bool {
         self.is_ordered
     }
 
-    /// Returns whether its load is sure to be over.
+    /// Returns whether the load is certain to have ended.
     pub fn is_settled(&self, now: Instant) -> bool {
         self.is_ready(now)
             && (self.is_listed || now >= self.updated_at + MAX_LOAD_OVERRUN)
     }
 
-    /// Returns whether the version before may still take a place beside it.
+    /// Returns whether the previous version may still occupy a slot of its
+    /// own.
     pub fn is_replacing(&self, now: Instant) -> bool {
         self.is_replacement && now < self.ready_at + REPLACED_VERSION_HELD_FOR
     }
 
-    /// Returns whether its load may still be under way.
+    /// Returns whether the load may still be in progress.
     pub fn is_loading(&self, now: Instant) -> bool {
         now < self.ready_at.max(self.loading_until)
     }
 
-    /// Returns whether the platform's list shows it.
+    /// Returns whether the platform's list shows the adapter.
     pub fn is_listed(&self) -> bool {
         self.is_listed
     }
@@ -168,7 +182,8 @@
         }
     }
 
-    /// Forgets what it held, what requests showed and what was learned of it.
+    /// Clears placements, health, and learned values of the previous
+    /// incarnation.
     pub(crate) fn begin_incarnation(&mut self) {
         self.placements.clear();
         self.removed.clear();
@@ -180,12 +195,12 @@
         self.cooldown = self.cooldown.in_new_incarnation();
     }
 
-    /// Returns its id.
+    /// Returns the endpoint's id.
     pub fn id(&self) -> &EndpointId {
         &self.endpoint.id
     }
 
-    /// Returns the requests of all instances under way there.
+    /// Returns the number of requests in flight there, of all instances.
     pub fn in_flight(&self) -> u32 {
         let others = match &self.total_work {
             Some(total) => {
@@ -196,8 +211,8 @@
         self.own_work.requests + others
     }
 
-    /// Returns the prompt tokens of all instances' requests that it has yet to
-    /// read.
+    /// Returns the number of prompt tokens that await prefill there, of all
+    /// instances' requests.
     pub fn unread_tokens(&self) -> u64 {
         let others = match &self.total_work {
             Some(total) => total
@@ -208,52 +223,56 @@
         self.own_work.unread_tokens + others
     }
 
-    /// Returns whether requests run on an adapter there, as far as we know.
+    /// Returns whether any known request in flight there uses the adapter.
     pub fn uses(&self, key: &AdapterKey) -> bool {
         self.own_work.uses(key) || self.peer_work.uses(key)
     }
 
-    /// Returns the requests under way as a part of its slots.
+    /// Returns the requests in flight as a fraction of the endpoint's slots.
     pub fn load(&self) -> f64 {
         f64::from(self.in_flight()) / f64::from(self.endpoint.slots.max(1))
     }
 
-    /// Returns whether it may get requests.
+    /// Returns whether the endpoint may get requests: it is neither draining,
+    /// nor ejected, nor cooling down.
     pub fn is_usable(&self, now: Instant) -> bool {
         !self.endpoint.is_draining
             && self.health.is_usable(now)
             && self.cooldown.left(now).is_none()
     }
 
-    /// Returns whether it takes no more from some instance now.
+    /// Returns whether the endpoint is currently saturated for some instance.
     pub fn is_saturated(&self, now: Instant) -> bool {
         self.saturated_until.is_some_and(|until| now < until)
     }
 
-    /// Returns whether it holds a base model.
+    /// Returns whether the endpoint serves a base model.
     pub fn has_model(&self, model: &str) -> bool {
         self.endpoint.models.iter().any(|hosted| hosted.key.model == model)
     }
 
-    /// Returns whether we know what it holds from its report and our orders.
-    /// An endpoint whose entry went and came back is not known.
+    /// Returns whether the placements are known from the engine's report and
+    /// this instance's orders. They are unknown for an endpoint whose entry
+    /// was removed and added again.
     pub fn is_ordered_by_us(&self) -> bool {
         self.is_ordered_by_us
     }
 
-    /// Returns the adapters that are there or on their way.
+    /// Returns the adapters that are loaded or being loaded, with their
+    /// placements.
     pub fn placements(
         &self,
     ) -> impl Iterator<Item = (&AdapterKey, &Placement)> {
         self.placements.iter()
     }
 
-    /// Returns one adapter that is there or on its way.
+    /// Returns the placement of one adapter that is loaded or being loaded.
     pub fn placement(&self, key: &AdapterKey) -> Option<&Placement> {
         self.placements.get(key)
     }
 
-    /// Notes that it holds an adapter; returns what it no longer has at hand.
+    /// Records that the endpoint holds an adapter. Returns the adapter that is
+    /// no longer assumed to be cached there, if there is one.
     pub(crate) fn record_warm(
         &mut self,
         key: &AdapterKey,
@@ -266,7 +285,7 @@
         None
     }
 
-    /// Takes in the endpoint's entry.
+    /// Applies the endpoint's entry in the platform's list.
     pub(crate) fn apply_entry(&mut self, endpoint: Endpoint, now: Instant) {
         if self.is_ordered_by_us {
             self.endpoint = endpoint;
@@ -310,7 +329,7 @@
         self.endpoint = endpoint;
     }
 
-    /// Takes in its own report, which is newer than its entry.
+    /// Applies the engine's own report, which is newer than its entry.
     pub(crate) fn apply_report(
         &mut self,
         report: &EngineReport,
@@ -339,13 +358,13 @@
         self.is_ordered_by_us = true;
     }
 
-    /// Takes in that an adapter is on its way.
+    /// Applies a note that an adapter is being loaded.
     pub(crate) fn apply_placed(&mut self, placed: &Placed, now: Instant) {
         self.removed.remove(&placed.key);
         let before = self.placements.get(&placed.key);
         let is_replacement =
             before.is_some_and(|b| b.version < placed.version);
-        // A note of the same load, with a better guess.
+        // A note about the same load may bring a better estimate.
         let known = before.filter(|b| b.version == placed.version);
         let takes = Duration::from_millis(placed.ready_in_ms);
         let placement = Placement {
@@ -363,7 +382,7 @@
         self.placements.insert(placed.key.clone(), placement);
     }
 
-    /// Notes that an adapter is about to be ordered.
+    /// Records an adapter that is about to be ordered.
     pub(crate) fn plan(&mut self, placed: &Placed, now: Instant) {
         self.apply_placed(placed, now);
         if let Some(placement) = self.placements.get_mut(&placed.key) {
@@ -371,8 +390,8 @@
         }
     }
 
-    /// Notes that the engine has taken an order that was planned: its load begins
-    /// now. Returns when it is likely to be ready.
+    /// Records that the engine has accepted a planned order, which starts the
+    /// load. Returns the time until the adapter is expected to be ready.
     pub(crate) fn order_accepted(
         &mut self,
         key: &AdapterKey,
@@ -391,7 +410,8 @@
         Some(placement.ready_at.saturating_duration_since(now))
     }
 
-    /// Notes that an adapter that was about to be ordered is there already.
+    /// Records that an adapter which was about to be ordered is already
+    /// loaded.
     pub(crate) fn mark_present(&mut self, key: &AdapterKey, now: Instant) {
         if let Some(placement) = self.placements.get_mut(key) {
             placement.is_ordered = true;
@@ -401,8 +421,8 @@
         }
     }
 
-    /// Takes in whether an adapter from the weight store was there when a request
-    /// was sent to it; returns whether the holder of the lease is to hear of it.
+    /// Records whether a request found an adapter loaded that comes from the
+    /// weight store. Returns whether the lease holder must be notified.
     pub(crate) fn confirm_load(
         &mut self,
         key: &AdapterKey,
@@ -419,12 +439,14 @@
         is_news
     }
 
-    /// Notes that it turned a request down for want of an adapter.
+    /// Records that the endpoint rejected a request because the adapter was
+    /// not loaded.
     pub(crate) fn record_absent(&mut self, key: &AdapterKey, now: Instant) {
         let Some(placement) = self.placements.get_mut(key) else { return };
         let elapsed = now.saturating_duration_since(placement.load_started);
         let pause = MIN_RETRY_DELAY.max(elapsed / RETRY_DELAY_DIVISOR);
-        // The holder's table must not lose what takes a place.
+        // The lease holder's table must keep each placement that occupies a
+        // slot.
         if placement.is_listed && !self.is_ordered_by_us {
             self.placements.remove(key);
             self.removed.insert(key.clone(), now);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,9 +1,11 @@
-//! Decisions of an instance that dispatches by itself.
+//! Routing and placement decisions of an instance that dispatches requests
+//! itself.
 //!
-//! Where no shard leader stands between a caller and an engine, each instance
-//! routes on its own table of endpoints ([`view::FleetView`]) and one instance
-//! at a time decides which adapters the engines hold ([`placement::PlacementPlanner`]).
-//! Everything here is pure: time comes in as an argument, and nothing is sent.
+//! Without a shard leader between callers and engines, each instance routes by
+//! its own table of endpoints ([`view::FleetView`]), and one instance at a
+//! time, the lease holder, decides which adapters the engines hold
+//! ([`placement::PlacementPlanner`]). This crate does no I/O and reads no
+//! clock: the current time is passed in as an argument.
 
 pub mod adapter;
 mod adapter_index;
