--- a/crates/fleet/src/announcement.rs
+++ b/crates/fleet/src/announcement.rs
@@ -1,38 +1,43 @@
-//! What an endpoint announces of itself in the head of an answer.
+//! Announcements of endpoints about themselves in response headers.
 //!
-//! Values are decoded elsewhere; here is what they mean. The invariant: a value that
-//! could not be read announces nothing and withdraws nothing.
+//! The headers are decoded elsewhere; this module defines what the values
+//! mean. The invariant: a value that cannot be decoded neither announces nor
+//! withdraws anything.
 
 use std::time::Duration;
 
-/// What one answer announces.
+/// The announcements of one response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Announcement {
-    /// For how long its endpoint wants no request from the instance that it
-    /// answers.
+    /// The time for which the endpoint asks the receiving instance to send no
+    /// requests.
     pub cooldown: Option<Duration>,
-    /// Whether it names a rate limit.
+    /// The announced rate limit.
     pub limit: AnnouncedLimit,
-    /// Whether its endpoint is leaving: it gets no new work.
+    /// Whether the endpoint is leaving; a leaving endpoint gets no new
+    /// requests.
     pub is_leaving: bool,
-    /// The name and a bounded part of the first value that could not be read.
+    /// The name and a truncated copy of the first value that could not be
+    /// decoded.
     pub unreadable: Option<String>,
 }
 
-/// A rate limit, as one answer names it.
+/// The rate limit that one response announces.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum AnnouncedLimit {
-    /// It names none: a limit that was named before is over.
+    /// No limit; a limit that was announced before has ended.
     #[default]
     None,
-    /// It takes this many requests a second from all instances together.
+    /// The endpoint accepts this many requests per second from all instances
+    /// together.
     PerSecond(f64),
-    /// It names one that cannot be read: the one that was named before stands.
+    /// The value cannot be decoded; a limit that was announced before stays in
+    /// force.
     Unreadable,
 }
 
 impl AnnouncedLimit {
-    /// Returns the requests a second, if some are named.
+    /// Returns the announced limit in requests per second, if there is one.
     pub fn per_s(self) -> Option<f64> {
         match self {
             AnnouncedLimit::PerSecond(per_s) => Some(per_s),
--- a/crates/fleet/src/departure.rs
+++ b/crates/fleet/src/departure.rs
@@ -1,12 +1,13 @@
-//! Endpoints that left, as the platform's store said to any instance, or as they said
-//! themselves in an answer.
+//! Departures of endpoints, as any instance saw them in the platform's store,
+//! or as endpoints announced them in responses.
 //!
-//! What an instance reads in the store may be seconds old, and one that is cut
-//! off reads nothing. So whoever sees an endpoint leave tells all others, and
-//! says it again for a while, since notes are lost now and then. The invariant:
-//! what the store held when an endpoint had left, or before, never brings it
-//! back; only an entry that was written later does. What an endpoint announced itself
-//! no entry of the same life takes back: the store may not have taken its word yet.
+//! What an instance reads from the store may be seconds old, and an instance
+//! that is cut off reads nothing. An instance that sees an endpoint leave
+//! therefore tells all others, and repeats this for a while, since notes may
+//! be lost. The invariant: an entry that was written no later than the
+//! departure never brings an endpoint back; only a later one does. A departure
+//! that the endpoint itself announced is not undone by any entry of the same
+//! incarnation, since the store may not have the announced state yet.
 
 use std::{cmp::Reverse, collections::HashMap, time::Duration};
 
@@ -16,31 +17,34 @@
 
 use crate::{endpoint::Revision, incarnation::Incarnation};
 
-/// How long each instance says again what it knows to have left: a note is due
-/// every 150 ms to 2.4 s, and one in a hundred may be lost. An instance that
-/// starts may list what is 3 s old.
+/// How long each instance repeats the departures that it knows of. Notes are
+/// sent every 150 ms to 2.4 s, and one in a hundred may be lost; an instance
+/// that starts may read a list that is 3 s old.
 const REPEATED_FOR: Duration = Duration::from_secs(4);
 
-/// Departures in one note at most, the newest first, so that a note stays in
-/// one packet: 16 take some 400 bytes.
+/// The maximum number of departures in one note, the newest first. 16 take
+/// about 400 bytes, so that a note stays within one packet.
 const MAX_REPEATED: usize = 16;
 
-/// How long a departure is kept. It outlasts all notes and lists that may be
-/// older: those of a frozen instance, which the platform ends after some seconds.
+/// How long a departure is kept. This exceeds the age of any note or list that
+/// may still arrive, such as those of a frozen instance, which the platform
+/// terminates after some seconds.
 const RETENTION: Duration = Duration::from_secs(120);
 
 /// An endpoint that is leaving or gone.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Departure {
-    /// Its id.
+    /// The endpoint's id.
     pub endpoint: EndpointId,
-    /// The store's revision at which its entry said so, or was missing; if it said
-    /// so itself, the newest one that was known then.
+    /// The store's revision at which the endpoint's entry was draining or
+    /// missing. For a departure that the endpoint announced, the newest
+    /// revision of its entry that was known then.
     pub revision: Revision,
-    /// Whether it said so itself.
+    /// Whether the endpoint itself announced the departure.
     #[serde(default)]
     pub is_announced: bool,
-    /// In which life it said so, if it tells its lives apart.
+    /// The incarnation that announced the departure, if the endpoint reports
+    /// one.
     #[serde(default)]
     pub born: Option<Incarnation>,
 }
@@ -59,8 +63,8 @@
 }
 
 impl Departure {
-    /// Returns the departure of an endpoint whose entry said so, or was missing, at a
-    /// revision.
+    /// Returns the departure of an endpoint whose entry was draining or
+    /// missing at a revision.
     pub fn of_entry(endpoint: &EndpointId, revision: Revision) -> Departure {
         Departure {
             endpoint: endpoint.clone(),
@@ -70,7 +74,7 @@
         }
     }
 
-    /// Returns the departure of an endpoint that said so itself.
+    /// Returns a departure that the endpoint itself announced.
     pub fn announced(
         endpoint: &EndpointId,
         born: Option<Incarnation>,
@@ -82,7 +86,8 @@
 }
 
 impl Known {
-    /// Returns whether the endpoint said that it leaves in this life.
+    /// Returns whether the endpoint announced its departure in this
+    /// incarnation.
     fn is_announced_in(&self, born: Option<Incarnation>) -> bool {
         let is_other =
             matches!((self.born, born), (Some(a), Some(b)) if a != b);
@@ -100,8 +105,8 @@
 }
 
 impl Departures {
-    /// Notes a departure, and whether others are to be told of it; returns
-    /// whether it is news.
+    /// Records a departure; `is_told` states whether it is repeated to other
+    /// instances. Returns whether it is new.
     pub fn record(
         &mut self,
         departure: &Departure,
@@ -134,8 +139,8 @@
         true
     }
 
-    /// Returns whether an endpoint has left for all that its entry of this
-    /// revision, and of this life, says.
+    /// Returns whether an endpoint has left, given the revision and the
+    /// incarnation of its entry.
     pub fn has_left(
         &self,
         id: &EndpointId,
@@ -147,7 +152,7 @@
         })
     }
 
-    /// Returns the departures that others are still told of.
+    /// Returns the departures that are still repeated to other instances.
     pub fn repeated(&self, now: Instant) -> Vec<Departure> {
         let mut recent: Vec<(&EndpointId, &Known)> = self
             .0
@@ -161,13 +166,14 @@
         recent.into_iter().map(|(id, known)| known.departure(id)).collect()
     }
 
-    /// Returns all departures that are known.
+    /// Returns all known departures.
     pub fn all(&self) -> impl Iterator<Item = Departure> {
         self.0.iter().map(|(id, known)| known.departure(id))
     }
 
-    /// Forgets what nobody speaks of any more. An endpoint that announced it has left
-    /// for as long as it is listed.
+    /// Removes departures that are too old to be mentioned by any instance. A
+    /// departure that the endpoint announced is kept for as long as the
+    /// endpoint is listed.
     pub fn forget(
         &mut self,
         is_listed: impl Fn(&EndpointId) -> bool,
--- a/crates/fleet/src/incarnation.rs
+++ b/crates/fleet/src/incarnation.rs
@@ -1,11 +1,12 @@
-//! The lives of endpoints: one may start again under the id that it had, and then
-//! holds and knows nothing of before.
+//! Incarnations of endpoints. An endpoint may restart under the same id, and
+//! has then lost all of its previous state.
 //!
-//! What an endpoint says of itself names the moment of its start, which tells its
-//! lives apart. Clocks may be behind, so the later moment need not be the later
-//! life. The invariant: a life that was followed by another one is over, whatever
-//! is still heard of it, and what stood in the store before a life's first entry
-//! says nothing of it.
+//! An endpoint states the time of its start, which distinguishes its
+//! incarnations. Clocks may be set back, so a later start time need not mean a
+//! later incarnation. The invariants: an incarnation that was followed by
+//! another one has ended, whatever still arrives from it; and what the store
+//! held before an incarnation's first entry says nothing about that
+//! incarnation.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -18,70 +19,77 @@
 
 use crate::endpoint::Revision;
 
-/// The Unix millisecond of an endpoint's start, on its own clock.
+/// The start time of an endpoint in Unix milliseconds by its own clock, which
+/// identifies the incarnation.
 pub type Incarnation = u64;
 
-/// How many lives that are over are kept for each endpoint: what is said late is
-/// seconds old, and an endpoint takes a second at least to start.
+/// The number of ended incarnations that are kept per endpoint. Late messages
+/// are seconds old, and an endpoint takes at least one second to start.
 const MAX_ENDED: usize = 8;
 
-/// How late an entry may show a life that is over: endpoints write theirs once a
-/// second, and a watch that waits for many changes is 2.5 s late.
+/// How late an entry of an ended incarnation may arrive. Endpoints write their
+/// entries once a second, and a watch with many changes pending is up to 2.5 s
+/// late.
 const MAX_ENTRY_DELAY: Duration = Duration::from_secs(4);
 
-/// How late an endpoint's own word may come: a call for it waits for 0.8 s.
+/// How late an endpoint's own report may arrive. A call for a report waits for
+/// up to 0.8 s.
 const MAX_REPORT_DELAY: Duration = Duration::from_secs(1);
 
-/// How long lives are kept after they were last heard of: longer than any list or
-/// note may be late.
+/// How long incarnations are kept after the endpoint was last heard of. This
+/// exceeds the delay of any list or note.
 const RETENTION: Duration = Duration::from_secs(300);
 
-/// One life of an endpoint.
+/// One incarnation of an endpoint.
 #[derive(
     Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct EndpointIncarnation {
-    /// The endpoint.
+    /// The endpoint's id.
     pub id: EndpointId,
-    /// When this life began, if it says so; else its id names one life.
+    /// The incarnation's start time, if the endpoint reports one; otherwise
+    /// the id alone identifies the incarnation.
     pub born: Option<Incarnation>,
 }
 
-/// What a word about an endpoint speaks of.
+/// The incarnation that a message about an endpoint refers to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum IncarnationStatus {
-    /// The life that is known, or of no life in particular.
+    /// The current incarnation, or none in particular.
     Current,
-    /// A life that has begun since: all that was known is void.
+    /// A new incarnation; all state of the previous one is void.
     New,
-    /// A life that is over: it says nothing.
+    /// An ended incarnation; the message is ignored.
     Ended,
 }
 
-/// The lives of all endpoints, as far as they were heard of.
+/// The known incarnations of all endpoints.
 #[derive(Clone, Debug, Default)]
 pub struct Incarnations(HashMap<EndpointId, Known>);
 
 #[derive(Clone, Debug)]
 struct Known {
     born: Incarnation,
-    /// Whether an entry has shown it; else only the endpoint's own word.
+    /// Whether an entry has shown the current incarnation; otherwise only the
+    /// endpoint's own report has.
     is_listed: bool,
-    /// The newest revision of the store that showed one of its lives.
+    /// The newest revision of the store that showed an incarnation of the
+    /// endpoint.
     revision: Revision,
-    /// The life that a word of the endpoint's ended, and until when entries of it
-    /// are taken for late ones.
+    /// The listed incarnation that a report of a new one has replaced, and the
+    /// time until which its entries are taken for late ones.
     superseded: Option<(Incarnation, Instant)>,
-    /// Lives that only their own words showed, left for another one, and until when
-    /// words of them are taken for late ones. Their entries may yet come.
+    /// Incarnations that were known from their own reports only and were
+    /// replaced, and the time until which their reports are taken for late
+    /// ones. Their entries may still arrive.
     unlisted: VecDeque<(Incarnation, Instant)>,
-    /// Lives that were followed by another one.
+    /// Incarnations that were followed by another one.
     ended: VecDeque<Incarnation>,
     last_heard: Instant,
 }
 
 impl Incarnations {
-    /// Takes in an entry, as of a revision of the store.
+    /// Applies an entry as of a revision of the store.
     pub fn apply_entry(
         &mut self,
         id: &EndpointId,
@@ -110,9 +118,9 @@
         IncarnationStatus::New
     }
 
-    /// Takes in what an endpoint said of itself when it was asked. Its entry may
-    /// still show the life before for a while, or, if the answer was late, another
-    /// one that has begun since.
+    /// Applies the endpoint's own report. The endpoint's entry may show the
+    /// previous incarnation for a while, or, if the report is late, one that
+    /// has started since.
     pub fn apply_report(
         &mut self,
         id: &EndpointId,
@@ -148,13 +156,13 @@
         IncarnationStatus::New
     }
 
-    /// Returns when the life that is known began.
+    /// Returns the current incarnation of an endpoint, if one is known.
     pub fn born(&self, id: &EndpointId) -> Option<Incarnation> {
         self.0.get(id).map(|known| known.born)
     }
 
-    /// Returns whether a word about a life speaks of the one that is known, or
-    /// none is known.
+    /// Returns whether a message about an incarnation refers to the current
+    /// one. If either is not known, the message is taken to be current.
     pub fn is_current(
         &self,
         id: &EndpointId,
@@ -166,7 +174,7 @@
         }
     }
 
-    /// Forgets endpoints that were not heard of for long.
+    /// Removes endpoints that were not heard of for a long time.
     pub fn forget(&mut self, now: Instant) {
         self.0.retain(|_, known| {
             now.saturating_duration_since(known.last_heard) < RETENTION
@@ -187,7 +195,8 @@
         }
     }
 
-    /// Notes that an entry shows the life that is known: the one before is over.
+    /// Records that an entry shows the current incarnation, which ends the
+    /// previous one.
     fn confirm_listed(&mut self, revision: Revision, now: Instant) {
         self.is_listed = true;
         self.revision = self.revision.max(revision);
--- a/crates/fleet/src/limit_share.rs
+++ b/crates/fleet/src/limit_share.rs
@@ -1,14 +1,16 @@
-//! This instance's part of the rate limits that endpoints announce.
+//! This instance's share of the rate limits that endpoints announce.
 //!
-//! An endpoint announces how many requests a second it takes from all instances
-//! together. Instances report the limits that they know, and how much they want to
-//! send to the limited endpoints, in their notes; nothing is stored. Among few
-//! instances each takes its part of the limit, by demand, from a token bucket. Where a
-//! part would be less than a request now and then, buckets that fill up while
-//! nothing is asked for would together exceed the limit; there each request is let
-//! through with the probability that the limit has of all demand. The invariant: the
-//! newest evidence of an endpoint's limit counts, whoever heard it, and whatever is
-//! believed, no instance takes more than its part.
+//! An endpoint announces how many requests per second it accepts from all
+//! instances together. In their notes, instances report the limits that they
+//! know and their own demand for the limited endpoints; nothing is stored.
+//! With few instances, each takes a share of the limit in proportion to its
+//! demand, from a token bucket. Where a share would be less than one request
+//! now and then, buckets that refill while there is no demand would together
+//! exceed the limit. There, each request is instead admitted with a
+//! probability of the limit divided by the total demand. The invariants: the
+//! newest evidence of an endpoint's limit counts, whichever instance observed
+//! it; and no instance takes more than its share, whatever limit it believes
+//! to be in force.
 
 use std::{cmp::Reverse, collections::HashMap, time::Duration};
 
@@ -18,130 +20,139 @@
 
 use crate::{announcement::AnnouncedLimit, incarnation::Incarnation};
 
-/// The time constant of the demand estimate. Longer than the pause between two notes
-/// among many instances, and short enough that a burst after a calm time is seen
-/// before it exceeds the limit.
+/// The time constant of the demand estimate. It exceeds the interval between
+/// two notes with many instances, and is short enough to show a burst after a
+/// quiet period before the burst exceeds the limit.
 const DEMAND_TIME_CONSTANT: Duration = Duration::from_millis(700);
 
-/// The fraction of a limit that buckets give out. The rest absorbs parts that
-/// overlap while demand moves.
+/// The fraction of a limit that token buckets give out. The remainder absorbs
+/// shares that overlap while demand shifts between instances.
 const BUCKET_FRACTION: f64 = 0.95;
 
-/// The fraction of a limit that is given out at random. Below it lies the spread of
-/// a random count in four seconds.
+/// The fraction of a limit that random admission gives out. The remainder
+/// covers the variance of a random count over four seconds.
 const RANDOM_FRACTION: f64 = 0.65;
 
-/// Demand that is assumed beside what is reported, evenly spread, as a multiple of
-/// the limit: instances that all begin to send at once have not heard of each other's
-/// demand yet, and one that just begins has a part.
+/// Demand that is assumed in addition to the reported demand, evenly
+/// distributed over the instances, as a multiple of the limit. Instances that
+/// all start to send at once have not heard of each other's demand yet, and an
+/// instance that just starts needs a share.
 const ASSUMED_DEMAND: f64 = 1.0;
 
-/// What a full bucket holds beyond one request, as a time at its rate: requests come
-/// in bunches.
+/// The capacity of a bucket beyond one request, as time at its rate. Requests
+/// arrive in bursts.
 const BURST: Duration = Duration::from_millis(100);
 
-/// How many instances have a bucket each, by the requests a second of a limit: so
-/// many a request a second, and so many more. All full buckets may be emptied at once,
-/// which must stay within what an endpoint bears beyond its limit.
+/// The number of instances up to which each has a bucket: the limit in
+/// requests per second times the first constant, plus the second. All full
+/// buckets may be emptied at once, and the sum must stay within what an
+/// endpoint tolerates beyond its limit.
 const BUCKETS_PER_RATE: f64 = 1.25;
 const BUCKETS_BEYOND_RATE: f64 = 4.0;
 
-/// The least rate that is used of any limit, in requests a second by all instances:
-/// an endpoint that gets no request cannot announce that its limit is over.
+/// The lowest rate that is used for any limit, in requests per second of all
+/// instances. An endpoint that gets no requests cannot announce the end of its
+/// limit.
 const MIN_LIMIT_PER_S: f64 = 0.25;
 
-/// The number of instances that is assumed while the others are not known.
+/// The number of instances that is assumed while the instances are not known.
 const ASSUMED_INSTANCES: usize = 32;
 
-/// How long the end of a limit is reported, so that every instance hears of it also
-/// if notes are lost.
+/// How long the end of a limit is reported, so that every instance learns of
+/// it even if notes are lost.
 const END_REPORTED_FOR: Duration = Duration::from_secs(5);
 
-/// How long the end of a limit is kept, so that older reports do not bring it back.
+/// How long the end of a limit is kept, so that older reports do not restore
+/// the limit.
 const END_KEPT_FOR: Duration = Duration::from_secs(60);
 
-/// Limits in one note at most, the most wanted first: each takes some 40 bytes, and a
-/// note must fit a datagram beside all else.
+/// The maximum number of limits in one note; those with the highest demand
+/// come first. Each takes about 40 bytes, and a note must fit a datagram with
+/// everything else.
 const MAX_REPORTS: usize = 64;
 
-/// A limit as an instance reports it to the others.
+/// A limit as one instance reports it to the others.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LimitReport {
-    /// The endpoint.
+    /// The limited endpoint.
     pub endpoint: EndpointId,
-    /// When its life began, if it says so.
+    /// The endpoint's incarnation, if the endpoint reports one.
     pub born: Option<Incarnation>,
-    /// The requests a second that it takes; none if its limit is over.
+    /// The limit in requests per second; `None` if it has ended.
     pub per_s: Option<f32>,
-    /// How long ago an answer last said so, in milliseconds.
+    /// The age of the newest response that announced the limit, in
+    /// milliseconds.
     pub age_ms: u64,
-    /// The requests a second that the sender, or all instances if it reports sums,
-    /// would send there without a limit.
+    /// The demand without a limit, in requests per second: the sender's own,
+    /// or that of all instances if the sender reports totals.
     pub wanted_per_s: f32,
 }
 
-/// Where a report comes from.
+/// The origin of a limit report.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportSource<'a> {
-    /// The instance.
+    /// The instance that sent the report.
     pub from: &'a InstanceId,
-    /// Whether it reports the demand of all instances.
+    /// Whether the report states the demand of all instances.
     pub is_total: bool,
-    /// Until when its demand counts.
+    /// The time until which the reported demand counts.
     pub until: Instant,
 }
 
-/// Who takes a permit, and for what.
+/// The parameters of a request for a permit.
 #[derive(Clone, Copy, Debug)]
 pub struct PermitRequest {
-    /// A number between 0 and 1 that is drawn once for a request and an endpoint.
+    /// A random number between 0 and 1, drawn once per request and endpoint.
     pub draw: f64,
-    /// The instances that share the limit; none while the others are not known.
+    /// The number of instances that share the limit; `None` while the
+    /// instances are not known.
     pub instances: Option<usize>,
 }
 
-/// Whether a request may go to an endpoint now.
+/// Whether a request may be sent to an endpoint now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Permit {
-    /// It may.
+    /// The request may be sent.
     Granted,
-    /// The limit leaves no room for it.
+    /// The request would exceed this instance's share of the limit.
     Denied {
-        /// When it may have room again.
+        /// The time until the request may be admitted.
         ready_in: Duration,
     },
 }
 
-/// What changed in what is known of a limit.
+/// A change of a known limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitChange {
-    /// The requests a second before; none if there was no limit.
+    /// The previous limit in requests per second; `None` if there was no
+    /// limit.
     pub was_per_s: Option<f64>,
-    /// The requests a second now; none if the limit is over.
+    /// The new limit in requests per second; `None` if the limit has ended.
     pub per_s: Option<f64>,
 }
 
-/// This instance's parts of all limits.
+/// This instance's shares of all known limits.
 #[derive(Clone, Debug, Default)]
 pub struct LimitShares(HashMap<EndpointId, Limit>);
 
-/// What is known of one endpoint's limit.
+/// The known state of one endpoint's limit.
 #[derive(Clone, Debug)]
 struct Limit {
     born: Option<Incarnation>,
     per_s: Option<f64>,
-    /// The time of the newest evidence.
+    /// When the limit, or its end, was last announced.
     announced: Instant,
     own_demand: Demand,
-    /// What other instances want to send, and until when that counts.
+    /// The demand of each other instance, and the time until which it counts.
     peer_demand: HashMap<InstanceId, (f64, Instant)>,
-    /// What all want to send, as the holder of the lease sums it up.
+    /// The demand of all instances as totalled by the lease holder, and the
+    /// time until which it counts.
     total: Option<(f64, Instant)>,
     tokens: f64,
     filled: Instant,
 }
 
-/// A rate that fades with the time since it was counted.
+/// A request rate, estimated from a count that decays exponentially.
 #[derive(Clone, Copy, Debug)]
 struct Demand {
     count: f64,
@@ -149,20 +160,20 @@
 }
 
 impl LimitShares {
-    /// Returns whether no endpoint announces a limit.
+    /// Returns whether no limit is known.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Returns the limit of an endpoint in requests a second, if it has one.
+    /// Returns the limit of an endpoint in requests per second, if it has one.
     pub fn per_s(&self, endpoint: &EndpointId) -> Option<f64> {
         self.0.get(endpoint)?.per_s
     }
 
-    /// Takes in what an answer to a request that was sent at a moment says of its
-    /// endpoint's limit; returns what changed. An answer ends a limit only if its
-    /// request was sent after the limit was last announced: answers overtake each
-    /// other.
+    /// Applies what a response announces about its endpoint's limit; `sent` is
+    /// when its request was sent. Returns the change, if there is one. A
+    /// response ends a limit only if its request was sent after the limit was
+    /// last announced, since responses may overtake each other.
     pub fn observe(
         &mut self,
         endpoint: &EndpointId,
@@ -187,7 +198,7 @@
         }
     }
 
-    /// Takes in another instance's report; returns what changed.
+    /// Applies another instance's report. Returns the change, if there is one.
     pub fn apply_report(
         &mut self,
         report: &LimitReport,
@@ -248,14 +259,14 @@
         (was_per_s != per_s).then_some(LimitChange { was_per_s, per_s })
     }
 
-    /// Counts a request that would go to an endpoint without a limit.
+    /// Counts a request that would be sent to an endpoint if it had no limit.
     pub fn record_demand(&mut self, endpoint: &EndpointId, now: Instant) {
         if let Some(limit) = self.0.get_mut(endpoint) {
             limit.own_demand.count(now);
         }
     }
 
-    /// Takes a permit for one request to an endpoint.
+    /// Takes a permit to send one request to an endpoint.
     pub fn take(
         &mut self,
         endpoint: &EndpointId,
@@ -275,7 +286,8 @@
         }
     }
 
-    /// Returns what others are told: of this instance's demand, or of that of all.
+    /// Returns the limits to report to other instances, with this instance's
+    /// demand or, if `is_total` is true, the demand of all instances.
     pub fn reports(&self, is_total: bool, now: Instant) -> Vec<LimitReport> {
         let told = self.0.iter().filter(|(_, limit)| {
             limit.per_s.is_some() || limit.age(now) < END_REPORTED_FOR
@@ -305,13 +317,13 @@
         reports
     }
 
-    /// Forgets the limit of an endpoint that has begun a new life or is gone.
+    /// Removes the limit of an endpoint that was restarted or is gone.
     pub fn end_incarnation(&mut self, endpoint: &EndpointId) {
         self.0.remove(endpoint);
     }
 
-    /// Forgets limits that ended long ago, and those of endpoints that are not
-    /// listed any more.
+    /// Removes limits that ended long ago, and limits of endpoints that are no
+    /// longer listed.
     pub fn forget(
         &mut self,
         is_listed: impl Fn(&EndpointId) -> bool,
@@ -343,7 +355,8 @@
         now.saturating_duration_since(self.announced)
     }
 
-    /// Takes a token of this instance's part; parts add up to the limit.
+    /// Takes a token from the bucket of this instance's share. The shares of
+    /// all instances add up to the limit.
     fn take_token(
         &mut self,
         per_s: f64,
@@ -365,7 +378,8 @@
         Permit::Granted
     }
 
-    /// Returns this instance's part; parts by the same reports add up to one.
+    /// Returns this instance's share as a fraction. The shares of instances
+    /// that know the same reports add up to one.
     fn share(&self, per_s: f64, instances: usize, now: Instant) -> f64 {
         let own = self.own_demand.per_s(now);
         let total = self.total(now).unwrap_or(own).max(own);
@@ -373,8 +387,9 @@
         (own + assumed / instances as f64) / (total + assumed)
     }
 
-    /// Lets a request through with the probability that the limit has of all demand.
-    /// The draw stays the same however often a request looks again.
+    /// Admits a request with a probability of the limit divided by the total
+    /// demand. The draw stays the same however often the request is tried
+    /// again.
     fn take_at_random(
         &self,
         per_s: f64,
@@ -394,7 +409,8 @@
         }
     }
 
-    /// Returns what all instances want to send; nothing where no other is heard.
+    /// Returns the total demand of all instances, or `None` if no other
+    /// instance has reported any.
     fn total(&self, now: Instant) -> Option<f64> {
         match self.total {
             Some((total, until)) if now < until => Some(total),
--- a/crates/fleet/src/route.rs
+++ b/crates/fleet/src/route.rs
@@ -1,4 +1,4 @@
-//! The configuration that routes requests: hosts and paths to services.
+//! The configuration that maps the hosts and paths of requests to services.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -10,126 +10,135 @@
 /// The name of a service.
 pub type ServiceName = String;
 
-/// A configuration in force. Versions only rise.
+/// The routing configuration that is in force.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct RoutingConfiguration {
-    /// Its version.
+    /// The version of the configuration, which only increases.
     pub version: ConfigurationVersion,
-    /// All routes, in the order given.
+    /// All routes, in the order in which they are configured.
     pub routes: Vec<Route>,
-    /// All services by name.
+    /// All services, by name.
     pub services: BTreeMap<ServiceName, Service>,
-    /// What callers may send.
+    /// The limits on requests of callers.
     pub limits: CallerLimits,
-    /// Whose requests are taken; without any, requests need no key.
+    /// The customers whose requests are accepted. If there are none, requests
+    /// need no key.
     pub customers: Customers,
 }
 
-/// How often a request may run.
+/// How often a request may be executed.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Repetition {
-    /// It may run any number of times.
+    /// The request may be executed any number of times.
     Repeatable,
-    /// It runs at most once for each try of its caller.
+    /// The request is executed at most once per attempt of its caller.
     AtMostOnce,
 }
 
-/// One route.
+/// A route from a host and path prefix to services.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Route {
-    /// Its name.
+    /// The name of the route.
     pub name: String,
-    /// The host that it belongs to.
+    /// The host that the route belongs to.
     pub host: String,
-    /// What its paths begin with; it begins and ends with a slash.
+    /// The prefix of the paths that the route matches; it begins and ends with
+    /// a slash.
     pub path_prefix: String,
-    /// Whether its requests need no key.
+    /// Whether requests on the route need no key.
     pub is_public: bool,
-    /// How often its requests may run.
+    /// How often a request on the route may be executed.
     pub repetition: Repetition,
-    /// Whether answers are streams of events.
+    /// Whether responses are event streams.
     pub is_stream: bool,
-    /// Whether a stream may go on at another engine after its last event.
+    /// Whether an interrupted stream may be resumed on another engine after
+    /// its last event.
     pub is_resumable: bool,
-    /// The longest that a request is held.
+    /// The maximum time for which a request is held.
     pub timeout: Duration,
-    /// Within this time, an answer is worth all.
+    /// The time within which a response has its full value.
     pub target_latency: Duration,
-    /// The longest pause between events of a stream that is in time.
+    /// The maximum time between two events of a stream that counts as timely.
     pub gap: Option<Duration>,
-    /// The rank, 0 the most urgent.
+    /// The priority of requests; 0 is the most urgent.
     pub priority: u8,
-    /// Most endpoints that one try of a caller may run on.
+    /// The maximum number of endpoints on which one attempt of a caller may be
+    /// executed.
     pub max_attempts: u32,
-    /// Where its requests go, with weights.
+    /// The services that requests are distributed over, with their weights.
     pub backends: Vec<Backend>,
 }
 
-/// One service that a route sends to.
+/// A service that a route sends requests to.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Backend {
-    /// The service.
+    /// The name of the service.
     pub service: ServiceName,
-    /// Its part of the requests, relative to the other backends.
+    /// The service's share of the requests, relative to the other backends of
+    /// the route.
     pub weight: f64,
 }
 
-/// One service.
+/// The configuration of one service.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Service {
-    /// Connections that one endpoint takes from all instances together.
+    /// The maximum number of connections that one endpoint accepts from all
+    /// instances together.
     pub max_connections: u32,
-    /// What its engines hold; none for a plain service.
+    /// What the service's engines have in common; `None` for a plain service.
     pub engine: Option<EngineGroup>,
 }
 
-/// What the engines of a service have in common.
+/// The configuration that the engines of one service share.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct EngineGroup {
-    /// Requests at once.
+    /// The number of requests that one engine processes concurrently.
     pub slots: u32,
-    /// Tokens that running requests and kept prompts share.
+    /// The capacity of the KV cache in tokens, shared by running requests and
+    /// cached prompts.
     pub kv_tokens: u64,
-    /// Places for adapters on one engine.
+    /// The maximum number of adapters on one engine.
     pub adapter_slots: u32,
-    /// Memory for weights on one engine, in megabytes.
+    /// The memory for weights on one engine, in megabytes.
     pub weights_mb: f64,
-    /// Loads a second that the weight store allows all engines together.
+    /// The rate of loads that the weight store allows to all engines together,
+    /// per second.
     pub loads_per_s: f64,
-    /// The base models.
+    /// The base models that the engines serve.
     pub models: Vec<BaseModel>,
 }
 
 /// A base model of a service.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct BaseModel {
-    /// Its name.
+    /// The name of the model.
     pub name: ModelName,
-    /// The size of its weights, in megabytes.
+    /// The size of the model's weights, in megabytes.
     pub weights_mb: f64,
-    /// How long a load from the weight store takes.
+    /// The time that a load from the weight store takes.
     pub load_time: Duration,
-    /// How many adapters it has.
+    /// The number of adapters that exist for the model.
     pub adapter_count: u32,
     /// The size of one adapter, in megabytes.
     pub adapter_mb: f64,
 }
 
-/// What callers may send.
+/// The limits on requests of callers.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CallerLimits {
-    /// The longest head of a request, in bytes.
+    /// The maximum size of a request's header section, in bytes.
     pub header_bytes: usize,
-    /// The longest body of a request, in bytes.
+    /// The maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// The longest time for a head.
+    /// The maximum time that a request's header section may take to arrive.
     pub header_time: Duration,
-    /// How long a connection may rest.
+    /// The maximum time for which a connection may be idle.
     pub idle_time: Duration,
 }
 
 impl Default for CallerLimits {
-    /// Bounds until a configuration is known; those of HTTP servers at large.
+    /// Returns the limits that apply until a configuration is known, which are
+    /// typical of HTTP servers.
     fn default() -> CallerLimits {
         CallerLimits {
             header_bytes: 16 << 10,
@@ -141,7 +150,8 @@
 }
 
 impl RoutingConfiguration {
-    /// Returns the route of a host and path: the longest prefix wins.
+    /// Returns the route for a host and path. Of several matching routes, the
+    /// one with the longest prefix wins.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         self.routes
             .iter()
@@ -150,22 +160,24 @@
             .max_by_key(|route| route.path_prefix.len())
     }
 
-    /// Returns the services with engines.
+    /// Returns the services that have engines, with the configuration of
+    /// these.
     pub fn engines(&self) -> impl Iterator<Item = (&str, &EngineGroup)> {
         self.services.iter().filter_map(|(name, service)| {
             service.engine.as_ref().map(|group| (name.as_str(), group))
         })
     }
 
-    /// Returns what the engines of a service have in common.
+    /// Returns the configuration of a service's engines; `None` for a plain
+    /// service.
     pub fn engine_group(&self, service: &str) -> Option<&EngineGroup> {
         self.services.get(service)?.engine.as_ref()
     }
 }
 
 impl EngineGroup {
-    /// Returns how many adapters an engine holds beside its base model: as
-    /// many as it has places for, and as fit into its memory.
+    /// Returns how many adapters an engine can hold beside its base model, as
+    /// limited by its adapter slots and its memory.
     pub fn adapter_places(&self) -> usize {
         let places = self.adapter_slots as usize;
         let fitting = self.models.iter().map(|model| {
@@ -173,8 +185,8 @@
                 return places;
             }
             let left = (self.weights_mb - model.weights_mb).max(0.0);
-            // Sizes come as floating-point numbers; a part that is missing by
-            // rounding alone is not missing.
+            // Sizes are floating-point numbers; the tolerance keeps a rounding
+            // error from costing a slot.
             (left / model.adapter_mb + 1e-6) as usize
         });
         fitting.min().unwrap_or(places).min(places)
@@ -182,8 +194,8 @@
 }
 
 impl Route {
-    /// Returns the service for a request, by a number between 0 and 1 that is
-    /// drawn for it.
+    /// Returns the service for a request, given a random number between 0 and
+    /// 1 that was drawn for the request.
     pub fn pick_service(&self, draw: f64) -> Option<&ServiceName> {
         let total: f64 = self.backends.iter().map(|b| b.weight).sum();
         let mut left = draw * total;
