--- a/crates/fleet/src/back_off.rs
+++ b/crates/fleet/src/back_off.rs
@@ -1,37 +1,42 @@
-//! The pauses between calls to the platform's store while it does not answer.
+//! The delays between calls to the platform's store while the store does not
+//! answer.
 //!
-//! It does no I/O and reads no clock.
+//! This module does no I/O and reads no clock.
 
 use std::time::Duration;
 
-/// The first pause after a failed call; it doubles.
+/// The delay after the first failed call, which doubles with each further
+/// failure.
 const FIRST_DELAY: Duration = Duration::from_millis(150);
 
-/// The longest pause of an instance that watches for the others.
+/// The maximum delay of an instance that watches the store on behalf of the
+/// others.
 const MAX_WATCHER_DELAY: Duration = Duration::from_millis(1_200);
 
-/// The longest pause of any other instance, for what it tries first.
+/// The maximum delay of any other instance's calls that are not notified.
 const MAX_DELAY: Duration = Duration::from_millis(2_500);
 
-/// The longest pause for all else: once the first call reaches the store again, it
-/// rings for all.
+/// The maximum delay of all other calls. The first call that reaches the store
+/// again notifies these.
 const MAX_NOTIFIED_DELAY: Duration = Duration::from_secs(12);
 
-/// The longest time that a call waits for its answer, and one more that is answered.
-/// A call that was sent just before a path is whole again ends so much later.
+/// The maximum time that a call waits for its answer, plus the time of one
+/// call that is answered. A call that is sent just before a path recovers ends
+/// this much later.
 const CALL_TIME: Duration = Duration::from_millis(1_250);
 
-/// The time within which a change must be in force where none is set.
+/// The time within which a change must be in force if none is configured.
 const DEFAULT_IN_FORCE_WITHIN: Duration = Duration::from_millis(2_000);
 
-/// What an instance's calls of one kind are for.
+/// The role of an instance's calls of one kind.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallKind {
-    /// They bring what this instance tells the others.
+    /// The calls fetch what this instance passes on to the others.
     Watcher,
-    /// They are the first that an instance tries.
+    /// The calls are the first that an instance retries.
     First,
-    /// Others of the same instance ring for them.
+    /// The calls are notified once another call of the same instance reaches
+    /// the store.
     Notified,
 }
 
@@ -45,11 +50,11 @@
     }
 }
 
-/// The pauses after failed calls of one kind.
+/// The delays after failed calls of one kind.
 #[derive(Clone, Copy, Debug)]
 pub struct BackOff {
     next: Duration,
-    /// The longest pause of calls that nobody rings for.
+    /// The maximum delay of calls that are not notified.
     max_unnotified_delay: Duration,
 }
 
@@ -60,19 +65,20 @@
 }
 
 impl BackOff {
-    /// Returns the pauses of a deployment on which a change must be in force within a
-    /// time.
+    /// Returns the delays for an installation on which a change must be in
+    /// force within `in_force_within`.
     ///
-    /// A path that is whole again is used within that time. With pauses of up to 2.5 s
-    /// whatever was promised, it was used up to 3.7 s later.
+    /// A path that has recovered is used within that time. A maximum delay of
+    /// 2.5 s regardless of `in_force_within` delayed its use by up to 3.7 s.
     pub fn within(in_force_within: Duration) -> BackOff {
         let max_unnotified_delay =
             in_force_within.saturating_sub(CALL_TIME).max(FIRST_DELAY);
         BackOff { next: FIRST_DELAY, max_unnotified_delay }
     }
 
-    /// Returns how long to wait after another failed call. Where all calls fail,
-    /// those that are rung for wait for that.
+    /// Returns the delay after another failed call. While all calls of the
+    /// instance fail (`is_out`), calls that are notified use their maximum
+    /// delay.
     pub fn failed(&mut self, calls: CallKind, is_out: bool) -> Duration {
         let max_delay = match calls {
             CallKind::Notified => calls.max_delay(),
@@ -88,7 +94,7 @@
         delay
     }
 
-    /// Takes in that a call was answered.
+    /// Records that a call was answered.
     pub fn answered(&mut self) {
         self.next = FIRST_DELAY;
     }
--- a/crates/fleet/src/health.rs
+++ b/crates/fleet/src/health.rs
@@ -1,27 +1,28 @@
-//! The health of an endpoint, from what requests show.
+//! The health of an endpoint, derived from the outcomes of requests.
 //!
-//! A health check can lie and costs a call; outcomes are free. An endpoint
-//! whose requests fail is left out for a time that doubles, and comes back
-//! with one request.
+//! A health check may be wrong and costs a call, whereas outcomes are free. An
+//! endpoint whose requests fail is ejected for a time that doubles with each
+//! ejection, and is ejected again if its first request afterwards fails.
 
 use std::time::Duration;
 
 use sedgewall_clock::Instant;
 
-/// Consecutive failures that eject an endpoint. A request that fails on every
-/// endpoint must not eject them all.
+/// The number of consecutive failures that eject an endpoint. A single request
+/// that fails on every endpoint must not eject all of them.
 const FAILURES_TO_EJECT: u32 = 5;
 
-/// Weight of the newest outcome in the share of failures.
+/// The weight of the newest outcome in the failure rate.
 const SHARE_WEIGHT: f64 = 0.1;
 
-/// The first ejection. Long enough for a restart to show in the list.
+/// The duration of the first ejection. It is long enough for a restart to show
+/// in the platform's list.
 const FIRST_EJECTION: Duration = Duration::from_millis(1_000);
 
-/// The longest ejection.
+/// The maximum duration of an ejection.
 const LONGEST_EJECTION: Duration = Duration::from_secs(8);
 
-/// How long an endpoint is left out after a connection to it failed.
+/// How long an endpoint is ejected after a connection to it failed.
 const UNREACHABLE_PAUSE: Duration = Duration::from_millis(400);
 
 /// The health of one endpoint.
@@ -35,7 +36,8 @@
 }
 
 impl Health {
-    /// Notes a request that the endpoint served or refused as it should.
+    /// Records a request that the endpoint served, or rejected for a
+    /// legitimate reason.
     pub fn succeeded(&mut self) {
         self.failures_in_row = 0;
         self.ejections_in_row = 0;
@@ -44,8 +46,8 @@
         self.suspect_until = None;
     }
 
-    /// Notes a request that failed at the endpoint; returns whether that
-    /// ejects it.
+    /// Records a request that failed at the endpoint. Returns whether the
+    /// failure ejects the endpoint.
     pub fn failed(&mut self, now: Instant) -> bool {
         self.failures_in_row += 1;
         self.failed_share += (1.0 - self.failed_share) * SHARE_WEIGHT;
@@ -56,7 +58,7 @@
         is_bad
     }
 
-    /// Notes that no connection could be made.
+    /// Records that a connection to the endpoint failed.
     pub fn unreachable(&mut self, now: Instant) {
         self.failures_in_row += 1;
         self.ejected_until = Some(now + UNREACHABLE_PAUSE);
@@ -65,14 +67,14 @@
         }
     }
 
-    /// Notes that several instances cannot reach the endpoint, which is left out
-    /// for a time.
+    /// Records that several instances cannot reach the endpoint, which gets no
+    /// requests for `time`.
     pub fn suspect(&mut self, time: Duration, now: Instant) {
         self.suspect_until = Some(now + time);
     }
 
-    /// Returns the share of recent requests that failed, the newest weighing
-    /// most. Endpoints are compared by it; it ejects none.
+    /// Returns the failure rate of recent requests, the newest weighted most.
+    /// The rate serves to compare endpoints and ejects none.
     pub fn failed_share(&self) -> f64 {
         self.failed_share
     }
@@ -88,7 +90,8 @@
         let doubled = FIRST_EJECTION * (1 << self.ejections_in_row.min(3));
         self.ejected_until = Some(now + doubled.min(LONGEST_EJECTION));
         self.ejections_in_row += 1;
-        // One more failure after the return ejects again at once.
+        // One more failure after the ejection ejects the endpoint again at
+        // once.
         self.failures_in_row = FAILURES_TO_EJECT - 1;
     }
 }
--- a/crates/fleet/src/latency_regression.rs
+++ b/crates/fleet/src/latency_regression.rs
@@ -1,23 +1,27 @@
-//! How fast the engines of a service come to the first event of an answer, as
-//! our own requests show.
+//! A linear regression of latency against load, from this instance's own
+//! requests.
 //!
-//! A line is fitted through what was seen lately: the time to the first event
-//! against the prompt tokens that the engine had to read before it. Nothing is
-//! assumed of an engine's speed; before enough was seen there is no line.
+//! For the engines of a service, the regression relates the time to the first
+//! event of a response to the prompt tokens that the engine had to prefill
+//! before it. No assumption is made about an engine's speed; nothing is
+//! predicted before enough responses were observed.
 
 use std::time::Duration;
 
-/// What each new answer leaves of the weight of those before it: the last 50
-/// or so count, which a busy instance sees within some seconds.
+/// The factor by which each new response reduces the weight of the previous
+/// ones. About the last 50 responses count, which a busy instance receives
+/// within some seconds.
 const DECAY_FACTOR: f64 = 0.98;
 
-/// Answers that must have been seen before the line counts.
+/// The weight of responses that must have been observed before the regression
+/// is used.
 const MIN_ANSWERS: f64 = 8.0;
 
-/// The longest time that is predicted, in seconds; no caller waits so long.
+/// The maximum predicted time, in seconds. No caller waits this long.
 const MAX_PREDICTION_S: f64 = 3_600.0;
 
-/// Fits the time to the first event against the tokens to read before it.
+/// An exponentially weighted linear regression of the time to the first event
+/// against the tokens to prefill before it.
 #[derive(Clone, Debug, Default)]
 pub struct LatencyRegression {
     weight: f64,
@@ -28,8 +32,9 @@
 }
 
 impl LatencyRegression {
-    /// Takes in an answer: the tokens that its engine had to read, those ahead
-    /// of it and its own, and the time until it began.
+    /// Adds a response: the tokens that its engine had to prefill, those
+    /// queued before the request and its own, and the time until the response
+    /// began.
     pub fn observe(&mut self, tokens: u64, took: Duration) {
         let (tokens, ms) = (tokens as f64, took.as_secs_f64() * 1_000.0);
         let accumulate = |sum: &mut f64, new: f64| {
@@ -42,8 +47,9 @@
         accumulate(&mut self.tokens_ms, tokens * ms);
     }
 
-    /// Returns the time to the first event of an answer before which so many
-    /// tokens are to be read; none before enough was seen.
+    /// Returns the expected time to the first event of a response before which
+    /// `tokens` tokens are to be prefilled, or `None` before enough responses
+    /// were observed.
     pub fn predict(&self, tokens: u64) -> Option<Duration> {
         if self.weight < MIN_ANSWERS {
             return None;
@@ -52,8 +58,8 @@
         Some(time(base_ms + ms_per_token * tokens as f64))
     }
 
-    /// Returns how long an engine reads so many tokens; nothing before enough
-    /// was seen.
+    /// Returns the expected time to prefill `tokens` tokens, or zero before
+    /// enough responses were observed.
     pub fn prefill_time(&self, tokens: u64) -> Duration {
         if self.weight < MIN_ANSWERS {
             return Duration::ZERO;
@@ -62,7 +68,8 @@
         time(ms_per_token * tokens as f64)
     }
 
-    /// Returns the slope and the intercept, neither below zero.
+    /// Returns the slope and the intercept of the regression, both at least
+    /// zero.
     fn line(&self) -> (f64, f64) {
         let mean_tokens = self.tokens / self.weight;
         let mean_ms = self.ms / self.weight;
--- a/crates/fleet/src/recent_successes.rs
+++ b/crates/fleet/src/recent_successes.rs
@@ -1,23 +1,26 @@
-//! Requests of which a run has ended well lately.
+//! Requests that were recently executed with success.
 //!
-//! Many callers may send one request alike, and some of its runs are then at each
-//! endpoint that ends. That it ran well a moment ago shows that it is not the cause.
+//! Many callers may send identical requests, so that some of their executions
+//! are in progress at any endpoint that crashes. A recent success of the same
+//! request shows that the request is not the cause of the crash.
 
 use std::{collections::HashSet, mem, time::Duration};
 
 use sedgewall_clock::Instant;
 
-/// How long a good run is remembered at least, and twice that at most.
+/// The minimum time for which a success is remembered; the maximum is twice
+/// this.
 const PERIOD: Duration = Duration::from_secs(120);
 
-/// Requests that are remembered of one such time: at 66 a second all of them. Both
-/// times take 0.5 MB.
+/// The maximum number of requests that are remembered per period, which holds
+/// all of them at 66 per second. Two periods take 0.5 MB.
 const MAX_PER_PERIOD: usize = 8_192;
 
-/// A hash of a request, keyed for this process: callers cannot make two collide.
+/// A hash of a request. It is keyed per process, so that callers cannot
+/// construct collisions.
 pub type RequestHash = u64;
 
-/// What ended well lately, in two times that follow each other.
+/// Recent successes, in two consecutive periods.
 #[derive(Clone, Debug)]
 pub struct RecentSuccesses {
     newer: HashSet<RequestHash>,
@@ -26,7 +29,7 @@
 }
 
 impl RecentSuccesses {
-    /// Returns an empty memory.
+    /// Returns an empty set whose first period starts now.
     pub fn new(now: Instant) -> RecentSuccesses {
         RecentSuccesses {
             newer: HashSet::new(),
@@ -35,7 +38,7 @@
         }
     }
 
-    /// Notes that a run of a request ended well.
+    /// Records a success of a request.
     pub fn record(&mut self, hash: RequestHash, now: Instant) {
         if self.newer.len() >= MAX_PER_PERIOD
             || now - self.newer_since >= PERIOD
@@ -46,7 +49,7 @@
         self.newer.insert(hash);
     }
 
-    /// Returns whether a run of a request ended well lately.
+    /// Returns whether a request succeeded recently.
     pub fn contains(&self, hash: RequestHash) -> bool {
         self.newer.contains(&hash) || self.older.contains(&hash)
     }
--- a/crates/fleet/src/relays.rs
+++ b/crates/fleet/src/relays.rs
@@ -1,32 +1,34 @@
-//! Which instances pass a note on, and to whom.
+//! The selection of instances that relay notes, and of the recipients of each
+//! relay.
 //!
-//! Each zone's instances form groups of about [`GROUP_LEN`] by their ids alone,
-//! so that whoever sends and whoever passes on agree without a list. Between
-//! zones a note goes once, to one instance that passes it on to the groups of its
-//! own. The invariant: a note reaches each instance, if no relay is lost; a lost
-//! one costs its group or zone that note, and the next goes through another.
+//! The instances of each zone are divided into groups of about [`GROUP_LEN`]
+//! by their ids alone, so that sender and relay agree on the groups without
+//! exchanging a list. Between zones a note is sent once, to one instance that
+//! relays it to the groups of its own zone. The invariant: a note reaches each
+//! instance if no relay is lost. A lost relay costs its group or zone that
+//! note, and the next note goes through another relay.
 
 use std::collections::BTreeMap;
 
 use sedgewall_state::id::{InstanceId, ZoneName};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Instances that one relay passes a note on to, about. Measured on a calm day
-/// of 79 instances with 10 Mbit/s: a holder that told each by itself filled its
-/// link, and orders took 100 to 600 ms.
+/// The approximate number of instances that one relay forwards a note to. A
+/// lease holder that sent notes to each of 79 instances directly filled its
+/// link of 10 Mbit/s, and orders took 100 to 600 ms.
 pub const GROUP_LEN: usize = 9;
 
-/// One group of a zone.
+/// One group of the instances in a zone.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Group {
-    /// Its number, from 0 on.
+    /// The index of the group within the zone, from 0.
     pub index: u32,
-    /// How many the zone has.
+    /// The number of groups in the zone.
     pub count: u32,
 }
 
 impl Group {
-    /// Returns whether an instance of the zone belongs to it.
+    /// Returns whether an instance of the zone belongs to the group.
     pub fn contains(self, id: &InstanceId) -> bool {
         group_of(id, self.count) == self
     }
@@ -38,8 +40,8 @@
     Group { index, count }
 }
 
-/// Returns one relay for each group of each zone. `is_heard` says who was heard
-/// lately; those go first, and `turn` chooses among them.
+/// Returns one relay for each group of each zone. Instances that were heard
+/// lately, according to `is_heard`, are preferred; `turn` rotates among them.
 pub fn relays<'a>(
     instances: impl Iterator<Item = (&'a InstanceId, &'a ZoneName)>,
     is_heard: impl Fn(&InstanceId) -> bool,
@@ -63,9 +65,9 @@
     chosen.collect()
 }
 
-/// Returns one instance of each zone but our own, which passes a note on there.
-/// With a relay for each group of other zones, 195 instances in five zones sent
-/// each note to all four times as often between zones.
+/// Returns one instance of each other zone, which relays a note within its
+/// zone. With one relay per group of the other zones, 195 instances in five
+/// zones sent each note four times as often between zones.
 pub fn zone_relays<'a>(
     instances: impl Iterator<Item = (&'a InstanceId, &'a ZoneName)>,
     own_zone: &ZoneName,
@@ -79,7 +81,8 @@
     zones.values().map(|ids| choose(ids, &is_heard, turn)).collect()
 }
 
-/// Chooses one instance by turns, of those that were heard if there are any.
+/// Returns the instance for this turn, from those that were heard if there are
+/// any.
 fn choose<'a>(
     ids: &[&'a InstanceId],
     is_heard: impl Fn(&InstanceId) -> bool,
--- a/crates/fleet/src/residence_time.rs
+++ b/crates/fleet/src/residence_time.rs
@@ -1,18 +1,21 @@
-//! How long requests of a plain service are under way at its endpoints, as our
-//! own show: in its queue, at work and on the way back.
+//! The residence time of requests at the endpoints of a plain service:
+//! queueing, processing, and transfer, as measured on this instance's own
+//! requests.
 
 use std::time::Duration;
 
 use crate::latency_regression::LatencyRegression;
 
-/// Weight of the newest request: the last 30 or so count, which an instance with
-/// five requests a second sees within six seconds.
+/// The weight of the newest request in the mean. About the last 30 requests
+/// count, which an instance with five requests per second sends within six
+/// seconds.
 const NEWEST_WEIGHT: f64 = 0.03;
 
-/// The regression is fitted against thousandths of a request for each slot.
+/// The regression takes integers, so loads are given in thousandths of a
+/// request per slot.
 const PER_SLOT: f64 = 1_000.0;
 
-/// What was seen lately.
+/// The recent residence times of one service.
 #[derive(Clone, Debug)]
 pub struct ResidenceTime {
     mean: Duration,
@@ -20,7 +23,8 @@
 }
 
 impl ResidenceTime {
-    /// Returns what one request shows that found so many others for each slot.
+    /// Returns the residence times after a first request, which took `took`
+    /// and found `load` other requests per slot.
     pub fn of(load: f64, took: Duration) -> ResidenceTime {
         let mut residence = ResidenceTime {
             mean: took,
@@ -30,20 +34,22 @@
         residence
     }
 
-    /// Takes in a request that found so many others for each slot.
+    /// Adds a request that took `took` and found `load` other requests per
+    /// slot.
     pub fn observe(&mut self, load: f64, took: Duration) {
         let kept = self.mean.mul_f64(1.0 - NEWEST_WEIGHT);
         self.mean = kept + took.mul_f64(NEWEST_WEIGHT);
         self.regression.observe((load * PER_SLOT) as u64, took);
     }
 
-    /// Returns the mean time.
+    /// Returns the mean residence time.
     pub fn mean(&self) -> Duration {
         self.mean
     }
 
-    /// Returns the time of a request that finds so many others for each slot;
-    /// none before enough was seen.
+    /// Returns the expected residence time of a request that finds `load`
+    /// other requests per slot, or `None` before enough requests were
+    /// observed.
     pub fn predict(&self, load: f64) -> Option<Duration> {
         self.regression.predict((load * PER_SLOT) as u64)
     }
--- a/crates/fleet/src/store_reports.rs
+++ b/crates/fleet/src/store_reports.rs
@@ -1,29 +1,31 @@
-//! Whether the holder of the lease may go on while the store is out.
+//! Decides whether the lease holder may continue while the platform's store is
+//! unreachable.
 //!
-//! A lease ends on its holder's clock when it cannot be renewed, because
-//! another instance could take it. Where every other instance says that the
-//! store does not answer it either, none can. The invariant: an instance that
-//! was not heard to say so just now, or that reaches the store, ends the lease.
-//! Whoever reaches the store again says so at once, and must watch the record
-//! for a whole time to live before it may take the lease.
+//! A lease that cannot be renewed ends by its holder's clock, because another
+//! instance could acquire it. If every other instance reports that the store
+//! does not answer it either, none can. The invariant: the lease ends if any
+//! instance has not reported this just now, or reaches the store. An instance
+//! that reaches the store again reports this at once, and must watch the lease
+//! record for a full time to live before it may acquire the lease.
 
 use std::{collections::HashMap, time::Duration};
 
 use sedgewall_clock::Instant;
 use sedgewall_state::id::InstanceId;
 
-/// How long the word of an instance counts. It speaks every 300 ms; and a turn
-/// of two holders must pass between the last order of one, a second after that
-/// word, and the first of another, 4.5 s after it reached the store again.
+/// How long the report of an instance counts. Instances report every 300 ms. A
+/// change of the holder must fit between the last order of the old one, up to
+/// one second after such a report, and the first order of the new one, 4.5 s
+/// after the new one reached the store again.
 pub const REPORT_VALID_FOR: Duration = Duration::from_millis(1_000);
 
-/// An instance that was not heard for this long is gone or cut off. Where most
-/// others are heard to be without the store, it is not only our path that is
-/// broken, and it regains the store no sooner than we, who ask five times a
-/// second.
+/// How long an instance may be silent before it counts as gone or cut off. If
+/// most other instances report that they cannot reach the store, it is not
+/// only this instance's path that is broken; and a silent instance regains the
+/// store no sooner than the lease holder, which retries five times a second.
 const GONE_AFTER: Duration = Duration::from_secs(5);
 
-/// What each instance said last.
+/// The last report of each instance.
 #[derive(Clone, Debug, Default)]
 pub struct StoreReports(HashMap<InstanceId, StoreReport>);
 
@@ -35,7 +37,7 @@
 }
 
 impl StoreReports {
-    /// Takes in what an instance says of itself.
+    /// Records an instance's report about itself.
     pub fn record(
         &mut self,
         from: &InstanceId,
@@ -47,7 +49,7 @@
         self.0.insert(from.clone(), report);
     }
 
-    /// Returns the instances that said just now that the store answers them.
+    /// Returns the instances that reported just now that they reach the store.
     pub fn instances_reaching_store(
         &self,
         now: Instant,
@@ -61,8 +63,8 @@
         reports.filter(move |(_, report)| reaches(report)).map(|(id, _)| id)
     }
 
-    /// Returns whether none of the known instances, and nobody else that was
-    /// heard, can take the lease now.
+    /// Returns whether no instance can acquire the lease now, neither one of
+    /// the known instances nor any other that has reported.
     pub fn no_instance_reaches_store<'a>(
         &self,
         known: impl Iterator<Item = &'a InstanceId>,
@@ -70,8 +72,8 @@
     ) -> bool {
         let holds =
             |report: &StoreReport| now - report.heard < REPORT_VALID_FOR;
-        // One that leaves takes no lease, and comes back without a
-        // configuration, which only the store gives.
+        // An instance that leaves acquires no lease. After a restart it has no
+        // configuration, which it can get from the store only.
         let cannot = |report: &StoreReport| {
             report.is_leaving || (report.store_is_out && holds(report))
         };
--- a/crates/fleet/src/suspicion.rs
+++ b/crates/fleet/src/suspicion.rs
@@ -1,36 +1,39 @@
-//! Engines that several instances cannot reach.
+//! Detection of engines that several instances cannot reach.
 //!
-//! Each instance finds out alone that an engine is down, and the platform's
-//! list says so only after some missed heartbeats. What they find goes to the
-//! holder of the lease. The invariant: the word of one instance suspects
-//! nothing, since its own path may be what is broken.
+//! Each instance detects by itself that an engine is down, and the platform's
+//! list shows it only after some missed heartbeats. Instances therefore report
+//! to the lease holder which engines they cannot reach. The invariant: the
+//! report of a single instance marks no engine as suspect, since the fault may
+//! lie in that instance's own path.
 
 use std::{collections::HashMap, time::Duration};
 
 use sedgewall_clock::Instant;
 use sedgewall_state::id::{EndpointId, InstanceId};
 
-/// Instances that must fail to reach an engine before it is left out by all.
+/// The number of instances that must fail to reach an engine before all
+/// instances stop using it.
 const MIN_REPORTERS: usize = 2;
 
-/// Reports count together for this long: an instance that cannot reach an
-/// engine tries again after 0.4 s.
+/// The time within which reports count together. An instance that cannot reach
+/// an engine retries after 0.4 s.
 const REPORT_WINDOW: Duration = Duration::from_millis(1_200);
 
-/// How long an engine is left out at first. It is shorter than what a list takes
-/// to drop a dead engine, some 3.6 s.
+/// How long an engine is suspect at first. This is shorter than the time that
+/// the list takes to drop a dead engine, about 3.6 s.
 const FIRST_SUSPICION: Duration = Duration::from_millis(1_500);
 
-/// How long at most. The time doubles while two instances cannot reach the engine
-/// each time that it is tried again: among 195 instances each such try costs the
-/// requests that all of them send within 0.4 s, and 17 of 100 engines that went
-/// dark for 4 s were tried by all after 1.9 s.
+/// The maximum time for which an engine is suspect. The time doubles whenever
+/// two instances fail to reach the engine on a retry: among 195 instances,
+/// each retry costs the requests that all of them send within 0.4 s, and 17 of
+/// 100 engines that were unreachable for 4 s were retried by all after 1.9 s.
 const MAX_SUSPICION: Duration = Duration::from_secs(6);
 
-/// An engine that stays suspect is told again after this long.
+/// The interval after which all instances are notified again of an engine that
+/// stays suspect.
 const NOTIFY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the holder of the lease was told.
+/// The reports that the lease holder has received, per engine.
 #[derive(Clone, Debug, Default)]
 pub struct Suspicions {
     reports: HashMap<EndpointId, Reports>,
@@ -42,19 +45,19 @@
     notified: Option<Notification>,
 }
 
-/// What all were told of an engine.
+/// The last notification to all instances about an engine.
 #[derive(Clone, Copy, Debug)]
 struct Notification {
     at: Instant,
-    /// How long it is left out.
+    /// How long the engine is suspect.
     time: Duration,
-    /// Until when.
+    /// When the suspicion ends.
     until: Instant,
 }
 
 impl Suspicions {
-    /// Takes in that an instance could not reach an engine. If all are to be told
-    /// now that it is suspect, returns for how long.
+    /// Records that an instance could not reach an engine. If all instances
+    /// are to be notified now, returns how long the engine is suspect.
     pub fn report(
         &mut self,
         endpoint: &EndpointId,
@@ -71,7 +74,8 @@
             return None;
         }
         let time = match reports.notified {
-            // Reports of sends from before it was told, or of who did not hear.
+            // These reports stem from requests that were sent before the
+            // notification, or from instances that missed it.
             Some(notified) if now < notified.until => notified.time,
             Some(notified) => (notified.time * 2).min(MAX_SUSPICION),
             None => FIRST_SUSPICION,
@@ -81,11 +85,11 @@
         Some(time)
     }
 
-    /// Forgets engines that nobody reports any more.
+    /// Removes engines that no instance reports any more.
     pub fn forget(&mut self, now: Instant) {
         self.reports.retain(|_, reports| {
             reports.by.retain(|_, at| now - *at < REPORT_WINDOW);
-            // Until it was tried again, the next time is to be longer.
+            // Until the engine was retried, the next suspicion must be longer.
             let is_tried =
                 |notified: Notification| now >= notified.until + REPORT_WINDOW;
             !reports.by.is_empty()
--- a/crates/fleet/src/work.rs
+++ b/crates/fleet/src/work.rs
@@ -1,6 +1,6 @@
-//! What an endpoint has under way, in the units that decisions need: requests
-//! that take its slots, tokens that it has yet to read before a new prompt's
-//! turn, and adapters that it cannot give up.
+//! The work in flight at an endpoint, in the units that routing needs:
+//! requests that occupy slots, tokens that await prefill, and adapters that
+//! cannot be evicted.
 
 use std::collections::BTreeMap;
 
@@ -8,19 +8,19 @@
 
 use crate::adapter::AdapterKey;
 
-/// What is under way at one endpoint.
+/// The work in flight at one endpoint.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Work {
-    /// Requests that were sent and have not ended.
+    /// The number of requests that were sent and have not ended.
     pub requests: u32,
-    /// Prompt tokens of those whose answers have not begun.
+    /// The prompt tokens of requests whose responses have not begun.
     pub unread_tokens: u64,
-    /// Requests that run on each adapter.
+    /// The number of requests on each adapter.
     adapters: BTreeMap<AdapterKey, u32>,
 }
 
 impl Work {
-    /// Counts a request that is sent.
+    /// Adds a request that is sent.
     pub fn begin(&mut self, key: Option<&AdapterKey>, prompt_tokens: u64) {
         self.requests += 1;
         self.unread_tokens += prompt_tokens;
@@ -29,12 +29,13 @@
         }
     }
 
-    /// Counts a prompt out whose answer has begun, or will not.
+    /// Removes the prompt of a request whose response has begun, or will not
+    /// begin.
     pub fn prompt_read(&mut self, prompt_tokens: u64) {
         self.unread_tokens = self.unread_tokens.saturating_sub(prompt_tokens);
     }
 
-    /// Counts a request out whose prompt was counted out before.
+    /// Removes a request whose prompt was removed before.
     pub fn end(&mut self, key: Option<&AdapterKey>) {
         self.requests = self.requests.saturating_sub(1);
         if let Some(key) = key {
@@ -42,18 +43,19 @@
         }
     }
 
-    /// Returns whether requests run on an adapter.
+    /// Returns whether any request uses the adapter.
     pub fn uses(&self, key: &AdapterKey) -> bool {
         self.adapters.contains_key(key)
     }
 
-    /// Returns the same without the adapters, for those who only dispatch.
+    /// Returns a copy without the adapters, for instances that only dispatch
+    /// requests.
     pub fn without_adapters(&self) -> Work {
         let Work { requests, unread_tokens, .. } = *self;
         Work { requests, unread_tokens, adapters: BTreeMap::new() }
     }
 
-    /// Returns whether nothing is under way.
+    /// Returns whether no request is in flight.
     pub fn is_empty(&self) -> bool {
         self.requests == 0
     }
