--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,10 +1,11 @@
-//! One instance's table of endpoints, and its choice for each request.
+//! One instance's table of endpoints, and its choice of an endpoint for each
+//! request.
 //!
-//! The table joins three sources: the platform's list (late, but what holds in
-//! the end), notes of other instances (early, and lost now and then) and the
-//! outcomes of our own requests. The invariant: an endpoint that any of them
-//! showed to leave, or that is not known to hold what a request names, is never
-//! chosen.
+//! The table combines three sources: the platform's list, which is late but
+//! authoritative; notes of other instances, which are early but may be lost;
+//! and the outcomes of this instance's own requests. The invariant: an
+//! endpoint that any source showed to leave, or that is not known to hold what
+//! a request needs, is never chosen.
 
 mod choice;
 mod cooldowns;
@@ -42,12 +43,13 @@
     route::ServiceName,
 };
 
-/// How long requests may go to the old version after a newer one was named.
-/// The platform allows 5 s; the rest is for queues at the engine.
+/// How long requests may use an old version after a newer one was announced.
+/// The platform allows 5 s until the request runs; the remainder is for
+/// queueing at the engine.
 const OLD_VERSION_GRACE: Duration = Duration::from_millis(2_500);
 
-/// Entries in one note at most: each takes some 80 bytes, and a datagram holds
-/// 64 kB.
+/// The maximum number of entries in one note. Each takes about 80 bytes, and a
+/// datagram holds 64 kB.
 const MAX_ENTRIES: usize = 256;
 
 /// One instance's table of endpoints.
@@ -55,40 +57,42 @@
 pub struct FleetView {
     zone: ZoneName,
     endpoints: BTreeMap<EndpointId, EndpointState>,
-    /// Which endpoints each service has.
+    /// The endpoints of each service.
     services: HashMap<ServiceName, BTreeSet<EndpointId>>,
-    /// Which endpoints have a seat for an adapter.
+    /// The endpoints that have a placement of each adapter.
     holders: AdapterIndex,
-    /// Which endpoints are likely to have an adapter at hand.
+    /// The endpoints that are assumed to have each adapter cached.
     warm: AdapterIndex,
     peers: HashMap<InstanceId, PeerLoad>,
-    /// The holder's sums, while they count.
+    /// The lease holder's totals, while they are valid.
     totals: Option<HeardTotals>,
-    /// Whose sums are told next in turn.
+    /// The index of the next endpoint whose total is published in turn.
     next_total: usize,
-    /// How often each other instance says what it has under way.
+    /// The interval at which each other instance publishes its work in flight.
     peer_pause: Duration,
     newest: HashMap<AdapterKey, (WeightVersion, Instant)>,
     departures: Departures,
     incarnations: Incarnations,
-    /// Our parts of the limits that endpoints announce.
+    /// This instance's shares of the limits that endpoints announce.
     limits: LimitShares,
-    /// Rests of endpoints whose entries lapsed, which may be back before their end.
+    /// Cooldowns of endpoints whose entries lapsed. These endpoints may be
+    /// listed again before the cooldown ends.
     lapsed_cooldowns: HashMap<EndpointId, Cooldown>,
-    /// Departures that we saw in the store and the others have not heard of.
+    /// Departures that this instance detected and has not sent to the other
+    /// instances yet.
     unsent_departures: Vec<Departure>,
-    /// How fast the engines of each service begin to answer.
+    /// The time to the first event at the engines of each service.
     first_event_times: HashMap<ServiceName, LatencyRegression>,
-    /// How long requests of each plain service are under way.
+    /// The residence time of requests of each plain service.
     residence_times: HashMap<ServiceName, ResidenceTime>,
-    /// When the endpoints' parts were last learned.
+    /// When the weights of the endpoints were last updated.
     learned_at: Option<Instant>,
-    /// What the last load from the weight store was expected to take.
+    /// The expected duration of the last load from the weight store.
     load_time: Duration,
 }
 
 impl FleetView {
-    /// Returns an empty table for an instance in this zone.
+    /// Returns an empty table for an instance in this availability zone.
     pub fn new(zone: &str) -> FleetView {
         FleetView {
             zone: zone.to_owned(),
@@ -113,15 +117,16 @@
         }
     }
 
-    /// Returns what a load from the weight store was last expected to take;
-    /// nothing before one was heard of.
+    /// Returns the expected duration of the last load from the weight store,
+    /// or zero before the first one is known.
     pub fn load_time(&self) -> Duration {
         self.load_time
     }
 
-    /// Takes in one endpoint's entry. An entry from before it left, which a
-    /// list that is seconds old may show, does not bring it back, and one that is
-    /// older than what is known changes nothing.
+    /// Applies one endpoint's entry. An entry from before the endpoint's
+    /// departure, which a list that is seconds old may show, does not bring
+    /// the endpoint back. An entry that is older than the known one changes
+    /// nothing.
     pub fn apply_entry(&mut self, mut endpoint: Endpoint, now: Instant) {
         let id = endpoint.id.clone();
         if endpoint.is_draining {
@@ -157,9 +162,10 @@
         self.change_placements(&id, |state| state.apply_entry(endpoint, now));
     }
 
-    /// Takes in entries that another instance knows, without their adapters, while
-    /// we do not reach the store: those of new endpoints, and newer ones of engines
-    /// whose adapters we know by ourselves.
+    /// Applies entries that another instance knows, without their adapters,
+    /// while this instance does not reach the store. Entries of new endpoints
+    /// are used, and newer entries of engines whose adapters this instance
+    /// knows by itself.
     pub fn apply_entries(&mut self, entries: Vec<Endpoint>, now: Instant) {
         for entry in entries {
             let is_useful = self
@@ -171,14 +177,14 @@
         }
     }
 
-    /// Returns the newest revision of an entry that is known.
+    /// Returns the newest revision of all known entries.
     pub fn newest_revision(&self) -> Revision {
         let revisions = self.endpoints.values().map(|s| s.endpoint.revision);
         revisions.max().unwrap_or_default()
     }
 
-    /// Returns entries that are newer than a revision, without their adapters: the
-    /// oldest first, as many as fit a note.
+    /// Returns the entries that are newer than a revision, without their
+    /// adapters: the oldest first, as many as fit a note.
     pub fn entries_since(&self, revision: Revision) -> Vec<Endpoint> {
         let newer = |s: &&EndpointState| s.endpoint.revision > revision;
         let mut newer: Vec<&EndpointState> =
@@ -188,7 +194,7 @@
         newer.iter().map(|s| s.endpoint.without_adapters()).collect()
     }
 
-    /// Changes what an endpoint holds, and the indexes with it.
+    /// Changes the placements of an endpoint, and updates the indexes.
     fn change_placements(
         &mut self,
         id: &EndpointId,
@@ -214,8 +220,8 @@
         }
     }
 
-    /// Forgets all that an endpoint held and showed in the life before. What we
-    /// have under way there ends by itself, request by request.
+    /// Clears the state of an endpoint's previous incarnation. This instance's
+    /// requests that are in flight there end one by one.
     fn begin_incarnation(&mut self, id: &EndpointId) {
         self.limits.end_incarnation(id);
         if let Some(rest) = self.lapsed_cooldowns.get_mut(id) {
@@ -236,8 +242,8 @@
         }
     }
 
-    /// Takes in an engine's own report, which is newer than its entry; returns
-    /// whether it speaks of the life that the engine has now.
+    /// Applies an engine's own report, which is newer than its entry. Returns
+    /// whether the report refers to the engine's current incarnation.
     pub fn apply_report(
         &mut self,
         id: &EndpointId,
@@ -253,20 +259,21 @@
         true
     }
 
-    /// Returns which life an endpoint has now, if it tells its lives apart.
+    /// Returns the current incarnation of an endpoint, if it reports one.
     pub fn incarnation(&self, id: &EndpointId) -> Option<Incarnation> {
         self.incarnations.born(id)
     }
 
-    /// Notes that nobody knows what an engine holds, until it reports again.
+    /// Records that the adapters on an engine are unknown until the engine
+    /// reports again.
     pub fn invalidate_contents(&mut self, id: &EndpointId) {
         if let Some(state) = self.endpoints.get_mut(id) {
             state.is_ordered_by_us = false;
         }
     }
 
-    /// Believes the platform's list again about what engines hold, because
-    /// another instance may order them.
+    /// Uses the platform's list again for the adapters on engines, because
+    /// another instance may order loads and removals.
     pub fn stop_ordering(&mut self, now: Instant) {
         let ids: Vec<EndpointId> = self.endpoints.keys().cloned().collect();
         for id in ids {
@@ -278,9 +285,11 @@
         }
     }
 
-    /// Takes an endpoint out whose entry is gone, as of a revision of the store.
-    /// If it may only have lapsed in an outage we are not sure, and tell nobody:
-    /// of all instances, the one that waited least would decide for them.
+    /// Removes an endpoint whose entry is gone as of a revision of the store.
+    ///
+    /// If the entry may only have lapsed in an outage, `is_sure` is false and
+    /// the other instances are not told. Otherwise the instance that waits the
+    /// shortest time would decide for all instances.
     pub fn remove_entry(
         &mut self,
         id: &EndpointId,
@@ -308,8 +317,8 @@
         }
     }
 
-    /// Returns where an adapter is or will be, as a note for an instance that
-    /// asks.
+    /// Returns the placements of an adapter as notes for an instance that asks
+    /// for them.
     pub fn placement_notes(
         &self,
         key: &AdapterKey,
@@ -336,7 +345,8 @@
             .collect()
     }
 
-    /// Takes in that several instances cannot reach an endpoint.
+    /// Marks an endpoint as suspect for `time`, because several instances
+    /// cannot reach it.
     pub fn mark_suspect(
         &mut self,
         id: &EndpointId,
@@ -348,19 +358,21 @@
         }
     }
 
-    /// Returns the newest version of each model and adapter that one was named of.
+    /// Returns the newest announced version of each model and adapter.
     pub fn newest_versions(
         &self,
     ) -> impl Iterator<Item = (&AdapterKey, WeightVersion)> {
         self.newest.iter().map(|(key, (version, _))| (key, *version))
     }
 
-    /// Returns how many versions of weights were named, counting each rise.
+    /// Returns the number of announced versions of weights, counting each
+    /// increase.
     pub fn versions_announced(&self) -> u64 {
         self.newest.values().map(|(version, _)| version).sum()
     }
 
-    /// Notes the newest version of a model or adapter; returns whether it is news.
+    /// Records an announced version of a model or adapter. Returns whether it
+    /// is newer than the known one.
     pub fn record_version(
         &mut self,
         key: &AdapterKey,
@@ -375,7 +387,8 @@
         is_news
     }
 
-    /// Returns the newest version that was named, and when we heard of it.
+    /// Returns the newest announced version of a model or adapter, and when
+    /// this instance learned of it.
     pub fn newest(
         &self,
         key: &AdapterKey,
@@ -397,7 +410,7 @@
         ids.filter_map(|id| self.endpoints.get(id))
     }
 
-    /// Returns the endpoints that hold an adapter, or will soon.
+    /// Returns the endpoints that hold an adapter or are loading it.
     pub fn holders(
         &self,
         key: &AdapterKey,
@@ -406,7 +419,7 @@
         ids.filter_map(|id| self.endpoints.get(id))
     }
 
-    /// Returns the engines that are likely to have an adapter at hand.
+    /// Returns the engines that are assumed to have an adapter cached.
     pub fn warm(&self, key: &AdapterKey) -> &[EndpointId] {
         self.warm.get(key)
     }
@@ -416,13 +429,14 @@
         self.endpoints.get(id)
     }
 
-    /// Returns one endpoint, to note outcomes.
+    /// Returns one endpoint for recording the outcome of a request.
     pub fn get_mut(&mut self, id: &EndpointId) -> Option<&mut EndpointState> {
         self.endpoints.get_mut(id)
     }
 
-    /// Takes in that an adapter is on its way. To a life of its engine that is
-    /// over, it is not; of one that we have not heard of, the entry tells soon.
+    /// Applies a note that an adapter is being loaded. A note that refers to
+    /// another incarnation of the engine is ignored: either the incarnation
+    /// has ended, or the engine's entry shows it soon.
     pub fn apply_placed(&mut self, placed: &Placed, now: Instant) {
         let id = &placed.endpoint;
         if !self.incarnations.is_current(id, placed.born) {
@@ -435,8 +449,8 @@
         self.record_warm(id, &placed.key);
     }
 
-    /// Notes that an adapter is about to be ordered: it takes a place from now on,
-    /// and requests once its engine has taken the order.
+    /// Records an adapter that is about to be ordered. It occupies a slot from
+    /// now on, and gets requests once its engine has accepted the order.
     pub fn plan_placement(&mut self, placed: &Placed, now: Instant) {
         let id = &placed.endpoint;
         if placed.is_cold {
@@ -446,8 +460,8 @@
         self.record_warm(id, &placed.key);
     }
 
-    /// Notes that an engine has taken an order that was planned; returns when the
-    /// adapter is likely to be ready.
+    /// Records that an engine has accepted a planned order. Returns the time
+    /// until the adapter is expected to be ready.
     pub fn order_accepted(
         &mut self,
         id: &EndpointId,
@@ -457,7 +471,8 @@
         self.endpoints.get_mut(id)?.order_accepted(key, now)
     }
 
-    /// Notes that an adapter that was about to be ordered is there already.
+    /// Records that an adapter which was about to be ordered is already
+    /// loaded.
     pub fn mark_present(
         &mut self,
         id: &EndpointId,
@@ -469,7 +484,7 @@
         }
     }
 
-    /// Takes in that an adapter leaves an engine.
+    /// Applies a note that an adapter is being removed from an engine.
     pub fn apply_removed(&mut self, removed: &Removed, now: Instant) {
         if !self.incarnations.is_current(&removed.endpoint, removed.born) {
             return;
@@ -480,7 +495,7 @@
         });
     }
 
-    /// Takes an adapter out that a load did not bring after all.
+    /// Removes the placement of an adapter whose load failed.
     pub fn remove_placement(&mut self, id: &EndpointId, key: &AdapterKey) {
         self.change_placements(id, |state| {
             state.placements.remove(key);
@@ -489,9 +504,9 @@
         self.warm.remove(key, id);
     }
 
-    /// Notes that an engine turned a request down because it does not hold an
-    /// adapter, or not yet. It is tried again after a pause, or when the list
-    /// shows the adapter again.
+    /// Records that an engine rejected a request because it does not hold the
+    /// adapter, or not yet. The engine is tried again after a delay, or once
+    /// the list shows the adapter again.
     pub fn record_absent(
         &mut self,
         id: &EndpointId,
@@ -501,8 +516,8 @@
         self.change_placements(id, |state| state.record_absent(key, now));
     }
 
-    /// Takes in whether an adapter from the weight store was there when a request
-    /// was sent to it; returns whether the holder of the lease is to hear of it.
+    /// Records whether a request found an adapter loaded that comes from the
+    /// weight store. Returns whether the lease holder must be notified.
     pub fn confirm_load(
         &mut self,
         id: &EndpointId,
--- a/crates/fleet/src/view/choice.rs
+++ b/crates/fleet/src/view/choice.rs
@@ -1,9 +1,9 @@
 //! The choice of an endpoint for a request.
 //!
-//! The least cost wins: requests under way, the time until the answer is likely
-//! to begin, failures lately and the zone. The invariant: an endpoint that is
-//! leaving, or that is not known to hold what a request names in a version that
-//! counts, is never chosen.
+//! The endpoint with the lowest cost is chosen. The cost combines requests in
+//! flight, the expected time to the first event, recent failures, and the
+//! zone. The invariant: an endpoint that is leaving, or that is not known to
+//! hold what the request needs in a current version, is never chosen.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -19,94 +19,96 @@
     note::MAX_DIRECT_PEERS,
 };
 
-/// What another availability zone costs, in parts of an endpoint's load:
-/// bytes between zones have a price.
+/// The cost of an endpoint in another availability zone, as a fraction of an
+/// endpoint's load. Traffic between zones is charged.
 pub(crate) const OTHER_ZONE_COST: f64 = 0.14;
 
-/// What a share of failed requests costs, in parts of an endpoint's load: an
-/// endpoint that fails half of its requests gets one only if the others are
+/// The cost of a failure rate of 1, as a fraction of an endpoint's load. An
+/// endpoint that fails half of its requests is chosen only if the others are
 /// nearly full.
 const FAILURE_COST: f64 = 1.5;
 
-/// What is drawn for each request and endpoint, in parts of an endpoint's load:
-/// among few instances, which know well what the others do, it only tells
-/// equal endpoints apart.
+/// The maximum random cost per request and endpoint, as a fraction of an
+/// endpoint's load, with few instances. These know each other's load well, and
+/// the random cost only breaks ties.
 const NOISE_FEW_PEERS: f64 = 0.05;
 
-/// The same among many. What they know of each other is older than a short
-/// request lasts; without the draw all choose the same endpoint until the next
-/// note.
+/// The maximum random cost with many instances. Their knowledge of each
+/// other's load is older than a short request lasts, and without the random
+/// cost all would choose the same endpoint until the next note.
 const NOISE_MANY_PEERS: f64 = 0.4;
 
-/// Requests on an engine, as a multiple of its slots, beyond which it gets no
-/// more: those behind would wait for a whole answer to end.
+/// The load beyond which an engine gets no more requests, as a multiple of its
+/// slots. Further requests would wait for the end of an entire response.
 const MAX_ENGINE_LOAD: f64 = 1.1;
 
-/// The same for a plain service, whose requests are short: three waiting
-/// behind each slot still come in time.
+/// The load beyond which an endpoint of a plain service gets no more requests.
+/// Requests are short there, and three that wait per slot are still in time.
 const MAX_SERVICE_LOAD: f64 = 4.0;
 
-/// An adapter whose engine has not taken the order yet is looked for again after
-/// this, when it should have been there.
+/// The retry delay for an adapter that should be ready, but whose engine has
+/// not accepted the order yet.
 const MIN_LOADING_DELAY: Duration = Duration::from_millis(20);
 
-/// An engine that reads prompts for longer than this before a new one's turn
-/// is busy: an adapter would come to another engine from the weight store in a
-/// quarter of a second.
+/// The prefill backlog beyond which an engine counts as busy. Another engine
+/// would have loaded the adapter from the weight store in 0.25 s.
 pub(crate) const BUSY_BACKLOG: Duration = Duration::from_millis(300);
 
-/// What a request needs.
+/// What a request needs from an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct Need<'a> {
-    /// The service.
+    /// The name of the service.
     pub service: &'a str,
-    /// The model or adapter; none for a plain service.
+    /// The model or adapter; `None` for a plain service.
     pub key: Option<&'a AdapterKey>,
-    /// Endpoints that have already turned it down.
+    /// Endpoints that have already rejected the request.
     pub exclude: &'a [EndpointId],
-    /// A number that spreads equal choices.
+    /// A random number that distributes requests over equal endpoints.
     pub draw: u64,
-    /// Tokens of its prompt.
+    /// The number of tokens in the request's prompt.
     pub prompt_tokens: u64,
-    /// Within this time, its answer should begin.
+    /// The time within which the response should begin.
     pub target_latency: Duration,
-    /// Whether it may wait for a place where it begins sooner.
+    /// Whether the request may wait for an engine on which it begins sooner.
     pub may_wait: bool,
 }
 
-/// Where a request goes.
+/// The result of a choice.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Choice {
-    /// To this endpoint.
+    /// Send the request to this endpoint.
     Send(Target),
-    /// Nowhere yet; the adapter is on its way and may be ready then.
+    /// Wait: the adapter is being loaded, and is expected to be ready after
+    /// this time.
     Loading(Duration),
-    /// Nowhere; no usable engine holds the adapter.
+    /// No usable engine holds the adapter.
     Absent,
-    /// Nowhere; all that could serve it are full.
+    /// All endpoints that could serve the request are full.
     Full,
-    /// Nowhere yet: it would come late at all that hold the adapter, and sooner
-    /// at another engine, where the adapter may be ready then if it is known to
-    /// be on its way.
+    /// Wait: the request would be late on each engine that holds the adapter,
+    /// and sooner on another one. If the adapter is being loaded there, the
+    /// value is the time until it is expected to be ready.
     Busy(Option<Duration>),
-    /// Nowhere; the service has no usable endpoint.
+    /// The service has no usable endpoint.
     NoEndpoint,
 }
 
-/// The endpoint that a request goes to.
+/// The endpoint that a request is sent to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    /// Its id.
+    /// The endpoint's id.
     pub id: EndpointId,
-    /// Its address.
+    /// The endpoint's address.
     pub address: SocketAddr,
-    /// The version that the engine must have, if a newer one was named.
+    /// The version that the engine must have loaded, if a newer one was
+    /// announced.
     pub expect_version: Option<WeightVersion>,
-    /// Requests under way there before this one, as far as we know.
+    /// The known number of requests in flight there before this one.
     pub in_flight: u32,
-    /// Prompt tokens that it has yet to read before this one's.
+    /// The prompt tokens that await prefill there before this request's.
     pub unread_tokens: u64,
-    /// When the answer is likely to begin, from now; none if nothing is known.
+    /// The expected time until the response begins; `None` if nothing is
+    /// known.
     pub predicted: Option<Duration>,
 }
 
@@ -162,14 +164,14 @@
         Choice::Send(self.target(state, need, now))
     }
 
-    /// Returns whether a request would come late at an engine because of the
-    /// prompts before it.
+    /// Returns whether a request would be late at an engine because of the
+    /// prompts queued before it.
     fn would_be_late(&self, state: &EndpointState, need: Need<'_>) -> bool {
         self.predicted(state, need).is_some_and(|p| p > need.target_latency)
             && self.backlog(state) > BUSY_BACKLOG
     }
 
-    /// Returns why a request cannot go to an endpoint now, if it cannot.
+    /// Returns why a request cannot be sent to an endpoint now, if it cannot.
     pub(super) fn obstacle(
         &self,
         state: &EndpointState,
@@ -230,8 +232,8 @@
             true => 0.0,
             false => OTHER_ZONE_COST,
         };
-        // Equal endpoints are told apart by the draw, so that instances with
-        // the same table do not all choose the same one.
+        // The random part breaks ties, so that instances with the same table
+        // do not all choose the same endpoint.
         let hash = xxh3_64(state.endpoint.id.as_bytes()) ^ need.draw;
         let spread = xxh3_64(&hash.to_le_bytes()) as f64 / u64::MAX as f64;
         let failures = state.health.failed_share() * FAILURE_COST;
@@ -245,7 +247,8 @@
         state.load() + wait + zone + failures + spread * noise
     }
 
-    /// Returns when a request's answer is likely to begin at an endpoint.
+    /// Returns the expected time until a request's response begins at an
+    /// endpoint.
     fn predicted(
         &self,
         state: &EndpointState,
@@ -256,8 +259,8 @@
         self.first_event_times.get(need.service)?.predict(tokens)
     }
 
-    /// Returns what an engine of a service is likely to take until the answer to a
-    /// prompt begins, if it has no other to read.
+    /// Returns the expected time to the first event of a response to a prompt,
+    /// at an engine of the service with no other prompt to prefill.
     pub fn idle_first_event_time(
         &self,
         service: &str,
@@ -267,20 +270,21 @@
         regression.and_then(|p| p.predict(prompt_tokens)).unwrap_or_default()
     }
 
-    /// Returns how much an endpoint has to do: requests as a part of its slots,
-    /// and the seconds that it needs for the prompts it has yet to read. Requests
-    /// alone do not show long prompts, and choose homes where 0.4 s wait
-    /// (`docs/DECISIONS.md`).
+    /// Returns how loaded an endpoint is: requests in flight as a fraction of
+    /// its slots, plus its prefill backlog in seconds. Requests alone do not
+    /// show long prompts, and placed adapters on engines with a backlog of 0.4
+    /// s (`docs/DECISIONS.md`).
     pub fn pressure(&self, state: &EndpointState) -> f64 {
         state.load() + self.backlog(state).as_secs_f64()
     }
 
-    /// Returns how long an engine reads before a new prompt's turn.
+    /// Returns how long an engine prefills queued prompts before it starts on
+    /// a new one.
     pub fn backlog(&self, state: &EndpointState) -> Duration {
         self.prefill_time(state.id(), state.unread_tokens())
     }
 
-    /// Returns how long an endpoint reads so many tokens.
+    /// Returns how long an endpoint takes to prefill `tokens` tokens.
     pub fn prefill_time(&self, id: &EndpointId, tokens: u64) -> Duration {
         let state = self.endpoints.get(id);
         let regression = state
@@ -290,8 +294,8 @@
         })
     }
 
-    /// Takes in how long an engine took to begin an answer, before which it
-    /// had to read so many tokens.
+    /// Records how long an engine took to begin a response before which it had
+    /// to prefill `tokens` tokens.
     pub fn observe_first_event(
         &mut self,
         service: &str,
@@ -307,7 +311,7 @@
     }
 }
 
-/// Returns which of two reasons not to send is nearer to a send.
+/// Returns which of two obstacles is closer to being resolved.
 fn closer_obstacle(a: Choice, b: Choice) -> Choice {
     let rank = |choice: &Choice| match choice {
         Choice::Send(_) | Choice::Busy(_) => 0,
--- a/crates/fleet/src/view/cooldowns.rs
+++ b/crates/fleet/src/view/cooldowns.rs
@@ -1,4 +1,5 @@
-//! Rest that endpoints ask for, over their entries' lapses.
+//! Cooldowns of endpoints, which are kept while an endpoint's entry has
+//! lapsed.
 
 use std::time::Duration;
 
@@ -9,8 +10,8 @@
 use crate::adapter::AdapterKey;
 
 impl FleetView {
-    /// Takes in that an endpoint asked for rest; returns whether it did not rest
-    /// before.
+    /// Applies a cooldown that an endpoint announced in a response. Returns
+    /// whether no cooldown was in effect before.
     pub fn apply_announced_cooldown(
         &mut self,
         answered: &AnsweredRequest,
@@ -30,26 +31,27 @@
         }
     }
 
-    /// Notes that a request is sent to an endpoint.
+    /// Records that a request is sent to an endpoint.
     pub fn record_sent(&mut self, id: &EndpointId, now: Instant) {
         if let Some(state) = self.endpoints.get_mut(id) {
             state.cooldown.record_sent(now);
         }
     }
 
-    /// Notes an answer of an endpoint that asks for no rest; returns whether that
-    /// ends its rest.
+    /// Records a response that asks for no cooldown. Returns whether the
+    /// response ends the endpoint's cooldown.
     pub fn record_answer(&mut self, answered: &AnsweredRequest) -> bool {
         let state = self.endpoints.get_mut(&answered.endpoint);
         state.is_some_and(|state| state.cooldown.record_answer(answered.sent))
     }
 
-    /// Returns whether an endpoint asked for rest that is not over.
+    /// Returns whether a cooldown is in effect for an endpoint.
     pub fn is_cooling_down(&self, id: &EndpointId, now: Instant) -> bool {
         self.endpoints.get(id).is_some_and(|s| s.cooldown.is_cooling_down(now))
     }
 
-    /// Returns when the first endpoint of a service that rests takes requests again.
+    /// Returns the time until the first endpoint of a service that is in a
+    /// cooldown accepts requests again.
     pub fn service_cooldown(
         &self,
         service: &str,
@@ -61,7 +63,8 @@
         stays.filter_map(|state| state.cooldown.left(now)).min()
     }
 
-    /// Returns the endpoints that hold an adapter and rest, and for how long.
+    /// Returns the endpoints that hold an adapter and are in a cooldown, with
+    /// the time until they accept requests again.
     pub fn holders_cooling_down(
         &self,
         key: &AdapterKey,
@@ -72,8 +75,8 @@
             .collect()
     }
 
-    /// Forgets the rests of endpoints that are not listed any more. Call it about
-    /// once a second.
+    /// Removes ended cooldowns of endpoints that are no longer listed. Call
+    /// this about once a second.
     pub fn forget_cooldowns(&mut self, now: Instant) {
         self.lapsed_cooldowns
             .retain(|_, cooldown| cooldown.is_cooling_down(now));
--- a/crates/fleet/src/view/departures.rs
+++ b/crates/fleet/src/view/departures.rs
@@ -1,4 +1,5 @@
-//! Endpoints that left: what we saw in the store, and what others say.
+//! Departures of endpoints that this instance detects or learns of from other
+//! instances.
 
 use sedgewall_clock::Instant;
 use sedgewall_state::id::EndpointId;
@@ -7,8 +8,9 @@
 use crate::{departure::Departure, endpoint::Revision};
 
 impl FleetView {
-    /// Notes that we saw an endpoint leave. If its entry goes after it said
-    /// so, nobody needs to hear that.
+    /// Records that this instance saw an endpoint leave. The removal of an
+    /// entry that was draining before is not sent to other instances, since
+    /// they already know of the departure.
     pub(super) fn see_departure(
         &mut self,
         id: &EndpointId,
@@ -27,8 +29,8 @@
         }
     }
 
-    /// Takes in that another instance saw an endpoint leave; returns whether
-    /// that is news.
+    /// Applies a departure that another instance saw. Returns whether it is
+    /// new.
     pub fn apply_departure(
         &mut self,
         departure: &Departure,
@@ -47,8 +49,8 @@
         true
     }
 
-    /// Takes in that an endpoint said in an answer that it leaves; returns whether
-    /// that is news, which others are told of.
+    /// Applies a departure that an endpoint announced in a response. Returns
+    /// whether it is new; a new one is sent to the other instances.
     pub fn apply_announced_departure(
         &mut self,
         answered: &AnsweredRequest,
@@ -68,23 +70,24 @@
         is_news
     }
 
-    /// Returns the departures that we saw and the others have not heard of,
-    /// once.
+    /// Returns the departures that this instance detected and has not sent to
+    /// the other instances yet, and marks them as sent.
     pub fn take_unsent_departures(&mut self) -> Vec<Departure> {
         std::mem::take(&mut self.unsent_departures)
     }
 
-    /// Returns the departures that others are told of again.
+    /// Returns the departures that are repeated to other instances.
     pub fn departures(&self, now: Instant) -> Vec<Departure> {
         self.departures.repeated(now)
     }
 
-    /// Returns all departures that are known, for an instance that missed some.
+    /// Returns all known departures, for an instance that has missed some.
     pub fn all_departures(&self) -> Vec<Departure> {
         self.departures.all().collect()
     }
 
-    /// Forgets departures and lives that nobody speaks of any more.
+    /// Removes departures and incarnations that are too old to be mentioned by
+    /// any instance.
     pub fn forget_departures(&mut self, now: Instant) {
         let endpoints = &self.endpoints;
         self.departures.forget(|id| endpoints.contains_key(id), now);
--- a/crates/fleet/src/view/in_flight.rs
+++ b/crates/fleet/src/view/in_flight.rs
@@ -1,5 +1,5 @@
-//! What is under way at each endpoint: our own requests exactly, those of the
-//! others as they say themselves, or as the holder of the lease sums them up.
+//! Work in flight at each endpoint: exact for this instance, and for the other
+//! instances as each reports its own, or as the lease holder totals all of it.
 
 use std::{cmp::Reverse, time::Duration};
 
@@ -9,37 +9,39 @@
 use super::FleetView;
 use crate::{note::Status, work::Work};
 
-/// Endpoints in one note of sums at most: each takes some 20 bytes, and a relay
-/// passes a note on to nine others each 150 ms, over 10 Mbit/s at the least. All of
-/// 1,010 took a sixth of its link, all of 3,000 more than it has.
+/// The maximum number of endpoints in one note of totals. Each takes about 20
+/// bytes, and a relay forwards a note to nine others every 150 ms, over a link
+/// of at least 10 Mbit/s. All totals of 1,010 endpoints took a sixth of the
+/// link, and those of 3,000 exceeded it.
 const MAX_TOTALS: usize = 256;
 
-/// Of them, so many are told in turn: one that was missed is repaired after some
-/// seconds, since a note in a hundred may be lost.
+/// The number of endpoints in such a note whose totals are published in turn.
+/// This repairs a missed total after some seconds, since one note in a hundred
+/// may be lost.
 const ROTATED_TOTALS: usize = 32;
 
-/// What the holder of the lease tells of all instances' work.
+/// The work of all instances, as the lease holder publishes it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Totals {
-    /// The sums, by endpoint.
+    /// The totals, by endpoint.
     pub work: Vec<(EndpointId, Work)>,
-    /// Whether those of other endpoints are as they were told before; else these
-    /// have none.
+    /// Whether the totals of other endpoints are unchanged; otherwise the
+    /// other endpoints have no work.
     pub is_part: bool,
 }
 
-/// The holder's sums, as they were heard last.
+/// The lease holder's totals that were last received.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HeardTotals {
-    /// When.
+    /// When the totals were received.
     pub(super) at: Instant,
-    /// How often it tells them.
+    /// The interval at which the lease holder publishes totals.
     pub(super) pause: Duration,
-    /// Until when they count.
+    /// The time until which the totals are valid.
     until: Instant,
 }
 
-/// What another instance has under way.
+/// The work in flight of another instance.
 #[derive(Clone, Debug)]
 pub(super) struct PeerLoad {
     sequence: u64,
@@ -48,8 +50,8 @@
 }
 
 impl FleetView {
-    /// Takes in what another instance has under way. Older notes than the
-    /// last one change nothing.
+    /// Applies another instance's status note. A note that is older than the
+    /// last one changes nothing.
     pub fn apply_status(&mut self, status: Status, now: Instant) {
         if let Some(last) = self.peers.get(&status.from)
             && last.sequence >= status.sequence
@@ -90,8 +92,8 @@
         self.learn_weights(now);
     }
 
-    /// Forgets instances that were not heard for too long. Call it about once
-    /// a second.
+    /// Removes instances that have been silent for too long. Call this about
+    /// once a second.
     pub fn remove_silent_peers(&mut self, now: Instant) {
         if self.totals.is_some_and(|heard| now >= heard.until) {
             self.forget_totals();
@@ -110,8 +112,8 @@
         }
     }
 
-    /// Counts again what each instance says itself: the holder of the lease is
-    /// silent, or it is this instance.
+    /// Drops the totals and uses each instance's own report instead, because
+    /// the lease holder is silent, or is this instance.
     pub fn forget_totals(&mut self) {
         self.totals = None;
         for state in self.endpoints.values_mut() {
@@ -119,8 +121,8 @@
         }
     }
 
-    /// Returns what this instance has under way; endpoints without work are left
-    /// out. Notes what is told.
+    /// Returns this instance's work in flight, for publication; endpoints
+    /// without work are left out. Records what is published.
     pub fn publish_work(&mut self) -> Vec<(EndpointId, Work)> {
         let mut told = Vec::new();
         for (id, state) in &mut self.endpoints {
@@ -132,9 +134,10 @@
         told
     }
 
-    /// Returns what all instances have under way, for the holder of the lease to
-    /// tell. Where that is more than fits a note, it is what has changed most since
-    /// it was told, and some of the others in turn, for whoever missed them.
+    /// Returns the work of all instances, for the lease holder to publish. If
+    /// the totals exceed one note, returns those that changed most since they
+    /// were last published, and some others in turn, for instances that missed
+    /// them.
     pub fn publish_totals(&mut self) -> Totals {
         let mut all = Vec::new();
         for (id, state) in &mut self.endpoints {
@@ -187,18 +190,19 @@
         }
     }
 
-    /// Returns whether another instance was heard lately.
+    /// Returns whether another instance was heard from lately.
     pub fn is_live_peer(&self, id: &InstanceId, now: Instant) -> bool {
         self.peers.get(id).is_some_and(|load| now < load.valid_until)
     }
 
-    /// Returns how many other instances were heard lately.
+    /// Returns how many other instances were heard from lately.
     pub fn live_peers(&self, now: Instant) -> usize {
         let holds = |load: &&PeerLoad| now < load.valid_until;
         self.peers.values().filter(holds).count()
     }
 
-    /// Returns what the others have under way at an endpoint, as each says.
+    /// Returns the work in flight of all other instances at an endpoint, as
+    /// each reports its own.
     pub(super) fn peer_work(&self, id: &EndpointId) -> Work {
         let mut sum = Work::default();
         let all = self.peers.values().flat_map(|load| &load.work);
--- a/crates/fleet/src/view/learned_weights.rs
+++ b/crates/fleet/src/view/learned_weights.rs
@@ -1,9 +1,10 @@
-//! What each endpoint of a plain service is worth, learned from the sums.
+//! Learned weights of the endpoints of a plain service.
 //!
-//! By old sums a request goes to each endpoint nearly with the part of its slots,
-//! so that a slow one gets as much as a quick one and never comes to rest. Its
-//! load then stays above the mean, and its part shrinks until it does not: an
-//! integral beside the proportional part in [`super::load_interpretation`].
+//! With stale totals, each endpoint gets requests almost in proportion to its
+//! slots, so that a slow endpoint gets as many as a fast one and its queue
+//! never empties. Its load then stays above the mean, and its weight is
+//! reduced until it does not: an integral term beside the proportional one in
+//! [`super::load_interpretation`].
 
 use std::time::Duration;
 
@@ -12,31 +13,34 @@
 
 use super::FleetView;
 
-/// The time in which a load of twice the mean takes a third off an endpoint's
-/// part: some five times what the sums need to show what a part brought, so that
-/// the parts do not swing.
+/// The time in which a load of twice the mean reduces an endpoint's weight by
+/// a third. It is about five times the delay with which totals show the effect
+/// of a weight, so that the weights do not oscillate.
 const LEARN_TIME: Duration = Duration::from_millis(3_000);
 
-/// The time in which what was learned fades: speeds change over minutes.
+/// The time constant with which learned weights return to 1, since the speed
+/// of endpoints changes over minutes.
 const FADE_TIME: Duration = Duration::from_secs(20);
 
-/// The least time between two looks.
+/// The minimum interval between two updates.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The longest time that one look counts for.
+/// The maximum interval that one update accounts for.
 const MAX_UPDATE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Requests for each slot below which loads say nothing of speeds.
+/// The mean load, in requests per slot, below which loads say nothing about
+/// the speed of endpoints.
 const MIN_LOAD: f64 = 0.05;
 
-/// How far one endpoint's load counts, against the mean.
+/// The maximum excess of an endpoint's load over the mean that is taken into
+/// account.
 const MAX_EXCESS: f64 = 2.0;
 
-/// The least and the largest part, against an endpoint that is as the others.
+/// The minimum and maximum weight, relative to an average endpoint.
 const WEIGHT_RANGE: (f64, f64) = (0.1, 3.0);
 
 impl FleetView {
-    /// Learns from what is known of all endpoints now.
+    /// Updates the weights from the current loads of all endpoints.
     pub(super) fn learn_weights(&mut self, now: Instant) {
         let since = self
             .learned_at
@@ -58,7 +62,7 @@
 
     fn learn_service_weights(&mut self, ids: &[EndpointId], interval_s: f64) {
         let states = || ids.iter().filter_map(|id| self.endpoints.get(id));
-        // What has models is chosen by what it holds.
+        // Endpoints with models are chosen by the models that they hold.
         if states().any(|state| !state.endpoint.models.is_empty()) {
             return;
         }
--- a/crates/fleet/src/view/limits.rs
+++ b/crates/fleet/src/view/limits.rs
@@ -1,4 +1,5 @@
-//! Rate limits of endpoints, and who may send to a limited one.
+//! Rate limits of endpoints, and permits to send requests to limited
+//! endpoints.
 
 use std::time::Duration;
 
@@ -17,17 +18,19 @@
 /// A request that an endpoint answered.
 #[derive(Clone, Debug)]
 pub struct AnsweredRequest {
-    /// The endpoint.
+    /// The endpoint that answered.
     pub endpoint: EndpointId,
-    /// Its life when the request was sent, if it tells its lives apart.
+    /// The endpoint's incarnation when the request was sent, if the endpoint
+    /// reports one.
     pub born: Option<Incarnation>,
     /// When the request was sent.
     pub sent: Instant,
 }
 
 impl FleetView {
-    /// Takes in what an answer says of its endpoint's limit; returns what changed.
-    /// An answer of a life that is over says nothing.
+    /// Applies what a response announces about its endpoint's limit. Returns
+    /// the change, if there is one. A response of an incarnation that has
+    /// ended is ignored.
     pub fn apply_announced_limit(
         &mut self,
         answered: &AnsweredRequest,
@@ -41,7 +44,8 @@
         self.limits.observe(endpoint, *born, limit, *sent, now)
     }
 
-    /// Takes in another instance's report of a limit; returns what changed.
+    /// Applies another instance's report of a limit. Returns the change, if
+    /// there is one.
     pub fn apply_limit_report(
         &mut self,
         report: &LimitReport,
@@ -54,8 +58,8 @@
         self.limits.apply_report(report, source, now)
     }
 
-    /// Returns what others are told of limits: with this instance's demand, or with
-    /// that of all.
+    /// Returns the limits to report to other instances, with this instance's
+    /// demand or, if `is_total` is true, the demand of all instances.
     pub fn limit_reports(
         &self,
         is_total: bool,
@@ -64,17 +68,18 @@
         self.limits.reports(is_total, now)
     }
 
-    /// Returns the limit of an endpoint in requests a second, if it has one.
+    /// Returns the limit of an endpoint in requests per second, if it has one.
     pub fn limit_per_s(&self, id: &EndpointId) -> Option<f64> {
         self.limits.per_s(id)
     }
 
-    /// Counts a request that would go to a limited endpoint if it had no limit.
+    /// Counts a request that would be sent to a limited endpoint if it had no
+    /// limit.
     pub fn record_demand(&mut self, id: &EndpointId, now: Instant) {
         self.limits.record_demand(id, now);
     }
 
-    /// Takes a permit for one request to an endpoint.
+    /// Takes a permit to send one request to an endpoint.
     pub fn take_permit(
         &mut self,
         id: &EndpointId,
@@ -84,14 +89,16 @@
         self.limits.take(id, request, now)
     }
 
-    /// Forgets limits that nobody speaks of any more. Call it about once a second.
+    /// Removes limits that are too old to be reported by any instance. Call
+    /// this about once a second.
     pub fn forget_limits(&mut self, now: Instant) {
         let endpoints = &self.endpoints;
         self.limits.forget(|id| endpoints.contains_key(id), now);
     }
 
-    /// Takes in that an endpoint takes no more from some instance for a time: what
-    /// it holds needs another place.
+    /// Marks an endpoint as saturated for `time`: some instance may send no
+    /// more requests there, and the adapters that it holds need another
+    /// engine.
     pub fn mark_saturated(
         &mut self,
         id: &EndpointId,
--- a/crates/fleet/src/view/load_interpretation.rs
+++ b/crates/fleet/src/view/load_interpretation.rs
@@ -1,20 +1,22 @@
-//! How requests spread over the endpoints of a plain service, by sums that are
-//! older than a request lasts.
+//! Load balancing over the endpoints of a plain service, with load information
+//! that is older than a request lasts.
 //!
-//! The load pattern: many instances, each with a few requests a second, see the
-//! same sums, some 0.45 s old, of requests that last 0.06 s. If each takes the
-//! endpoint that looks empty, all take the same one until the next sums: it
-//! rejected one arrival in four while others idled. So an instance counts what
-//! must have come since (load interpretation, after Dahlin, "Interpreting stale
-//! load information", 1999): the requests that the sums do not show yet are taken
-//! to fill the endpoints to one level, and this request goes to each with the
-//! part that it still lacks to that level. Where sums are fresh against the time
-//! that a request lasts, this is the least loaded endpoint; where they are old,
-//! a draw by capacity. Nothing is configured: the time that a request lasts is
-//! observed, the age of the sums is known.
+//! Many instances, each with a few requests per second, know the same totals.
+//! These are about 0.45 s old, while requests last 0.06 s. If each instance
+//! chose the endpoint that looks least loaded, all would choose the same one
+//! until the next totals: that endpoint rejected one request in four while
+//! others were idle. Instances therefore interpret the load (Dahlin,
+//! "Interpreting stale load information", 1999): they estimate the requests
+//! that arrived since the totals were taken, assume that these fill the
+//! endpoints to one common level, and send this request to each endpoint with
+//! a probability in proportion to what it lacks to that level. If totals are
+//! fresh relative to the residence time, this chooses the least loaded
+//! endpoint; if they are old, it is a random choice by capacity. Nothing is
+//! configured: the residence time is measured, and the age of the totals is
+//! known.
 //!
-//! The invariant: an endpoint without a lack gets nothing, and the parts add up
-//! to what is to come.
+//! The invariant: an endpoint at or above the level gets nothing, and the
+//! shares add up to the expected arrivals.
 
 use std::time::Duration;
 
@@ -25,44 +27,47 @@
 use super::{Choice, FleetView, Need};
 use crate::{endpoint_state::EndpointState, residence_time::ResidenceTime};
 
-/// How much an endpoint that fails loses of its capacity: one that fails half of
-/// its requests gets an eighth of what another gets.
+/// The exponent that reduces the capacity of a failing endpoint. An endpoint
+/// that fails half of its requests gets an eighth of what a healthy one gets.
 const FAILURE_POWER: i32 = 3;
 
-/// What an endpoint in another availability zone counts of its capacity: bytes
-/// between zones have a price.
+/// The factor on the capacity of an endpoint in another availability zone.
+/// Traffic between zones is charged.
 const OTHER_ZONE_CAPACITY: f64 = 0.7;
 
-/// The time that a request takes at the mean, as a part of its target, up to which
-/// all are admitted: some take 1.6 times as long as the mean, by their own work
-/// and by queues that differ.
+/// The mean residence time, as a fraction of the target latency, up to which
+/// all requests are admitted. Some requests take 1.6 times as long as the
+/// mean, because of their own work and of unequal queues.
 const ADMITS_ALL_BELOW: f64 = 0.6;
 
-/// The part of the target over which the admitted part falls to none. Wide, so
-/// that many instances with the same old sums do not admit all and then none.
+/// The range above [`ADMITS_ALL_BELOW`] over which the admitted fraction falls
+/// to zero. It is wide, so that many instances with the same stale totals do
+/// not alternate between admitting all and none.
 const ADMITS_LESS_OVER: f64 = 0.5;
 
-/// Tells the draw of admission from that of the endpoint.
+/// Decorrelates the random draw for admission from the one for the endpoint.
 const ADMISSION_SALT: u64 = 0x5EDC;
 
-/// An endpoint that may get a request.
+/// The capacity and load of an endpoint that may get a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Capacity {
-    /// Requests that it works on at once, less what it fails.
+    /// The number of slots, weighted by zone, learned weight, and failure
+    /// rate.
     pub slots: f64,
-    /// Requests under way there, as far as is known.
+    /// The known number of requests in flight.
     pub in_flight: f64,
 }
 
-/// Returns how many of the requests to come each endpoint gets, so that all are
-/// filled to one level, as far as they lie below it.
+/// Returns how many of the expected requests each endpoint gets, so that all
+/// endpoints below a common level are filled up to it.
 pub fn shares(endpoints: &[Capacity], expected_arrivals: f64) -> Vec<f64> {
     let level = level(endpoints, expected_arrivals);
     let shortfall = |e: &Capacity| (level * e.slots - e.in_flight).max(0.0);
     endpoints.iter().map(shortfall).collect()
 }
 
-/// Returns the requests for each slot to which so many more fill the endpoints.
+/// Returns the common level, in requests per slot, to which `to_come` more
+/// requests fill the endpoints.
 fn level(endpoints: &[Capacity], expected_arrivals: f64) -> f64 {
     let load = |e: &Capacity| e.in_flight / e.slots;
     let mut by_load: Vec<&Capacity> = endpoints.iter().collect();
@@ -80,7 +85,7 @@
 }
 
 impl FleetView {
-    /// Chooses among the endpoints of a plain service.
+    /// Chooses one of the usable endpoints of a plain service.
     pub(super) fn choose_balanced<'a>(
         &'a self,
         usable: impl Iterator<Item = &'a EndpointState>,
@@ -111,18 +116,20 @@
             left -= share;
             left < 0.0
         });
-        // Rounding may leave nothing behind the last one.
+        // Rounding errors may leave no endpoint at the end of the range.
         let chosen = chosen.unwrap_or(open.len() - 1);
         Choice::Send(self.target(open[chosen].0, need, now))
     }
 
-    /// Returns whether a request is admitted that would probably come in time.
+    /// Returns whether a request is admitted, given the probability that it is
+    /// served in time.
     ///
-    /// The load pattern: for some seconds more requests come than the endpoints
-    /// can do. Sent to their queues, all come late; rejected from a limit on, all
-    /// or none are, since what is known is older than a queue takes to fill. So
-    /// the part that is admitted falls with the time that requests take, by the
-    /// load of all endpoints together.
+    /// During a spike more requests arrive for some seconds than the endpoints
+    /// can process. If all were queued, all would be late. If requests were
+    /// rejected beyond a fixed limit, either all or none would be, since the
+    /// load information is older than the time that a queue takes to fill. The
+    /// admitted fraction therefore falls as the expected residence time rises,
+    /// which is predicted from the load of all endpoints together.
     fn admits(
         &self,
         open: &[(&EndpointState, Capacity)],
@@ -131,7 +138,7 @@
         let slots = |s: &EndpointState| f64::from(s.endpoint.slots.max(1));
         let all_slots: f64 = open.iter().map(|o| slots(o.0)).sum();
         let load = open.iter().map(|o| o.1.in_flight).sum::<f64>() / all_slots;
-        // With free slots a request does not wait, whatever it takes.
+        // With free slots a request does not queue, however long it takes.
         if load < 1.0 {
             return true;
         }
@@ -163,9 +170,10 @@
         }
     }
 
-    /// Returns how many requests come to a service, this one included, from what
-    /// the sums show until they show what is sent now. By Little's law as many
-    /// come in the time that a request lasts as are under way.
+    /// Returns the expected number of requests to a service, this one
+    /// included, between the requests that the totals show and the time at
+    /// which they show a request sent now. By Little's law, as many requests
+    /// arrive within the residence time as are in flight.
     fn expected_arrivals(
         &self,
         service: &str,
@@ -186,12 +194,15 @@
         under_way * turns + 1.0
     }
 
-    /// Returns how long it takes from a send until all know of it, and what came
-    /// before it in that time: instances speak at random moments, so what each
-    /// says is half a pause old, and heard half a pause later.
+    /// Returns how long requests are missing from the load information: from
+    /// their sending until all instances know of them. Instances publish at
+    /// random times, so that a request is published half an interval after it
+    /// was sent on average, and published work is half an interval old on
+    /// average when it is used.
     fn staleness(&self, now: Instant) -> Duration {
         match self.totals {
-            // The others tell the holder half as often as it tells all.
+            // Instances report to the lease holder half as often as the holder
+            // publishes the totals.
             Some(heard) => {
                 now.saturating_duration_since(heard.at) + heard.pause * 2
             }
@@ -199,8 +210,8 @@
         }
     }
 
-    /// Takes in how long a request was under way at an endpoint that had so many
-    /// others for each slot, as far as was known.
+    /// Records how long a request was in flight at an endpoint that had `load`
+    /// other known requests per slot.
     pub fn observe_residence_time(
         &mut self,
         id: &EndpointId,
@@ -219,7 +230,7 @@
     }
 }
 
-/// Returns a number between 0 and 1.
+/// Returns a number between 0 and 1 that is derived from `seed`.
 fn unit_draw(seed: u64) -> f64 {
     xxh3_64(&seed.to_le_bytes()) as f64 / u64::MAX as f64
 }
