--- a/crates/fleet/benches/decisions.rs
+++ b/crates/fleet/benches/decisions.rs
@@ -1,5 +1,6 @@
-//! What decisions cost at the size of a grown deployment: 90 engines with nine
-//! places each, all full, and 1,100 adapters that are asked for.
+//! Benchmarks of routing and placement decisions in a large installation: 90
+//! engines with nine adapter slots each, all in use, and 1,100 requested
+//! adapters.
 
 #![allow(missing_docs, reason = "criterion's macro makes a public function")]
 
--- a/crates/fleet/tests/back_off_rules.rs
+++ b/crates/fleet/tests/back_off_rules.rs
@@ -1,22 +1,23 @@
-//! How late a path to the store is used that is whole again.
+//! Tests of how soon a recovered path to the store is used.
 
 use std::time::Duration;
 
 use proptest::prelude::*;
 use sedgewall_fleet::back_off::{BackOff, CallKind};
 
-/// The longest time that a call waits for its answer.
+/// The maximum time that a call waits for its answer.
 const ANSWER_TIME: Duration = Duration::from_millis(1_200);
 
-/// The shortest time within which a change must be in force, on the deployments
-/// that we know.
+/// The shortest time within which a change must be in force, among the known
+/// installations.
 const IN_FORCE_WITHIN: Duration = Duration::from_millis(2_000);
 
-/// What a call takes that is answered.
+/// The time of a call that is answered.
 const CALL_TIME: Duration = Duration::from_millis(10);
 
-/// Returns how long after the path is whole again the first call is answered, if
-/// each call before it waits for an answer in vain, or is turned away at once.
+/// Returns how long after the path recovers the first call is answered, if
+/// each call before waits in vain for an answer (`is_silent`), or is rejected
+/// at once.
 fn first_answer_after(
     calls: CallKind,
     whole_at: Duration,
@@ -35,13 +36,14 @@
 }
 
 proptest! {
-    /// An instance that had lost the store for 14 s read the configuration 3.6 s after its
-    /// path was whole again, and ran on one that was 15 s old until then. It had sent a
-    /// call just before the path was whole, waited 1.0 s for a connection, and then
-    /// paused for 2.5 s: longer than a change may take to be in force. The lines of that
-    /// instance, whose cut ended at 17.95 s: `store_call_failed` of `config` at 18.88 s
-    /// with `sent_ms_ago` 1000, then `configuration` at 21.40 s, which replaces version 9
-    /// by 65.
+    /// Guards against a delay after which a recovered path is used too late.
+    /// An instance that had lost the store for 14 s sent a call just before
+    /// the path recovered, waited 1.0 s for a connection, and then paused for
+    /// 2.5 s, longer than a change may take to be in force. It read the
+    /// configuration 3.6 s after the recovery, and used one that was 15 s old
+    /// until then. In its log, the outage ended at 17.95 s;
+    /// `store_call_failed` of `config` at 18.88 s had `sent_ms_ago` 1000, and
+    /// `configuration` at 21.40 s replaced version 9 by 65.
     #[test]
     fn a_path_that_is_whole_again_is_used_within_the_promise(
         whole_at_ms in 1_u64..60_000,
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/fleet/tests/common/mod.rs
@@ -99,7 +99,7 @@
     }
 }
 
-/// So many requests without prompts under way.
+/// Returns the work of `count` requests without prompts.
 pub fn requests(count: u32) -> Work {
     let mut work = Work::default();
     for _ in 0..count {
@@ -108,7 +108,7 @@
     work
 }
 
-/// What a peer says that it has under way.
+/// Returns a status note of a peer with this work in flight.
 pub fn status(from: &str, work: Vec<(String, Work)>) -> Status {
     Status {
         from: from.to_owned(),
@@ -130,7 +130,7 @@
     }
 }
 
-/// A request with a short prompt.
+/// Returns the needs of a request with a short prompt.
 pub fn need(key: &AdapterKey) -> Need<'_> {
     Need {
         service: SERVICE,
--- a/crates/fleet/tests/cooldown_rules.rs
+++ b/crates/fleet/tests/cooldown_rules.rs
@@ -1,5 +1,5 @@
-//! Endpoints that asked for rest get nothing until it is over, and then one request
-//! that shows whether they take more.
+//! Tests of cooldowns: an endpoint that asked for one gets no requests until
+//! it ends, and then one probe request.
 
 mod common;
 
@@ -23,8 +23,9 @@
     sent_to(&choose(view, &key(1), now)) == Some("e1")
 }
 
-/// Symptom: engines got up to 21 requests of one instance within the rest that they
-/// had asked it for: one that turns requests away looks idle.
+/// Guards against requests during a cooldown. An endpoint that rejects
+/// requests looks idle; engines got up to 21 requests of one instance within
+/// the cooldown that they had asked it for.
 #[test]
 fn an_endpoint_that_rests_is_not_chosen() {
     let now = Instant::now();
@@ -50,7 +51,8 @@
     let over = now + REST;
     view.record_sent(&"e1".to_owned(), over);
     assert!(!is_chosen(&view, over), "the first one has no answer yet");
-    // What was sent before the rest was over says nothing of it.
+    // A response to a request from before the end of the cooldown says
+    // nothing.
     assert!(!view.record_answer(&answered(now)));
     assert!(!is_chosen(&view, over));
     assert!(view.record_answer(&answered(over)));
@@ -83,10 +85,11 @@
     assert!(is_chosen(&view, now + REST));
 }
 
-/// Symptom: an endpoint that had started again asked for 3.4 s of rest, and got up to
-/// ten requests of one instance within it (soak, seed 5001).
-/// Sequence: it started again under its id; its first answers came before its entry
-/// showed that; the entry then ended all that was known of the life before.
+/// Guards against losing a cooldown that a new incarnation asks for before its
+/// entry shows the restart. The first responses of a restarted endpoint
+/// arrived before its new entry, which then cleared everything known about the
+/// previous incarnation. The endpoint had asked for 3.4 s, and got up to ten
+/// requests of one instance within this time (soak, seed 5001).
 #[test]
 fn a_new_life_may_ask_for_rest_before_its_entry_shows_it() {
     let now = Instant::now();
@@ -104,7 +107,7 @@
     assert!(!is_chosen(&view, later));
     assert!(is_chosen(&view, now + REST));
 
-    // A long one of the life before is void soon.
+    // A long cooldown of the previous incarnation is void soon.
     view.apply_announced_cooldown(&answered, REST, now);
     let answered = AnsweredRequest { born: Some(2), ..answered };
     view.apply_announced_cooldown(&answered, Duration::from_secs(600), later);
@@ -113,8 +116,8 @@
 }
 
 proptest! {
-    /// Whatever is sent and answered, nothing may be sent before the end of any rest
-    /// that was asked for.
+    /// Whatever is sent and answered, no request may be sent before the end of
+    /// any requested cooldown.
     #[test]
     fn no_request_is_sent_within_a_rest(
         steps in prop::collection::vec((0..4_u8, 0..900_u64, 0..4_000_u64), 1..80),
--- a/crates/fleet/tests/departure_rules.rs
+++ b/crates/fleet/tests/departure_rules.rs
@@ -1,4 +1,5 @@
-//! What left stays left, whatever is heard and read in whatever order.
+//! Tests that an endpoint that left stays away, in whatever order notes and
+//! entries arrive.
 
 mod common;
 
@@ -28,12 +29,12 @@
     sent_to(&choose(view, &key(1), now)) == Some("e1")
 }
 
-/// Symptom: none was reported; found where an endpoint that left unheard was
-/// traced. An instance that watches what may be seconds old would send to a
-/// leaving endpoint for as long as its watch is late.
-/// Sequence: another instance tells that the endpoint leaves; our late watch
-/// brings a change of its entry from before, which still says ready.
-/// Cause: each entry that was read replaced what had been heard.
+/// Guards against an old entry that brings back an endpoint which left.
+/// Another instance reports the departure, and this instance's late watch then
+/// delivers an entry from before, which still says ready. If each entry
+/// replaced what notes had said, requests would go to the leaving endpoint for
+/// as long as the watch is late. No such case was reported; it was found by
+/// tracing a missed departure.
 #[test]
 fn a_late_list_does_not_bring_back_an_endpoint_that_left() {
     let now = Instant::now();
@@ -78,12 +79,12 @@
     assert!(view.apply_departure(&departure(4), now));
     assert!(!view.apply_departure(&departure(4), now));
     assert!(view.take_unsent_departures().is_empty());
-    // A lost note is repaired by whoever heard it.
+    // Any instance that received a note repeats it, which repairs its loss.
     assert_eq!(view.departures(now), [departure(4)]);
 }
 
-/// Entries that lapsed in an outage are back soon; the instance that waits
-/// least must not take the endpoints from all others.
+/// Entries that lapsed in an outage are soon listed again. The instance that
+/// waits the shortest time must not remove the endpoints for all others.
 #[test]
 fn what_may_only_have_lapsed_is_not_told() {
     let now = Instant::now();
@@ -96,14 +97,14 @@
     assert!(!is_chosen(&view, now));
 }
 
-/// What may happen to one endpoint's entry, as one instance learns it.
+/// An event about one endpoint's entry, as one instance learns of it.
 #[derive(Clone, Debug)]
 enum Step {
-    /// It reads an entry of this revision, which may be old.
+    /// The instance reads an entry of this revision, which may be old.
     Read { revision: Revision, is_draining: bool },
-    /// It hears of a departure as of this revision.
+    /// The instance hears of a departure as of this revision.
     Heard(Revision),
-    /// It finds the entry missing at this revision.
+    /// The instance finds the entry missing at this revision.
     Missing(Revision),
 }
 
@@ -120,7 +121,7 @@
 
 proptest! {
     /// An endpoint is chosen if and only if the newest entry that was read was
-    /// written after all departures that are known.
+    /// written after all known departures.
     #[test]
     fn only_a_later_entry_brings_an_endpoint_back(
         steps in prop::collection::vec(step(), 1..40),
@@ -154,8 +155,10 @@
     }
 }
 
-/// Symptom: requests reached an endpoint 2.3 s after it had said in an answer that it
-/// leaves; the store was down, and its entries went on saying that it is ready.
+/// Guards against entries that undo an announced departure. While the store
+/// was down, an endpoint's entry kept saying that it was ready, and requests
+/// reached the endpoint 2.3 s after it had announced in a response that it
+/// leaves.
 #[test]
 fn no_entry_of_its_life_brings_back_an_endpoint_that_said_it_leaves() {
     let now = Instant::now();
--- a/crates/fleet/tests/incarnation_rules.rs
+++ b/crates/fleet/tests/incarnation_rules.rs
@@ -1,4 +1,4 @@
-//! Endpoints that start again under the id that they had.
+//! Tests of endpoints that restart under the same id.
 
 mod common;
 
@@ -16,10 +16,12 @@
 
 const ID: &str = "e1";
 
-/// The starts of four lives in a row, by clocks that run ahead and behind.
+/// The start times of four consecutive incarnations, by clocks that run fast
+/// and slow.
 const BORN: [Incarnation; 4] = [5_000, 9_000, 2_000, 7_000];
 
-/// The entry of a life, which holds the adapter of that number.
+/// Returns the entry of an incarnation, which holds the adapter of that
+/// number.
 fn entry(life: usize, revision: u64) -> Endpoint {
     let adapters = [life as u32];
     let born = Some(BORN[life]);
@@ -57,13 +59,13 @@
     assert_eq!(sent_to(&choose(&view, &key(0), now)), Some(ID));
     view.apply_entry(entry(1, 2), now);
     assert_eq!(choose(&view, &key(0), now), Choice::Absent);
-    // What it holds is asked for before it gets orders.
+    // The engine is asked for its adapters before it gets orders.
     assert!(!view.get(&ID.to_owned()).expect("listed").is_ordered_by_us());
     assert!(view.warm(&key(0)).is_empty());
 }
 
-/// A report shows a new life before its entry does; the old one's entry, which
-/// is still under way, does not bring the old life back.
+/// A report shows a new incarnation before its entry does. The previous
+/// incarnation's entry, which is still on its way, must not bring that back.
 #[test]
 fn an_older_entry_after_a_report_of_the_new_life_says_nothing() {
     let now = Instant::now();
@@ -103,8 +105,8 @@
     assert!(holds(&view, 1));
 }
 
-/// A list that is seconds old shows the life before to an instance that has taken
-/// the endpoint out meanwhile.
+/// A list that is seconds old shows the previous incarnation to an instance
+/// that has removed the endpoint meanwhile.
 #[test]
 fn a_stale_list_does_not_bring_an_older_life_back() {
     let now = Instant::now();
@@ -117,8 +119,8 @@
     assert_eq!(sent_to(&choose(&view, &key(2), now)), Some(ID));
 }
 
-/// An endpoint that was ejected, suspected or left is as any other once it has
-/// started again.
+/// An endpoint that was ejected, suspected or draining counts as healthy after
+/// a restart.
 #[test]
 fn a_new_life_is_not_blamed_for_the_one_before() {
     let now = Instant::now();
@@ -138,7 +140,7 @@
     assert_eq!(sent_to(&choose(&view, &key(2), now)), Some(ID));
 }
 
-/// A word about one of the lives.
+/// A message about one of the incarnations.
 #[derive(Clone, Copy, Debug)]
 enum Word {
     Entry,
@@ -158,9 +160,9 @@
 }
 
 proptest! {
-    /// Whatever is heard late and in whatever order, what is known is of one
-    /// life; one that was left is not taken up again; and the newest entry, once
-    /// it comes, holds.
+    /// Whatever arrives late and in whatever order, what is known belongs to
+    /// one incarnation; an incarnation that was replaced does not become
+    /// current again; and the newest entry prevails once it arrives.
     #[test]
     fn a_life_that_is_over_never_comes_back(
         words in proptest::collection::vec(word(), 1..60),
@@ -172,13 +174,15 @@
         let mut listed = None;
         for (life, word, nth) in words {
             let known = view.incarnation(&id);
-            // A life's entries lie after those of the life before.
+            // The revisions of an incarnation's entries follow those of the
+            // previous incarnation.
             let revision = life as u64 * 20 + nth + 1;
             match word {
                 Word::Entry => view.apply_entry(entry(life, revision), now),
                 Word::Gone => view.remove_entry(&id, revision + 10, true, now),
-                // An endpoint is asked once it is listed, and an answer that is
-                // late comes from a life that was heard of.
+                // An endpoint is asked for a report only once it is listed,
+                // and a late answer comes from an incarnation that was known
+                // before.
                 _ if view.get(&id).is_none() => continue,
                 _ if !heard[life] && heard[life..].contains(&true) => {
                     continue;
@@ -188,7 +192,8 @@
                 }
                 Word::Note => view.apply_placed(&placed(life), now),
             }
-            // A life is left for good once an entry has shown a later one.
+            // An incarnation is over for good once an entry has shown a later
+            // one.
             if heard[life] && listed.is_some_and(|listed| life < listed) {
                 prop_assert_eq!(view.incarnation(&id), known);
             }
--- a/crates/fleet/tests/latency_regression_rules.rs
+++ b/crates/fleet/tests/latency_regression_rules.rs
@@ -1,4 +1,4 @@
-//! What is known of the speed of engines.
+//! Tests of the regression that predicts the time to the first event.
 
 use std::time::Duration;
 
@@ -49,7 +49,7 @@
 }
 
 proptest! {
-    /// Whatever the speed is, it is found from answers alone.
+    /// Any speed is found from responses alone.
     #[test]
     fn any_speed_is_found(
         ms_per_token in 0.001..0.5_f64,
@@ -66,7 +66,8 @@
         prop_assert!(error.is_some_and(|e| e < 0.01 + 0.02 * expected));
     }
 
-    /// No answer, however odd, makes a prediction that is not a time.
+    /// No sequence of responses, however unusual, yields an invalid
+    /// prediction.
     #[test]
     fn a_prediction_is_always_a_time(
         answers in
--- a/crates/fleet/tests/limit_model.rs
+++ b/crates/fleet/tests/limit_model.rs
@@ -1,8 +1,9 @@
-//! Instances that share the limit of one endpoint, in virtual time: what reaches the
-//! endpoint within four seconds, and how much of its limit is used.
+//! Simulation of instances that share the limit of one endpoint, in virtual
+//! time: the requests that reach the endpoint within four seconds, and the
+//! fraction of its limit that is used.
 //!
 //! `cargo test -p sedgewall-fleet --test limit_model -- --ignored --nocapture`
-//! prints the table of all ways.
+//! prints the table of all strategies.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -19,34 +20,35 @@
 
 const ENDPOINT: &str = "e1";
 
-/// How long a run lasts, and from when on the limit is in force.
+/// The duration of a run, and when the limit is announced and in force.
 const LASTS_MS: u64 = 40_000;
 const ANNOUNCED_MS: u64 = 2_000;
 const IN_FORCE_MS: u64 = ANNOUNCED_MS + 3_000;
 
 const STATUS_MS: u64 = 150;
 
-/// One note in twenty is lost.
+/// The probability that a note is lost: one in twenty.
 const LOST: f64 = 0.05;
 
-/// How a limit is shared.
+/// The strategy by which a limit is shared.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Way {
-    /// Each instance has an equal part, in a bucket of one request.
+    /// Each instance has an equal share, in a bucket of one request.
     Equal,
-    /// As few instances send as have a request a second each, in equal parts.
+    /// Only as many instances send as have one request per second each, in
+    /// equal shares.
     FewSenders,
-    /// Parts by demand, and at random where parts are small.
+    /// Shares by demand, and random admission where shares are small.
     ByDemand,
 }
 
-/// How requests that want to go to the endpoint come.
+/// The arrival pattern of requests for the endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Load {
     Even,
-    /// The first instance gets nine times what the last one gets.
+    /// The first instance gets nine times the requests of the last one.
     Skewed,
-    /// Nothing for five seconds, then as much as otherwise in ten.
+    /// No requests for five seconds, then the usual rate for ten seconds.
     InBursts,
 }
 
@@ -56,14 +58,15 @@
     load: Load,
     instances: usize,
     limit_per_s: f64,
-    /// Demand as a multiple of the limit.
+    /// The demand as a multiple of the limit.
     demand: f64,
-    /// The last so many instances neither hear nor are heard, from a moment on.
+    /// The number of instances at the end of the list that neither send nor
+    /// receive notes in the second half of the run.
     cut: usize,
     seed: u64,
 }
 
-/// A note on its way: its sender, who hears it, and what it says.
+/// A note in transit: its sender, its recipient, and its content.
 struct OnWay {
     from: usize,
     to: usize,
@@ -72,12 +75,14 @@
 }
 
 struct Seen {
-    /// When requests reached the endpoint, and from instances that were not cut.
+    /// When requests reached the endpoint, in total and from instances that
+    /// are not cut off.
     sent_ms: Vec<u64>,
     from_linked_ms: Vec<u64>,
 }
 
-/// A bucket of an equal part, for the ways that are compared.
+/// A bucket with an equal share, for the strategies that serve as a
+/// comparison.
 #[derive(Clone, Copy)]
 struct EqualBucket {
     tokens: f64,
@@ -139,7 +144,8 @@
             if ms % pause_ms != phase % pause_ms || is_cut(from) {
                 continue;
             }
-            // Among many, all tell the first instance, and it tells all the sums.
+            // With many instances, all report to the first one, which
+            // publishes the totals.
             let is_total = is_many && from == 0;
             let reports = shares[from].reports(is_total, now);
             let hears = (0..count).filter(|to| {
@@ -204,7 +210,8 @@
     seen
 }
 
-/// Returns the most requests in some 4 s as a multiple of what is allowed.
+/// Returns the maximum number of requests within any 4 s, as a multiple of
+/// what is allowed.
 fn excess(sent_ms: &[u64], limit_per_s: f64) -> f64 {
     let late: Vec<u64> =
         sent_ms.iter().copied().filter(|ms| *ms >= IN_FORCE_MS).collect();
@@ -219,7 +226,7 @@
     most as f64 / (6.0 * limit_per_s + 5.0)
 }
 
-/// Returns the part of the limit that is used.
+/// Returns the fraction of the limit that is used.
 fn used(sent_ms: &[u64], limit_per_s: f64) -> f64 {
     let late = sent_ms.iter().filter(|ms| **ms >= IN_FORCE_MS).count();
     let s = (LASTS_MS - IN_FORCE_MS) as f64 / 1_000.0;
@@ -262,7 +269,8 @@
     }
 }
 
-/// Symptom: engines got 1.4 and 1.9 times what is allowed to reach them.
+/// Guards against exceeding a limit together. Engines got 1.4 and 1.9 times
+/// the requests that are allowed to reach them.
 #[test]
 fn instances_together_keep_to_a_limit() {
     for instances in [6, 30, 300] {
@@ -294,8 +302,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(16))]
 
-    /// Instances that are cut off go by what they heard last; the others keep to
-    /// the limit by themselves.
+    /// Instances that are cut off use what they heard last; the other
+    /// instances keep to the limit by themselves.
     #[test]
     fn cuts_let_the_others_keep_to_a_limit(
         instances in 2_usize..60,
--- a/crates/fleet/tests/recent_successes_rules.rs
+++ b/crates/fleet/tests/recent_successes_rules.rs
@@ -1,4 +1,4 @@
-//! What ended well lately is remembered, and not for ever.
+//! Tests that recent successes are remembered for a limited time.
 
 use std::time::Duration;
 
--- a/crates/fleet/tests/relay_rules.rs
+++ b/crates/fleet/tests/relay_rules.rs
@@ -1,4 +1,4 @@
-//! Notes to all through relays.
+//! Tests of notes that are sent to all instances through relays.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,7 +15,8 @@
     all
 }
 
-/// Returns who hears a note, each time that it does, if these relays are lost.
+/// Returns the instances that receive a note, once per reception, if the
+/// relays in `lost` are lost.
 fn hearers(
     all: &BTreeMap<String, String>,
     chosen: &[(&String, Group)],
@@ -62,7 +63,7 @@
         }
         let missed: Vec<&String> =
             all.keys().filter(|id| !heard.contains(*id)).collect();
-        // Alone in its group, it has nobody to go after it.
+        // An instance that is alone in its group has no other relay.
         prop_assert!(missed.iter().all(|id| lost.contains(*id)));
     }
 }
@@ -75,8 +76,8 @@
     assert_eq!(chosen[0].0, "front-z0-4");
 }
 
-/// Between zones a note goes once, whatever the number of instances there, and
-/// another one of them passes it on each time.
+/// Between zones a note is sent once, whatever the number of instances there,
+/// and each time through a different one of them.
 #[test]
 fn a_note_goes_to_each_other_zone_once() {
     let all: Vec<(String, String)> = (0..200)
--- a/crates/fleet/tests/route_rules.rs
+++ b/crates/fleet/tests/route_rules.rs
@@ -1,4 +1,4 @@
-//! Routes: which one a request takes, and to which service.
+//! Tests of routes: which one a request takes, and to which service.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -73,7 +73,7 @@
     }
 }
 
-/// Memory may be full before the places are.
+/// The memory may be full before all adapter slots are used.
 #[test]
 fn an_engine_holds_no_more_adapters_than_its_memory() {
     let mut group = EngineGroup {
--- a/crates/fleet/tests/store_reports_rules.rs
+++ b/crates/fleet/tests/store_reports_rules.rs
@@ -1,4 +1,4 @@
-//! The lease while the store is out.
+//! Tests of when the lease is kept while the store is unreachable.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
     ["i1", "i2", "i3"].map(str::to_owned)
 }
 
-/// What three instances say, all of whom the store does not answer.
+/// Returns the reports of three instances, none of which reaches the store.
 fn all_out(now: Instant) -> StoreReports {
     let mut reports = StoreReports::default();
     for id in &ids() {
@@ -50,7 +50,7 @@
     assert!(reports.no_instance_reaches_store(known.iter(), now));
     let later = now + Duration::from_secs(6);
     reports.record(&ids()[0], true, false, later);
-    // Two were not heard for long, and that is no fewer than were heard.
+    // Two instances were silent for a long time, and no fewer than were heard.
     let known = ["i1", "i2"].map(str::to_owned);
     assert!(!reports.no_instance_reaches_store(known.iter(), later));
 }
--- a/crates/fleet/tests/suspicion_rules.rs
+++ b/crates/fleet/tests/suspicion_rules.rs
@@ -1,4 +1,4 @@
-//! Engines that several instances cannot reach.
+//! Tests of engines that several instances cannot reach.
 
 use std::time::Duration;
 
@@ -52,11 +52,10 @@
     assert!(health.is_usable(now));
 }
 
-/// Symptom: requests went to 13 dark engines in two spells, 1.9 s apart, 50 in
-/// each.
-/// Sequence: two instances cannot reach an engine; all leave it out for 1.5 s,
-/// and then all try it again until two have found out once more.
-/// Cause: the time for which it is left out was the same each time.
+/// Guards against a constant suspicion time. Two instances could not reach an
+/// engine, all instances stopped using it for 1.5 s, and then all retried it
+/// until two had reported it again. Requests went to 13 unreachable engines in
+/// two bursts of 50, 1.9 s apart.
 #[test]
 fn an_engine_that_stays_out_of_reach_is_tried_less_and_less() {
     let mut now = Instant::now();
@@ -67,7 +66,7 @@
         let time = suspicions.report(&id("e1"), &id("i2"), now);
         let time = time.expect("two could not reach it");
         times_ms.push(time.as_millis());
-        // A report of a send from before says nothing new.
+        // A report of a request that was sent before says nothing new.
         let soon = now + Duration::from_millis(700);
         let again = suspicions.report(&id("e1"), &id("i3"), soon);
         assert_eq!(again, Some(time));
@@ -75,7 +74,7 @@
         suspicions.forget(now);
     }
     assert_eq!(times_ms, [1_500, 3_000, 6_000, 6_000]);
-    // One that was reached again begins anew.
+    // After the engine was reached again, suspicion starts anew.
     now += Duration::from_secs(10);
     suspicions.forget(now);
     suspicions.report(&id("e1"), &id("i1"), now);
--- a/crates/fleet/tests/view_rules.rs
+++ b/crates/fleet/tests/view_rules.rs
@@ -1,4 +1,5 @@
-//! The table of endpoints: where a request may go, and what is believed.
+//! Tests of the table of endpoints: where a request may go, and which source
+//! takes precedence.
 
 mod common;
 
@@ -123,7 +124,7 @@
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
     view.record_version(&key(1), 2, now);
     assert_eq!(sent_to(&choose(&view, &key(1), now)), Some("e1"));
-    // The platform allows 5 s from the naming to the beginning of a run.
+    // The platform allows 5 s from the announcement until the request runs.
     let late = now + Duration::from_millis(2_600);
     assert_eq!(choose(&view, &key(1), late), Choice::Absent);
     let mut new = endpoint("e2", "z1", &[]);
@@ -144,7 +145,7 @@
     assert_eq!(view.newest(&key(1)).map(|(version, _)| version), Some(3));
 }
 
-/// What a peer says that it has under way at one endpoint.
+/// Returns a peer's status note with `count` requests at one endpoint.
 fn own_status(from: &str, sequence: u64, count: u32) -> Status {
     let work = vec![("e1".to_owned(), requests(count))];
     Status { sequence, ..status(from, work) }
@@ -167,7 +168,7 @@
     assert_eq!(told, [("e1".to_owned(), requests(2))]);
     let sums = Status { is_total: true, ..own_status("holder", 1, 9) };
     view.apply_status(sums, now);
-    // Nine in all, of which two are ours.
+    // The total is nine, of which two are this instance's own.
     assert_eq!(in_flight(&view), Some(9));
     if let Some(state) = view.get_mut(&"e1".to_owned()) {
         state.own_work = requests(3);
@@ -196,9 +197,9 @@
     assert!(!totals.is_part);
 }
 
-/// Many instances whose table shows the same must not all choose the same
-/// endpoint until the next note: the small service of a grown site turned down
-/// 28 of 100 requests.
+/// Guards against herding: instances with the same table must not all choose
+/// the same endpoint until the next note. The small service of a large
+/// installation rejected 28 of 100 requests.
 #[test]
 fn many_instances_do_not_choose_alike() {
     let now = Instant::now();
@@ -209,7 +210,7 @@
     for n in 0..60 {
         view.apply_status(own_status(&format!("peer{n}"), 1, 0), now);
     }
-    // One seems a little less loaded than the others.
+    // One endpoint seems a little less loaded than the others.
     for n in 1..7 {
         if let Some(state) = view.get_mut(&format!("e{n}")) {
             state.own_work = requests(2);
@@ -297,7 +298,7 @@
     assert!(state.is_some_and(|state| state.placement(&key(1)).is_some()));
 }
 
-/// The list is a second late.
+/// The platform's list is one second late.
 #[test]
 fn the_holder_believes_its_own_orders_over_the_list() {
     let now = Instant::now();
@@ -316,7 +317,7 @@
     assert_eq!(placements, Some(2));
 }
 
-/// An entry went while the store was down, and came back.
+/// The entry was removed while the store was down, and was added again.
 #[test]
 fn an_engine_whose_entry_came_back_is_not_known() {
     let now = Instant::now();
@@ -332,7 +333,7 @@
     assert!(view.get(&id).is_some_and(|s| !s.is_ordered_by_us()));
 }
 
-/// Takes in answers of engines that read 20 tokens in a millisecond.
+/// Records responses of engines that prefill 20 tokens per millisecond.
 fn learn_pace(view: &mut FleetView) {
     for n in 1..40_u64 {
         let took = Duration::from_millis(n * 50);
@@ -347,7 +348,7 @@
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
     view.apply_entry(endpoint("e2", "z1", &[1]), now);
     learn_pace(&mut view);
-    // One long prompt against three requests that are being answered.
+    // One long prompt against three requests whose responses have begun.
     if let Some(state) = view.get_mut(&"e1".to_owned()) {
         state.own_work.begin(Some(&key(1)), 30_000);
     }
@@ -370,7 +371,7 @@
     let key = key(1);
     let patient = Need { may_wait: true, ..need(&key) };
     assert_eq!(view.choose(patient, now), Choice::Busy(None));
-    // It knows when a copy is on its way.
+    // The expected time is known once a copy is being loaded.
     let ready_in = Duration::from_millis(200);
     let placed = Placed {
         epoch: 1,
@@ -384,12 +385,12 @@
     view.apply_placed(&placed, now);
     assert_eq!(view.choose(patient, now), Choice::Busy(Some(ready_in)));
     assert_eq!(sent_to(&view.choose(patient, now + ready_in)), Some("e2"));
-    // One that may wait no longer is sent where it can run.
+    // A request that may not wait any longer is sent where it can run.
     let hasty = Need { may_wait: false, ..patient };
     assert_eq!(sent_to(&view.choose(hasty, now)), Some("e1"));
 }
 
-/// A prompt that is too long by itself gains nothing by waiting.
+/// A prompt that is late by its own length gains nothing by waiting.
 #[test]
 fn a_request_that_is_late_by_its_own_length_does_not_wait() {
     let now = Instant::now();
@@ -416,10 +417,11 @@
     );
 }
 
-/// Symptom: 500 adapters waited for places while 18 new engines had none.
-/// Sequence: the store turns the holder of the lease away for 7 s; engines crash
-/// and are replaced meanwhile; others renew its lease.
-/// Cause: it heard of engines that left, but not of new ones.
+/// Guards against a lease holder that does not learn of new engines while it
+/// cannot reach the store. The store rejected the holder for 7 s while engines
+/// crashed and were replaced, and other instances renewed its lease. The
+/// holder heard of engines that left but not of new ones, so that 500 adapters
+/// waited for slots while 18 new engines had none.
 #[test]
 fn a_holder_without_the_store_hears_of_new_engines_from_others() {
     let now = Instant::now();
@@ -428,12 +430,12 @@
     let known = endpoint("e1", "z1", &[1]).without_adapters();
     let new = endpoint("e2", "z1", &[2]).without_adapters();
     view.apply_entries(vec![known, new], now);
-    // What is known of the adapters of the first comes from its own entry.
+    // The known adapters of the first engine come from its own entry.
     let first = view.get(&"e1".to_owned()).expect("an engine");
     assert!(first.placement(&key(1)).is_some());
     let second = view.get(&"e2".to_owned()).expect("the new engine");
     assert!(second.has_model("m") && !second.is_ordered_by_us());
-    // One that has left since is not brought back.
+    // An engine that has left since is not brought back.
     let id = "e2".to_owned();
     view.apply_departure(&Departure::of_entry(&id, 5), now);
     let older = endpoint("e2", "z1", &[2]).without_adapters();
@@ -442,11 +444,12 @@
     assert!(!second.is_usable(now));
 }
 
-/// Symptom: 715 requests in six seconds were sent to engines that had not heard of
-/// their adapters, and spent the repeats of others.
-/// Sequence: the holder plans a load; an order before it to the same engine is
-/// left unanswered for 0.8 s; an instance that asks is told of the place.
-/// Cause: a load that was planned counted as one that the engine had taken.
+/// Guards against sending requests to engines that have not accepted the load
+/// order yet. The lease holder plans a load, a previous order to the same
+/// engine is unanswered for 0.8 s, and an instance that asks is told of the
+/// placement. Planned loads counted as accepted ones, so that 715 requests in
+/// six seconds were sent to engines without their adapters, and used up the
+/// retries of other requests.
 #[test]
 fn a_planned_load_takes_a_place_and_no_requests() {
     let now = Instant::now();
@@ -456,7 +459,7 @@
     let held = view.get(&"e1".to_owned()).expect("an engine");
     assert!(held.placement(&key(1)).is_some());
     assert_eq!(view.placement_notes(&key(1), 1, now), []);
-    // The order goes out 0.8 s later; the load begins then.
+    // The order is sent 0.8 s later, and the load begins then.
     let taken = now + Duration::from_millis(800);
     let choice = choose(&view, &key(1), taken);
     assert!(matches!(choice, Choice::Loading(_)), "{choice:?}");
@@ -470,8 +473,9 @@
     assert_eq!(sent_to(&choice), Some("e1"));
 }
 
-/// Symptom: with 1,010 engines a note of the sums took a sixth of a relay's link,
-/// with 3,000 it would not fit a datagram. Cause: each note held all sums.
+/// Guards against notes that contain all totals: with 1,010 engines such a
+/// note took a sixth of a relay's link, and with 3,000 it would not fit a
+/// datagram.
 #[test]
 fn sums_of_many_endpoints_are_told_in_parts_and_come_out_right() {
     let now = Instant::now();
