--- a/crates/fleet/tests/back_off_rules.rs
+++ b/crates/fleet/tests/back_off_rules.rs
@@ -20,19 +20,19 @@
 /// at once.
 fn first_answer_after(
     calls: CallKind,
-    whole_at: Duration,
+    recovered_at: Duration,
     is_silent: bool,
 ) -> Duration {
     let mut back_off = BackOff::default();
     let mut sent = Duration::ZERO;
-    while sent < whole_at {
+    while sent < recovered_at {
         let failed = match is_silent {
             true => sent + ANSWER_TIME,
             false => sent + CALL_TIME,
         };
         sent = failed + back_off.failed(calls, true);
     }
-    sent + CALL_TIME - whole_at
+    sent + CALL_TIME - recovered_at
 }
 
 proptest! {
@@ -45,14 +45,14 @@
     /// `store_call_failed` of `config` at 18.88 s had `sent_ms_ago` 1000, and
     /// `configuration` at 21.40 s replaced version 9 by 65.
     #[test]
-    fn a_path_that_is_whole_again_is_used_within_the_promise(
-        whole_at_ms in 1_u64..60_000,
+    fn a_recovered_path_is_used_within_the_in_force_time(
+        recovered_at_ms in 1_u64..60_000,
         is_watcher in any::<bool>(),
         is_silent in any::<bool>(),
     ) {
         let calls = if is_watcher { CallKind::Watcher } else { CallKind::First };
-        let whole_at = Duration::from_millis(whole_at_ms);
-        let late = first_answer_after(calls, whole_at, is_silent);
+        let recovered_at = Duration::from_millis(recovered_at_ms);
+        let late = first_answer_after(calls, recovered_at, is_silent);
         prop_assert!(late <= IN_FORCE_WITHIN, "{late:?}");
     }
 }
--- a/crates/fleet/tests/cooldown_rules.rs
+++ b/crates/fleet/tests/cooldown_rules.rs
@@ -13,7 +13,7 @@
     view::{AnsweredRequest, Choice, FleetView},
 };
 
-const REST: Duration = Duration::from_secs(3);
+const COOLDOWN: Duration = Duration::from_secs(3);
 
 fn answered(sent: Instant) -> AnsweredRequest {
     AnsweredRequest { endpoint: "e1".to_owned(), born: None, sent }
@@ -27,30 +27,30 @@
 /// requests looks idle; engines got up to 21 requests of one instance within
 /// the cooldown that they had asked it for.
 #[test]
-fn an_endpoint_that_rests_is_not_chosen() {
+fn an_endpoint_in_a_cooldown_is_not_chosen() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
-    assert!(view.apply_announced_cooldown(&answered(now), REST, now));
+    assert!(view.apply_announced_cooldown(&answered(now), COOLDOWN, now));
     assert!(
-        !view.apply_announced_cooldown(&answered(now), REST, now),
-        "no news"
+        !view.apply_announced_cooldown(&answered(now), COOLDOWN, now),
+        "no change"
     );
     assert_eq!(choose(&view, &key(1), now), Choice::NoEndpoint);
     let service = &endpoint("e1", "z1", &[1]).service;
-    assert_eq!(view.service_cooldown(service, now), Some(REST));
-    assert!(is_chosen(&view, now + REST));
+    assert_eq!(view.service_cooldown(service, now), Some(COOLDOWN));
+    assert!(is_chosen(&view, now + COOLDOWN));
 }
 
 #[test]
-fn one_request_shows_whether_a_rest_is_over() {
+fn one_probe_request_is_sent_after_a_cooldown() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
-    view.apply_announced_cooldown(&answered(now), REST, now);
-    let over = now + REST;
+    view.apply_announced_cooldown(&answered(now), COOLDOWN, now);
+    let over = now + COOLDOWN;
     view.record_sent(&"e1".to_owned(), over);
-    assert!(!is_chosen(&view, over), "the first one has no answer yet");
+    assert!(!is_chosen(&view, over), "the probe request is unanswered");
     // A response to a request from before the end of the cooldown says
     // nothing.
     assert!(!view.record_answer(&answered(now)));
@@ -60,29 +60,29 @@
 }
 
 #[test]
-fn a_request_whose_caller_left_does_not_keep_others_away() {
+fn an_unanswered_probe_blocks_other_requests_only_briefly() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
-    view.apply_announced_cooldown(&answered(now), REST, now);
-    let over = now + REST;
+    view.apply_announced_cooldown(&answered(now), COOLDOWN, now);
+    let over = now + COOLDOWN;
     view.record_sent(&"e1".to_owned(), over);
     assert!(is_chosen(&view, over + Duration::from_secs(1)));
 }
 
 #[test]
-fn a_rest_outlasts_a_lapse_of_the_entry() {
+fn a_cooldown_outlasts_a_lapse_of_the_entry() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
-    view.apply_announced_cooldown(&answered(now), REST, now);
+    view.apply_announced_cooldown(&answered(now), COOLDOWN, now);
     view.remove_entry(&"e1".to_owned(), 0, false, now);
     view.forget_cooldowns(now);
     let mut entry = endpoint("e1", "z1", &[1]);
     entry.revision = 9;
     view.apply_entry(entry, now);
     assert!(!is_chosen(&view, now));
-    assert!(is_chosen(&view, now + REST));
+    assert!(is_chosen(&view, now + COOLDOWN));
 }
 
 /// Guards against losing a cooldown that a new incarnation asks for before its
@@ -91,27 +91,27 @@
 /// previous incarnation. The endpoint had asked for 3.4 s, and got up to ten
 /// requests of one instance within this time (soak, seed 5001).
 #[test]
-fn a_new_life_may_ask_for_rest_before_its_entry_shows_it() {
+fn a_cooldown_of_a_new_incarnation_outlasts_its_first_entry() {
     let now = Instant::now();
-    let of_life = |born, revision| {
+    let of_incarnation = |born, revision| {
         let mut entry = endpoint("e1", "z1", &[1]);
         (entry.born, entry.revision) = (Some(born), revision);
         entry
     };
     let mut view = FleetView::new("z1");
-    view.apply_entry(of_life(1, 1), now);
+    view.apply_entry(of_incarnation(1, 1), now);
     let answered = AnsweredRequest { born: Some(1), ..answered(now) };
-    view.apply_announced_cooldown(&answered, REST, now);
+    view.apply_announced_cooldown(&answered, COOLDOWN, now);
     let later = now + Duration::from_secs(1);
-    view.apply_entry(of_life(2, 2), later);
+    view.apply_entry(of_incarnation(2, 2), later);
     assert!(!is_chosen(&view, later));
-    assert!(is_chosen(&view, now + REST));
+    assert!(is_chosen(&view, now + COOLDOWN));
 
     // A long cooldown of the previous incarnation is void soon.
-    view.apply_announced_cooldown(&answered, REST, now);
+    view.apply_announced_cooldown(&answered, COOLDOWN, now);
     let answered = AnsweredRequest { born: Some(2), ..answered };
     view.apply_announced_cooldown(&answered, Duration::from_secs(600), later);
-    view.apply_entry(of_life(3, 3), later + Duration::from_secs(10));
+    view.apply_entry(of_incarnation(3, 3), later + Duration::from_secs(10));
     assert!(is_chosen(&view, later + Duration::from_secs(10)));
 }
 
@@ -119,7 +119,7 @@
     /// Whatever is sent and answered, no request may be sent before the end of
     /// any requested cooldown.
     #[test]
-    fn no_request_is_sent_within_a_rest(
+    fn no_request_is_sent_during_a_cooldown(
         steps in prop::collection::vec((0..4_u8, 0..900_u64, 0..4_000_u64), 1..80),
     ) {
         let start = Instant::now();
--- a/crates/fleet/tests/departure_rules.rs
+++ b/crates/fleet/tests/departure_rules.rs
@@ -36,7 +36,7 @@
 /// as long as the watch is late. No such case was reported; it was found by
 /// tracing a missed departure.
 #[test]
-fn a_late_list_does_not_bring_back_an_endpoint_that_left() {
+fn a_late_entry_does_not_bring_back_a_departed_endpoint() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(entry(3, false), now);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_departure_is_known_before_the_endpoint_is() {
+fn a_departure_may_arrive_before_the_entry() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_departure(&departure(5), now);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn what_we_see_leave_is_told_once_and_said_again_for_a_while() {
+fn a_detected_departure_is_sent_once_and_repeated_for_a_while() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(entry(3, false), now);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn what_is_heard_is_not_told_as_our_own() {
+fn a_received_departure_is_repeated_but_not_sent_as_detected() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(entry(3, false), now);
@@ -86,7 +86,7 @@
 /// Entries that lapsed in an outage are soon listed again. The instance that
 /// waits the shortest time must not remove the endpoints for all others.
 #[test]
-fn what_may_only_have_lapsed_is_not_told() {
+fn a_possibly_lapsed_entry_is_not_sent_as_a_departure() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(entry(3, false), now);
@@ -160,15 +160,15 @@
 /// reached the endpoint 2.3 s after it had announced in a response that it
 /// leaves.
 #[test]
-fn no_entry_of_its_life_brings_back_an_endpoint_that_said_it_leaves() {
+fn no_entry_of_the_same_incarnation_undoes_an_announced_departure() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
-    let of_life = |born, revision| {
+    let of_incarnation = |born, revision| {
         let mut entry = entry(revision, false);
         entry.born = Some(born);
         entry
     };
-    view.apply_entry(of_life(1, 3), now);
+    view.apply_entry(of_incarnation(1, 3), now);
     assert!(is_chosen(&view, now));
     let endpoint = "e1".to_owned();
     let answered = AnsweredRequest {
@@ -179,30 +179,36 @@
     assert!(view.apply_announced_departure(&answered, now));
     assert!(
         !view.apply_announced_departure(&answered, now),
-        "it is told once"
+        "a departure is sent once"
     );
     assert!(view.take_unsent_departures()[0].is_announced);
-    view.apply_entry(of_life(1, 9), now);
+    view.apply_entry(of_incarnation(1, 9), now);
     assert!(!is_chosen(&view, now));
     let later = now + Duration::from_secs(600);
     view.forget_departures(later);
-    view.apply_entry(of_life(1, 10), later);
-    assert!(!is_chosen(&view, later), "it is kept while it is listed");
+    view.apply_entry(of_incarnation(1, 10), later);
+    assert!(
+        !is_chosen(&view, later),
+        "it is kept while the endpoint is listed"
+    );
     view.remove_entry(&endpoint, 10, true, later);
-    view.apply_entry(of_life(1, 11), later);
-    assert!(!is_chosen(&view, later), "an entry that lapsed is of its life");
+    view.apply_entry(of_incarnation(1, 11), later);
+    assert!(
+        !is_chosen(&view, later),
+        "a lapsed entry is of the same incarnation"
+    );
 
-    view.apply_entry(of_life(2, 12), later);
-    assert!(is_chosen(&view, later), "another life has not said so");
+    view.apply_entry(of_incarnation(2, 12), later);
+    assert!(is_chosen(&view, later), "a new incarnation announced nothing");
     assert!(
         !view.apply_announced_departure(&answered, later),
-        "a late answer"
+        "a late response is ignored"
     );
     assert!(is_chosen(&view, later));
 }
 
 #[test]
-fn what_an_endpoint_announced_is_heard_whatever_entry_is_known() {
+fn an_announced_departure_applies_at_any_revision() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(entry(7, false), now);
--- a/crates/fleet/tests/incarnation_rules.rs
+++ b/crates/fleet/tests/incarnation_rules.rs
@@ -22,36 +22,36 @@
 
 /// Returns the entry of an incarnation, which holds the adapter of that
 /// number.
-fn entry(life: usize, revision: u64) -> Endpoint {
-    let adapters = [life as u32];
-    let born = Some(BORN[life]);
+fn entry(incarnation: usize, revision: u64) -> Endpoint {
+    let adapters = [incarnation as u32];
+    let born = Some(BORN[incarnation]);
     Endpoint { revision, born, ..endpoint(ID, "z1", &adapters) }
 }
 
-fn reported(life: usize) -> EngineReport {
-    let born = Some(BORN[life]);
-    EngineReport { born, ..report(&[life as u32], 0) }
+fn reported(incarnation: usize) -> EngineReport {
+    let born = Some(BORN[incarnation]);
+    EngineReport { born, ..report(&[incarnation as u32], 0) }
 }
 
-fn placed(life: usize) -> Placed {
+fn placed(incarnation: usize) -> Placed {
     Placed {
         epoch: 1,
         endpoint: ID.to_owned(),
-        key: key(life as u32),
+        key: key(incarnation as u32),
         version: 1,
         ready_in_ms: 0,
         is_cold: false,
-        born: Some(BORN[life]),
+        born: Some(BORN[incarnation]),
     }
 }
 
-fn holds(view: &FleetView, life: usize) -> bool {
+fn holds(view: &FleetView, incarnation: usize) -> bool {
     let state = view.get(&ID.to_owned()).expect("it is listed");
-    state.placement(&key(life as u32)).is_some()
+    state.placement(&key(incarnation as u32)).is_some()
 }
 
 #[test]
-fn a_new_life_holds_nothing_of_the_one_before() {
+fn a_new_incarnation_holds_no_adapters_of_the_previous_one() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(entry(0, 1), now);
@@ -67,7 +67,7 @@
 /// A report shows a new incarnation before its entry does. The previous
 /// incarnation's entry, which is still on its way, must not bring that back.
 #[test]
-fn an_older_entry_after_a_report_of_the_new_life_says_nothing() {
+fn an_old_entry_after_a_report_of_a_new_incarnation_is_ignored() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(entry(0, 1), now);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn an_older_report_after_the_new_life_began_says_nothing() {
+fn an_old_report_after_an_entry_of_a_new_incarnation_is_ignored() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(entry(0, 1), now);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn older_notes_after_the_new_life_began_say_nothing() {
+fn old_notes_after_an_entry_of_a_new_incarnation_are_ignored() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(entry(0, 1), now);
@@ -108,7 +108,7 @@
 /// A list that is seconds old shows the previous incarnation to an instance
 /// that has removed the endpoint meanwhile.
 #[test]
-fn a_stale_list_does_not_bring_an_older_life_back() {
+fn a_stale_list_does_not_restore_an_old_incarnation() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(entry(1, 8), now);
@@ -122,7 +122,7 @@
 /// An endpoint that was ejected, suspected or draining counts as healthy after
 /// a restart.
 #[test]
-fn a_new_life_is_not_blamed_for_the_one_before() {
+fn a_new_incarnation_starts_with_clean_health() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(entry(0, 1), now);
@@ -142,19 +142,19 @@
 
 /// A message about one of the incarnations.
 #[derive(Clone, Copy, Debug)]
-enum Word {
+enum Message {
     Entry,
     Report,
     Note,
-    Gone,
+    Removal,
 }
 
-fn word() -> impl Strategy<Value = (usize, Word, u64)> {
+fn message() -> impl Strategy<Value = (usize, Message, u64)> {
     let kind = prop_oneof![
-        3 => Just(Word::Entry),
-        2 => Just(Word::Report),
-        2 => Just(Word::Note),
-        1 => Just(Word::Gone),
+        3 => Just(Message::Entry),
+        2 => Just(Message::Report),
+        2 => Just(Message::Note),
+        1 => Just(Message::Removal),
     ];
     (0..BORN.len(), kind, 0..10_u64)
 }
@@ -164,45 +164,45 @@
     /// one incarnation; an incarnation that was replaced does not become
     /// current again; and the newest entry prevails once it arrives.
     #[test]
-    fn a_life_that_is_over_never_comes_back(
-        words in proptest::collection::vec(word(), 1..60),
+    fn an_ended_incarnation_never_becomes_current_again(
+        messages in proptest::collection::vec(message(), 1..60),
     ) {
         let now = Instant::now();
         let id = ID.to_owned();
         let mut view = FleetView::new("z1");
         let mut heard = [false; 4];
         let mut listed = None;
-        for (life, word, nth) in words {
+        for (incarnation, message, nth) in messages {
             let known = view.incarnation(&id);
             // The revisions of an incarnation's entries follow those of the
             // previous incarnation.
-            let revision = life as u64 * 20 + nth + 1;
-            match word {
-                Word::Entry => view.apply_entry(entry(life, revision), now),
-                Word::Gone => view.remove_entry(&id, revision + 10, true, now),
+            let revision = incarnation as u64 * 20 + nth + 1;
+            match message {
+                Message::Entry => view.apply_entry(entry(incarnation, revision), now),
+                Message::Removal => view.remove_entry(&id, revision + 10, true, now),
                 // An endpoint is asked for a report only once it is listed,
                 // and a late answer comes from an incarnation that was known
                 // before.
                 _ if view.get(&id).is_none() => continue,
-                _ if !heard[life] && heard[life..].contains(&true) => {
+                _ if !heard[incarnation] && heard[incarnation..].contains(&true) => {
                     continue;
                 }
-                Word::Report => {
-                    view.apply_report(&id, &reported(life), now);
+                Message::Report => {
+                    view.apply_report(&id, &reported(incarnation), now);
                 }
-                Word::Note => view.apply_placed(&placed(life), now),
+                Message::Note => view.apply_placed(&placed(incarnation), now),
             }
             // An incarnation is over for good once an entry has shown a later
             // one.
-            if heard[life] && listed.is_some_and(|listed| life < listed) {
+            if heard[incarnation] && listed.is_some_and(|listed| incarnation < listed) {
                 prop_assert_eq!(view.incarnation(&id), known);
             }
-            if matches!(word, Word::Entry)
-                && view.incarnation(&id) == Some(BORN[life])
+            if matches!(message, Message::Entry)
+                && view.incarnation(&id) == Some(BORN[incarnation])
             {
-                listed = listed.max(Some(life));
+                listed = listed.max(Some(incarnation));
             }
-            heard[life] |= view.incarnation(&id) == Some(BORN[life]);
+            heard[incarnation] |= view.incarnation(&id) == Some(BORN[incarnation]);
             let Some(state) = view.get(&id) else { continue };
             let held = (0..BORN.len())
                 .filter(|n| state.placement(&key(*n as u32)).is_some());
--- a/crates/fleet/tests/limit_model.rs
+++ b/crates/fleet/tests/limit_model.rs
@@ -32,7 +32,7 @@
 
 /// The strategy by which a limit is shared.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
+enum Sharing {
     /// Each instance has an equal share, in a bucket of one request.
     Equal,
     /// Only as many instances send as have one request per second each, in
@@ -54,7 +54,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Run {
-    way: Way,
+    sharing: Sharing,
     load: Load,
     instances: usize,
     limit_per_s: f64,
@@ -67,14 +67,14 @@
 }
 
 /// A note in transit: its sender, its recipient, and its content.
-struct OnWay {
+struct InTransit {
     from: usize,
     to: usize,
     reports: Vec<LimitReport>,
     is_total: bool,
 }
 
-struct Seen {
+struct Arrivals {
     /// When requests reached the endpoint, in total and from instances that
     /// are not cut off.
     sent_ms: Vec<u64>,
@@ -102,7 +102,7 @@
     }
 }
 
-fn play(run: Run) -> Seen {
+fn simulate(run: Run) -> Arrivals {
     let mut rng = StdRng::seed_from_u64(run.seed);
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
@@ -121,13 +121,14 @@
     let phases: Vec<u64> =
         (0..count).map(|_| rng.random_range(0..STATUS_MS * 2)).collect();
     let cut_from_ms = LASTS_MS / 2;
-    let mut due: HashMap<u64, Vec<OnWay>> = HashMap::new();
-    let mut seen = Seen { sent_ms: Vec::new(), from_linked_ms: Vec::new() };
+    let mut due: HashMap<u64, Vec<InTransit>> = HashMap::new();
+    let mut arrivals =
+        Arrivals { sent_ms: Vec::new(), from_linked_ms: Vec::new() };
     for ms in 0..LASTS_MS {
         let now = at(ms);
         let is_cut = |n: usize| ms >= cut_from_ms && n + run.cut >= count;
         for note in due.remove(&ms).unwrap_or_default() {
-            let OnWay { from, to, reports, is_total } = note;
+            let InTransit { from, to, reports, is_total } = note;
             let pause_ms = if is_many { STATUS_MS * 2 } else { STATUS_MS };
             let until = now + Duration::from_millis(pause_ms * 6);
             let from = format!("i{from}");
@@ -159,7 +160,7 @@
                 }
                 let arrives = ms + rng.random_range(1..8);
                 let reports = reports.clone();
-                let note = OnWay { from, to, reports, is_total };
+                let note = InTransit { from, to, reports, is_total };
                 due.entry(arrives).or_default().push(note);
             }
         }
@@ -176,18 +177,18 @@
             shares[n].record_demand(&endpoint, now);
             let is_limited = ms >= ANNOUNCED_MS;
             let is_sent = !is_limited
-                || match run.way {
-                    Way::ByDemand => {
+                || match run.sharing {
+                    Sharing::ByDemand => {
                         let request =
                             PermitRequest { draw, instances: Some(count) };
                         let permit = shares[n].take(&endpoint, request, now);
                         permit == Permit::Granted
                     }
-                    Way::Equal => {
+                    Sharing::Equal => {
                         let part = run.limit_per_s / count as f64;
                         buckets[n].take(part, ms)
                     }
-                    Way::FewSenders => {
+                    Sharing::FewSenders => {
                         let senders =
                             (run.limit_per_s as usize + 2).min(count);
                         let part = run.limit_per_s / senders as f64;
@@ -197,9 +198,9 @@
             if !is_sent {
                 continue;
             }
-            seen.sent_ms.push(ms);
+            arrivals.sent_ms.push(ms);
             if !is_cut(n) {
-                seen.from_linked_ms.push(ms);
+                arrivals.from_linked_ms.push(ms);
             }
             if is_limited {
                 let limit = AnnouncedLimit::PerSecond(run.limit_per_s);
@@ -207,7 +208,7 @@
             }
         }
     }
-    seen
+    arrivals
 }
 
 /// Returns the maximum number of requests within any 4 s, as a multiple of
@@ -227,7 +228,7 @@
 }
 
 /// Returns the fraction of the limit that is used.
-fn used(sent_ms: &[u64], limit_per_s: f64) -> f64 {
+fn utilization(sent_ms: &[u64], limit_per_s: f64) -> f64 {
     let late = sent_ms.iter().filter(|ms| **ms >= IN_FORCE_MS).count();
     let s = (LASTS_MS - IN_FORCE_MS) as f64 / 1_000.0;
     late as f64 / (limit_per_s * s)
@@ -237,31 +238,39 @@
 const LIMITS_PER_S: [f64; 4] = [0.5, 4.0, 20.0, 200.0];
 const LOADS: [Load; 3] = [Load::Even, Load::Skewed, Load::InBursts];
 
-fn run(way: Way, load: Load, instances: usize, limit_per_s: f64) -> Run {
+fn run(
+    sharing: Sharing,
+    load: Load,
+    instances: usize,
+    limit_per_s: f64,
+) -> Run {
     let (demand, cut, seed) = (2.5, 0, 7);
-    Run { way, load, instances, limit_per_s, demand, cut, seed }
+    Run { sharing, load, instances, limit_per_s, demand, cut, seed }
 }
 
 #[test]
 #[ignore = "prints the table of docs/design/endpoint-announcements.md"]
-fn table_of_ways() {
+fn table_of_strategies() {
     println!("instances limit load: excess and use of each way");
     for instances in SIZES {
         for limit_per_s in LIMITS_PER_S {
             for load in LOADS {
                 print!("{instances:4} {limit_per_s:6} {load:?}:");
-                for way in [Way::Equal, Way::FewSenders, Way::ByDemand] {
+                for sharing in
+                    [Sharing::Equal, Sharing::FewSenders, Sharing::ByDemand]
+                {
                     let (mut worst, mut use_sum) = (0.0_f64, 0.0);
                     for seed in 0..5 {
                         let run = Run {
                             seed,
-                            ..run(way, load, instances, limit_per_s)
+                            ..run(sharing, load, instances, limit_per_s)
                         };
-                        let seen = play(run);
-                        worst = worst.max(excess(&seen.sent_ms, limit_per_s));
-                        use_sum += used(&seen.sent_ms, limit_per_s);
+                        let arrivals = simulate(run);
+                        worst =
+                            worst.max(excess(&arrivals.sent_ms, limit_per_s));
+                        use_sum += utilization(&arrivals.sent_ms, limit_per_s);
                     }
-                    print!("  {way:?} {worst:.2} {:.2}", use_sum / 5.0);
+                    print!("  {sharing:?} {worst:.2} {:.2}", use_sum / 5.0);
                 }
                 println!();
             }
@@ -276,9 +285,9 @@
     for instances in [6, 30, 300] {
         for limit_per_s in LIMITS_PER_S {
             for load in LOADS {
-                let run = run(Way::ByDemand, load, instances, limit_per_s);
-                let seen = play(run);
-                let excess = excess(&seen.sent_ms, limit_per_s);
+                let run = run(Sharing::ByDemand, load, instances, limit_per_s);
+                let arrivals = simulate(run);
+                let excess = excess(&arrivals.sent_ms, limit_per_s);
                 assert!(excess <= 1.0, "{excess}: {run:?}");
             }
         }
@@ -286,14 +295,14 @@
 }
 
 #[test]
-fn most_of_a_limit_is_used_where_demand_is_there() {
+fn most_of_a_limit_is_used_under_sufficient_demand() {
     for (instances, least) in [(6, 0.8), (30, 0.6), (300, 0.6)] {
         for limit_per_s in [4.0, 20.0, 200.0] {
             for load in [Load::Even, Load::Skewed] {
-                let run = run(Way::ByDemand, load, instances, limit_per_s);
-                let seen = play(run);
-                let used = used(&seen.sent_ms, limit_per_s);
-                assert!(used >= least, "{used}: {run:?}");
+                let run = run(Sharing::ByDemand, load, instances, limit_per_s);
+                let arrivals = simulate(run);
+                let utilization = utilization(&arrivals.sent_ms, limit_per_s);
+                assert!(utilization >= least, "{utilization}: {run:?}");
             }
         }
     }
@@ -305,7 +314,7 @@
     /// Instances that are cut off use what they heard last; the other
     /// instances keep to the limit by themselves.
     #[test]
-    fn cuts_let_the_others_keep_to_a_limit(
+    fn instances_that_stay_connected_keep_to_a_limit_during_a_partition(
         instances in 2_usize..60,
         cut_part in 0.0..0.6_f64,
         limit_per_s in 0.5..40.0_f64,
@@ -314,11 +323,11 @@
         seed in 0..1_000_u64,
     ) {
         let cut = (instances as f64 * cut_part) as usize;
-        let way = Way::ByDemand;
+        let sharing = Sharing::ByDemand;
         let run =
-            Run { way, load, instances, limit_per_s, demand, cut, seed };
-        let seen = play(run);
-        let excess = excess(&seen.from_linked_ms, limit_per_s);
+            Run { sharing, load, instances, limit_per_s, demand, cut, seed };
+        let arrivals = simulate(run);
+        let excess = excess(&arrivals.from_linked_ms, limit_per_s);
         prop_assert!(excess <= 1.0, "{excess}");
     }
 }
--- a/crates/fleet/tests/relay_rules.rs
+++ b/crates/fleet/tests/relay_rules.rs
@@ -17,59 +17,59 @@
 
 /// Returns the instances that receive a note, once per reception, if the
 /// relays in `lost` are lost.
-fn hearers(
+fn receivers(
     all: &BTreeMap<String, String>,
     chosen: &[(&String, Group)],
     lost: &BTreeSet<String>,
 ) -> Vec<String> {
-    let mut heard = Vec::new();
+    let mut received = Vec::new();
     for (relay, group) in chosen.iter().filter(|(r, _)| !lost.contains(*r)) {
-        heard.push((*relay).clone());
+        received.push((*relay).clone());
         let rest = all.iter().filter(|(id, zone)| {
             *zone == &all[*relay] && group.contains(id) && id != relay
         });
-        heard.extend(rest.map(|(id, _)| id.clone()));
+        received.extend(rest.map(|(id, _)| id.clone()));
     }
-    heard
+    received
 }
 
 proptest! {
     #[test]
-    fn each_instance_hears_a_note_once(
+    fn each_instance_receives_a_note_once(
         zones in proptest::collection::vec(1usize..60, 1..5),
         turn in any::<usize>(),
     ) {
         let all = instances(&zones);
         let chosen = relays(all.iter(), |_| true, turn);
-        let mut heard = hearers(&all, &chosen, &BTreeSet::new());
-        heard.sort();
-        prop_assert_eq!(heard, all.keys().cloned().collect::<Vec<_>>());
+        let mut received = receivers(&all, &chosen, &BTreeSet::new());
+        received.sort();
+        prop_assert_eq!(received, all.keys().cloned().collect::<Vec<_>>());
         let groups: usize = zones.iter().map(|n| n.div_ceil(GROUP_LEN)).sum();
         prop_assert!(chosen.len() <= groups);
     }
 
     #[test]
-    fn a_lost_relay_costs_its_group_one_note(
+    fn a_lost_relay_costs_its_group_one_note_only(
         count in 10usize..60,
         turn in 0usize..1_000,
         lost in 0usize..10,
     ) {
         let all = instances(&[count]);
         let lost = BTreeSet::from([format!("front-z0-{lost}")]);
-        let mut heard = BTreeSet::new();
+        let mut received = BTreeSet::new();
         for turn in turn..turn + 2 {
             let chosen = relays(all.iter(), |_| true, turn);
-            heard.extend(hearers(&all, &chosen, &lost));
+            received.extend(receivers(&all, &chosen, &lost));
         }
         let missed: Vec<&String> =
-            all.keys().filter(|id| !heard.contains(*id)).collect();
+            all.keys().filter(|id| !received.contains(*id)).collect();
         // An instance that is alone in its group has no other relay.
         prop_assert!(missed.iter().all(|id| lost.contains(*id)));
     }
 }
 
 #[test]
-fn who_was_heard_goes_first() {
+fn instances_heard_lately_are_preferred_as_relays() {
     let all = instances(&[9]);
     let chosen = relays(all.iter(), |id| id == "front-z0-4", 7);
     assert_eq!(chosen.len(), 1);
--- a/crates/fleet/tests/store_reports_rules.rs
+++ b/crates/fleet/tests/store_reports_rules.rs
@@ -10,7 +10,7 @@
 }
 
 /// Returns the reports of three instances, none of which reaches the store.
-fn all_out(now: Instant) -> StoreReports {
+fn all_unreachable(now: Instant) -> StoreReports {
     let mut reports = StoreReports::default();
     for id in &ids() {
         reports.record(id, true, false, now);
@@ -19,23 +19,23 @@
 }
 
 #[test]
-fn nobody_can_take_a_lease_that_the_store_shows_nobody() {
+fn the_lease_is_kept_if_no_instance_reaches_the_store() {
     let now = Instant::now();
-    assert!(all_out(now).no_instance_reaches_store(ids().iter(), now));
+    assert!(all_unreachable(now).no_instance_reaches_store(ids().iter(), now));
 }
 
 #[test]
-fn one_that_reaches_the_store_can() {
+fn an_instance_that_reaches_the_store_may_take_the_lease() {
     let now = Instant::now();
-    let mut reports = all_out(now);
+    let mut reports = all_unreachable(now);
     reports.record(&ids()[1], false, false, now);
     assert!(!reports.no_instance_reaches_store(ids().iter(), now));
 }
 
 #[test]
-fn one_that_was_not_heard_lately_may() {
+fn a_recently_silent_instance_may_take_the_lease() {
     let now = Instant::now();
-    let mut reports = all_out(now);
+    let mut reports = all_unreachable(now);
     let later = now + REPORT_VALID_FOR;
     reports.record(&ids()[0], true, false, later);
     reports.record(&ids()[1], true, false, later);
@@ -43,10 +43,10 @@
 }
 
 #[test]
-fn few_that_were_not_heard_for_long_are_gone() {
+fn a_minority_of_long_silent_instances_counts_as_gone() {
     let now = Instant::now();
     let known = ["i1", "i2", "i3", "gone"].map(str::to_owned);
-    let mut reports = all_out(now);
+    let mut reports = all_unreachable(now);
     assert!(reports.no_instance_reaches_store(known.iter(), now));
     let later = now + Duration::from_secs(6);
     reports.record(&ids()[0], true, false, later);
@@ -56,17 +56,17 @@
 }
 
 #[test]
-fn one_that_is_not_in_the_list_and_reaches_the_store_can() {
+fn an_unlisted_instance_that_reaches_the_store_may_take_the_lease() {
     let now = Instant::now();
-    let mut reports = all_out(now);
+    let mut reports = all_unreachable(now);
     reports.record(&"new".to_owned(), false, false, now);
     assert!(!reports.no_instance_reaches_store(ids().iter(), now));
 }
 
 #[test]
-fn one_that_leaves_cannot() {
+fn a_leaving_instance_cannot_take_the_lease() {
     let now = Instant::now();
-    let mut reports = all_out(now);
+    let mut reports = all_unreachable(now);
     reports.record(&ids()[2], false, true, now);
     let later = now + Duration::from_millis(900);
     assert!(reports.no_instance_reaches_store(ids().iter(), later));
--- a/crates/fleet/tests/suspicion_rules.rs
+++ b/crates/fleet/tests/suspicion_rules.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn one_instance_alone_suspects_nothing() {
+fn the_reports_of_one_instance_suspect_no_engine() {
     let now = Instant::now();
     let mut suspicions = Suspicions::default();
     for n in 0..20 {
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn two_instances_suspect_an_engine_and_it_is_told_once_in_a_while() {
+fn the_reports_of_two_instances_suspect_an_engine_and_notify_at_intervals() {
     let now = Instant::now();
     let mut suspicions = Suspicions::default();
     assert_eq!(suspicions.report(&id("e1"), &id("i1"), now), None);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn reports_that_lie_far_apart_do_not_count_together() {
+fn reports_outside_the_window_do_not_count_together() {
     let now = Instant::now();
     let mut suspicions = Suspicions::default();
     assert_eq!(suspicions.report(&id("e1"), &id("i1"), now), None);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_suspect_engine_is_left_out_for_a_while_or_until_it_serves() {
+fn a_suspect_engine_is_unusable_until_the_time_ends_or_a_request_succeeds() {
     let now = Instant::now();
     let mut health = Health::default();
     health.suspect(Duration::from_millis(1_500), now);
@@ -57,7 +57,7 @@
 /// until two had reported it again. Requests went to 13 unreachable engines in
 /// two bursts of 50, 1.9 s apart.
 #[test]
-fn an_engine_that_stays_out_of_reach_is_tried_less_and_less() {
+fn an_unreachable_engine_is_retried_at_growing_intervals() {
     let mut now = Instant::now();
     let mut suspicions = Suspicions::default();
     let mut times_ms = Vec::new();
--- a/crates/fleet/tests/view_rules.rs
+++ b/crates/fleet/tests/view_rules.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_request_goes_only_where_its_adapter_is() {
+fn a_request_goes_only_to_an_endpoint_with_its_adapter() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn an_endpoint_that_others_see_leave_gets_nothing() {
+fn an_endpoint_with_a_reported_departure_gets_nothing() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_coming_adapter_is_used_once_it_is_ready() {
+fn a_loading_adapter_is_used_once_it_is_ready() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[]), now);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_late_list_neither_hides_nor_shows_what_a_note_changed() {
+fn a_note_takes_precedence_over_a_late_list() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[2]), now);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn an_old_version_gets_work_for_a_while_and_then_none() {
+fn an_old_version_gets_requests_only_within_the_grace_period() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn an_older_version_is_never_the_newest_again() {
+fn the_newest_version_never_decreases() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.record_version(&key(1), 3, now);
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn sums_of_the_holder_count_while_it_speaks() {
+fn totals_of_the_lease_holder_count_while_they_are_valid() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn the_holder_tells_the_sums_of_all() {
+fn the_lease_holder_publishes_the_totals() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
@@ -201,7 +201,7 @@
 /// the same endpoint until the next note. The small service of a large
 /// installation rejected 28 of 100 requests.
 #[test]
-fn many_instances_do_not_choose_alike() {
+fn many_instances_do_not_choose_the_same_endpoint() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     for n in 0..7 {
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn a_silent_peer_counts_no_longer() {
+fn a_silent_peer_no_longer_counts() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn an_endpoint_that_turned_a_request_down_is_not_asked_again() {
+fn an_endpoint_that_rejected_a_request_is_not_chosen_again() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn a_send_that_was_turned_away_frees_no_place_in_the_holders_table() {
+fn a_rejected_request_frees_no_slot_in_the_lease_holders_table() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
@@ -300,7 +300,7 @@
 
 /// The platform's list is one second late.
 #[test]
-fn the_holder_believes_its_own_orders_over_the_list() {
+fn the_lease_holders_orders_take_precedence_over_the_list() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[]), now);
@@ -319,7 +319,7 @@
 
 /// The entry was removed while the store was down, and was added again.
 #[test]
-fn an_engine_whose_entry_came_back_is_not_known() {
+fn an_engine_whose_entry_was_added_again_is_not_known() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     let id = "e1".to_owned();
@@ -334,7 +334,7 @@
 }
 
 /// Records responses of engines that prefill 20 tokens per millisecond.
-fn learn_pace(view: &mut FleetView) {
+fn observe_first_events(view: &mut FleetView) {
     for n in 1..40_u64 {
         let took = Duration::from_millis(n * 50);
         view.observe_first_event(SERVICE, n * 1_000, took);
@@ -342,12 +342,12 @@
 }
 
 #[test]
-fn the_engine_that_begins_sooner_gets_the_request() {
+fn the_engine_with_the_earlier_first_event_gets_the_request() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
     view.apply_entry(endpoint("e2", "z1", &[1]), now);
-    learn_pace(&mut view);
+    observe_first_events(&mut view);
     // One long prompt against three requests whose responses have begun.
     if let Some(state) = view.get_mut(&"e1".to_owned()) {
         state.own_work.begin(Some(&key(1)), 30_000);
@@ -359,12 +359,12 @@
 }
 
 #[test]
-fn a_request_that_would_come_late_waits_for_a_copy_if_it_may() {
+fn a_late_request_waits_for_another_copy_if_it_may() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
     view.apply_entry(endpoint("e2", "z1", &[]), now);
-    learn_pace(&mut view);
+    observe_first_events(&mut view);
     if let Some(state) = view.get_mut(&"e1".to_owned()) {
         state.own_work.begin(Some(&key(1)), 30_000);
     }
@@ -392,11 +392,11 @@
 
 /// A prompt that is late by its own length gains nothing by waiting.
 #[test]
-fn a_request_that_is_late_by_its_own_length_does_not_wait() {
+fn a_request_that_is_late_by_its_own_prompt_does_not_wait() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
-    learn_pace(&mut view);
+    observe_first_events(&mut view);
     let key = key(1);
     let long = Need { prompt_tokens: 40_000, may_wait: true, ..need(&key) };
     assert_eq!(sent_to(&view.choose(long, now)), Some("e1"));
@@ -423,7 +423,7 @@
 /// holder heard of engines that left but not of new ones, so that 500 adapters
 /// waited for slots while 18 new engines had none.
 #[test]
-fn a_holder_without_the_store_hears_of_new_engines_from_others() {
+fn a_lease_holder_without_the_store_learns_of_new_engines_from_notes() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
@@ -451,7 +451,7 @@
 /// six seconds were sent to engines without their adapters, and used up the
 /// retries of other requests.
 #[test]
-fn a_planned_load_takes_a_place_and_no_requests() {
+fn a_planned_load_occupies_a_slot_and_gets_no_requests() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[]), now);
@@ -477,7 +477,7 @@
 /// note took a sixth of a relay's link, and with 3,000 it would not fit a
 /// datagram.
 #[test]
-fn sums_of_many_endpoints_are_told_in_parts_and_come_out_right() {
+fn totals_of_many_endpoints_are_published_in_parts_and_converge() {
     let now = Instant::now();
     let ids: Vec<String> = (0..1_000).map(|n| format!("e{n:04}")).collect();
     let mut holder = FleetView::new("z1");
@@ -524,7 +524,7 @@
 }
 
 #[test]
-fn entries_that_the_holder_lacks_fit_a_note() {
+fn entries_for_the_lease_holder_fit_a_note() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     for n in 1..=1_000 {
