--- a/crates/fleet/src/endpoint_state.rs
+++ b/crates/fleet/src/endpoint_state.rs
@@ -202,25 +202,25 @@
 
     /// Returns the number of requests in flight there, of all instances.
     pub fn in_flight(&self) -> u32 {
-        let others = match &self.total_work {
+        let peer_requests = match &self.total_work {
             Some(total) => {
                 total.requests.saturating_sub(self.published_work.requests)
             }
             None => self.peer_work.requests,
         };
-        self.own_work.requests + others
+        self.own_work.requests + peer_requests
     }
 
     /// Returns the number of prompt tokens that await prefill there, of all
     /// instances' requests.
     pub fn unread_tokens(&self) -> u64 {
-        let others = match &self.total_work {
+        let peer_tokens = match &self.total_work {
             Some(total) => total
                 .unread_tokens
                 .saturating_sub(self.published_work.unread_tokens),
             None => self.peer_work.unread_tokens,
         };
-        self.own_work.unread_tokens + others
+        self.own_work.unread_tokens + peer_tokens
     }
 
     /// Returns whether any known request in flight there uses the adapter.
--- a/crates/fleet/src/limit_share.rs
+++ b/crates/fleet/src/limit_share.rs
@@ -228,11 +228,11 @@
         if let Some(limit) = self.0.get_mut(&report.endpoint)
             && is_sound(demand)
         {
-            let heard = (demand, source.until);
+            let received = (demand, source.until);
             match source.is_total {
-                true => limit.total = Some(heard),
+                true => limit.total = Some(received),
                 false => {
-                    limit.peer_demand.insert(source.from.clone(), heard);
+                    limit.peer_demand.insert(source.from.clone(), received);
                 }
             }
         }
@@ -289,10 +289,10 @@
     /// Returns the limits to report to other instances, with this instance's
     /// demand or, if `is_total` is true, the demand of all instances.
     pub fn reports(&self, is_total: bool, now: Instant) -> Vec<LimitReport> {
-        let told = self.0.iter().filter(|(_, limit)| {
+        let reported = self.0.iter().filter(|(_, limit)| {
             limit.per_s.is_some() || limit.age(now) < END_REPORTED_FOR
         });
-        let mut reports: Vec<LimitReport> = told
+        let mut reports: Vec<LimitReport> = reported
             .map(|(endpoint, limit)| {
                 let own = limit.own_demand.per_s(now);
                 let wanted_per_s = match is_total {
--- a/crates/fleet/src/store_reports.rs
+++ b/crates/fleet/src/store_reports.rs
@@ -31,7 +31,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct StoreReport {
-    heard: Instant,
+    received_at: Instant,
     store_is_out: bool,
     is_leaving: bool,
 }
@@ -45,7 +45,8 @@
         is_leaving: bool,
         now: Instant,
     ) {
-        let report = StoreReport { heard: now, store_is_out, is_leaving };
+        let report =
+            StoreReport { received_at: now, store_is_out, is_leaving };
         self.0.insert(from.clone(), report);
     }
 
@@ -55,7 +56,7 @@
         now: Instant,
     ) -> impl Iterator<Item = &InstanceId> {
         let reaches = move |report: &StoreReport| {
-            now - report.heard < REPORT_VALID_FOR
+            now - report.received_at < REPORT_VALID_FOR
                 && !report.store_is_out
                 && !report.is_leaving
         };
@@ -71,7 +72,7 @@
         now: Instant,
     ) -> bool {
         let holds =
-            |report: &StoreReport| now - report.heard < REPORT_VALID_FOR;
+            |report: &StoreReport| now - report.received_at < REPORT_VALID_FOR;
         // An instance that leaves acquires no lease. After a restart it has no
         // configuration, which it can get from the store only.
         let cannot = |report: &StoreReport| {
@@ -84,7 +85,7 @@
         for id in known {
             match self.0.get(id) {
                 Some(report) if cannot(report) => cannot_len += 1,
-                Some(report) if now - report.heard < GONE_AFTER => {
+                Some(report) if now - report.received_at < GONE_AFTER => {
                     return false;
                 }
                 Some(_) | None => gone_len += 1,
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -26,7 +26,7 @@
 pub(crate) use self::choice::{BUSY_BACKLOG, OTHER_ZONE_COST};
 pub use self::choice::{Choice, Need, Target};
 pub use self::in_flight::Totals;
-use self::in_flight::{HeardTotals, PeerLoad};
+use self::in_flight::{PeerLoad, ReceivedTotals};
 pub use self::limits::AnsweredRequest;
 use crate::{
     adapter::{AdapterKey, WeightVersion},
@@ -65,11 +65,11 @@
     warm: AdapterIndex,
     peers: HashMap<InstanceId, PeerLoad>,
     /// The lease holder's totals, while they are valid.
-    totals: Option<HeardTotals>,
+    totals: Option<ReceivedTotals>,
     /// The index of the next endpoint whose total is published in turn.
     next_total: usize,
     /// The interval at which each other instance publishes its work in flight.
-    peer_pause: Duration,
+    peer_interval: Duration,
     newest: HashMap<AdapterKey, (WeightVersion, Instant)>,
     departures: Departures,
     incarnations: Incarnations,
@@ -103,7 +103,7 @@
             peers: HashMap::new(),
             totals: None,
             next_total: 0,
-            peer_pause: Duration::ZERO,
+            peer_interval: Duration::ZERO,
             newest: HashMap::new(),
             departures: Departures::default(),
             incarnations: Incarnations::default(),
@@ -224,8 +224,8 @@
     /// requests that are in flight there end one by one.
     fn begin_incarnation(&mut self, id: &EndpointId) {
         self.limits.end_incarnation(id);
-        if let Some(rest) = self.lapsed_cooldowns.get_mut(id) {
-            *rest = rest.in_new_incarnation();
+        if let Some(cooldown) = self.lapsed_cooldowns.get_mut(id) {
+            *cooldown = cooldown.in_new_incarnation();
         }
         let Some(state) = self.endpoints.get(id) else { return };
         for key in &state.warm {
--- a/crates/fleet/src/view/in_flight.rs
+++ b/crates/fleet/src/view/in_flight.rs
@@ -32,11 +32,11 @@
 
 /// The lease holder's totals that were last received.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct HeardTotals {
+pub(super) struct ReceivedTotals {
     /// When the totals were received.
-    pub(super) at: Instant,
+    pub(super) received_at: Instant,
     /// The interval at which the lease holder publishes totals.
-    pub(super) pause: Duration,
+    pub(super) interval: Duration,
     /// The time until which the totals are valid.
     until: Instant,
 }
@@ -59,11 +59,12 @@
         {
             return;
         }
-        let pause = Duration::from_millis(status.next_in_ms);
+        let interval = Duration::from_millis(status.next_in_ms);
         let holds = status.valid_for();
         if status.is_total {
             let until = now + holds;
-            self.totals = Some(HeardTotals { at: now, pause, until });
+            self.totals =
+                Some(ReceivedTotals { received_at: now, interval, until });
             if !status.is_part {
                 for state in self.endpoints.values_mut() {
                     state.total_work = Some(Work::default());
@@ -75,7 +76,7 @@
                 }
             }
         } else {
-            self.peer_pause = pause;
+            self.peer_interval = interval;
         }
         let load = PeerLoad {
             sequence: status.sequence,
@@ -95,7 +96,7 @@
     /// Removes instances that have been silent for too long. Call this about
     /// once a second.
     pub fn remove_silent_peers(&mut self, now: Instant) {
-        if self.totals.is_some_and(|heard| now >= heard.until) {
+        if self.totals.is_some_and(|received| now >= received.until) {
             self.forget_totals();
         }
         let is_silent = |load: &PeerLoad| now >= load.valid_until;
@@ -124,14 +125,14 @@
     /// Returns this instance's work in flight, for publication; endpoints
     /// without work are left out. Records what is published.
     pub fn publish_work(&mut self) -> Vec<(EndpointId, Work)> {
-        let mut told = Vec::new();
+        let mut published = Vec::new();
         for (id, state) in &mut self.endpoints {
             state.published_work = state.own_work.without_adapters();
             if !state.own_work.is_empty() {
-                told.push((id.clone(), state.own_work.clone()));
+                published.push((id.clone(), state.own_work.clone()));
             }
         }
-        told
+        published
     }
 
     /// Returns the work of all instances, for the lease holder to publish. If
--- a/crates/fleet/src/view/load_interpretation.rs
+++ b/crates/fleet/src/view/load_interpretation.rs
@@ -66,8 +66,8 @@
     endpoints.iter().map(shortfall).collect()
 }
 
-/// Returns the common level, in requests per slot, to which `to_come` more
-/// requests fill the endpoints.
+/// Returns the common level, in requests per slot, to which
+/// `expected_arrivals` more requests fill the endpoints.
 fn level(endpoints: &[Capacity], expected_arrivals: f64) -> f64 {
     let load = |e: &Capacity| e.in_flight / e.slots;
     let mut by_load: Vec<&Capacity> = endpoints.iter().collect();
@@ -180,7 +180,7 @@
         endpoints: &[Capacity],
         now: Instant,
     ) -> f64 {
-        let under_way: f64 = endpoints.iter().map(|e| e.in_flight).sum();
+        let in_flight: f64 = endpoints.iter().map(|e| e.in_flight).sum();
         let staleness = self.staleness(now);
         let residence =
             self.residence_times.get(service).map(ResidenceTime::mean);
@@ -191,7 +191,7 @@
             None if staleness.is_zero() => 0.0,
             None => 1.0,
         };
-        under_way * turns + 1.0
+        in_flight * turns + 1.0
     }
 
     /// Returns how long requests are missing from the load information: from
@@ -203,10 +203,11 @@
         match self.totals {
             // Instances report to the lease holder half as often as the holder
             // publishes the totals.
-            Some(heard) => {
-                now.saturating_duration_since(heard.at) + heard.pause * 2
+            Some(totals) => {
+                now.saturating_duration_since(totals.received_at)
+                    + totals.interval * 2
             }
-            None => self.peer_pause,
+            None => self.peer_interval,
         }
     }
 
