--- a/crates/fleet/src/cooldown.rs
+++ b/crates/fleet/src/cooldown.rs
@@ -35,7 +35,7 @@
     /// Records that the endpoint asks for a cooldown. Returns whether no
     /// cooldown was in effect before.
     pub fn extend(&mut self, cooldown: Duration, now: Instant) -> bool {
-        let is_news = self.until.is_none_or(|until| now >= until);
+        let is_new = self.until.is_none_or(|until| now >= until);
         let until =
             self.until.map_or(now + cooldown, |u| u.max(now + cooldown));
         *self = Cooldown {
@@ -43,7 +43,7 @@
             requested_at: Some(now),
             probe_sent: None,
         };
-        is_news
+        is_new
     }
 
     /// Returns the part of the cooldown that stays in effect in a new
--- a/crates/fleet/src/departure.rs
+++ b/crates/fleet/src/departure.rs
@@ -105,8 +105,8 @@
 }
 
 impl Departures {
-    /// Records a departure; `is_told` states whether it is repeated to other
-    /// instances. Returns whether it is new.
+    /// Records a departure; `is_repeated` states whether it is repeated to
+    /// other instances. Returns whether it is new.
     pub fn record(
         &mut self,
         departure: &Departure,
@@ -115,10 +115,10 @@
     ) -> bool {
         let Departure { endpoint, revision, is_announced, born } = departure;
         let known = self.0.get(endpoint);
-        let is_news = !self.has_left(endpoint, *revision, *born)
+        let is_new = !self.has_left(endpoint, *revision, *born)
             || (*is_announced
                 && !known.is_some_and(|k| k.is_announced_in(*born)));
-        if !is_news {
+        if !is_new {
             return false;
         }
         let mut new = Known {
--- a/crates/fleet/src/endpoint_state.rs
+++ b/crates/fleet/src/endpoint_state.rs
@@ -431,12 +431,12 @@
         let Some(placement) = self.placements.get_mut(key) else {
             return false;
         };
-        let is_news = placement.is_unconfirmed;
+        let is_new = placement.is_unconfirmed;
         if is_there {
             placement.is_unconfirmed = false;
             placement.loading_until = placement.load_started;
         }
-        is_news
+        is_new
     }
 
     /// Records that the endpoint rejected a request because the adapter was
--- a/crates/fleet/src/store_reports.rs
+++ b/crates/fleet/src/store_reports.rs
@@ -71,26 +71,28 @@
         known: impl Iterator<Item = &'a InstanceId>,
         now: Instant,
     ) -> bool {
-        let holds =
+        let is_valid =
             |report: &StoreReport| now - report.received_at < REPORT_VALID_FOR;
         // An instance that leaves acquires no lease. After a restart it has no
         // configuration, which it can get from the store only.
-        let cannot = |report: &StoreReport| {
-            report.is_leaving || (report.store_is_out && holds(report))
+        let cannot_acquire = |report: &StoreReport| {
+            report.is_leaving || (report.store_is_out && is_valid(report))
         };
         let is_reached_by_any = self.0.values().any(|report| {
-            holds(report) && !report.store_is_out && !report.is_leaving
+            is_valid(report) && !report.store_is_out && !report.is_leaving
         });
-        let (mut cannot_len, mut gone_len) = (0, 0);
+        let (mut cannot_acquire_len, mut gone_len) = (0, 0);
         for id in known {
             match self.0.get(id) {
-                Some(report) if cannot(report) => cannot_len += 1,
+                Some(report) if cannot_acquire(report) => {
+                    cannot_acquire_len += 1
+                }
                 Some(report) if now - report.received_at < GONE_AFTER => {
                     return false;
                 }
                 Some(_) | None => gone_len += 1,
             }
         }
-        !is_reached_by_any && gone_len < cannot_len
+        !is_reached_by_any && gone_len < cannot_acquire_len
     }
 }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -380,11 +380,11 @@
         now: Instant,
     ) -> bool {
         let known = self.newest.get(key).map_or(0, |(known, _)| *known);
-        let is_news = version > known;
-        if is_news {
+        let is_new = version > known;
+        if is_new {
             self.newest.insert(key.clone(), (version, now));
         }
-        is_news
+        is_new
     }
 
     /// Returns the newest announced version of a model or adapter, and when
--- a/crates/fleet/src/view/choice.rs
+++ b/crates/fleet/src/view/choice.rs
@@ -205,7 +205,7 @@
     ) -> Target {
         let newest = need.key.and_then(|key| self.newest.get(key));
         let expect_version = newest
-            .filter(|(_, named)| now - *named >= OLD_VERSION_GRACE)
+            .filter(|(_, since)| now - *since >= OLD_VERSION_GRACE)
             .map(|(version, _)| *version);
         Target {
             id: state.endpoint.id.clone(),
@@ -223,8 +223,8 @@
         version: WeightVersion,
         now: Instant,
     ) -> bool {
-        let Some((newest, named)) = self.newest.get(key) else { return false };
-        version < *newest && now - *named >= OLD_VERSION_GRACE
+        let Some((newest, since)) = self.newest.get(key) else { return false };
+        version < *newest && now - *since >= OLD_VERSION_GRACE
     }
 
     fn cost(&self, state: &EndpointState, need: Need<'_>) -> f64 {
--- a/crates/fleet/src/view/departures.rs
+++ b/crates/fleet/src/view/departures.rs
@@ -23,8 +23,8 @@
             .get(id)
             .is_some_and(|state| state.endpoint.is_draining);
         let departure = Departure::of_entry(id, revision);
-        let is_news = self.departures.record(&departure, is_sure, now);
-        if is_news && is_sure && !was_leaving {
+        let is_new = self.departures.record(&departure, is_sure, now);
+        if is_new && is_sure && !was_leaving {
             self.unsent_departures.push(departure);
         }
     }
@@ -63,11 +63,11 @@
         let state = self.endpoints.get(endpoint);
         let revision = state.map_or(0, |state| state.endpoint.revision);
         let departure = Departure::announced(endpoint, *born, revision);
-        let is_news = self.apply_departure(&departure, now);
-        if is_news {
+        let is_new = self.apply_departure(&departure, now);
+        if is_new {
             self.unsent_departures.push(departure);
         }
-        is_news
+        is_new
     }
 
     /// Returns the departures that this instance detected and has not sent to
