--- a/crates/fleet/src/incarnation.rs
+++ b/crates/fleet/src/incarnation.rs
@@ -1,11 +1,12 @@
-//! The lives of endpoints: one may start again under the id that it had, and then
-//! holds and knows nothing of before.
+//! Incarnations of endpoints. An endpoint may restart under the same id, and
+//! has then lost all of its previous state.
 //!
-//! What an endpoint says of itself names the moment of its start, which tells its
-//! lives apart. Clocks may be behind, so the later moment need not be the later
-//! life. The invariant: a life that was followed by another one is over, whatever
-//! is still heard of it, and what stood in the store before a life's first entry
-//! says nothing of it.
+//! An endpoint states the time of its start, which distinguishes its
+//! incarnations. Clocks may be set back, so a later start time need not mean a
+//! later incarnation. The invariants: an incarnation that was followed by
+//! another one has ended, whatever still arrives from it; and what the store
+//! held before an incarnation's first entry says nothing about that
+//! incarnation.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -18,70 +19,77 @@
 
 use crate::endpoint::Revision;
 
-/// The Unix millisecond of an endpoint's start, on its own clock.
+/// The start time of an endpoint in Unix milliseconds by its own clock, which
+/// identifies the incarnation.
 pub type Incarnation = u64;
 
-/// How many lives that are over are kept for each endpoint: what is said late is
-/// seconds old, and an endpoint takes a second at least to start.
-const ENDED_LEN: usize = 8;
+/// The number of ended incarnations that are kept per endpoint. Late messages
+/// are seconds old, and an endpoint takes at least one second to start.
+const MAX_ENDED: usize = 8;
 
-/// How late an entry may show a life that is over: endpoints write theirs once a
-/// second, and a watch that waits for many changes is 2.5 s late.
-const ENTRY_LATE: Duration = Duration::from_secs(4);
+/// How late an entry of an ended incarnation may arrive. Endpoints write their
+/// entries once a second, and a watch with many changes pending is up to 2.5 s
+/// late.
+const MAX_ENTRY_DELAY: Duration = Duration::from_secs(4);
 
-/// How late an endpoint's own word may come: a call for it waits for 0.8 s.
-const WORD_LATE: Duration = Duration::from_secs(1);
+/// How late an endpoint's own report may arrive. A call for a report waits for
+/// up to 0.8 s.
+const MAX_REPORT_DELAY: Duration = Duration::from_secs(1);
 
-/// How long lives are kept after they were last heard of: longer than any list or
-/// note may be late.
-const KEPT_FOR: Duration = Duration::from_secs(300);
+/// How long incarnations are kept after the endpoint was last heard of. This
+/// exceeds the delay of any list or note.
+const RETENTION: Duration = Duration::from_secs(300);
 
-/// One life of an endpoint.
+/// One incarnation of an endpoint.
 #[derive(
     Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct EndpointIncarnation {
-    /// The endpoint.
+    /// The endpoint's id.
     pub id: EndpointId,
-    /// When this life began, if it says so; else its id names one life.
+    /// The incarnation's start time, if the endpoint reports one; otherwise
+    /// the id alone identifies the incarnation.
     pub born: Option<Incarnation>,
 }
 
-/// What a word about an endpoint speaks of.
+/// The incarnation that a message about an endpoint refers to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum IncarnationStatus {
-    /// The life that is known, or of no life in particular.
+    /// The current incarnation, or none in particular.
     Current,
-    /// A life that has begun since: all that was known is void.
+    /// A new incarnation; all state of the previous one is void.
     New,
-    /// A life that is over: it says nothing.
+    /// An ended incarnation; the message is ignored.
     Ended,
 }
 
-/// The lives of all endpoints, as far as they were heard of.
+/// The known incarnations of all endpoints.
 #[derive(Clone, Debug, Default)]
 pub struct Incarnations(HashMap<EndpointId, Known>);
 
 #[derive(Clone, Debug)]
 struct Known {
     born: Incarnation,
-    /// Whether an entry has shown it; else only the endpoint's own word.
+    /// Whether an entry has shown the current incarnation; otherwise only the
+    /// endpoint's own report has.
     is_listed: bool,
-    /// The newest revision of the store that showed one of its lives.
+    /// The newest revision of the store that showed an incarnation of the
+    /// endpoint.
     revision: Revision,
-    /// The life that a word of the endpoint's ended, and until when entries of it
-    /// are taken for late ones.
-    doubted: Option<(Incarnation, Instant)>,
-    /// Lives that only their own words showed, left for another one, and until when
-    /// words of them are taken for late ones. Their entries may yet come.
+    /// The listed incarnation that a report of a new one has replaced, and the
+    /// time until which its entries are taken for late ones.
+    superseded: Option<(Incarnation, Instant)>,
+    /// Incarnations that were known from their own reports only and were
+    /// replaced, and the time until which their reports are taken for late
+    /// ones. Their entries may still arrive.
     unlisted: VecDeque<(Incarnation, Instant)>,
-    /// Lives that were followed by another one.
+    /// Incarnations that were followed by another one.
     ended: VecDeque<Incarnation>,
-    heard: Instant,
+    last_heard: Instant,
 }
 
 impl Incarnations {
-    /// Takes in an entry, as of a revision of the store.
+    /// Applies an entry as of a revision of the store.
     pub fn apply_entry(
         &mut self,
         id: &EndpointId,
@@ -95,7 +103,7 @@
             return IncarnationStatus::Current;
         };
         if known.born == born {
-            known.list(revision, now);
+            known.confirm_listed(revision, now);
             return IncarnationStatus::Current;
         }
         if revision < known.revision || known.is_over(born, now) {
@@ -103,16 +111,16 @@
         }
         match known.is_listed {
             true => known.end(known.born),
-            false => known.leave_unlisted(now),
+            false => known.replace_unlisted(now),
         }
         known.born = born;
-        known.list(revision, now);
+        known.confirm_listed(revision, now);
         IncarnationStatus::New
     }
 
-    /// Takes in what an endpoint said of itself when it was asked. Its entry may
-    /// still show the life before for a while, or, if the answer was late, another
-    /// one that has begun since.
+    /// Applies the endpoint's own report. The endpoint's entry may show the
+    /// previous incarnation for a while, or, if the report is late, one that
+    /// has started since.
     pub fn apply_report(
         &mut self,
         id: &EndpointId,
@@ -126,7 +134,7 @@
             return IncarnationStatus::Current;
         };
         if known.born == born {
-            known.heard = now;
+            known.last_heard = now;
             return IncarnationStatus::Current;
         }
         let is_late = known
@@ -137,22 +145,24 @@
             return IncarnationStatus::Ended;
         }
         match known.is_listed {
-            true => known.doubted = Some((known.born, now + ENTRY_LATE)),
-            false => known.leave_unlisted(now),
+            true => {
+                known.superseded = Some((known.born, now + MAX_ENTRY_DELAY))
+            }
+            false => known.replace_unlisted(now),
         }
         known.born = born;
         known.is_listed = false;
-        known.heard = now;
+        known.last_heard = now;
         IncarnationStatus::New
     }
 
-    /// Returns when the life that is known began.
+    /// Returns the current incarnation of an endpoint, if one is known.
     pub fn born(&self, id: &EndpointId) -> Option<Incarnation> {
         self.0.get(id).map(|known| known.born)
     }
 
-    /// Returns whether a word about a life speaks of the one that is known, or
-    /// none is known.
+    /// Returns whether a message about an incarnation refers to the current
+    /// one. If either is not known, the message is taken to be current.
     pub fn is_current(
         &self,
         id: &EndpointId,
@@ -164,10 +174,10 @@
         }
     }
 
-    /// Forgets endpoints that were not heard of for long.
+    /// Removes endpoints that were not heard of for a long time.
     pub fn forget(&mut self, now: Instant) {
         self.0.retain(|_, known| {
-            now.saturating_duration_since(known.heard) < KEPT_FOR
+            now.saturating_duration_since(known.last_heard) < RETENTION
         });
     }
 }
@@ -178,43 +188,44 @@
             born,
             is_listed: true,
             revision,
-            doubted: None,
+            superseded: None,
             unlisted: VecDeque::new(),
             ended: VecDeque::new(),
-            heard: now,
+            last_heard: now,
         }
     }
 
-    /// Notes that an entry shows the life that is known: the one before is over.
-    fn list(&mut self, revision: Revision, now: Instant) {
+    /// Records that an entry shows the current incarnation, which ends the
+    /// previous one.
+    fn confirm_listed(&mut self, revision: Revision, now: Instant) {
         self.is_listed = true;
         self.revision = self.revision.max(revision);
-        self.heard = now;
-        if let Some((doubted, _)) = self.doubted.take()
-            && doubted != self.born
+        self.last_heard = now;
+        if let Some((superseded, _)) = self.superseded.take()
+            && superseded != self.born
         {
-            self.end(doubted);
+            self.end(superseded);
         }
     }
 
     fn end(&mut self, born: Incarnation) {
         self.ended.push_back(born);
-        if self.ended.len() > ENDED_LEN {
+        if self.ended.len() > MAX_ENDED {
             self.ended.pop_front();
         }
     }
 
-    fn leave_unlisted(&mut self, now: Instant) {
-        self.unlisted.push_back((self.born, now + WORD_LATE));
-        if self.unlisted.len() > ENDED_LEN {
+    fn replace_unlisted(&mut self, now: Instant) {
+        self.unlisted.push_back((self.born, now + MAX_REPORT_DELAY));
+        if self.unlisted.len() > MAX_ENDED {
             self.unlisted.pop_front();
         }
     }
 
     fn is_over(&self, born: Incarnation, now: Instant) -> bool {
-        let is_doubted = self
-            .doubted
+        let is_superseded = self
+            .superseded
             .is_some_and(|(known, until)| known == born && now < until);
-        is_doubted || self.ended.contains(&born)
+        is_superseded || self.ended.contains(&born)
     }
 }
--- a/crates/fleet/tests/incarnation_rules.rs
+++ b/crates/fleet/tests/incarnation_rules.rs
@@ -1,4 +1,4 @@
-//! Endpoints that start again under the id that they had.
+//! Tests of endpoints that restart under the same id.
 
 mod common;
 
@@ -16,40 +16,42 @@
 
 const ID: &str = "e1";
 
-/// The starts of four lives in a row, by clocks that run ahead and behind.
+/// The start times of four consecutive incarnations, by clocks that run fast
+/// and slow.
 const BORN: [Incarnation; 4] = [5_000, 9_000, 2_000, 7_000];
 
-/// The entry of a life, which holds the adapter of that number.
-fn entry(life: usize, revision: u64) -> Endpoint {
-    let adapters = [life as u32];
-    let born = Some(BORN[life]);
+/// Returns the entry of an incarnation, which holds the adapter of that
+/// number.
+fn entry(incarnation: usize, revision: u64) -> Endpoint {
+    let adapters = [incarnation as u32];
+    let born = Some(BORN[incarnation]);
     Endpoint { revision, born, ..endpoint(ID, "z1", &adapters) }
 }
 
-fn reported(life: usize) -> EngineReport {
-    let born = Some(BORN[life]);
-    EngineReport { born, ..report(&[life as u32], 0) }
+fn reported(incarnation: usize) -> EngineReport {
+    let born = Some(BORN[incarnation]);
+    EngineReport { born, ..report(&[incarnation as u32], 0) }
 }
 
-fn placed(life: usize) -> Placed {
+fn placed(incarnation: usize) -> Placed {
     Placed {
         epoch: 1,
         endpoint: ID.to_owned(),
-        key: key(life as u32),
+        key: key(incarnation as u32),
         version: 1,
         ready_in_ms: 0,
         is_cold: false,
-        born: Some(BORN[life]),
+        born: Some(BORN[incarnation]),
     }
 }
 
-fn holds(view: &FleetView, life: usize) -> bool {
+fn holds(view: &FleetView, incarnation: usize) -> bool {
     let state = view.get(&ID.to_owned()).expect("it is listed");
-    state.placement(&key(life as u32)).is_some()
+    state.placement(&key(incarnation as u32)).is_some()
 }
 
 #[test]
-fn a_new_life_holds_nothing_of_the_one_before() {
+fn a_new_incarnation_holds_no_adapters_of_the_previous_one() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(entry(0, 1), now);
@@ -57,15 +59,15 @@
     assert_eq!(sent_to(&choose(&view, &key(0), now)), Some(ID));
     view.apply_entry(entry(1, 2), now);
     assert_eq!(choose(&view, &key(0), now), Choice::Absent);
-    // What it holds is asked for before it gets orders.
+    // The engine is asked for its adapters before it gets orders.
     assert!(!view.get(&ID.to_owned()).expect("listed").is_ordered_by_us());
     assert!(view.warm(&key(0)).is_empty());
 }
 
-/// A report shows a new life before its entry does; the old one's entry, which
-/// is still under way, does not bring the old life back.
+/// A report shows a new incarnation before its entry does. The previous
+/// incarnation's entry, which is still on its way, must not bring that back.
 #[test]
-fn an_older_entry_after_a_report_of_the_new_life_says_nothing() {
+fn an_old_entry_after_a_report_of_a_new_incarnation_is_ignored() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(entry(0, 1), now);
@@ -76,7 +78,7 @@
 }
 
 #[test]
-fn an_older_report_after_the_new_life_began_says_nothing() {
+fn an_old_report_after_an_entry_of_a_new_incarnation_is_ignored() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(entry(0, 1), now);
@@ -86,7 +88,7 @@
 }
 
 #[test]
-fn older_notes_after_the_new_life_began_say_nothing() {
+fn old_notes_after_an_entry_of_a_new_incarnation_are_ignored() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(entry(0, 1), now);
@@ -103,10 +105,10 @@
     assert!(holds(&view, 1));
 }
 
-/// A list that is seconds old shows the life before to an instance that has taken
-/// the endpoint out meanwhile.
+/// A list that is seconds old shows the previous incarnation to an instance
+/// that has removed the endpoint meanwhile.
 #[test]
-fn a_stale_list_does_not_bring_an_older_life_back() {
+fn a_stale_list_does_not_restore_an_old_incarnation() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(entry(1, 8), now);
@@ -117,10 +119,10 @@
     assert_eq!(sent_to(&choose(&view, &key(2), now)), Some(ID));
 }
 
-/// An endpoint that was ejected, suspected or left is as any other once it has
-/// started again.
+/// An endpoint that was ejected, suspected or draining counts as healthy after
+/// a restart.
 #[test]
-fn a_new_life_is_not_blamed_for_the_one_before() {
+fn a_new_incarnation_starts_with_clean_health() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(entry(0, 1), now);
@@ -138,66 +140,69 @@
     assert_eq!(sent_to(&choose(&view, &key(2), now)), Some(ID));
 }
 
-/// A word about one of the lives.
+/// A message about one of the incarnations.
 #[derive(Clone, Copy, Debug)]
-enum Word {
+enum Message {
     Entry,
     Report,
     Note,
-    Gone,
+    Removal,
 }
 
-fn word() -> impl Strategy<Value = (usize, Word, u64)> {
+fn message() -> impl Strategy<Value = (usize, Message, u64)> {
     let kind = prop_oneof![
-        3 => Just(Word::Entry),
-        2 => Just(Word::Report),
-        2 => Just(Word::Note),
-        1 => Just(Word::Gone),
+        3 => Just(Message::Entry),
+        2 => Just(Message::Report),
+        2 => Just(Message::Note),
+        1 => Just(Message::Removal),
     ];
     (0..BORN.len(), kind, 0..10_u64)
 }
 
 proptest! {
-    /// Whatever is heard late and in whatever order, what is known is of one
-    /// life; one that was left is not taken up again; and the newest entry, once
-    /// it comes, holds.
+    /// Whatever arrives late and in whatever order, what is known belongs to
+    /// one incarnation; an incarnation that was replaced does not become
+    /// current again; and the newest entry prevails once it arrives.
     #[test]
-    fn a_life_that_is_over_never_comes_back(
-        words in proptest::collection::vec(word(), 1..60),
+    fn an_ended_incarnation_never_becomes_current_again(
+        messages in proptest::collection::vec(message(), 1..60),
     ) {
         let now = Instant::now();
         let id = ID.to_owned();
         let mut view = FleetView::new("z1");
         let mut heard = [false; 4];
         let mut listed = None;
-        for (life, word, nth) in words {
+        for (incarnation, message, nth) in messages {
             let known = view.incarnation(&id);
-            // A life's entries lie after those of the life before.
-            let revision = life as u64 * 20 + nth + 1;
-            match word {
-                Word::Entry => view.apply_entry(entry(life, revision), now),
-                Word::Gone => view.remove_entry(&id, revision + 10, true, now),
-                // An endpoint is asked once it is listed, and an answer that is
-                // late comes from a life that was heard of.
+            // The revisions of an incarnation's entries follow those of the
+            // previous incarnation.
+            let revision = incarnation as u64 * 20 + nth + 1;
+            match message {
+                Message::Entry => view.apply_entry(entry(incarnation, revision), now),
+                Message::Removal => view.remove_entry(&id, revision + 10, true, now),
+                // An endpoint is asked for a report only once it is listed,
+                // and a late answer comes from an incarnation that was known
+                // before.
                 _ if view.get(&id).is_none() => continue,
-                _ if !heard[life] && heard[life..].contains(&true) => {
+                _ if !heard[incarnation] && heard[incarnation..].contains(&true) => {
                     continue;
                 }
-                Word::Report => {
-                    view.apply_report(&id, &reported(life), now);
+                Message::Report => {
+                    view.apply_report(&id, &reported(incarnation), now);
                 }
-                Word::Note => view.apply_placed(&placed(life), now),
+                Message::Note => view.apply_placed(&placed(incarnation), now),
             }
-            // A life is left for good once an entry has shown a later one.
-            if heard[life] && listed.is_some_and(|listed| life < listed) {
+            // An incarnation is over for good once an entry has shown a later
+            // one.
+            if heard[incarnation] && listed.is_some_and(|listed| incarnation < listed) {
                 prop_assert_eq!(view.incarnation(&id), known);
             }
-            if matches!(word, Word::Entry)
-                && view.incarnation(&id) == Some(BORN[life])
+            if matches!(message, Message::Entry)
+                && view.incarnation(&id) == Some(BORN[incarnation])
             {
-                listed = listed.max(Some(life));
+                listed = listed.max(Some(incarnation));
             }
-            heard[life] |= view.incarnation(&id) == Some(BORN[life]);
+            heard[incarnation] |= view.incarnation(&id) == Some(BORN[incarnation]);
             let Some(state) = view.get(&id) else { continue };
             let held = (0..BORN.len())
                 .filter(|n| state.placement(&key(*n as u32)).is_some());
--- a/crates/fleet/tests/limit_model.rs
+++ b/crates/fleet/tests/limit_model.rs
@@ -1,8 +1,9 @@
-//! Instances that share the limit of one endpoint, in virtual time: what reaches the
-//! endpoint within four seconds, and how much of its limit is used.
+//! Simulation of instances that share the limit of one endpoint, in virtual
+//! time: the requests that reach the endpoint within four seconds, and the
+//! fraction of its limit that is used.
 //!
 //! `cargo test -p sedgewall-fleet --test limit_model -- --ignored --nocapture`
-//! prints the table of all ways.
+//! prints the table of all strategies.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -19,65 +20,69 @@
 
 const ENDPOINT: &str = "e1";
 
-/// How long a run lasts, and from when on the limit is in force.
+/// The duration of a run, and when the limit is announced and in force.
 const LASTS_MS: u64 = 40_000;
 const ANNOUNCED_MS: u64 = 2_000;
 const IN_FORCE_MS: u64 = ANNOUNCED_MS + 3_000;
 
 const STATUS_MS: u64 = 150;
 
-/// One note in twenty is lost.
+/// The probability that a note is lost: one in twenty.
 const LOST: f64 = 0.05;
 
-/// How a limit is shared.
+/// The strategy by which a limit is shared.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
-    /// Each instance has an equal part, in a bucket of one request.
+enum Sharing {
+    /// Each instance has an equal share, in a bucket of one request.
     Equal,
-    /// As few instances send as have a request a second each, in equal parts.
+    /// Only as many instances send as have one request per second each, in
+    /// equal shares.
     FewSenders,
-    /// Parts by demand, and at random where parts are small.
+    /// Shares by demand, and random admission where shares are small.
     ByDemand,
 }
 
-/// How requests that want to go to the endpoint come.
+/// The arrival pattern of requests for the endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Load {
     Even,
-    /// The first instance gets nine times what the last one gets.
+    /// The first instance gets nine times the requests of the last one.
     Skewed,
-    /// Nothing for five seconds, then as much as otherwise in ten.
+    /// No requests for five seconds, then the usual rate for ten seconds.
     InBursts,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Run {
-    way: Way,
+    sharing: Sharing,
     load: Load,
     instances: usize,
     limit_per_s: f64,
-    /// Demand as a multiple of the limit.
+    /// The demand as a multiple of the limit.
     demand: f64,
-    /// The last so many instances neither hear nor are heard, from a moment on.
+    /// The number of instances at the end of the list that neither send nor
+    /// receive notes in the second half of the run.
     cut: usize,
     seed: u64,
 }
 
-/// A note on its way: its sender, who hears it, and what it says.
-struct OnWay {
+/// A note in transit: its sender, its recipient, and its content.
+struct InTransit {
     from: usize,
     to: usize,
     reports: Vec<LimitReport>,
     is_total: bool,
 }
 
-struct Seen {
-    /// When requests reached the endpoint, and from instances that were not cut.
+struct Arrivals {
+    /// When requests reached the endpoint, in total and from instances that
+    /// are not cut off.
     sent_ms: Vec<u64>,
     from_linked_ms: Vec<u64>,
 }
 
-/// A bucket of an equal part, for the ways that are compared.
+/// A bucket with an equal share, for the strategies that serve as a
+/// comparison.
 #[derive(Clone, Copy)]
 struct EqualBucket {
     tokens: f64,
@@ -97,7 +102,7 @@
     }
 }
 
-fn play(run: Run) -> Seen {
+fn simulate(run: Run) -> Arrivals {
     let mut rng = StdRng::seed_from_u64(run.seed);
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
@@ -116,13 +121,14 @@
     let phases: Vec<u64> =
         (0..count).map(|_| rng.random_range(0..STATUS_MS * 2)).collect();
     let cut_from_ms = LASTS_MS / 2;
-    let mut due: HashMap<u64, Vec<OnWay>> = HashMap::new();
-    let mut seen = Seen { sent_ms: Vec::new(), from_linked_ms: Vec::new() };
+    let mut due: HashMap<u64, Vec<InTransit>> = HashMap::new();
+    let mut arrivals =
+        Arrivals { sent_ms: Vec::new(), from_linked_ms: Vec::new() };
     for ms in 0..LASTS_MS {
         let now = at(ms);
         let is_cut = |n: usize| ms >= cut_from_ms && n + run.cut >= count;
         for note in due.remove(&ms).unwrap_or_default() {
-            let OnWay { from, to, reports, is_total } = note;
+            let InTransit { from, to, reports, is_total } = note;
             let pause_ms = if is_many { STATUS_MS * 2 } else { STATUS_MS };
             let until = now + Duration::from_millis(pause_ms * 6);
             let from = format!("i{from}");
@@ -139,7 +145,8 @@
             if ms % pause_ms != phase % pause_ms || is_cut(from) {
                 continue;
             }
-            // Among many, all tell the first instance, and it tells all the sums.
+            // With many instances, all report to the first one, which
+            // publishes the totals.
             let is_total = is_many && from == 0;
             let reports = shares[from].reports(is_total, now);
             let hears = (0..count).filter(|to| {
@@ -153,7 +160,7 @@
                 }
                 let arrives = ms + rng.random_range(1..8);
                 let reports = reports.clone();
-                let note = OnWay { from, to, reports, is_total };
+                let note = InTransit { from, to, reports, is_total };
                 due.entry(arrives).or_default().push(note);
             }
         }
@@ -170,18 +177,18 @@
             shares[n].record_demand(&endpoint, now);
             let is_limited = ms >= ANNOUNCED_MS;
             let is_sent = !is_limited
-                || match run.way {
-                    Way::ByDemand => {
+                || match run.sharing {
+                    Sharing::ByDemand => {
                         let request =
                             PermitRequest { draw, instances: Some(count) };
                         let permit = shares[n].take(&endpoint, request, now);
                         permit == Permit::Granted
                     }
-                    Way::Equal => {
+                    Sharing::Equal => {
                         let part = run.limit_per_s / count as f64;
                         buckets[n].take(part, ms)
                     }
-                    Way::FewSenders => {
+                    Sharing::FewSenders => {
                         let senders =
                             (run.limit_per_s as usize + 2).min(count);
                         let part = run.limit_per_s / senders as f64;
@@ -191,9 +198,9 @@
             if !is_sent {
                 continue;
             }
-            seen.sent_ms.push(ms);
+            arrivals.sent_ms.push(ms);
             if !is_cut(n) {
-                seen.from_linked_ms.push(ms);
+                arrivals.from_linked_ms.push(ms);
             }
             if is_limited {
                 let limit = AnnouncedLimit::PerSecond(run.limit_per_s);
@@ -201,10 +208,11 @@
             }
         }
     }
-    seen
+    arrivals
 }
 
-/// Returns the most requests in some 4 s as a multiple of what is allowed.
+/// Returns the maximum number of requests within any 4 s, as a multiple of
+/// what is allowed.
 fn excess(sent_ms: &[u64], limit_per_s: f64) -> f64 {
     let late: Vec<u64> =
         sent_ms.iter().copied().filter(|ms| *ms >= IN_FORCE_MS).collect();
@@ -219,8 +227,8 @@
     most as f64 / (6.0 * limit_per_s + 5.0)
 }
 
-/// Returns the part of the limit that is used.
-fn used(sent_ms: &[u64], limit_per_s: f64) -> f64 {
+/// Returns the fraction of the limit that is used.
+fn utilization(sent_ms: &[u64], limit_per_s: f64) -> f64 {
     let late = sent_ms.iter().filter(|ms| **ms >= IN_FORCE_MS).count();
     let s = (LASTS_MS - IN_FORCE_MS) as f64 / 1_000.0;
     late as f64 / (limit_per_s * s)
@@ -230,31 +238,39 @@
 const LIMITS_PER_S: [f64; 4] = [0.5, 4.0, 20.0, 200.0];
 const LOADS: [Load; 3] = [Load::Even, Load::Skewed, Load::InBursts];
 
-fn run(way: Way, load: Load, instances: usize, limit_per_s: f64) -> Run {
+fn run(
+    sharing: Sharing,
+    load: Load,
+    instances: usize,
+    limit_per_s: f64,
+) -> Run {
     let (demand, cut, seed) = (2.5, 0, 7);
-    Run { way, load, instances, limit_per_s, demand, cut, seed }
+    Run { sharing, load, instances, limit_per_s, demand, cut, seed }
 }
 
 #[test]
 #[ignore = "prints the table of docs/design/endpoint-announcements.md"]
-fn table_of_ways() {
+fn table_of_strategies() {
     println!("instances limit load: excess and use of each way");
     for instances in SIZES {
         for limit_per_s in LIMITS_PER_S {
             for load in LOADS {
                 print!("{instances:4} {limit_per_s:6} {load:?}:");
-                for way in [Way::Equal, Way::FewSenders, Way::ByDemand] {
+                for sharing in
+                    [Sharing::Equal, Sharing::FewSenders, Sharing::ByDemand]
+                {
                     let (mut worst, mut use_sum) = (0.0_f64, 0.0);
                     for seed in 0..5 {
                         let run = Run {
                             seed,
-                            ..run(way, load, instances, limit_per_s)
+                            ..run(sharing, load, instances, limit_per_s)
                         };
-                        let seen = play(run);
-                        worst = worst.max(excess(&seen.sent_ms, limit_per_s));
-                        use_sum += used(&seen.sent_ms, limit_per_s);
+                        let arrivals = simulate(run);
+                        worst =
+                            worst.max(excess(&arrivals.sent_ms, limit_per_s));
+                        use_sum += utilization(&arrivals.sent_ms, limit_per_s);
                     }
-                    print!("  {way:?} {worst:.2} {:.2}", use_sum / 5.0);
+                    print!("  {sharing:?} {worst:.2} {:.2}", use_sum / 5.0);
                 }
                 println!();
             }
@@ -262,15 +278,16 @@
     }
 }
 
-/// Symptom: engines got 1.4 and 1.9 times what is allowed to reach them.
+/// Guards against exceeding a limit together. Engines got 1.4 and 1.9 times
+/// the requests that are allowed to reach them.
 #[test]
 fn instances_together_keep_to_a_limit() {
     for instances in [6, 30, 300] {
         for limit_per_s in LIMITS_PER_S {
             for load in LOADS {
-                let run = run(Way::ByDemand, load, instances, limit_per_s);
-                let seen = play(run);
-                let excess = excess(&seen.sent_ms, limit_per_s);
+                let run = run(Sharing::ByDemand, load, instances, limit_per_s);
+                let arrivals = simulate(run);
+                let excess = excess(&arrivals.sent_ms, limit_per_s);
                 assert!(excess <= 1.0, "{excess}: {run:?}");
             }
         }
@@ -278,14 +295,14 @@
 }
 
 #[test]
-fn most_of_a_limit_is_used_where_demand_is_there() {
+fn most_of_a_limit_is_used_under_sufficient_demand() {
     for (instances, least) in [(6, 0.8), (30, 0.6), (300, 0.6)] {
         for limit_per_s in [4.0, 20.0, 200.0] {
             for load in [Load::Even, Load::Skewed] {
-                let run = run(Way::ByDemand, load, instances, limit_per_s);
-                let seen = play(run);
-                let used = used(&seen.sent_ms, limit_per_s);
-                assert!(used >= least, "{used}: {run:?}");
+                let run = run(Sharing::ByDemand, load, instances, limit_per_s);
+                let arrivals = simulate(run);
+                let utilization = utilization(&arrivals.sent_ms, limit_per_s);
+                assert!(utilization >= least, "{utilization}: {run:?}");
             }
         }
     }
@@ -294,10 +311,10 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(16))]
 
-    /// Instances that are cut off go by what they heard last; the others keep to
-    /// the limit by themselves.
+    /// Instances that are cut off use what they heard last; the other
+    /// instances keep to the limit by themselves.
     #[test]
-    fn cuts_let_the_others_keep_to_a_limit(
+    fn instances_that_stay_connected_keep_to_a_limit_during_a_partition(
         instances in 2_usize..60,
         cut_part in 0.0..0.6_f64,
         limit_per_s in 0.5..40.0_f64,
@@ -306,11 +323,11 @@
         seed in 0..1_000_u64,
     ) {
         let cut = (instances as f64 * cut_part) as usize;
-        let way = Way::ByDemand;
+        let sharing = Sharing::ByDemand;
         let run =
-            Run { way, load, instances, limit_per_s, demand, cut, seed };
-        let seen = play(run);
-        let excess = excess(&seen.from_linked_ms, limit_per_s);
+            Run { sharing, load, instances, limit_per_s, demand, cut, seed };
+        let arrivals = simulate(run);
+        let excess = excess(&arrivals.from_linked_ms, limit_per_s);
         prop_assert!(excess <= 1.0, "{excess}");
     }
 }
--- a/crates/fleet/tests/view_rules.rs
+++ b/crates/fleet/tests/view_rules.rs
@@ -1,4 +1,5 @@
-//! The table of endpoints: where a request may go, and what is believed.
+//! Tests of the table of endpoints: where a request may go, and which source
+//! takes precedence.
 
 mod common;
 
@@ -33,7 +34,7 @@
 }
 
 #[test]
-fn a_request_goes_only_where_its_adapter_is() {
+fn a_request_goes_only_to_an_endpoint_with_its_adapter() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn an_endpoint_that_others_see_leave_gets_nothing() {
+fn an_endpoint_with_a_reported_departure_gets_nothing() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn a_coming_adapter_is_used_once_it_is_ready() {
+fn a_loading_adapter_is_used_once_it_is_ready() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[]), now);
@@ -94,7 +95,7 @@
 }
 
 #[test]
-fn a_late_list_neither_hides_nor_shows_what_a_note_changed() {
+fn a_note_takes_precedence_over_a_late_list() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[2]), now);
@@ -117,13 +118,13 @@
 }
 
 #[test]
-fn an_old_version_gets_work_for_a_while_and_then_none() {
+fn an_old_version_gets_requests_only_within_the_grace_period() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
     view.record_version(&key(1), 2, now);
     assert_eq!(sent_to(&choose(&view, &key(1), now)), Some("e1"));
-    // The platform allows 5 s from the naming to the beginning of a run.
+    // The platform allows 5 s from the announcement until the request runs.
     let late = now + Duration::from_millis(2_600);
     assert_eq!(choose(&view, &key(1), late), Choice::Absent);
     let mut new = endpoint("e2", "z1", &[]);
@@ -136,7 +137,7 @@
 }
 
 #[test]
-fn an_older_version_is_never_the_newest_again() {
+fn the_newest_version_never_decreases() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.record_version(&key(1), 3, now);
@@ -144,7 +145,7 @@
     assert_eq!(view.newest(&key(1)).map(|(version, _)| version), Some(3));
 }
 
-/// What a peer says that it has under way at one endpoint.
+/// Returns a peer's status note with `count` requests at one endpoint.
 fn own_status(from: &str, sequence: u64, count: u32) -> Status {
     let work = vec![("e1".to_owned(), requests(count))];
     Status { sequence, ..status(from, work) }
@@ -155,7 +156,7 @@
 }
 
 #[test]
-fn sums_of_the_holder_count_while_it_speaks() {
+fn totals_of_the_lease_holder_count_while_they_are_valid() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
@@ -167,7 +168,7 @@
     assert_eq!(told, [("e1".to_owned(), requests(2))]);
     let sums = Status { is_total: true, ..own_status("holder", 1, 9) };
     view.apply_status(sums, now);
-    // Nine in all, of which two are ours.
+    // The total is nine, of which two are this instance's own.
     assert_eq!(in_flight(&view), Some(9));
     if let Some(state) = view.get_mut(&"e1".to_owned()) {
         state.own_work = requests(3);
@@ -181,7 +182,7 @@
 }
 
 #[test]
-fn the_holder_tells_the_sums_of_all() {
+fn the_lease_holder_publishes_the_totals() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
@@ -196,11 +197,11 @@
     assert!(!totals.is_part);
 }
 
-/// Many instances whose table shows the same must not all choose the same
-/// endpoint until the next note: the small service of a grown site turned down
-/// 28 of 100 requests.
+/// Guards against herding: instances with the same table must not all choose
+/// the same endpoint until the next note. The small service of a large
+/// installation rejected 28 of 100 requests.
 #[test]
-fn many_instances_do_not_choose_alike() {
+fn many_instances_do_not_choose_the_same_endpoint() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     for n in 0..7 {
@@ -209,7 +210,7 @@
     for n in 0..60 {
         view.apply_status(own_status(&format!("peer{n}"), 1, 0), now);
     }
-    // One seems a little less loaded than the others.
+    // One endpoint seems a little less loaded than the others.
     for n in 1..7 {
         if let Some(state) = view.get_mut(&format!("e{n}")) {
             state.own_work = requests(2);
@@ -249,7 +250,7 @@
 }
 
 #[test]
-fn a_silent_peer_counts_no_longer() {
+fn a_silent_peer_no_longer_counts() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
@@ -275,7 +276,7 @@
 }
 
 #[test]
-fn an_endpoint_that_turned_a_request_down_is_not_asked_again() {
+fn an_endpoint_that_rejected_a_request_is_not_chosen_again() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
@@ -286,7 +287,7 @@
 }
 
 #[test]
-fn a_send_that_was_turned_away_frees_no_place_in_the_holders_table() {
+fn a_rejected_request_frees_no_slot_in_the_lease_holders_table() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
@@ -297,9 +298,9 @@
     assert!(state.is_some_and(|state| state.placement(&key(1)).is_some()));
 }
 
-/// The list is a second late.
+/// The platform's list is one second late.
 #[test]
-fn the_holder_believes_its_own_orders_over_the_list() {
+fn the_lease_holders_orders_take_precedence_over_the_list() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[]), now);
@@ -316,9 +317,9 @@
     assert_eq!(placements, Some(2));
 }
 
-/// An entry went while the store was down, and came back.
+/// The entry was removed while the store was down, and was added again.
 #[test]
-fn an_engine_whose_entry_came_back_is_not_known() {
+fn an_engine_whose_entry_was_added_again_is_not_known() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     let id = "e1".to_owned();
@@ -332,8 +333,8 @@
     assert!(view.get(&id).is_some_and(|s| !s.is_ordered_by_us()));
 }
 
-/// Takes in answers of engines that read 20 tokens in a millisecond.
-fn learn_pace(view: &mut FleetView) {
+/// Records responses of engines that prefill 20 tokens per millisecond.
+fn observe_first_events(view: &mut FleetView) {
     for n in 1..40_u64 {
         let took = Duration::from_millis(n * 50);
         view.observe_first_event(SERVICE, n * 1_000, took);
@@ -341,13 +342,13 @@
 }
 
 #[test]
-fn the_engine_that_begins_sooner_gets_the_request() {
+fn the_engine_with_the_earlier_first_event_gets_the_request() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
     view.apply_entry(endpoint("e2", "z1", &[1]), now);
-    learn_pace(&mut view);
-    // One long prompt against three requests that are being answered.
+    observe_first_events(&mut view);
+    // One long prompt against three requests whose responses have begun.
     if let Some(state) = view.get_mut(&"e1".to_owned()) {
         state.own_work.begin(Some(&key(1)), 30_000);
     }
@@ -358,19 +359,19 @@
 }
 
 #[test]
-fn a_request_that_would_come_late_waits_for_a_copy_if_it_may() {
+fn a_late_request_waits_for_another_copy_if_it_may() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
     view.apply_entry(endpoint("e2", "z1", &[]), now);
-    learn_pace(&mut view);
+    observe_first_events(&mut view);
     if let Some(state) = view.get_mut(&"e1".to_owned()) {
         state.own_work.begin(Some(&key(1)), 30_000);
     }
     let key = key(1);
     let patient = Need { may_wait: true, ..need(&key) };
     assert_eq!(view.choose(patient, now), Choice::Busy(None));
-    // It knows when a copy is on its way.
+    // The expected time is known once a copy is being loaded.
     let ready_in = Duration::from_millis(200);
     let placed = Placed {
         epoch: 1,
@@ -384,18 +385,18 @@
     view.apply_placed(&placed, now);
     assert_eq!(view.choose(patient, now), Choice::Busy(Some(ready_in)));
     assert_eq!(sent_to(&view.choose(patient, now + ready_in)), Some("e2"));
-    // One that may wait no longer is sent where it can run.
+    // A request that may not wait any longer is sent where it can run.
     let hasty = Need { may_wait: false, ..patient };
     assert_eq!(sent_to(&view.choose(hasty, now)), Some("e1"));
 }
 
-/// A prompt that is too long by itself gains nothing by waiting.
+/// A prompt that is late by its own length gains nothing by waiting.
 #[test]
-fn a_request_that_is_late_by_its_own_length_does_not_wait() {
+fn a_request_that_is_late_by_its_own_prompt_does_not_wait() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
-    learn_pace(&mut view);
+    observe_first_events(&mut view);
     let key = key(1);
     let long = Need { prompt_tokens: 40_000, may_wait: true, ..need(&key) };
     assert_eq!(sent_to(&view.choose(long, now)), Some("e1"));
@@ -416,24 +417,25 @@
     );
 }
 
-/// Symptom: 500 adapters waited for places while 18 new engines had none.
-/// Sequence: the store turns the holder of the lease away for 7 s; engines crash
-/// and are replaced meanwhile; others renew its lease.
-/// Cause: it heard of engines that left, but not of new ones.
+/// Guards against a lease holder that does not learn of new engines while it
+/// cannot reach the store. The store rejected the holder for 7 s while engines
+/// crashed and were replaced, and other instances renewed its lease. The
+/// holder heard of engines that left but not of new ones, so that 500 adapters
+/// waited for slots while 18 new engines had none.
 #[test]
-fn a_holder_without_the_store_hears_of_new_engines_from_others() {
+fn a_lease_holder_without_the_store_learns_of_new_engines_from_notes() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[1]), now);
     let known = endpoint("e1", "z1", &[1]).without_adapters();
     let new = endpoint("e2", "z1", &[2]).without_adapters();
     view.apply_entries(vec![known, new], now);
-    // What is known of the adapters of the first comes from its own entry.
+    // The known adapters of the first engine come from its own entry.
     let first = view.get(&"e1".to_owned()).expect("an engine");
     assert!(first.placement(&key(1)).is_some());
     let second = view.get(&"e2".to_owned()).expect("the new engine");
     assert!(second.has_model("m") && !second.is_ordered_by_us());
-    // One that has left since is not brought back.
+    // An engine that has left since is not brought back.
     let id = "e2".to_owned();
     view.apply_departure(&Departure::of_entry(&id, 5), now);
     let older = endpoint("e2", "z1", &[2]).without_adapters();
@@ -442,13 +444,14 @@
     assert!(!second.is_usable(now));
 }
 
-/// Symptom: 715 requests in six seconds were sent to engines that had not heard of
-/// their adapters, and spent the repeats of others.
-/// Sequence: the holder plans a load; an order before it to the same engine is
-/// left unanswered for 0.8 s; an instance that asks is told of the place.
-/// Cause: a load that was planned counted as one that the engine had taken.
+/// Guards against sending requests to engines that have not accepted the load
+/// order yet. The lease holder plans a load, a previous order to the same
+/// engine is unanswered for 0.8 s, and an instance that asks is told of the
+/// placement. Planned loads counted as accepted ones, so that 715 requests in
+/// six seconds were sent to engines without their adapters, and used up the
+/// retries of other requests.
 #[test]
-fn a_planned_load_takes_a_place_and_no_requests() {
+fn a_planned_load_occupies_a_slot_and_gets_no_requests() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[]), now);
@@ -456,7 +459,7 @@
     let held = view.get(&"e1".to_owned()).expect("an engine");
     assert!(held.placement(&key(1)).is_some());
     assert_eq!(view.placement_notes(&key(1), 1, now), []);
-    // The order goes out 0.8 s later; the load begins then.
+    // The order is sent 0.8 s later, and the load begins then.
     let taken = now + Duration::from_millis(800);
     let choice = choose(&view, &key(1), taken);
     assert!(matches!(choice, Choice::Loading(_)), "{choice:?}");
@@ -470,10 +473,11 @@
     assert_eq!(sent_to(&choice), Some("e1"));
 }
 
-/// Symptom: with 1,010 engines a note of the sums took a sixth of a relay's link,
-/// with 3,000 it would not fit a datagram. Cause: each note held all sums.
+/// Guards against notes that contain all totals: with 1,010 engines such a
+/// note took a sixth of a relay's link, and with 3,000 it would not fit a
+/// datagram.
 #[test]
-fn sums_of_many_endpoints_are_told_in_parts_and_come_out_right() {
+fn totals_of_many_endpoints_are_published_in_parts_and_converge() {
     let now = Instant::now();
     let ids: Vec<String> = (0..1_000).map(|n| format!("e{n:04}")).collect();
     let mut holder = FleetView::new("z1");
@@ -520,7 +524,7 @@
 }
 
 #[test]
-fn entries_that_the_holder_lacks_fit_a_note() {
+fn entries_for_the_lease_holder_fit_a_note() {
     let now = Instant::now();
     let mut view = FleetView::new("z1");
     for n in 1..=1_000 {
