--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -28,28 +28,28 @@
 };
 
 /// Adapters on their way to one engine at once; the platform allows this many.
-const COMING_PER_ENGINE: usize = 4;
+const MAX_LOADING_PER_ENGINE: usize = 4;
 
 /// Requests under way for one adapter on one engine, as a part of its slots,
 /// beyond which another engine gets the adapter too.
-const SHARE_OF_ENGINE: f64 = 0.2;
+const MAX_ADAPTER_SLOT_SHARE: f64 = 0.2;
 
 /// How long a request holds a slot, to turn rates into requests under way.
 const SERVICE_TIME_S: f64 = 0.7;
 
 /// Requests under way as a part of an engine's slots, beyond which what it
 /// holds gets another engine too.
-const FULL_LOAD: f64 = 0.85;
+const MAX_UTILIZATION: f64 = 0.85;
 
 /// An engine that has not reported is asked again after this long.
-const SYNC_AGAIN: Duration = Duration::from_millis(700);
+const SYNC_RETRY_INTERVAL: Duration = Duration::from_millis(700);
 
 /// How often more is looked at than what requests wait for: engines that came,
 /// versions, replicas.
-const WHOLE_LOOK_EVERY: Duration = Duration::from_millis(100);
+const FULL_PASS_INTERVAL: Duration = Duration::from_millis(100);
 
 /// An order that shows no effect is given again after this long.
-const ORDER_AGAIN: Duration = Duration::from_secs(4);
+const ORDER_RETRY_INTERVAL: Duration = Duration::from_secs(4);
 
 /// Decides for all engines, while its instance holds the lease.
 #[derive(Clone, Debug)]
@@ -91,7 +91,7 @@
         now: Instant,
     ) -> Vec<Order> {
         let is_whole =
-            self.looked.is_none_or(|at| now - at >= WHOLE_LOOK_EVERY);
+            self.looked.is_none_or(|at| now - at >= FULL_PASS_INTERVAL);
         if is_whole {
             self.looked = Some(now);
             self.forget(now);
@@ -125,7 +125,7 @@
     }
 
     fn forget(&mut self, now: Instant) {
-        self.ordered.retain(|_, at| now - *at < ORDER_AGAIN);
+        self.ordered.retain(|_, at| now - *at < ORDER_RETRY_INTERVAL);
     }
 }
 
@@ -158,7 +158,7 @@
         for (endpoint, address) in unknown {
             let id = (endpoint.clone(), asked.clone());
             if let Some(at) = self.loader.ordered.get(&id)
-                && self.now - *at < SYNC_AGAIN
+                && self.now - *at < SYNC_RETRY_INTERVAL
             {
                 continue;
             }
@@ -254,7 +254,7 @@
     /// room for a request.
     fn can_be_served(&self, key: &AdapterKey) -> bool {
         self.holders(key).any(|state| {
-            state.load() < FULL_LOAD
+            state.load() < MAX_UTILIZATION
                 && self.view.backlog(state) < BUSY_BACKLOG
                 && !state.is_saturated(self.now)
         })
@@ -269,7 +269,7 @@
                 continue;
             }
             let under_way = self.rate(key) * SERVICE_TIME_S;
-            let wanted = (under_way / (slots * SHARE_OF_ENGINE)).ceil();
+            let wanted = (under_way / (slots * MAX_ADAPTER_SLOT_SHARE)).ceil();
             if wanted <= 1.0 {
                 continue;
             }
@@ -338,7 +338,7 @@
         let on_their_way = state
             .placements()
             .filter(|(_, placement)| placement.is_loading(self.now));
-        on_their_way.count() >= COMING_PER_ENGINE
+        on_their_way.count() >= MAX_LOADING_PER_ENGINE
     }
 
     fn is_ours(&self, key: &AdapterKey) -> bool {
--- a/crates/fleet/src/placement/target.rs
+++ b/crates/fleet/src/placement/target.rs
@@ -4,7 +4,7 @@
 
 use sedgewall_state::id::EndpointId;
 
-use super::{FULL_LOAD, SERVICE_TIME_S, Turn};
+use super::{MAX_UTILIZATION, SERVICE_TIME_S, Turn};
 use crate::{
     adapter::AdapterKey,
     endpoint_state::EndpointState,
@@ -144,7 +144,7 @@
             address: state.endpoint.address,
             zone: state.endpoint.zone.clone(),
             models: models.map(|model| model.key.model.clone()).collect(),
-            is_full: state.load() >= FULL_LOAD,
+            is_full: state.load() >= MAX_UTILIZATION,
             backlog: self.view.backlog(state),
             pressure: self.view.pressure(state),
             rate_per_s: shares.sum(),
