--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -55,10 +55,10 @@
 #[derive(Clone, Debug)]
 pub struct PlacementPlanner {
     epoch: Epoch,
-    store: LoadRateLimiter,
+    load_limiter: LoadRateLimiter,
     ordered: HashMap<(EndpointId, AdapterKey), Instant>,
     /// When all was looked at, not only what requests wait for.
-    looked: Option<Instant>,
+    last_full_pass: Option<Instant>,
 }
 
 impl PlacementPlanner {
@@ -66,17 +66,17 @@
     /// have used the weight store's whole rate until now.
     pub fn new(
         epoch: Epoch,
-        mut store: LoadRateLimiter,
+        mut load_limiter: LoadRateLimiter,
         now: Instant,
     ) -> PlacementPlanner {
         if epoch > 1 {
-            store.assume_used(now);
+            load_limiter.assume_used(now);
         }
         PlacementPlanner {
             epoch,
             store,
             ordered: HashMap::new(),
-            looked: None,
+            last_full_pass: None,
         }
     }
 
@@ -90,16 +90,16 @@
         times: &mut LoadTimes,
         now: Instant,
     ) -> Vec<Order> {
-        let is_whole =
-            self.looked.is_none_or(|at| now - at >= FULL_PASS_INTERVAL);
-        if is_whole {
-            self.looked = Some(now);
-            self.forget(now);
+        let is_full_pass =
+            self.last_full_pass.is_none_or(|at| now - at >= FULL_PASS_INTERVAL);
+        if is_full_pass {
+            self.last_full_pass = Some(now);
+            self.expire_orders(now);
         }
         let mut orders = Vec::new();
         for (service, group) in routing.engines() {
-            let mut turn = Turn {
-                loader: self,
+            let mut pass = PlanningPass {
+                planner: self,
                 service,
                 group,
                 view,
@@ -108,30 +108,30 @@
                 now,
                 engines: None,
             };
-            if is_whole {
-                turn.sync_engines(&mut orders);
-                turn.load_models(&mut orders);
-                turn.replace_versions(&mut orders);
-                turn.add_replicas(&mut orders);
+            if is_full_pass {
+                pass.sync_engines(&mut orders);
+                pass.load_models(&mut orders);
+                pass.replace_versions(&mut orders);
+                pass.add_replicas(&mut orders);
             }
-            turn.serve_demand(&mut orders);
+            pass.serve_demand(&mut orders);
         }
         orders
     }
 
     /// Returns how many loads the weight store allows now.
     pub fn loads_left(&mut self, loads_per_s: f64, now: Instant) -> u32 {
-        self.store.available(now, loads_per_s)
+        self.load_limiter.available(now, loads_per_s)
     }
 
-    fn forget(&mut self, now: Instant) {
+    fn expire_orders(&mut self, now: Instant) {
         self.ordered.retain(|_, at| now - *at < ORDER_RETRY_INTERVAL);
     }
 }
 
 /// One look at the engines of one service.
-struct Turn<'a> {
-    loader: &'a mut PlacementPlanner,
+struct PlanningPass<'a> {
+    planner: &'a mut PlacementPlanner,
     service: &'a str,
     group: &'a EngineGroup,
     view: &'a mut FleetView,
@@ -143,7 +143,7 @@
     engines: Option<Vec<EngineHeadroom>>,
 }
 
-impl Turn<'_> {
+impl PlanningPass<'_> {
     /// Engines of which nobody knows what they hold are asked.
     fn sync_engines(&mut self, orders: &mut Vec<Order>) {
         let asked = AdapterKey::base("");
@@ -157,12 +157,12 @@
             .collect();
         for (endpoint, address) in unknown {
             let id = (endpoint.clone(), asked.clone());
-            if let Some(at) = self.loader.ordered.get(&id)
+            if let Some(at) = self.planner.ordered.get(&id)
                 && self.now - *at < SYNC_RETRY_INTERVAL
             {
                 continue;
             }
-            self.loader.ordered.insert(id, self.now);
+            self.planner.ordered.insert(id, self.now);
             let task = Task::Sync;
             orders.push(Order { endpoint, address, task, is_cold: false });
         }
@@ -178,7 +178,7 @@
             .map(|state| (state.endpoint.id.clone(), state.endpoint.address))
             .collect();
         for (endpoint, address) in empty {
-            if !self.take_turn(&endpoint, &key) || !self.take_model_load() {
+            if !self.claim_order(&endpoint, &key) || !self.acquire_model_load() {
                 continue;
             }
             let task = Task::LoadModel(model.name.clone());
@@ -204,7 +204,7 @@
             }
         }
         for (endpoint, address, key, newest) in old {
-            if !self.take_turn(&endpoint, &key) {
+            if !self.claim_order(&endpoint, &key) {
                 continue;
             }
             let order = |task, is_cold| Order {
@@ -357,7 +357,7 @@
 
     fn remove(&mut self, endpoint: &EndpointId, key: &AdapterKey) {
         let removed = Removed {
-            epoch: self.loader.epoch,
+            epoch: self.planner.epoch,
             endpoint: endpoint.clone(),
             key: key.clone(),
             born: self.view.incarnation(endpoint),
@@ -396,7 +396,7 @@
         is_cold: bool,
     ) -> Placed {
         Placed {
-            epoch: self.loader.epoch,
+            epoch: self.planner.epoch,
             endpoint: endpoint.clone(),
             key: key.clone(),
             version,
@@ -407,21 +407,21 @@
     }
 
     /// Returns whether an order on this key is due; it is not again at once.
-    fn take_turn(&mut self, endpoint: &EndpointId, key: &AdapterKey) -> bool {
+    fn claim_order(&mut self, endpoint: &EndpointId, key: &AdapterKey) -> bool {
         let id = (endpoint.clone(), key.clone());
-        if self.loader.ordered.contains_key(&id) {
+        if self.planner.ordered.contains_key(&id) {
             return false;
         }
-        self.loader.ordered.insert(id, self.now);
+        self.planner.ordered.insert(id, self.now);
         true
     }
 
     /// Takes a load of a base model, if the weight store's rate allows one.
-    fn take_model_load(&mut self) -> bool {
+    fn acquire_model_load(&mut self) -> bool {
         let rate = self.group.loads_per_s;
-        let is_allowed = self.loader.loads_left(rate, self.now) > 0;
+        let is_allowed = self.planner.loads_left(rate, self.now) > 0;
         if is_allowed {
-            self.loader.store.count(self.now);
+            self.planner.load_limiter.count(self.now);
         }
         is_allowed
     }
--- a/crates/fleet/src/placement/target.rs
+++ b/crates/fleet/src/placement/target.rs
@@ -4,7 +4,7 @@
 
 use sedgewall_state::id::EndpointId;
 
-use super::{MAX_UTILIZATION, SERVICE_TIME_S, Turn};
+use super::{MAX_UTILIZATION, SERVICE_TIME_S, PlanningPass};
 use crate::{
     adapter::AdapterKey,
     endpoint_state::EndpointState,
@@ -19,7 +19,7 @@
 
 /// An adapter that was asked for within this time is not removed: a request
 /// may be on its way to it that nobody has told of yet.
-const IN_USE_FOR: Duration = Duration::from_millis(300);
+const RECENT_USE: Duration = Duration::from_millis(300);
 
 /// The engine that an adapter goes to.
 pub(super) struct PlacementTarget {
@@ -40,7 +40,7 @@
     }
 }
 
-impl Turn<'_> {
+impl PlanningPass<'_> {
     /// The engine for an adapter. One that has it at hand keeps it, even if
     /// that takes a moment: a load from the weight store has a price. Else it
     /// is one with the least to do, in the zone that asks if possible. While no
@@ -207,6 +207,6 @@
 
     fn may_be_in_use(&self, key: &AdapterKey) -> bool {
         let Some(demand) = self.demand.get(key) else { return false };
-        self.now - demand.last_asked < IN_USE_FOR
+        self.now - demand.last_asked < RECENT_USE
     }
 }
