--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -220,7 +220,7 @@
                 && self.has_free_place(&endpoint)
                 && self.times.may_begin(self.group.loads_per_s, self.now)
             {
-                let placed = self.placed_cold(&endpoint, &key, newest);
+                let placed = self.start_cold_load(&endpoint, &key, newest);
                 self.view.plan_placement(&placed, self.now);
                 orders.push(order(Task::Load(key, newest), true));
             } else {
@@ -235,7 +235,7 @@
     fn serve_demand(&mut self, orders: &mut Vec<Order>) {
         let mut wanted: Vec<(f64, AdapterKey)> = Vec::new();
         for (key, demand) in self.demand.iter() {
-            if self.is_ours(key)
+            if self.serves_model(key)
                 && demand.has_waiting(self.now)
                 && !self.can_be_served(key)
             {
@@ -265,7 +265,7 @@
         let slots = f64::from(self.group.slots.max(1));
         let mut short = Vec::new();
         for (key, _) in self.demand.iter() {
-            if !self.is_ours(key) || key.adapter.is_none() {
+            if !self.serves_model(key) || key.adapter.is_none() {
                 continue;
             }
             let under_way = self.rate(key) * SERVICE_TIME_S;
@@ -290,24 +290,24 @@
         if !may_begin && self.view.warm(key).is_empty() {
             return false;
         }
-        let Some(home) = self.find_target(key) else { return false };
-        if !home.is_warm && !may_begin {
+        let Some(target) = self.find_target(key) else { return false };
+        if !target.is_warm && !may_begin {
             return false;
         }
-        if let Some(victim) = &home.victim {
-            self.remove(&home.endpoint, victim);
+        if let Some(victim) = &target.victim {
+            self.remove(&target.endpoint, victim);
             let task = Task::Unload(victim.clone());
-            orders.push(home.order(task, false));
+            orders.push(target.order(task, false));
         }
         let version = self.view.newest(key).map_or(1, |(newest, _)| newest);
-        let placed = match home.is_warm {
-            true => self.placed_warm(&home.endpoint, key, version),
-            false => self.placed_cold(&home.endpoint, key, version),
+        let placed = match target.is_warm {
+            true => self.start_warm_load(&target.endpoint, key, version),
+            false => self.start_cold_load(&target.endpoint, key, version),
         };
         self.view.plan_placement(&placed, self.now);
-        self.look_again(&home.endpoint);
+        self.refresh_headroom(&target.endpoint);
         let task = Task::Load(key.clone(), version);
-        orders.push(home.order(task, !home.is_warm));
+        orders.push(target.order(task, !target.is_warm));
         true
     }
 
@@ -334,14 +334,14 @@
         })
     }
 
-    fn coming(&self, state: &EndpointState) -> bool {
+    fn is_loading_limit_reached(&self, state: &EndpointState) -> bool {
         let on_their_way = state
             .placements()
             .filter(|(_, placement)| placement.is_loading(self.now));
         on_their_way.count() >= MAX_LOADING_PER_ENGINE
     }
 
-    fn is_ours(&self, key: &AdapterKey) -> bool {
+    fn serves_model(&self, key: &AdapterKey) -> bool {
         self.group.models.iter().any(|model| model.name == key.model)
     }
 
@@ -366,7 +366,7 @@
     }
 
     /// Begins a load from the weight store.
-    fn placed_cold(
+    fn start_cold_load(
         &mut self,
         endpoint: &EndpointId,
         key: &AdapterKey,
@@ -378,7 +378,7 @@
     }
 
     /// Begins a load from an engine's own memory.
-    fn placed_warm(
+    fn start_warm_load(
         &self,
         endpoint: &EndpointId,
         key: &AdapterKey,
--- a/crates/fleet/src/placement/target.rs
+++ b/crates/fleet/src/placement/target.rs
@@ -53,10 +53,10 @@
         &mut self,
         key: &AdapterKey,
     ) -> Option<PlacementTarget> {
-        let engines = self.engines.take().unwrap_or_else(|| self.rooms());
-        let home = self.cheapest_target(key, &engines);
+        let engines = self.engines.take().unwrap_or_else(|| self.headrooms());
+        let target = self.cheapest_target(key, &engines);
         self.engines = Some(engines);
-        home
+        target
     }
 
     fn cheapest_target(
@@ -90,7 +90,7 @@
             if warm.contains(&engine.endpoint) != is_warm_somewhere {
                 continue;
             }
-            let lost = match &engine.next_slot {
+            let eviction_cost = match &engine.next_slot {
                 NextSlot::None => continue,
                 NextSlot::Free => 0.0,
                 NextSlot::AfterEvicting(_, rate_per_s) => {
@@ -101,7 +101,7 @@
             let expected = engine.rate_per_s * SERVICE_TIME_S;
             let cost = expected / f64::from(self.group.slots)
                 + engine.pressure
-                + lost
+                + eviction_cost
                 + if is_near { 0.0 } else { OTHER_ZONE_COST };
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, engine));
@@ -121,15 +121,15 @@
     }
 
     /// Returns what each engine that is known and usable can take.
-    fn rooms(&self) -> Vec<EngineHeadroom> {
+    fn headrooms(&self) -> Vec<EngineHeadroom> {
         let takes_more = |s: &&EndpointState| {
             s.is_usable(self.now) && !s.is_saturated(self.now)
         };
         let usable = self.engines().filter(takes_more);
-        usable.map(|state| self.room(state)).collect()
+        usable.map(|state| self.headroom(state)).collect()
     }
 
-    fn room(&self, state: &EndpointState) -> EngineHeadroom {
+    fn headroom(&self, state: &EndpointState) -> EngineHeadroom {
         // The base model is on all engines, and its share the same on each; to
         // count its holders for each took 0.34 ms an order among 1,010 engines, and the
         // next look came 2 s later.
@@ -153,7 +153,7 @@
     }
 
     fn next_place(&self, state: &EndpointState) -> NextSlot {
-        if self.coming(state) {
+        if self.is_loading_limit_reached(state) {
             return NextSlot::None;
         }
         match self.make_room(state) {
@@ -167,11 +167,11 @@
     }
 
     /// Looks again at what an engine can take, after an order.
-    pub(super) fn look_again(&mut self, id: &EndpointId) {
+    pub(super) fn refresh_headroom(&mut self, id: &EndpointId) {
         let Some(mut engines) = self.engines.take() else { return };
         let known = engines.iter_mut().find(|e| e.endpoint == *id);
         if let (Some(known), Some(state)) = (known, self.view.get(id)) {
-            *known = self.room(state);
+            *known = self.headroom(state);
         }
         self.engines = Some(engines);
     }
