--- a/crates/fleet/src/load_times.rs
+++ b/crates/fleet/src/load_times.rs
@@ -23,69 +23,69 @@
 
 /// What a load is taken to last before the first answers: on the deployments
 /// that we know it lasts 250 to 288 ms.
-const FIRST_GUESS: Duration = Duration::from_millis(270);
+const INITIAL_LOAD_TIME: Duration = Duration::from_millis(270);
 
 /// What a load takes that an engine brings from its own memory, as a part of one
 /// from the weight store (the platform's pages).
-const WARM_PART: f64 = 0.1;
+const WARM_LOAD_FRACTION: f64 = 0.1;
 
 /// Loads that may come at full speed side by side, as candidates: a fifth apart,
 /// which tells the time of a load among many within a tenth.
-const AT_ONCE: [f64; 24] = [
+const CONCURRENCY_CANDIDATES: [f64; 24] = [
     4.0, 5.0, 6.0, 7.0, 8.0, 10.0, 12.0, 14.0, 17.0, 20.0, 24.0, 29.0, 35.0,
     42.0, 50.0, 60.0, 72.0, 87.0, 104.0, 125.0, 150.0, 180.0, 216.0, 260.0,
 ];
 
 /// Loads may begin up to the next candidate beyond the one that is believed, so
 /// that a number that has become larger shows.
-const STEPS_BEYOND: usize = 1;
+const EXPLORATION_STEPS: usize = 1;
 
 /// The weight store's rate for a time may always begin, in seconds: a number that
 /// is believed far too small would leave adapters waiting, and nothing would show
 /// it. One that is too large only makes loads later, as expected.
-const ALWAYS_S: f64 = 1.0;
+const MIN_IN_FLIGHT_S: f64 = 1.0;
 
 /// The shortest time that is told apart.
-const LEAST_MS: f64 = 10.0;
+const MIN_LOAD_TIME_MS: f64 = 10.0;
 
 /// From one class of times to the next; a request waits too long by half of this
 /// at the mean.
-const CLASS_RATIO: f64 = 1.06;
+const BUCKET_RATIO: f64 = 1.06;
 
 /// Classes of times: the longest is 18 s.
-const CLASSES: usize = 128;
+const BUCKETS: usize = 128;
 
 /// What each new answer leaves of the weight of those before it: some 100 count,
 /// which come within a second where a hundred adapters a second are brought.
-const REMEMBERED_PART: f64 = 0.99;
+const OBSERVATION_DECAY: f64 = 0.99;
 
 /// Each so many-th load is expected three classes sooner, so that a time that became
 /// shorter is seen, and at most one in so many requests is sent too early for it.
-const TRIED_SOONER: u64 = 64;
+const EARLY_TRIAL_INTERVAL: u64 = 64;
 
 /// Parts into which the time of a load is cut to predict it, each with its own number
 /// of loads on the way.
-const PARTS: u32 = 16;
+const PREDICTION_STEPS: u32 = 16;
 
 /// Loads that join are counted over this part of the time of one load, so that a burst
 /// shows while it lasts.
-const COUNTED_PART: f64 = 0.5;
+const START_RATE_WINDOW_FRACTION: f64 = 0.5;
 
 /// They are counted over this time at least: a rate over less is one of chance.
-const LEAST_COUNTED: Duration = Duration::from_millis(250);
+const MIN_START_RATE_WINDOW: Duration = Duration::from_millis(250);
 
 /// The weight of the first guess, in answers.
-const FIRST_WEIGHT: f64 = 3.0;
+const INITIAL_WEIGHT: f64 = 3.0;
 
 /// Weights that differ by less are equal.
-const EQUAL: f64 = 1e-6;
+const WEIGHT_TOLERANCE: f64 = 1e-6;
 
 /// A candidate is believed in place of another if it contradicts this much less
 /// of what was seen.
-const BETTER_BY: f64 = 1.5;
+const SWITCH_MARGIN: f64 = 1.5;
 
 /// How long a load is remembered, for answers that come later.
-const REMEMBERED_FOR: Duration = Duration::from_secs(6);
+const LOAD_RETENTION: Duration = Duration::from_secs(6);
 
 /// Observes how long adapters take from the weight store.
 #[derive(Clone, Debug)]
@@ -143,7 +143,7 @@
 impl Default for LoadTimes {
     fn default() -> LoadTimes {
         let candidates: Vec<Candidate> =
-            AT_ONCE.into_iter().map(Candidate::new).collect();
+            CONCURRENCY_CANDIDATES.into_iter().map(Candidate::new).collect();
         let believed = candidates.len() - 1;
         LoadTimes {
             candidates,
@@ -225,8 +225,8 @@
     /// Returns when a load that begins now is likely to be done.
     pub fn cold(&mut self, now: Instant) -> Duration {
         self.predicted += 1;
-        let is_tried_sooner = self.predicted.is_multiple_of(TRIED_SOONER);
-        let sooner = if is_tried_sooner { CLASS_RATIO.powi(3) } else { 1.0 };
+        let is_tried_sooner = self.predicted.is_multiple_of(EARLY_TRIAL_INTERVAL);
+        let sooner = if is_tried_sooner { BUCKET_RATIO.powi(3) } else { 1.0 };
         let joins_per_ms = self.joins_per_ms(now);
         let most = self.most_on_way(0.0);
         let candidate = &mut self.candidates[self.believed];
@@ -236,8 +236,8 @@
 
     /// Returns how many loads began lately, a millisecond.
     fn joins_per_ms(&self, now: Instant) -> f64 {
-        let window = self.estimate().load_time.mul_f64(COUNTED_PART);
-        let window = window.max(LEAST_COUNTED);
+        let window = self.estimate().load_time.mul_f64(START_RATE_WINDOW_FRACTION);
+        let window = window.max(MIN_START_RATE_WINDOW);
         let since = self.begins.iter().rev();
         let joined = since.take_while(|at| now - **at < window).count();
         joined as f64 / (window.as_secs_f64() * 1_000.0)
@@ -247,8 +247,8 @@
     /// base models is this.
     fn most_on_way(&self, rate_per_s: f64) -> f64 {
         let idx =
-            (self.believed + STEPS_BEYOND).min(self.candidates.len() - 1);
-        self.candidates[idx].at_once.max(rate_per_s * ALWAYS_S)
+            (self.believed + EXPLORATION_STEPS).min(self.candidates.len() - 1);
+        self.candidates[idx].at_once.max(rate_per_s * MIN_IN_FLIGHT_S)
     }
 
     /// Returns whether one more load may begin, from a weight store whose rate for
@@ -261,7 +261,7 @@
 
     /// Returns how long an adapter takes from an engine's own memory.
     pub fn warm(&self) -> Duration {
-        self.estimate().load_time.mul_f64(WARM_PART)
+        self.estimate().load_time.mul_f64(WARM_LOAD_FRACTION)
     }
 
     /// Returns how many loads are on their way.
@@ -287,8 +287,8 @@
 
     /// Forgets old loads. Call it about once a second.
     pub fn forget(&mut self, now: Instant) {
-        self.loads.retain(|_, load| now - load.began < REMEMBERED_FOR);
-        self.begins.retain(|at| now - *at < REMEMBERED_FOR);
+        self.loads.retain(|_, load| now - load.began < LOAD_RETENTION);
+        self.begins.retain(|at| now - *at < LOAD_RETENTION);
         for candidate in &mut self.candidates {
             candidate.forget(now);
         }
@@ -312,8 +312,8 @@
         }
         let believed = contradicted[self.believed];
         let next = self.believed + 1;
-        let is_alike = |next: &f64| *next <= believed + EQUAL;
-        if contradicted[best] + BETTER_BY < believed {
+        let is_alike = |next: &f64| *next <= believed + WEIGHT_TOLERANCE;
+        if contradicted[best] + SWITCH_MARGIN < believed {
             self.believed = best;
         } else if contradicted.get(next).is_some_and(is_alike) {
             self.believed = next;
@@ -323,12 +323,12 @@
 
 impl Candidate {
     fn new(at_once: f64) -> Candidate {
-        let guess_ms = FIRST_GUESS.as_secs_f64() * 1_000.0;
+        let guess_ms = INITIAL_LOAD_TIME.as_secs_f64() * 1_000.0;
         let guessed = class(guess_ms);
-        let mut early = vec![0.0; CLASSES];
-        let mut there = vec![0.0; CLASSES];
-        early[guessed - 1] = FIRST_WEIGHT;
-        there[guessed] = FIRST_WEIGHT;
+        let mut early = vec![0.0; BUCKETS];
+        let mut there = vec![0.0; BUCKETS];
+        early[guessed - 1] = INITIAL_WEIGHT;
+        there[guessed] = INITIAL_WEIGHT;
         Candidate {
             at_once,
             clock: VecDeque::new(),
@@ -378,11 +378,11 @@
     /// It is not taken for shorter than with the number on the way as it is.
     fn time_ms(&self, joins_per_ms: f64, most: f64) -> f64 {
         let clock = self.clock.back().map_or(0.0, |(_, clock)| *clock);
-        let part_ms = self.full_speed_ms / f64::from(PARTS);
+        let part_ms = self.full_speed_ms / f64::from(PREDICTION_STEPS);
         let mut before = self.on_way.len();
         let mut joined = 0.0;
         let mut takes_ms = 0.0;
-        for part in 0..PARTS {
+        for part in 0..PREDICTION_STEPS {
             let served = clock + part_ms * f64::from(part);
             let is_done = |began: &f64| began + self.full_speed_ms <= served;
             let done = self.on_way.iter().take_while(|b| is_done(b)).count();
@@ -413,7 +413,7 @@
 
     fn observe(&mut self, load: Load, there: Instant) {
         for weight in self.early.iter_mut().chain(&mut self.there) {
-            *weight *= REMEMBERED_PART;
+            *weight *= OBSERVATION_DECAY;
         }
         let began = self.at(load.began);
         let took = |at: Instant| class((self.at(at) - began).max(0.0));
@@ -443,13 +443,13 @@
         let mut soon = 0.0;
         let mut best = (0, f64::INFINITY);
         let mut is_shown = false;
-        for idx in 0..CLASSES {
+        for idx in 0..BUCKETS {
             late -= self.early[idx];
             let weight = late + soon;
-            let is_less = weight < best.1 - EQUAL;
-            let is_equal = weight < best.1 + EQUAL;
+            let is_less = weight < best.1 - WEIGHT_TOLERANCE;
+            let is_equal = weight < best.1 + WEIGHT_TOLERANCE;
             if is_less || (is_equal && !is_shown) {
-                is_shown = self.there[idx] > EQUAL;
+                is_shown = self.there[idx] > WEIGHT_TOLERANCE;
                 best = (idx, weight);
             }
             soon += self.there[idx];
@@ -459,7 +459,7 @@
 
     fn forget(&mut self, now: Instant) {
         while let Some(&(at, _)) = self.clock.get(1)
-            && now.saturating_duration_since(at) > REMEMBERED_FOR
+            && now.saturating_duration_since(at) > LOAD_RETENTION
         {
             self.clock.pop_front();
         }
@@ -467,12 +467,12 @@
 }
 
 fn class(ms: f64) -> usize {
-    let class = (ms.max(LEAST_MS) / LEAST_MS).ln() / CLASS_RATIO.ln();
-    (class as usize).min(CLASSES - 1)
+    let class = (ms.max(MIN_LOAD_TIME_MS) / MIN_LOAD_TIME_MS).ln() / BUCKET_RATIO.ln();
+    (class as usize).min(BUCKETS - 1)
 }
 
 fn class_end_ms(class: usize) -> f64 {
-    LEAST_MS * CLASS_RATIO.powi(class as i32 + 1)
+    MIN_LOAD_TIME_MS * BUCKET_RATIO.powi(class as i32 + 1)
 }
 
 fn millis(ms: f64) -> Duration {
