--- a/crates/fleet/src/load_times.rs
+++ b/crates/fleet/src/load_times.rs
@@ -91,20 +91,20 @@
 #[derive(Clone, Debug)]
 pub struct LoadTimes {
     candidates: Vec<Candidate>,
-    believed: usize,
+    selected: usize,
     loads: HashMap<(EndpointId, AdapterKey), Load>,
     /// When loads began lately.
-    begins: VecDeque<Instant>,
-    answers: u64,
-    predicted: u64,
+    recent_starts: VecDeque<Instant>,
+    observation_count: u64,
+    prediction_count: u64,
 }
 
 /// A load that has begun.
 #[derive(Clone, Copy, Debug)]
 struct Load {
-    began: Instant,
+    started_at: Instant,
     /// When it was last seen not to be done.
-    missing: Option<Instant>,
+    last_absent: Option<Instant>,
 }
 
 /// An answer to a request that was sent to an adapter on its way.
@@ -129,29 +129,29 @@
 /// it is the right one.
 #[derive(Clone, Debug)]
 struct Candidate {
-    at_once: f64,
+    concurrency: f64,
     /// Milliseconds at full speed, by time.
     clock: VecDeque<(Instant, f64)>,
     /// Where the clock stood when each load on its way began.
-    on_way: VecDeque<f64>,
+    in_flight: VecDeque<f64>,
     /// Weights of answers by class of the time between.
-    early: Vec<f64>,
-    there: Vec<f64>,
-    full_speed_ms: f64,
+    absent: Vec<f64>,
+    present: Vec<f64>,
+    load_time_ms: f64,
 }
 
 impl Default for LoadTimes {
     fn default() -> LoadTimes {
         let candidates: Vec<Candidate> =
             CONCURRENCY_CANDIDATES.into_iter().map(Candidate::new).collect();
-        let believed = candidates.len() - 1;
+        let selected = candidates.len() - 1;
         LoadTimes {
             candidates,
-            believed,
+            selected,
             loads: HashMap::new(),
-            begins: VecDeque::new(),
-            answers: 0,
-            predicted: 0,
+            recent_starts: VecDeque::new(),
+            observation_count: 0,
+            prediction_count: 0,
         }
     }
 }
@@ -164,9 +164,9 @@
         key: &AdapterKey,
         now: Instant,
     ) {
-        let load = Load { began: now, missing: None };
+        let load = Load { started_at: now, last_absent: None };
         self.loads.insert((endpoint.clone(), key.clone()), load);
-        self.begins.push_back(now);
+        self.recent_starts.push_back(now);
         for candidate in &mut self.candidates {
             candidate.advance(now);
             candidate.begin();
@@ -183,7 +183,7 @@
     ) {
         let id = (endpoint.clone(), key.clone());
         if let Some(load) = self.loads.get_mut(&id) {
-            load.began = now;
+            load.started_at = now;
         }
     }
 
@@ -194,7 +194,7 @@
             return;
         }
         for candidate in &mut self.candidates {
-            candidate.on_way.pop_back();
+            candidate.in_flight.pop_back();
         }
     }
 
@@ -203,59 +203,59 @@
         &mut self,
         endpoint: &EndpointId,
         key: &AdapterKey,
-        arrival: LoadObservation,
+        observation: LoadObservation,
         now: Instant,
     ) {
         let id = (endpoint.clone(), key.clone());
         let Some(load) = self.loads.get_mut(&id) else { return };
-        if !arrival.is_loaded {
-            load.missing = load.missing.max(Some(arrival.at));
+        if !observation.is_loaded {
+            load.last_absent = load.last_absent.max(Some(observation.at));
             return;
         }
         let load = *load;
         self.loads.remove(&id);
-        self.answers += 1;
+        self.observation_count += 1;
         for candidate in &mut self.candidates {
             candidate.advance(now);
-            candidate.observe(load, arrival.at);
+            candidate.observe(load, observation.at);
         }
-        self.choose();
+        self.select_candidate();
     }
 
     /// Returns when a load that begins now is likely to be done.
     pub fn cold(&mut self, now: Instant) -> Duration {
-        self.predicted += 1;
-        let is_tried_sooner = self.predicted.is_multiple_of(EARLY_TRIAL_INTERVAL);
-        let sooner = if is_tried_sooner { BUCKET_RATIO.powi(3) } else { 1.0 };
-        let joins_per_ms = self.joins_per_ms(now);
-        let most = self.most_on_way(0.0);
-        let candidate = &mut self.candidates[self.believed];
+        self.prediction_count += 1;
+        let is_early_trial = self.prediction_count.is_multiple_of(EARLY_TRIAL_INTERVAL);
+        let shortening = if is_early_trial { BUCKET_RATIO.powi(3) } else { 1.0 };
+        let starts_per_ms = self.starts_per_ms(now);
+        let most = self.max_in_flight(0.0);
+        let candidate = &mut self.candidates[self.selected];
         candidate.advance(now);
-        millis(candidate.time_ms(joins_per_ms, most) / sooner)
+        millis(candidate.predicted_time_ms(starts_per_ms, most) / shortening)
     }
 
     /// Returns how many loads began lately, a millisecond.
-    fn joins_per_ms(&self, now: Instant) -> f64 {
+    fn starts_per_ms(&self, now: Instant) -> f64 {
         let window = self.estimate().load_time.mul_f64(START_RATE_WINDOW_FRACTION);
         let window = window.max(MIN_START_RATE_WINDOW);
-        let since = self.begins.iter().rev();
+        let since = self.recent_starts.iter().rev();
         let joined = since.take_while(|at| now - **at < window).count();
         joined as f64 / (window.as_secs_f64() * 1_000.0)
     }
 
     /// Returns how many loads may be on their way, from a weight store whose rate for
     /// base models is this.
-    fn most_on_way(&self, rate_per_s: f64) -> f64 {
+    fn max_in_flight(&self, rate_per_s: f64) -> f64 {
         let idx =
-            (self.believed + EXPLORATION_STEPS).min(self.candidates.len() - 1);
-        self.candidates[idx].at_once.max(rate_per_s * MIN_IN_FLIGHT_S)
+            (self.selected + EXPLORATION_STEPS).min(self.candidates.len() - 1);
+        self.candidates[idx].concurrency.max(rate_per_s * MIN_IN_FLIGHT_S)
     }
 
     /// Returns whether one more load may begin, from a weight store whose rate for
     /// base models is this. With many more on their way than come at full speed,
     /// another one would only make all of them later.
     pub fn may_begin(&mut self, rate_per_s: f64, now: Instant) -> bool {
-        let most = self.most_on_way(rate_per_s);
+        let most = self.max_in_flight(rate_per_s);
         (self.in_flight(now) as f64) < most
     }
 
@@ -266,29 +266,29 @@
 
     /// Returns how many loads are on their way.
     pub fn in_flight(&mut self, now: Instant) -> usize {
-        let candidate = &mut self.candidates[self.believed];
+        let candidate = &mut self.candidates[self.selected];
         candidate.advance(now);
-        candidate.on_way.len()
+        candidate.in_flight.len()
     }
 
     /// Returns what is believed now.
     pub fn estimate(&self) -> LoadEstimate {
-        let candidate = &self.candidates[self.believed];
+        let candidate = &self.candidates[self.selected];
         LoadEstimate {
-            load_time: millis(candidate.full_speed_ms),
-            concurrency: candidate.at_once,
+            load_time: millis(candidate.load_time_ms),
+            concurrency: candidate.concurrency,
         }
     }
 
     /// Returns how many answers were taken in.
     pub fn observations(&self) -> u64 {
-        self.answers
+        self.observation_count
     }
 
     /// Forgets old loads. Call it about once a second.
     pub fn forget(&mut self, now: Instant) {
-        self.loads.retain(|_, load| now - load.began < LOAD_RETENTION);
-        self.begins.retain(|at| now - *at < LOAD_RETENTION);
+        self.loads.retain(|_, load| now - load.started_at < LOAD_RETENTION);
+        self.recent_starts.retain(|at| now - *at < LOAD_RETENTION);
         for candidate in &mut self.candidates {
             candidate.forget(now);
         }
@@ -301,41 +301,41 @@
     /// right number and by that of a smaller one with a shorter time. The smaller one
     /// was believed for good then, and 26 to 86 in 100 requests came too early, at 31
     /// of 200 simulated stores drawn at random; 20 in 100 or more come at one of them.
-    fn choose(&mut self) {
-        let contradicted: Vec<f64> =
-            self.candidates.iter().map(Candidate::contradicted).collect();
-        let mut best = self.believed;
-        for (idx, weight) in contradicted.iter().enumerate() {
-            if *weight < contradicted[best] {
+    fn select_candidate(&mut self) {
+        let contradiction: Vec<f64> =
+            self.candidates.iter().map(Candidate::contradiction).collect();
+        let mut best = self.selected;
+        for (idx, weight) in contradiction.iter().enumerate() {
+            if *weight < contradiction[best] {
                 best = idx;
             }
         }
-        let believed = contradicted[self.believed];
-        let next = self.believed + 1;
-        let is_alike = |next: &f64| *next <= believed + WEIGHT_TOLERANCE;
-        if contradicted[best] + SWITCH_MARGIN < believed {
-            self.believed = best;
-        } else if contradicted.get(next).is_some_and(is_alike) {
-            self.believed = next;
+        let selected = contradiction[self.selected];
+        let next = self.selected + 1;
+        let is_equal_to_selected = |next: &f64| *next <= selected + WEIGHT_TOLERANCE;
+        if contradiction[best] + SWITCH_MARGIN < selected {
+            self.selected = best;
+        } else if contradiction.get(next).is_some_and(is_equal_to_selected) {
+            self.selected = next;
         }
     }
 }
 
 impl Candidate {
-    fn new(at_once: f64) -> Candidate {
-        let guess_ms = INITIAL_LOAD_TIME.as_secs_f64() * 1_000.0;
-        let guessed = class(guess_ms);
-        let mut early = vec![0.0; BUCKETS];
-        let mut there = vec![0.0; BUCKETS];
-        early[guessed - 1] = INITIAL_WEIGHT;
-        there[guessed] = INITIAL_WEIGHT;
+    fn new(concurrency: f64) -> Candidate {
+        let initial_ms = INITIAL_LOAD_TIME.as_secs_f64() * 1_000.0;
+        let initial_bucket = bucket(initial_ms);
+        let mut absent = vec![0.0; BUCKETS];
+        let mut present = vec![0.0; BUCKETS];
+        absent[initial_bucket - 1] = INITIAL_WEIGHT;
+        present[initial_bucket] = INITIAL_WEIGHT;
         Candidate {
-            at_once,
+            concurrency,
             clock: VecDeque::new(),
-            on_way: VecDeque::new(),
-            early,
-            there,
-            full_speed_ms: guess_ms,
+            in_flight: VecDeque::new(),
+            absent,
+            present,
+            load_time_ms: initial_ms,
         }
     }
 
@@ -349,14 +349,14 @@
         while now > at {
             let left_ms = (now - at).as_secs_f64() * 1_000.0;
             let speed =
-                (self.at_once / self.on_way.len().max(1) as f64).min(1.0);
+                (self.concurrency / self.in_flight.len().max(1) as f64).min(1.0);
             let end = clock + left_ms * speed;
-            let done = self.on_way.front().map(|b| b + self.full_speed_ms);
+            let done = self.in_flight.front().map(|b| b + self.load_time_ms);
             match done.filter(|done| *done <= end) {
                 Some(done) => {
                     at += millis((done - clock).max(0.0) / speed);
                     clock = clock.max(done);
-                    self.on_way.pop_front();
+                    self.in_flight.pop_front();
                 }
                 None => (at, clock) = (now, end),
             }
@@ -366,7 +366,7 @@
 
     fn begin(&mut self) {
         let clock = self.clock.back().map_or(0.0, |(_, clock)| *clock);
-        self.on_way.push_back(clock);
+        self.in_flight.push_back(clock);
     }
 
     /// Returns what a load takes that begins now, while others join at a rate up to
@@ -376,28 +376,28 @@
     /// outlast it. With those before it alone, 26 in 100 requests came too early in
     /// bursts at a simulated store of 170 loads at full speed; 16 with them.
     /// It is not taken for shorter than with the number on the way as it is.
-    fn time_ms(&self, joins_per_ms: f64, most: f64) -> f64 {
+    fn predicted_time_ms(&self, starts_per_ms: f64, most: f64) -> f64 {
         let clock = self.clock.back().map_or(0.0, |(_, clock)| *clock);
-        let part_ms = self.full_speed_ms / f64::from(PREDICTION_STEPS);
-        let mut before = self.on_way.len();
+        let part_ms = self.load_time_ms / f64::from(PREDICTION_STEPS);
+        let mut before = self.in_flight.len();
         let mut joined = 0.0;
         let mut takes_ms = 0.0;
         for part in 0..PREDICTION_STEPS {
             let served = clock + part_ms * f64::from(part);
-            let is_done = |began: &f64| began + self.full_speed_ms <= served;
-            let done = self.on_way.iter().take_while(|b| is_done(b)).count();
-            before = before.min(self.on_way.len() - done);
-            let on_way = (before as f64 + joined).min(most) + 1.0;
-            let takes = part_ms * (on_way / self.at_once).max(1.0);
-            joined += joins_per_ms * takes;
+            let is_done = |started_at: &f64| started_at + self.load_time_ms <= served;
+            let done = self.in_flight.iter().take_while(|b| is_done(b)).count();
+            before = before.min(self.in_flight.len() - done);
+            let in_flight = (before as f64 + joined).min(most) + 1.0;
+            let takes = part_ms * (in_flight / self.concurrency).max(1.0);
+            joined += starts_per_ms * takes;
             takes_ms += takes;
         }
-        let unchanged = (self.on_way.len() as f64 + 1.0) / self.at_once;
-        takes_ms.max(self.full_speed_ms * unchanged)
+        let unchanged = (self.in_flight.len() as f64 + 1.0) / self.concurrency;
+        takes_ms.max(self.load_time_ms * unchanged)
     }
 
     /// Returns where the clock stood.
-    fn at(&self, at: Instant) -> f64 {
+    fn clock_at(&self, at: Instant) -> f64 {
         let idx = self.clock.partition_point(|(known, _)| *known <= at);
         match (idx.checked_sub(1).map(|i| self.clock[i]), self.clock.get(idx))
         {
@@ -411,48 +411,48 @@
         }
     }
 
-    fn observe(&mut self, load: Load, there: Instant) {
-        for weight in self.early.iter_mut().chain(&mut self.there) {
+    fn observe(&mut self, load: Load, present_at: Instant) {
+        for weight in self.absent.iter_mut().chain(&mut self.present) {
             *weight *= OBSERVATION_DECAY;
         }
-        let began = self.at(load.began);
-        let took = |at: Instant| class((self.at(at) - began).max(0.0));
-        let missing = load.missing.map(took);
-        let there = took(there);
-        self.there[there] += 1.0;
-        if let Some(missing) = missing {
-            self.early[missing] += 1.0;
+        let started_at = self.clock_at(load.started_at);
+        let took = |at: Instant| bucket((self.clock_at(at) - started_at).max(0.0));
+        let last_absent = load.last_absent.map(took);
+        let present = took(present_at);
+        self.present[present] += 1.0;
+        if let Some(last_absent) = last_absent {
+            self.absent[last_absent] += 1.0;
         }
-        let (likeliest, _) = self.likeliest();
+        let (most_likely_bucket, _) = self.most_likely_bucket();
         // A class beyond: the clock of a time that is too short counts loads out
         // before they are done, and lets too many begin.
-        self.full_speed_ms = class_end_ms(likeliest + 1);
+        self.load_time_ms = bucket_end_ms(most_likely_bucket + 1);
     }
 
     /// Returns the weight of the answers that contradict the likeliest time.
-    fn contradicted(&self) -> f64 {
-        self.likeliest().1
+    fn contradiction(&self) -> f64 {
+        self.most_likely_bucket().1
     }
 
     /// Returns the class of times that the answers contradict least, and the
     /// weight of those that do: adapters that were not there later, or that were
     /// there sooner. Of equal ones it is the shortest time after which one was
     /// there.
-    fn likeliest(&self) -> (usize, f64) {
-        let mut late: f64 = self.early.iter().sum();
+    fn most_likely_bucket(&self) -> (usize, f64) {
+        let mut late: f64 = self.absent.iter().sum();
         let mut soon = 0.0;
         let mut best = (0, f64::INFINITY);
         let mut is_shown = false;
         for idx in 0..BUCKETS {
-            late -= self.early[idx];
+            late -= self.absent[idx];
             let weight = late + soon;
             let is_less = weight < best.1 - WEIGHT_TOLERANCE;
             let is_equal = weight < best.1 + WEIGHT_TOLERANCE;
             if is_less || (is_equal && !is_shown) {
-                is_shown = self.there[idx] > WEIGHT_TOLERANCE;
+                is_shown = self.present[idx] > WEIGHT_TOLERANCE;
                 best = (idx, weight);
             }
-            soon += self.there[idx];
+            soon += self.present[idx];
         }
         best
     }
@@ -466,13 +466,13 @@
     }
 }
 
-fn class(ms: f64) -> usize {
-    let class = (ms.max(MIN_LOAD_TIME_MS) / MIN_LOAD_TIME_MS).ln() / BUCKET_RATIO.ln();
-    (class as usize).min(BUCKETS - 1)
+fn bucket(ms: f64) -> usize {
+    let bucket = (ms.max(MIN_LOAD_TIME_MS) / MIN_LOAD_TIME_MS).ln() / BUCKET_RATIO.ln();
+    (bucket as usize).min(BUCKETS - 1)
 }
 
-fn class_end_ms(class: usize) -> f64 {
-    MIN_LOAD_TIME_MS * BUCKET_RATIO.powi(class as i32 + 1)
+fn bucket_end_ms(bucket: usize) -> f64 {
+    MIN_LOAD_TIME_MS * BUCKET_RATIO.powi(bucket as i32 + 1)
 }
 
 fn millis(ms: f64) -> Duration {
