--- a/crates/fleet/src/load_times.rs
+++ b/crates/fleet/src/load_times.rs
@@ -158,7 +158,7 @@
 
 impl LoadTimes {
     /// Takes in that a load from the weight store begins.
-    pub fn begin(
+    pub fn start_load(
         &mut self,
         endpoint: &EndpointId,
         key: &AdapterKey,
@@ -169,7 +169,7 @@
         self.recent_starts.push_back(now);
         for candidate in &mut self.candidates {
             candidate.advance(now);
-            candidate.begin();
+            candidate.start_load();
         }
     }
 
@@ -223,7 +223,7 @@
     }
 
     /// Returns when a load that begins now is likely to be done.
-    pub fn cold(&mut self, now: Instant) -> Duration {
+    pub fn predict_cold_load(&mut self, now: Instant) -> Duration {
         self.prediction_count += 1;
         let is_early_trial = self.prediction_count.is_multiple_of(EARLY_TRIAL_INTERVAL);
         let shortening = if is_early_trial { BUCKET_RATIO.powi(3) } else { 1.0 };
@@ -254,13 +254,13 @@
     /// Returns whether one more load may begin, from a weight store whose rate for
     /// base models is this. With many more on their way than come at full speed,
     /// another one would only make all of them later.
-    pub fn may_begin(&mut self, rate_per_s: f64, now: Instant) -> bool {
+    pub fn can_start_load(&mut self, rate_per_s: f64, now: Instant) -> bool {
         let most = self.max_in_flight(rate_per_s);
         (self.in_flight(now) as f64) < most
     }
 
     /// Returns how long an adapter takes from an engine's own memory.
-    pub fn warm(&self) -> Duration {
+    pub fn predict_warm_load(&self) -> Duration {
         self.estimate().load_time.mul_f64(WARM_LOAD_FRACTION)
     }
 
@@ -364,7 +364,7 @@
         }
     }
 
-    fn begin(&mut self) {
+    fn start_load(&mut self) {
         let clock = self.clock.back().map_or(0.0, |(_, clock)| *clock);
         self.in_flight.push_back(clock);
     }
--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -218,7 +218,7 @@
                 orders.push(order(task, true));
             } else if self.demand.get(&key).is_some()
                 && self.has_free_place(&endpoint)
-                && self.times.may_begin(self.group.loads_per_s, self.now)
+                && self.times.can_start_load(self.group.loads_per_s, self.now)
             {
                 let placed = self.start_cold_load(&endpoint, &key, newest);
                 self.view.plan_placement(&placed, self.now);
@@ -286,12 +286,12 @@
 
     /// Puts an adapter on one more engine; returns whether it could.
     fn place(&mut self, key: &AdapterKey, orders: &mut Vec<Order>) -> bool {
-        let may_begin = self.times.may_begin(self.group.loads_per_s, self.now);
-        if !may_begin && self.view.warm(key).is_empty() {
+        let can_start = self.times.can_start_load(self.group.loads_per_s, self.now);
+        if !can_start && self.view.warm(key).is_empty() {
             return false;
         }
         let Some(target) = self.find_target(key) else { return false };
-        if !target.is_warm && !may_begin {
+        if !target.is_warm && !can_start {
             return false;
         }
         if let Some(victim) = &target.victim {
@@ -372,8 +372,8 @@
         key: &AdapterKey,
         version: WeightVersion,
     ) -> Placed {
-        let takes = self.times.cold(self.now);
-        self.times.begin(endpoint, key, self.now);
+        let takes = self.times.predict_cold_load(self.now);
+        self.times.start_load(endpoint, key, self.now);
         self.placed(endpoint, key, version, takes, true)
     }
 
@@ -384,7 +384,7 @@
         key: &AdapterKey,
         version: WeightVersion,
     ) -> Placed {
-        self.placed(endpoint, key, version, self.times.warm(), false)
+        self.placed(endpoint, key, version, self.times.predict_warm_load(), false)
     }
 
     fn placed(
--- a/crates/fleet/tests/load_times_rules.rs
+++ b/crates/fleet/tests/load_times_rules.rs
@@ -77,12 +77,12 @@
             next += 1;
             waiting.push_back(next);
         }
-        while times.may_begin(1.0, now)
+        while times.can_start_load(1.0, now)
             && let Some(next) = waiting.pop_front()
         {
             let key = AdapterKey::new("m", &format!("a{next}"));
-            let expected = times.cold(now);
-            times.begin(&endpoint, &key, now);
+            let expected = times.predict_cold_load(now);
+            times.start_load(&endpoint, &key, now);
             store.on_way.insert(next, store.full_speed_ms);
             sends.push((now + expected, next));
             starts.insert(next, now);
@@ -195,7 +195,7 @@
     let before = times.estimate();
     for n in 0..60 {
         let key = AdapterKey::new("m", &format!("a{n}"));
-        times.begin(&endpoint, &key, now);
+        times.start_load(&endpoint, &key, now);
         for _ in 0..20 {
             now += Duration::from_millis(50);
             let arrival = LoadObservation { at: now, is_loaded: false };
