--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -239,13 +239,13 @@
                 && demand.has_waiting(self.now)
                 && !self.can_be_served(key)
             {
-                wanted.push((demand.standing(self.now), key.clone()));
+                wanted.push((demand.popularity(self.now), key.clone()));
             }
         }
         wanted.sort_by(|a, b| b.0.total_cmp(&a.0));
         for (_, key) in wanted {
             if self.place(&key, orders) {
-                self.demand.settled(&key);
+                self.demand.clear_waiting(&key);
             }
         }
     }
--- a/crates/fleet/src/placement/target.rs
+++ b/crates/fleet/src/placement/target.rs
@@ -207,6 +207,6 @@
 
     fn may_be_in_use(&self, key: &AdapterKey) -> bool {
         let Some(demand) = self.demand.get(key) else { return false };
-        self.now - demand.last_asked < RECENT_USE
+        self.now - demand.last_requested < RECENT_USE
     }
 }
