--- a/crates/fleet/src/wait_policy.rs
+++ b/crates/fleet/src/wait_policy.rs
@@ -14,20 +14,20 @@
 
 /// Of the time that is left, a caller waits this part at most before it comes
 /// back.
-const CALLER_WAITS: f64 = 0.31;
+const MAX_RETRY_DELAY_FRACTION: f64 = 0.31;
 
 /// What is drawn off the time to come back, as a part of it: callers that were
 /// rejected in the same moment do not come back as one wave.
-const SPREAD: f64 = 0.2;
+const JITTER_FRACTION: f64 = 0.2;
 
 /// The part of the target for which a request waits for a free place, in a queue
 /// of which nothing is known: it is then sent in time as far as the engine keeps
 /// to what it took lately.
-const FULL_PART: f64 = 0.22;
+const CAPACITY_WAIT_FRACTION: f64 = 0.22;
 
 /// How long a request looks for an endpoint at most before it is sent, however
 /// long its target is: an instance that stops has 8 s for all.
-const LONGEST_HOLD: Duration = Duration::from_secs(4);
+const MAX_WAIT: Duration = Duration::from_secs(4);
 
 /// A request that cannot be sent now.
 #[derive(Clone, Copy, Debug)]
@@ -65,44 +65,44 @@
 impl WaitingRequest {
     /// Returns until when it is held for an obstacle; it is rejected at once if
     /// that lies before now.
-    pub fn wait_until(&self, obstacle: WaitReason, now: Instant) -> Instant {
-        let last = self.last_send().min(self.arrived + LONGEST_HOLD);
-        match obstacle {
+    pub fn wait_until(&self, reason: WaitReason, now: Instant) -> Instant {
+        let latest = self.latest_send().min(self.arrived + MAX_WAIT);
+        match reason {
             // An answer is certain to come; a new try would have it later.
-            WaitReason::AdapterLoading(ready_in) if now + ready_in <= last => {
-                last
+            WaitReason::AdapterLoading(ready_in) if now + ready_in <= latest => {
+                latest
             }
             WaitReason::AdapterLoading(_) => self.arrived,
             // What is known to come too late is rejected at once.
             WaitReason::Saturated(ready_in)
-                if now + ready_in > self.for_place() =>
+                if now + ready_in > self.capacity_deadline() =>
             {
                 self.arrived
             }
-            _ if self.is_later_try => last,
+            _ if self.is_later_try => latest,
             WaitReason::AdapterNotLoaded { load_time } => {
-                self.in_time(load_time).min(last)
+                self.latest_start(load_time).min(latest)
             }
             WaitReason::NoCapacity | WaitReason::Saturated(_) => {
-                self.for_place().min(last)
+                self.capacity_deadline().min(latest)
             }
         }
     }
 
     /// Returns until when it waits for a place.
-    fn for_place(&self) -> Instant {
-        self.arrived + self.target.mul_f64(FULL_PART)
+    fn capacity_deadline(&self) -> Instant {
+        self.arrived + self.target.mul_f64(CAPACITY_WAIT_FRACTION)
     }
 
     /// Returns the last moment at which something that takes so long may begin
     /// for the answer to begin in time.
-    fn in_time(&self, takes: Duration) -> Instant {
+    fn latest_start(&self, takes: Duration) -> Instant {
         let needs = self.engine_time + takes;
         self.arrived + self.target.saturating_sub(needs)
     }
 
     /// Returns the last moment at which it can be sent and be answered.
-    fn last_send(&self) -> Instant {
+    fn latest_send(&self) -> Instant {
         let left = self.deadline.saturating_duration_since(self.arrived);
         self.arrived + left.saturating_sub(self.engine_time.max(self.target))
     }
@@ -116,7 +116,7 @@
     gone_in: Option<Duration>,
     draw: f64,
 ) -> Duration {
-    let most = left.mul_f64(CALLER_WAITS);
+    let most = left.mul_f64(MAX_RETRY_DELAY_FRACTION);
     let wanted = gone_in.map_or(most, |time| time.min(most));
-    wanted.mul_f64(1.0 - SPREAD * draw.clamp(0.0, 1.0))
+    wanted.mul_f64(1.0 - JITTER_FRACTION * draw.clamp(0.0, 1.0))
 }
