--- a/crates/fleet/src/load_rate_limiter.rs
+++ b/crates/fleet/src/load_rate_limiter.rs
@@ -6,7 +6,7 @@
 
 /// The part of what is allowed that we use; a load may begin later than its
 /// order, and then counts in another window.
-const USED_PART: f64 = 0.96;
+const USED_FRACTION: f64 = 0.96;
 
 /// Counts the loads of a sliding window.
 #[derive(Clone, Debug)]
@@ -14,7 +14,7 @@
     window: Duration,
     /// What a window allows, as a multiple of the rate.
     overage: f64,
-    begun: VecDeque<Instant>,
+    starts: VecDeque<Instant>,
     /// Loads that a holder before us may have begun, by when they count no
     /// longer.
     inherited: Option<(Instant, f64)>,
@@ -24,8 +24,8 @@
     /// Returns a count for windows of this length, in which loads may begin
     /// this many times as fast as the rate says.
     pub fn new(window: Duration, overage: f64) -> LoadRateLimiter {
-        let (begun, inherited) = (VecDeque::new(), None);
-        LoadRateLimiter { window, overage, begun, inherited }
+        let (starts, inherited) = (VecDeque::new(), None);
+        LoadRateLimiter { window, overage, starts, inherited }
     }
 
     /// Assumes that somebody else used the whole rate until now.
@@ -35,23 +35,23 @@
 
     /// Returns how many loads may begin now at this rate a second.
     pub fn available(&mut self, now: Instant, loads_per_s: f64) -> u32 {
-        while self.begun.front().is_some_and(|at| now - *at >= self.window) {
-            self.begun.pop_front();
+        while self.starts.front().is_some_and(|at| now - *at >= self.window) {
+            self.starts.pop_front();
         }
         let allowed = loads_per_s * self.window.as_secs_f64() * self.overage;
-        let most = allowed * USED_PART;
-        let left = most - self.begun.len() as f64 - self.inherited(now, most);
-        left.max(0.0) as u32
+        let limit = allowed * USED_FRACTION;
+        let remaining = limit - self.starts.len() as f64 - self.inherited(now, limit);
+        remaining.max(0.0) as u32
     }
 
     /// Counts a load that begins now.
-    pub fn count(&mut self, now: Instant) {
-        self.begun.push_back(now);
+    pub fn record(&mut self, now: Instant) {
+        self.starts.push_back(now);
     }
 
-    fn inherited(&self, now: Instant, most: f64) -> f64 {
-        let Some((since, part)) = self.inherited else { return 0.0 };
-        let gone = (now - since).as_secs_f64() / self.window.as_secs_f64();
-        most * (part - gone).max(0.0)
+    fn inherited(&self, now: Instant, limit: f64) -> f64 {
+        let Some((since, fraction)) = self.inherited else { return 0.0 };
+        let elapsed = (now - since).as_secs_f64() / self.window.as_secs_f64();
+        limit * (fraction - elapsed).max(0.0)
     }
 }
--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -421,7 +421,7 @@
         let rate = self.group.loads_per_s;
         let is_allowed = self.planner.loads_left(rate, self.now) > 0;
         if is_allowed {
-            self.planner.load_limiter.count(self.now);
+            self.planner.load_limiter.record(self.now);
         }
         is_allowed
     }
--- a/crates/fleet/tests/budget_rules.rs
+++ b/crates/fleet/tests/budget_rules.rs
@@ -110,7 +110,7 @@
         for ms in steps {
             now += Duration::from_millis(ms);
             for _ in 0..rate.available(now, 9.3) {
-                rate.count(now);
+                rate.record(now);
                 begun.push(now);
             }
             let within =
