--- a/crates/fleet/src/store_reachability.rs
+++ b/crates/fleet/src/store_reachability.rs
@@ -13,7 +13,7 @@
 /// end (the platform's pages), which lies up to a call's pause later. An endpoint
 /// that has really left gets no work for longer: 3 s after the end we are held to
 /// that, and 0.2 s are for requests that were just sent.
-const ENTRIES_RETURN: Duration = Duration::from_millis(2_800);
+const MISSING_ENTRY_GRACE: Duration = Duration::from_millis(2_800);
 
 /// A call to the store that failed.
 #[derive(Clone, Copy, Debug)]
@@ -53,9 +53,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct StoreReachability {
     is_unreachable: bool,
-    failed: Option<CallFailure>,
-    answered: Option<Instant>,
-    regained: Option<Instant>,
+    last_failed: Option<CallFailure>,
+    last_answered: Option<Instant>,
+    recovered_at: Option<Instant>,
     is_probing: bool,
     has_unreported_change: bool,
 }
@@ -63,11 +63,11 @@
 impl StoreReachability {
     /// Notes that a call was answered; returns whether that is news.
     pub fn record_success(&mut self, now: Instant) -> bool {
-        self.answered = Some(now);
+        self.last_answered = Some(now);
         if !std::mem::take(&mut self.is_unreachable) {
             return false;
         }
-        self.regained = Some(now);
+        self.recovered_at = Some(now);
         self.has_unreported_change = true;
         true
     }
@@ -76,13 +76,13 @@
     /// the lease counts on our word, so a call that was lost before another was
     /// answered does not put the store out again.
     pub fn record_failure(&mut self, failure: CallFailure) -> bool {
-        let out_at = failure.unreachable_at();
+        let unreachable_since = failure.unreachable_at();
         let is_newest =
-            self.failed.is_none_or(|last| last.unreachable_at() <= out_at);
+            self.last_failed.is_none_or(|last| last.unreachable_at() <= unreachable_since);
         if is_newest {
-            self.failed = Some(failure);
+            self.last_failed = Some(failure);
         }
-        if self.answered.is_some_and(|at| at >= out_at) {
+        if self.last_answered.is_some_and(|at| at >= unreachable_since) {
             return false;
         }
         if std::mem::replace(&mut self.is_unreachable, true) {
@@ -104,16 +104,16 @@
         now: Instant,
     ) -> bool {
         let is_recent = |at: Instant| now - at < time;
-        self.is_unreachable || self.regained.is_some_and(is_recent)
+        self.is_unreachable || self.recovered_at.is_some_and(is_recent)
     }
 
     /// Returns until when somebody may count on our word that the store is out,
     /// if we ever gave it: as long as such a word holds after the store was
     /// regained, and for ever while it is out.
-    pub fn reported_outage(&self, word_holds: Duration) -> ReportedOutage {
-        match (self.is_unreachable, self.regained) {
+    pub fn reported_outage(&self, report_valid_for: Duration) -> ReportedOutage {
+        match (self.is_unreachable, self.recovered_at) {
             (true, _) => ReportedOutage::Ongoing,
-            (false, Some(at)) => ReportedOutage::Until(at + word_holds),
+            (false, Some(at)) => ReportedOutage::Until(at + report_valid_for),
             (false, None) => ReportedOutage::Never,
         }
     }
@@ -121,13 +121,13 @@
     /// Returns for how long entries of endpoints that lapsed while the store
     /// was out may still come back.
     pub fn missing_entry_grace(&self, now: Instant) -> Duration {
-        let Some(failed) = self.failed else { return Duration::ZERO };
-        ENTRIES_RETURN.saturating_sub(now - failed.unreachable_at())
+        let Some(failed) = self.last_failed else { return Duration::ZERO };
+        MISSING_ENTRY_GRACE.saturating_sub(now - failed.unreachable_at())
     }
 
     /// Returns the last call that failed.
     pub fn last_failure(&self) -> Option<CallFailure> {
-        self.failed
+        self.last_failed
     }
 
     /// Returns whether others have yet to hear of a change.
