--- a/crates/fleet/src/rate_limiter.rs
+++ b/crates/fleet/src/rate_limiter.rs
@@ -20,23 +20,23 @@
 /// The time over which demand forgets to a third: an instance that gets one
 /// request in some seconds still has its part, and what a customer takes before
 /// it is seen to be hot is paid back.
-const MEMORY: Duration = Duration::from_millis(2_500);
+const DEMAND_DECAY_TIME: Duration = Duration::from_millis(2_500);
 
 /// The least part of an allowance, in equal parts: for an instance of which a
 /// customer asks for the first time.
-const LEAST_PART: f64 = 0.25;
+const MIN_SHARE: f64 = 0.25;
 
 /// The part of an allowance below which nothing is turned away. Demand within
 /// limits swings by a fifth within seconds.
-const FREE_BELOW: f64 = 0.85;
+const UNLIMITED_BELOW: f64 = 0.85;
 
 /// The part of an allowance that is given out: notes are late, and parts add up
 /// to a little more while demand moves from one instance to another.
-const GIVEN_OUT: f64 = 0.95;
+const DISTRIBUTED_FRACTION: f64 = 0.95;
 
 /// The largest debt, in seconds of the bucket's rate: beyond, a customer whose
 /// demand jumped would get nothing for longer than anybody counts.
-const LARGEST_DEBT_S: f64 = 6.0;
+const MAX_DEBT_S: f64 = 6.0;
 
 /// What a customer asks of an instance, or of all.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -66,27 +66,27 @@
 #[derive(Clone, Debug, Default)]
 pub struct RateLimiter {
     buckets: HashMap<CustomerName, Bucket>,
-    peers: HashMap<InstanceId, Heard>,
+    peers: HashMap<InstanceId, ReceivedDemand>,
     /// What the holder of the lease says that all ask for.
-    totals: Option<Heard>,
+    totals: Option<ReceivedDemand>,
 }
 
 #[derive(Clone, Debug)]
-struct Heard {
-    asked: Vec<CustomerDemand>,
-    at: Instant,
-    until: Instant,
+struct ReceivedDemand {
+    demand: Vec<CustomerDemand>,
+    received_at: Instant,
+    expires_at: Instant,
 }
 
 #[derive(Clone, Debug)]
 struct Bucket {
     /// Units asked for lately, the newest weighing most.
-    asked: f64,
+    demand: f64,
     /// What may be taken; below zero, what has to come back first.
     balance: f64,
     updated: Instant,
     /// Our part of the allowance when it was last known.
-    part: Option<f64>,
+    share: Option<f64>,
 }
 
 impl RateLimiter {
@@ -109,35 +109,35 @@
         // Without the request itself, which would make the part of an instance
         // that gets few too large.
         let own_per_s = bucket.per_s(now);
-        let age = bucket.ask(units, now);
-        let known_part = bucket.part;
+        let age = bucket.add_demand(units, now);
+        let known_share = bucket.share;
         let total_per_s = self.total(&customer.name, own_per_s, now);
-        let equal = 1.0 / instances.max(1) as f64;
-        let part = match total_per_s {
+        let equal_share = 1.0 / instances.max(1) as f64;
+        let share = match total_per_s {
             Some(total) => own_per_s / total.max(1e-9),
-            None => known_part.unwrap_or(equal),
+            None => known_share.unwrap_or(equal_share),
         };
-        let part = part.clamp(equal * LEAST_PART, 1.0);
-        let is_free = total_per_s
-            .is_some_and(|total| total < allowance.per_s * FREE_BELOW);
+        let share = share.clamp(equal_share * MIN_SHARE, 1.0);
+        let is_unlimited = total_per_s
+            .is_some_and(|total| total < allowance.per_s * UNLIMITED_BELOW);
         let Some(bucket) = self.buckets.get_mut(&customer.name) else {
             return Ok(());
         };
-        bucket.fill(allowance, part, equal, age);
-        if is_free || bucket.balance > 0.0 {
-            let debt = LARGEST_DEBT_S * rate(allowance, part);
+        bucket.refill(allowance, share, equal_share, age);
+        if is_unlimited || bucket.balance > 0.0 {
+            let debt = MAX_DEBT_S * rate(allowance, share);
             bucket.balance = (bucket.balance - units).max(-debt);
             return Ok(());
         }
-        let missing_s = -bucket.balance / rate(allowance, part).max(1e-9);
-        let missing_s = missing_s.clamp(0.0, LARGEST_DEBT_S);
-        let heard = self.totals.as_ref();
+        let missing_s = -bucket.balance / rate(allowance, share).max(1e-9);
+        let missing_s = missing_s.clamp(0.0, MAX_DEBT_S);
+        let received = self.totals.as_ref();
         Err(LimitExceeded {
             retry_in: Duration::from_secs_f64(missing_s),
             balance: bucket.balance,
-            share: part,
+            share,
             total_per_s,
-            total_age: heard.map(|h| now.saturating_duration_since(h.at)),
+            total_age: received.map(|h| now.saturating_duration_since(h.received_at)),
         })
     }
 
@@ -150,20 +150,20 @@
 
     /// Returns what each customer asks of this instance.
     pub fn local_demand(&self, now: Instant) -> Vec<CustomerDemand> {
-        let asked = self.buckets.iter().map(|(name, bucket)| CustomerDemand {
+        let demand = self.buckets.iter().map(|(name, bucket)| CustomerDemand {
             customer: name.clone(),
             per_s: bucket.per_s(now).round(),
         });
-        asked.filter(|asked| asked.per_s >= 1.0).collect()
+        demand.filter(|demand| demand.per_s >= 1.0).collect()
     }
 
     /// Returns what each customer asks of all instances, as far as we hear.
     pub fn total_demand(&self, now: Instant) -> Vec<CustomerDemand> {
         let mut sums: HashMap<CustomerName, f64> = HashMap::new();
-        let heard = self.peers.values().filter(|heard| now < heard.until);
-        let of_peers = heard.flat_map(|heard| heard.asked.clone());
-        for asked in of_peers.chain(self.local_demand(now)) {
-            *sums.entry(asked.customer).or_default() += asked.per_s;
+        let received = self.peers.values().filter(|received| now < received.expires_at);
+        let of_peers = received.flat_map(|received| received.demand.clone());
+        for demand in of_peers.chain(self.local_demand(now)) {
+            *sums.entry(demand.customer).or_default() += demand.per_s;
         }
         sums.into_iter()
             .map(|(customer, per_s)| CustomerDemand { customer, per_s })
@@ -175,32 +175,32 @@
     pub fn record_peer(
         &mut self,
         from: &InstanceId,
-        asked: Vec<CustomerDemand>,
+        demand: Vec<CustomerDemand>,
         at: Instant,
-        until: Instant,
+        expires_at: Instant,
     ) {
-        self.peers.insert(from.clone(), Heard { asked, at, until });
+        self.peers.insert(from.clone(), ReceivedDemand { demand, received_at: at, expires_at });
     }
 
     /// Takes in what customers ask of all instances.
     pub fn record_totals(
         &mut self,
-        asked: Vec<CustomerDemand>,
+        demand: Vec<CustomerDemand>,
         at: Instant,
-        until: Instant,
+        expires_at: Instant,
     ) {
-        self.totals = Some(Heard { asked, at, until });
+        self.totals = Some(ReceivedDemand { demand, received_at: at, expires_at });
     }
 
     /// Forgets instances that are silent, and customers that ask for nothing.
     pub fn forget(&mut self, now: Instant) {
-        self.peers.retain(|_, heard| now < heard.until);
-        if self.totals.as_ref().is_some_and(|heard| now >= heard.until) {
+        self.peers.retain(|_, received| now < received.expires_at);
+        if self.totals.as_ref().is_some_and(|received| now >= received.expires_at) {
             self.totals = None;
         }
         self.buckets.retain(|_, bucket| {
             let idle = now.saturating_duration_since(bucket.updated);
-            idle < Duration::from_secs_f64(LARGEST_DEBT_S) * 2
+            idle < Duration::from_secs_f64(MAX_DEBT_S) * 2
         });
     }
 
@@ -211,20 +211,20 @@
         own_per_s: f64,
         now: Instant,
     ) -> Option<f64> {
-        let of = |heard: &Heard| {
-            heard
-                .asked
+        let of = |received: &ReceivedDemand| {
+            received
+                .demand
                 .iter()
-                .filter(|asked| asked.customer == *name)
-                .map(|asked| asked.per_s)
+                .filter(|demand| demand.customer == *name)
+                .map(|demand| demand.per_s)
                 .sum::<f64>()
         };
-        let totals = self.totals.as_ref().filter(|heard| now < heard.until);
+        let totals = self.totals.as_ref().filter(|received| now < received.expires_at);
         if let Some(totals) = totals {
             return Some(of(totals).max(own_per_s));
         }
         let mut live =
-            self.peers.values().filter(|heard| now < heard.until).peekable();
+            self.peers.values().filter(|received| now < received.expires_at).peekable();
         live.peek()?;
         Some(live.map(of).sum::<f64>() + own_per_s)
     }
@@ -232,40 +232,40 @@
 
 impl Bucket {
     fn new(now: Instant) -> Bucket {
-        Bucket { asked: 0.0, balance: 0.0, updated: now, part: None }
+        Bucket { demand: 0.0, balance: 0.0, updated: now, share: None }
     }
 
     /// Counts what is asked for; returns the time since that was done last.
-    fn ask(&mut self, units: f64, now: Instant) -> Duration {
+    fn add_demand(&mut self, units: f64, now: Instant) -> Duration {
         let age = now.saturating_duration_since(self.updated);
-        self.asked = self.faded(now) + units;
+        self.demand = self.decayed(now) + units;
         self.updated = now;
         age
     }
 
     fn per_s(&self, now: Instant) -> f64 {
-        self.faded(now) / MEMORY.as_secs_f64()
+        self.decayed(now) / DEMAND_DECAY_TIME.as_secs_f64()
     }
 
-    fn faded(&self, now: Instant) -> f64 {
+    fn decayed(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.updated).as_secs_f64();
-        self.asked * (-age / MEMORY.as_secs_f64()).exp()
+        self.demand * (-age / DEMAND_DECAY_TIME.as_secs_f64()).exp()
     }
 
     /// Lets come back what a part of the allowance brings in a time; a bucket
     /// that is new has an equal part of the burst.
-    fn fill(
+    fn refill(
         &mut self,
         allowance: Allowance,
-        part: f64,
-        equal: f64,
+        share: f64,
+        equal_share: f64,
         age: Duration,
     ) {
-        let most = allowance.burst * part;
-        let is_new = self.part.replace(part).is_none();
-        let back = rate(allowance, part) * age.as_secs_f64();
+        let most = allowance.burst * share;
+        let is_new = self.share.replace(share).is_none();
+        let back = rate(allowance, share) * age.as_secs_f64();
         self.balance = if is_new {
-            allowance.burst * equal
+            allowance.burst * equal_share
         } else {
             (self.balance + back).min(most)
         };
@@ -273,6 +273,6 @@
 }
 
 /// Returns what a part of an allowance brings, in units a second.
-fn rate(allowance: Allowance, part: f64) -> f64 {
-    allowance.per_s * part * GIVEN_OUT
+fn rate(allowance: Allowance, share: f64) -> f64 {
+    allowance.per_s * share * DISTRIBUTED_FRACTION
 }
