--- a/crates/fleet/src/customer.rs
+++ b/crates/fleet/src/customer.rs
@@ -20,10 +20,10 @@
 
 /// Ranks of routes that are told apart within a customer's rank: ten ranks are
 /// there for both.
-const ROUTE_RANKS: u8 = 3;
+const ROUTE_PRIORITIES: u8 = 3;
 
 /// The last rank that endpoints know.
-const LAST_RANK: u8 = 9;
+const LOWEST_PRIORITY: u8 = 9;
 
 /// The digest of a key (SHA-256). Keys are random, so that it needs no salt.
 #[derive(Clone, Copy, Deserialize, Serialize)]
@@ -136,8 +136,8 @@
 impl Customer {
     /// Returns the rank of a request on a route of this rank.
     pub fn effective_priority(&self, route_priority: u8) -> u8 {
-        let own = self.priority.saturating_mul(ROUTE_RANKS);
-        own.saturating_add(route_priority.min(ROUTE_RANKS - 1)).min(LAST_RANK)
+        let own = self.priority.saturating_mul(ROUTE_PRIORITIES);
+        own.saturating_add(route_priority.min(ROUTE_PRIORITIES - 1)).min(LOWEST_PRIORITY)
     }
 }
 
