--- a/crates/fleet/src/poison.rs
+++ b/crates/fleet/src/poison.rs
@@ -17,7 +17,7 @@
 
 /// Endpoints that must have ended under a request before it is condemned. The users
 /// allow three.
-const ENDS_TO_CONDEMN: usize = 3;
+const CRASHES_TO_CONDEMN: usize = 3;
 
 /// Times, one after the other, at which some of them must have ended. When a rack
 /// loses power, all its endpoints end under each request that many callers send
@@ -27,18 +27,18 @@
 /// How long a run that broke off waits for what becomes of its endpoint: a dead one
 /// leaves the platform's list after three heartbeats of 1.2 s, and a watch of the
 /// list may be 2.5 s late.
-const BROKEN_WAITS: Duration = Duration::from_secs(8);
+const BROKEN_RUN_RETENTION: Duration = Duration::from_secs(8);
 
 /// How long before its endpoint's end a run may have lost its caller and still have
 /// been there: engines stop within half a second.
-const LEFT_WAITS: Duration = Duration::from_millis(500);
+const ABANDONED_RUN_RETENTION: Duration = Duration::from_millis(500);
 
 /// How long it is known of an endpoint that it ended: what it ran breaks off within
 /// this time, also on connections that say nothing.
-const ENDED_KNOWN: Duration = Duration::from_secs(8);
+const ENDED_ENDPOINT_RETENTION: Duration = Duration::from_secs(8);
 
 /// How long an end counts against a request.
-const END_COUNTS: Duration = Duration::from_secs(600);
+const CRASH_VALID_FOR: Duration = Duration::from_secs(600);
 
 /// How long a request stays condemned. Then it is tried again, since engines get
 /// mended too, and one more end condemns it anew: one endpoint in ten minutes is what
@@ -47,18 +47,18 @@
 
 /// How long each instance says again which of its runs ended with an endpoint: notes
 /// are due every 0.15 to 2.4 s, and some are lost.
-const TOLD_FOR: Duration = Duration::from_secs(4);
+const CRASH_REPEATED_FOR: Duration = Duration::from_secs(4);
 
 /// Runs in one note at most, so that it stays in two packets: each takes some 30
 /// bytes.
-const TOLD_RUNS: usize = 64;
+const MAX_RUNS_PER_NOTE: usize = 64;
 
 /// Requests that ends are held against at most, the oldest being forgotten first. A
 /// crash takes all that its endpoint ran, some 32, with it; they take 1 MB.
-const MOST_SUSPECTS: usize = 4_096;
+const MAX_SUSPECTS: usize = 4_096;
 
 /// Condemned requests at most, the oldest being forgotten first.
-const MOST_CONDEMNED: usize = 1_024;
+const MAX_CONDEMNED: usize = 1_024;
 
 /// An endpoint that ended, and which runs of one instance ended with it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -346,7 +346,7 @@
     /// Returns what others are told again of our runs, the newest first.
     pub fn recent_crashes(&self, now: Instant) -> Vec<Crash> {
         let mut crashes: Vec<Crash> = Vec::new();
-        for (endpoint, end, digest) in self.told.iter().rev().take(TOLD_RUNS) {
+        for (endpoint, end, digest) in self.told.iter().rev().take(MAX_RUNS_PER_NOTE) {
             let run = end.told(*digest, now);
             match crashes.iter_mut().find(|c| c.endpoint == *endpoint) {
                 Some(crash) => crash.runs.push(run),
@@ -366,8 +366,8 @@
             runs.retain(|run| run.is_fresh(now));
             !runs.is_empty()
         });
-        self.ended.retain(|_, at| age(*at) < ENDED_KNOWN);
-        self.told.retain(|(_, end, _)| age(end.broke) < TOLD_FOR);
+        self.ended.retain(|_, at| age(*at) < ENDED_ENDPOINT_RETENTION);
+        self.told.retain(|(_, end, _)| age(end.broke) < CRASH_REPEATED_FOR);
         let over: Vec<RequestDigest> = self
             .suspects
             .iter()
@@ -381,9 +381,9 @@
             self.release(digest, now);
         }
         self.suspects.retain(|_, suspect| {
-            suspect.ends.retain(|_, (end, _)| age(end.broke) < END_COUNTS);
+            suspect.ends.retain(|_, (end, _)| age(end.broke) < CRASH_VALID_FOR);
             suspect.condemned_at.is_some()
-                || suspect.last.is_some_and(|last| age(last) < END_COUNTS)
+                || suspect.last.is_some_and(|last| age(last) < CRASH_VALID_FOR)
         });
     }
 
@@ -407,8 +407,8 @@
 
     /// Forgets the oldest of too many, but for the one that was just noted.
     fn bound(&mut self, noted: RequestDigest) {
-        self.forget_oldest(noted, MOST_CONDEMNED, true);
-        self.forget_oldest(noted, MOST_SUSPECTS, false);
+        self.forget_oldest(noted, MAX_CONDEMNED, true);
+        self.forget_oldest(noted, MAX_SUSPECTS, false);
     }
 
     fn forget_oldest(
@@ -435,8 +435,8 @@
     /// Returns whether an end of its endpoint that is noticed now is what broke it.
     fn is_fresh(&self, now: Instant) -> bool {
         let waits = match self.loss {
-            Loss::Broken => BROKEN_WAITS,
-            Loss::CallerLeft => LEFT_WAITS,
+            Loss::Broken => BROKEN_RUN_RETENTION,
+            Loss::CallerLeft => ABANDONED_RUN_RETENTION,
         };
         now.saturating_duration_since(self.broke) < waits
     }
@@ -476,7 +476,7 @@
             .values()
             .filter(|(end, counts)| {
                 let age = now.saturating_duration_since(end.broke);
-                *counts == Counts::Yes && age < END_COUNTS
+                *counts == Counts::Yes && age < CRASH_VALID_FOR
             })
             .map(|(end, _)| *end)
             .collect();
@@ -492,6 +492,6 @@
                 last = Some(end.broke);
             }
         }
-        ends.len() >= ENDS_TO_CONDEMN && rounds >= ROUNDS_TO_CONDEMN
+        ends.len() >= CRASHES_TO_CONDEMN && rounds >= ROUNDS_TO_CONDEMN
     }
 }
