--- a/crates/fleet/src/poison.rs
+++ b/crates/fleet/src/poison.rs
@@ -120,9 +120,9 @@
     ended: HashMap<EndpointIncarnation, Instant>,
     suspects: HashMap<RequestDigest, Suspect>,
     /// What others are told again.
-    told: Vec<(EndpointIncarnation, End, RequestDigest)>,
+    recent_interruptions: Vec<(EndpointIncarnation, Interruption, RequestDigest)>,
     /// Requests that were condemned since the last look.
-    untold: Vec<RequestDigest>,
+    newly_condemned: Vec<RequestDigest>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -135,7 +135,7 @@
 
 /// The end of an endpoint under a request.
 #[derive(Clone, Copy, Debug)]
-struct End {
+struct Interruption {
     began: Instant,
     broke: Instant,
 }
@@ -144,10 +144,10 @@
 struct Suspect {
     /// By endpoint, so that what is told twice counts once. Those from before a run
     /// that ended well stay, and count no longer.
-    ends: HashMap<EndpointIncarnation, (End, Counts)>,
+    interruptions: HashMap<EndpointIncarnation, (Interruption, Evidence)>,
     condemned_at: Option<Instant>,
     /// Whether it was condemned before, and one more end is enough.
-    is_on_trial: bool,
+    is_on_probation: bool,
     /// When a run of it last ended well.
     cleared_at: Option<Instant>,
     last: Option<Instant>,
@@ -165,9 +165,9 @@
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Counts {
-    Yes,
-    No,
+enum Evidence {
+    Valid,
+    Cleared,
 }
 
 impl PoisonDetector {
@@ -200,10 +200,10 @@
         let broken = self.broken.remove(endpoint)?;
         let mut crash = Crash { endpoint: endpoint.clone(), runs: Vec::new() };
         for run in broken.into_iter().filter(|run| run.is_fresh(now)) {
-            let end = End { began: run.began, broke: run.broke };
-            self.note_end(endpoint, run.digest, end, now);
-            self.told.push((endpoint.clone(), end, run.digest));
-            crash.runs.push(end.told(run.digest, now));
+            let interruption = Interruption { began: run.began, broke: run.broke };
+            self.add_evidence(endpoint, run.digest, interruption, now);
+            self.recent_interruptions.push((endpoint.clone(), interruption, run.digest));
+            crash.runs.push(interruption.report(run.digest, now));
         }
         (!crash.runs.is_empty()).then_some(crash)
     }
@@ -236,8 +236,8 @@
         };
         for run in &crash.runs {
             let began = ago(run.began_ms_ago);
-            let end = End { began, broke: ago(run.broke_ms_ago) };
-            self.note_end(&crash.endpoint, run.digest, end, now);
+            let interruption = Interruption { began, broke: ago(run.broke_ms_ago) };
+            self.add_evidence(&crash.endpoint, run.digest, interruption, now);
         }
         self.endpoint_ended(&crash.endpoint, now)
     }
@@ -271,12 +271,12 @@
         let Some(suspect) = self.suspects.get_mut(&digest) else {
             return false;
         };
-        let was_held = suspect.condemned_at.is_some()
-            || suspect.is_on_trial
-            || suspect.ends.values().any(|(_, counts)| *counts == Counts::Yes);
-        suspect.acquit();
+        let had_evidence = suspect.condemned_at.is_some()
+            || suspect.is_on_probation
+            || suspect.interruptions.values().any(|(_, evidence)| *evidence == Evidence::Valid);
+        suspect.clear_evidence();
         suspect.cleared_at = Some(now);
-        was_held
+        had_evidence
     }
 
     /// Lets a condemned request go, to be tried again.
@@ -284,8 +284,8 @@
         if let Some(suspect) = self.suspects.get_mut(&digest)
             && suspect.condemned_at.is_some()
         {
-            suspect.acquit();
-            suspect.is_on_trial = true;
+            suspect.clear_evidence();
+            suspect.is_on_probation = true;
             suspect.last = Some(now);
         }
     }
@@ -308,14 +308,14 @@
         if suspect.cleared_at.is_some_and(|cleared| cleared >= at) {
             return MergeOutcome::Refuted;
         }
-        let end = End { began: at, broke: at };
+        let interruption = Interruption { began: at, broke: at };
         for endpoint in &condemned.endpoints {
-            let known = suspect.ends.entry(endpoint.clone());
-            known.or_insert((end, Counts::Yes));
+            let known = suspect.interruptions.entry(endpoint.clone());
+            known.or_insert((interruption, Evidence::Valid));
         }
         suspect.condemned_at = Some(at);
         suspect.last = Some(now);
-        self.bound(condemned.digest);
+        self.enforce_limits(condemned.digest);
         MergeOutcome::Added
     }
 
@@ -340,14 +340,14 @@
 
     /// Returns the requests that were condemned by what was seen since the last call.
     pub fn take_newly_condemned(&mut self) -> Vec<RequestDigest> {
-        std::mem::take(&mut self.untold)
+        std::mem::take(&mut self.newly_condemned)
     }
 
     /// Returns what others are told again of our runs, the newest first.
     pub fn recent_crashes(&self, now: Instant) -> Vec<Crash> {
         let mut crashes: Vec<Crash> = Vec::new();
-        for (endpoint, end, digest) in self.told.iter().rev().take(MAX_RUNS_PER_NOTE) {
-            let run = end.told(*digest, now);
+        for (endpoint, interruption, digest) in self.recent_interruptions.iter().rev().take(MAX_RUNS_PER_NOTE) {
+            let run = interruption.report(*digest, now);
             match crashes.iter_mut().find(|c| c.endpoint == *endpoint) {
                 Some(crash) => crash.runs.push(run),
                 None => crashes.push(Crash {
@@ -367,7 +367,7 @@
             !runs.is_empty()
         });
         self.ended.retain(|_, at| age(*at) < ENDED_ENDPOINT_RETENTION);
-        self.told.retain(|(_, end, _)| age(end.broke) < CRASH_REPEATED_FOR);
+        self.recent_interruptions.retain(|(_, interruption, _)| age(interruption.broke) < CRASH_REPEATED_FOR);
         let over: Vec<RequestDigest> = self
             .suspects
             .iter()
@@ -381,49 +381,49 @@
             self.release(digest, now);
         }
         self.suspects.retain(|_, suspect| {
-            suspect.ends.retain(|_, (end, _)| age(end.broke) < CRASH_VALID_FOR);
+            suspect.interruptions.retain(|_, (interruption, _)| age(interruption.broke) < CRASH_VALID_FOR);
             suspect.condemned_at.is_some()
                 || suspect.last.is_some_and(|last| age(last) < CRASH_VALID_FOR)
         });
     }
 
-    fn note_end(
+    fn add_evidence(
         &mut self,
         endpoint: &EndpointIncarnation,
         digest: RequestDigest,
-        end: End,
+        interruption: Interruption,
         now: Instant,
     ) {
         let suspect = self.suspects.entry(digest).or_default();
         suspect.last = Some(now);
-        let known = suspect.ends.entry(endpoint.clone());
-        known.or_insert((end, Counts::Yes));
-        if suspect.condemned_at.is_none() && suspect.is_proven(now) {
+        let known = suspect.interruptions.entry(endpoint.clone());
+        known.or_insert((interruption, Evidence::Valid));
+        if suspect.condemned_at.is_none() && suspect.has_enough_evidence(now) {
             suspect.condemned_at = Some(now);
-            self.untold.push(digest);
+            self.newly_condemned.push(digest);
         }
-        self.bound(digest);
+        self.enforce_limits(digest);
     }
 
     /// Forgets the oldest of too many, but for the one that was just noted.
-    fn bound(&mut self, noted: RequestDigest) {
-        self.forget_oldest(noted, MAX_CONDEMNED, true);
-        self.forget_oldest(noted, MAX_SUSPECTS, false);
+    fn enforce_limits(&mut self, kept: RequestDigest) {
+        self.evict_oldest(kept, MAX_CONDEMNED, true);
+        self.evict_oldest(kept, MAX_SUSPECTS, false);
     }
 
-    fn forget_oldest(
+    fn evict_oldest(
         &mut self,
-        noted: RequestDigest,
-        most: usize,
+        kept: RequestDigest,
+        limit: usize,
         is_condemned: bool,
     ) {
-        let is_meant =
+        let is_counted =
             |suspect: &Suspect| suspect.condemned_at.is_some() == is_condemned;
-        let all = self.suspects.iter().filter(|(_, s)| is_meant(s));
-        if self.suspects.len() <= most || all.clone().count() <= most {
+        let all = self.suspects.iter().filter(|(_, s)| is_counted(s));
+        if self.suspects.len() <= limit || all.clone().count() <= limit {
             return;
         }
-        let others = all.filter(|(digest, _)| **digest != noted);
+        let others = all.filter(|(digest, _)| **digest != kept);
         let oldest = others.min_by_key(|(_, suspect)| suspect.last);
         if let Some(digest) = oldest.map(|(digest, _)| *digest) {
             self.suspects.remove(&digest);
@@ -434,16 +434,16 @@
 impl BrokenRun {
     /// Returns whether an end of its endpoint that is noticed now is what broke it.
     fn is_fresh(&self, now: Instant) -> bool {
-        let waits = match self.loss {
+        let retention = match self.loss {
             Loss::Broken => BROKEN_RUN_RETENTION,
             Loss::CallerLeft => ABANDONED_RUN_RETENTION,
         };
-        now.saturating_duration_since(self.broke) < waits
+        now.saturating_duration_since(self.broke) < retention
     }
 }
 
-impl End {
-    fn told(&self, digest: RequestDigest, now: Instant) -> CrashedRun {
+impl Interruption {
+    fn report(&self, digest: RequestDigest, now: Instant) -> CrashedRun {
         let ms_ago = |at| now.saturating_duration_since(at).as_millis() as u64;
         CrashedRun {
             digest,
@@ -455,43 +455,43 @@
 
 impl Suspect {
     fn endpoints(&self) -> Vec<EndpointIncarnation> {
-        let mut endpoints: Vec<_> = self.ends.keys().cloned().collect();
+        let mut endpoints: Vec<_> = self.interruptions.keys().cloned().collect();
         endpoints.sort_unstable();
         endpoints
     }
 
-    fn acquit(&mut self) {
-        for (_, counts) in self.ends.values_mut() {
-            *counts = Counts::No;
+    fn clear_evidence(&mut self) {
+        for (_, evidence) in self.interruptions.values_mut() {
+            *evidence = Evidence::Cleared;
         }
         self.condemned_at = None;
-        self.is_on_trial = false;
+        self.is_on_probation = false;
     }
 
     /// Returns whether enough endpoints ended under it, and not all together: runs
     /// that were there at the same moment may have ended by one cause.
-    fn is_proven(&self, now: Instant) -> bool {
-        let mut ends: Vec<End> = self
-            .ends
+    fn has_enough_evidence(&self, now: Instant) -> bool {
+        let mut interruptions: Vec<Interruption> = self
+            .interruptions
             .values()
-            .filter(|(end, counts)| {
-                let age = now.saturating_duration_since(end.broke);
-                *counts == Counts::Yes && age < CRASH_VALID_FOR
+            .filter(|(interruption, evidence)| {
+                let age = now.saturating_duration_since(interruption.broke);
+                *evidence == Evidence::Valid && age < CRASH_VALID_FOR
             })
-            .map(|(end, _)| *end)
+            .map(|(interruption, _)| *interruption)
             .collect();
-        if self.is_on_trial {
-            return !ends.is_empty();
+        if self.is_on_probation {
+            return !interruptions.is_empty();
         }
-        ends.sort_unstable_by_key(|end| end.broke);
+        interruptions.sort_unstable_by_key(|interruption| interruption.broke);
         let mut rounds = 0;
         let mut last: Option<Instant> = None;
-        for end in &ends {
-            if last.is_none_or(|last| end.began >= last) {
+        for interruption in &interruptions {
+            if last.is_none_or(|last| interruption.began >= last) {
                 rounds += 1;
-                last = Some(end.broke);
+                last = Some(interruption.broke);
             }
         }
-        ends.len() >= CRASHES_TO_CONDEMN && rounds >= ROUNDS_TO_CONDEMN
+        interruptions.len() >= CRASHES_TO_CONDEMN && rounds >= ROUNDS_TO_CONDEMN
     }
 }
