--- a/crates/fleet/src/retry_budget.rs
+++ b/crates/fleet/src/retry_budget.rs
@@ -15,7 +15,7 @@
 use crate::route::ServiceName;
 
 /// Fraction of the retry budget in use. The rest absorbs a stale instance count.
-const USED_PART: f64 = 0.7;
+const USED_FRACTION: f64 = 0.7;
 
 /// The allowance of all instances together.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -34,21 +34,21 @@
     allowance: RetryAllowance,
     /// From when on the fixed number comes back over one window, if it does:
     /// what an earlier life of the instance used is not known.
-    began: Option<Instant>,
-    services: HashMap<ServiceName, Used>,
+    restarted_at: Option<Instant>,
+    services: HashMap<ServiceName, Usage>,
 }
 
 /// What was used of one service's allowance.
 #[derive(Clone, Debug, Default)]
-struct Used {
+struct Usage {
     requests: VecDeque<Instant>,
-    repeats: VecDeque<Instant>,
+    retries: VecDeque<Instant>,
 }
 
 impl RetryBudget {
     /// Returns an unused budget.
     pub fn new(allowance: RetryAllowance) -> RetryBudget {
-        RetryBudget { allowance, began: None, services: HashMap::new() }
+        RetryBudget { allowance, restarted_at: None, services: HashMap::new() }
     }
 
     /// Returns the budget of an instance that starts again now.
@@ -56,15 +56,15 @@
         allowance: RetryAllowance,
         now: Instant,
     ) -> RetryBudget {
-        RetryBudget { began: Some(now), ..RetryBudget::new(allowance) }
+        RetryBudget { restarted_at: Some(now), ..RetryBudget::new(allowance) }
     }
 
     /// Counts a request of a caller for a service.
     pub fn count_request(&mut self, service: &str, now: Instant) {
         let window = self.allowance.window;
-        let used = self.used(service);
-        used.forget(window, now);
-        used.requests.push_back(now);
+        let usage = self.usage(service);
+        usage.forget(window, now);
+        usage.requests.push_back(now);
     }
 
     /// Takes one repeat at a service, if there is one left among this many
@@ -76,30 +76,30 @@
         instances: usize,
     ) -> bool {
         let RetryAllowance { share, slack, window } = self.allowance;
-        let grown = self.began.map_or(1.0, |began| {
-            let age = now.saturating_duration_since(began);
+        let restored = self.restarted_at.map_or(1.0, |restarted_at| {
+            let age = now.saturating_duration_since(restarted_at);
             (age.as_secs_f64() / window.as_secs_f64()).min(1.0)
         });
-        let fixed = grown * slack / instances.max(1) as f64;
-        let used = self.used(service);
-        used.forget(window, now);
-        let earned = share * used.requests.len() as f64;
-        let allowed = USED_PART * (fixed + earned);
-        if used.repeats.len() as f64 + 1.0 > allowed {
+        let fixed = restored * slack / instances.max(1) as f64;
+        let usage = self.usage(service);
+        usage.forget(window, now);
+        let from_share = share * usage.requests.len() as f64;
+        let allowed = USED_FRACTION * (fixed + from_share);
+        if usage.retries.len() as f64 + 1.0 > allowed {
             return false;
         }
-        used.repeats.push_back(now);
+        usage.retries.push_back(now);
         true
     }
 
-    fn used(&mut self, service: &str) -> &mut Used {
+    fn usage(&mut self, service: &str) -> &mut Usage {
         self.services.entry(service.to_owned()).or_default()
     }
 }
 
-impl Used {
+impl Usage {
     fn forget(&mut self, window: Duration, now: Instant) {
-        for times in [&mut self.requests, &mut self.repeats] {
+        for times in [&mut self.requests, &mut self.retries] {
             while times.front().is_some_and(|at| now - *at > window) {
                 times.pop_front();
             }
