--- a/crates/fleet/src/revocation.rs
+++ b/crates/fleet/src/revocation.rs
@@ -12,27 +12,27 @@
 
 /// What is kept of the time within which a key must stop, for clocks that run
 /// apart by some per cent and for the moment between a look and a send.
-const MARGIN: Duration = Duration::from_millis(300);
+const CLOCK_MARGIN: Duration = Duration::from_millis(300);
 
 /// The longest wait of a watch, as a part of the time: others ask those that watch,
 /// and what they hear is as old as the watch is long.
-const WATCHER_PART: f64 = 0.25;
+const WATCH_FRACTION: f64 = 0.25;
 
 /// How often another instance is asked, as a part of the time. With a watch's part
 /// and an answer that is lost, half of the time is used.
-const ASK_PART: f64 = 0.2;
+const POLL_FRACTION: f64 = 0.2;
 
 /// An instance that has not answered after this is taken not to.
-const ASK_NEXT: Duration = Duration::from_millis(200);
+const POLL_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// The age, as a part of the time, from which on the store is asked: what is left
 /// is for a call that fails and another one.
-const READ_PART: f64 = 0.6;
+const READ_FRACTION: f64 = 0.6;
 
 /// The shortest wait of a watch: with nothing left, it only asks what is in force.
 /// Twenty calls a second are far below what the store allows, and last for one
 /// call.
-const SHORTEST_WATCH: Duration = Duration::from_millis(50);
+const MIN_WATCH: Duration = Duration::from_millis(50);
 
 /// How sure an instance is to know which keys are in force.
 #[derive(Clone, Copy, Debug)]
@@ -58,9 +58,9 @@
     /// Returns whether keyed requests may be served now.
     pub fn is_fresh(&self, now: Instant) -> bool {
         let Some(within) = self.within else { return true };
-        let most = within.saturating_sub(MARGIN);
+        let max_age = within.saturating_sub(CLOCK_MARGIN);
         self.known_until
-            .is_some_and(|at| now.saturating_duration_since(at) < most)
+            .is_some_and(|at| now.saturating_duration_since(at) < max_age)
     }
 
     /// Returns how long ago all changes were known; none if they never were.
@@ -77,26 +77,26 @@
     /// thirds took 4/3 of the time, and each change of the configuration made
     /// all instances turn keyed requests away for 0.8 s.
     pub fn watch_timeout(&self, now: Instant) -> Option<Duration> {
-        let most = self.most()?;
-        let age = self.age(now).unwrap_or(most);
-        let left = most.saturating_sub(age);
-        let wait = (left * 2 / 3).min(most.mul_f64(WATCHER_PART));
-        Some(wait.max(SHORTEST_WATCH))
+        let max_age = self.max_age()?;
+        let age = self.age(now).unwrap_or(max_age);
+        let left = max_age.saturating_sub(age);
+        let wait = (left * 2 / 3).min(max_age.mul_f64(WATCH_FRACTION));
+        Some(wait.max(MIN_WATCH))
     }
 
     /// Returns when another instance is to be asked, none if nothing bounds what is
     /// known; one that does not answer is followed by the next soon.
     pub fn next_poll_in(
         &self,
-        asking: &FreshnessPoll,
+        poll: &FreshnessPoll,
         now: Instant,
     ) -> Option<Duration> {
-        let most = self.most()?;
-        let pause = match asking.is_answered {
-            true => most.mul_f64(ASK_PART),
-            false => ASK_NEXT,
+        let max_age = self.max_age()?;
+        let pause = match poll.is_answered {
+            true => max_age.mul_f64(POLL_FRACTION),
+            false => POLL_TIMEOUT,
         };
-        let due = asking.asked.map(|(_, at)| at + pause);
+        let due = poll.last_poll.map(|(_, at)| at + pause);
         Some(
             due.map_or(Duration::ZERO, |at| at.saturating_duration_since(now)),
         )
@@ -105,12 +105,12 @@
     /// Returns whether the others' answers are too old, so that the store is to
     /// be asked.
     pub fn is_read_due(&self, now: Instant) -> bool {
-        let Some(most) = self.most() else { return false };
-        self.age(now).is_none_or(|age| age > most.mul_f64(READ_PART))
+        let Some(max_age) = self.max_age() else { return false };
+        self.age(now).is_none_or(|age| age > max_age.mul_f64(READ_FRACTION))
     }
 
-    fn most(&self) -> Option<Duration> {
-        self.within.map(|within| within.saturating_sub(MARGIN))
+    fn max_age(&self) -> Option<Duration> {
+        self.within.map(|within| within.saturating_sub(CLOCK_MARGIN))
     }
 }
 
@@ -124,7 +124,7 @@
 pub struct FreshnessPoll {
     number: u64,
     /// The last question and when it was sent.
-    asked: Option<(u64, Instant)>,
+    last_poll: Option<(u64, Instant)>,
     is_answered: bool,
 }
 
@@ -132,7 +132,7 @@
     /// Notes that a question goes out now; returns its number.
     pub fn start(&mut self, now: Instant) -> u64 {
         self.number += 1;
-        self.asked = Some((self.number, now));
+        self.last_poll = Some((self.number, now));
         self.is_answered = false;
         self.number
     }
@@ -152,8 +152,8 @@
         number: u64,
         age: Duration,
     ) -> Option<Instant> {
-        let (asked, sent) = self.asked?;
-        if asked != number {
+        let (last_number, sent) = self.last_poll?;
+        if last_number != number {
             return None;
         }
         self.is_answered = true;
