--- a/crates/fleet/src/catch_up.rs
+++ b/crates/fleet/src/catch_up.rs
@@ -22,23 +22,23 @@
 
 /// How long our own read of the store may take before others are asked. A watch
 /// brings a change within some 20 ms where the store answers.
-const ASK_AFTER: Duration = Duration::from_millis(150);
+const FETCH_DELAY: Duration = Duration::from_millis(150);
 
 /// What each other instance adds to the longest draw before the first question, so
 /// that not all of many that are behind ask at once.
-const SPREAD_PER_INSTANCE: Duration = Duration::from_millis(1);
+const JITTER_PER_INSTANCE: Duration = Duration::from_millis(1);
 
 /// The pause before the next one is asked, after one that did not answer or had no
 /// more than we.
-const ASK_NEXT: Duration = Duration::from_millis(100);
+const FETCH_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// An instance that did not answer is not asked again for this long, if there is
 /// another one.
-const AVOIDED_FOR: Duration = Duration::from_secs(2);
+const AVOID_FOR: Duration = Duration::from_secs(2);
 
 /// What an instance said counts for this long: among many, each tells all others
 /// every 2.4 s. A version that nobody has, told by mistake, counts no longer.
-const HEARD_FOR: Duration = Duration::from_secs(5);
+const SUMMARY_VALID_FOR: Duration = Duration::from_secs(5);
 
 /// How much an instance has of what all must know.
 #[derive(
@@ -81,18 +81,18 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Told {
-    knows: StateSummary,
-    at: Instant,
-    is_own_zone: bool,
+struct PeerSummary {
+    summary: StateSummary,
+    received_at: Instant,
+    is_same_zone: bool,
 }
 
 /// What an instance heard others to know, and whom it asked.
 #[derive(Clone, Debug, Default)]
 pub struct CatchUp {
-    told: HashMap<InstanceId, Told>,
+    peers: HashMap<InstanceId, PeerSummary>,
     behind_since: Option<Instant>,
-    ask_from: Option<Instant>,
+    next_fetch: Option<Instant>,
     avoided: HashMap<InstanceId, Instant>,
 }
 
@@ -105,7 +105,7 @@
     }
 
     /// Returns the most that either has.
-    fn most(self, other: StateSummary) -> StateSummary {
+    fn merge(self, other: StateSummary) -> StateSummary {
         StateSummary {
             configuration: self.configuration.max(other.configuration),
             versions: self.versions.max(other.versions),
@@ -119,25 +119,25 @@
     pub fn record_peer(
         &mut self,
         from: &InstanceId,
-        knows: StateSummary,
-        is_own_zone: bool,
+        summary: StateSummary,
+        is_same_zone: bool,
         now: Instant,
     ) {
-        let told = Told { knows, at: now, is_own_zone };
-        match self.told.get_mut(from) {
-            Some(known) => *known = told,
+        let peer = PeerSummary { summary, received_at: now, is_same_zone };
+        match self.peers.get_mut(from) {
+            Some(known) => *known = peer,
             None => {
-                self.told.insert(from.clone(), told);
+                self.peers.insert(from.clone(), peer);
             }
         }
     }
 
     /// Returns the most that was heard of lately.
     pub fn newest_heard(&self, now: Instant) -> StateSummary {
-        let recent = self.told.values().filter(|told| told.is_recent(now));
+        let recent = self.peers.values().filter(|peer| peer.is_recent(now));
         recent
-            .map(|told| told.knows)
-            .fold(StateSummary::default(), StateSummary::most)
+            .map(|peer| peer.summary)
+            .fold(StateSummary::default(), StateSummary::merge)
     }
 
     /// Returns what to do now for an instance that knows so much, before so many
@@ -151,23 +151,23 @@
     ) -> Step {
         if !self.newest_heard(now).has_more_than(own) {
             self.behind_since = None;
-            self.ask_from = None;
+            self.next_fetch = None;
             return Step::Idle;
         }
         self.behind_since.get_or_insert(now);
         let first = || {
-            let spread = SPREAD_PER_INSTANCE * others as u32;
+            let spread = JITTER_PER_INSTANCE * others as u32;
             let drawn = (draw % 1_000) as f64 / 1_000.0;
-            now + ASK_AFTER + spread.mul_f64(drawn)
+            now + FETCH_DELAY + spread.mul_f64(drawn)
         };
-        let ask_from = *self.ask_from.get_or_insert_with(first);
-        if now < ask_from {
-            return Step::Wait(ask_from);
+        let next_fetch = *self.next_fetch.get_or_insert_with(first);
+        if now < next_fetch {
+            return Step::Wait(next_fetch);
         }
-        self.ask_from = Some(now + ASK_NEXT);
-        match self.whom(own, draw, now) {
-            Some(whom) => Step::Fetch(whom),
-            None => Step::Wait(now + ASK_NEXT),
+        self.next_fetch = Some(now + FETCH_RETRY_DELAY);
+        match self.pick_source(own, draw, now) {
+            Some(source) => Step::Fetch(source),
+            None => Step::Wait(now + FETCH_RETRY_DELAY),
         }
     }
 
@@ -175,16 +175,16 @@
     pub fn fetch_now(&mut self, now: Instant) {
         // After a question that brought nothing, the pause before the next holds.
         let is_first = self
-            .ask_from
-            .is_none_or(|at| at.saturating_duration_since(now) > ASK_NEXT);
+            .next_fetch
+            .is_none_or(|at| at.saturating_duration_since(now) > FETCH_RETRY_DELAY);
         if is_first {
-            self.ask_from = Some(now);
+            self.next_fetch = Some(now);
         }
     }
 
     /// Takes in that an instance did not answer, or had no more than we.
-    pub fn fetch_failed(&mut self, whom: &InstanceId, now: Instant) {
-        self.avoided.insert(whom.clone(), now);
+    pub fn fetch_failed(&mut self, source: &InstanceId, now: Instant) {
+        self.avoided.insert(source.clone(), now);
     }
 
     /// Returns for how long more was heard of than there is.
@@ -194,42 +194,42 @@
 
     /// Forgets what was said long ago.
     pub fn forget(&mut self, now: Instant) {
-        self.told.retain(|_, told| told.is_recent(now));
-        self.avoided.retain(|_, at| now - *at < AVOIDED_FOR);
+        self.peers.retain(|_, peer| peer.is_recent(now));
+        self.avoided.retain(|_, at| now - *at < AVOID_FOR);
     }
 
     /// Returns one of those that have more: in our own zone if there is one, so that
     /// few bytes cross between zones, and none that just brought nothing if there is
     /// another.
-    fn whom(
+    fn pick_source(
         &self,
         own: StateSummary,
         draw: u64,
         now: Instant,
     ) -> Option<InstanceId> {
-        let rank = |id: &InstanceId, told: &Told| {
+        let rank = |id: &InstanceId, peer: &PeerSummary| {
             let is_avoided =
-                self.avoided.get(id).is_some_and(|at| now - *at < AVOIDED_FOR);
-            (is_avoided, !told.is_own_zone)
+                self.avoided.get(id).is_some_and(|at| now - *at < AVOID_FOR);
+            (is_avoided, !peer.is_same_zone)
         };
-        let mut having: Vec<_> = self
-            .told
+        let mut candidates: Vec<_> = self
+            .peers
             .iter()
-            .filter(|(_, told)| told.is_recent(now))
-            .filter(|(_, told)| told.knows.has_more_than(own))
-            .map(|(id, told)| (rank(id, told), id))
+            .filter(|(_, peer)| peer.is_recent(now))
+            .filter(|(_, peer)| peer.summary.has_more_than(own))
+            .map(|(id, peer)| (rank(id, peer), id))
             .collect();
-        having.sort_unstable();
-        let (best, _) = *having.first()?;
+        candidates.sort_unstable();
+        let (best, _) = *candidates.first()?;
         let equal =
-            having.iter().take_while(|(rank, _)| *rank == best).count();
+            candidates.iter().take_while(|(rank, _)| *rank == best).count();
         let idx = (draw % equal as u64) as usize;
-        Some(having[idx].1.clone())
+        Some(candidates[idx].1.clone())
     }
 }
 
-impl Told {
+impl PeerSummary {
     fn is_recent(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.at) < HEARD_FOR
+        now.saturating_duration_since(self.received_at) < SUMMARY_VALID_FOR
     }
 }
