--- a/crates/fleet/src/note.rs
+++ b/crates/fleet/src/note.rs
@@ -189,12 +189,12 @@
 
 /// Notes of an instance that may be lost in a row before what it said of itself
 /// counts no longer.
-const STATUS_LOSSES: u32 = 6;
+const MAX_LOST_STATUSES: u32 = 6;
 
 impl Status {
     /// Returns how long this note counts without another one.
     pub fn valid_for(&self) -> Duration {
-        Duration::from_millis(self.next_in_ms) * STATUS_LOSSES
+        Duration::from_millis(self.next_in_ms) * MAX_LOST_STATUSES
     }
 }
 
