--- a/crates/fleet/src/note_schedule.rs
+++ b/crates/fleet/src/note_schedule.rs
@@ -14,35 +14,35 @@
 use crate::note::MAX_DIRECT_PEERS;
 
 /// How often each instance says what it has under way, at the least.
-const STATUS_EVERY: Duration = Duration::from_millis(150);
+const STATUS_INTERVAL: Duration = Duration::from_millis(150);
 
 /// The pause between two notes that an instance hears from all others
 /// together while there is no holder of the lease: with many instances each
 /// speaks less often, so that a small machine spends no more on hearing them.
-const HEARD_EVERY: Duration = Duration::from_millis(25);
+const LEADERLESS_RECEIVE_INTERVAL: Duration = Duration::from_millis(25);
 
 /// How often it says what was asked for, if nothing waits.
-const ASKED_EVERY: Duration = Duration::from_millis(300);
+const DEMAND_INTERVAL: Duration = Duration::from_millis(300);
 
 /// The pause between two notes of what requests wait for. An adapter takes 250
 /// ms from the weight store, and a request for one that is absent has some 130
 /// ms until it must be on its way; so it is asked for at once, and only what
 /// comes in the same moment is told together. With the pause of
-/// [`SENT_PAUSE`] between 195 instances, each of which sends some four requests
+/// [`SENT_INTERVAL_PER_PEER`] between 195 instances, each of which sends some four requests
 /// a second, 7 of 100 streams were refused on a calm day.
-const WAITING_PAUSE: Duration = Duration::from_millis(5);
+const WAITING_INTERVAL: Duration = Duration::from_millis(5);
 
 /// What each of many peers adds to the pause between two notes on what was sent
 /// to engines. The holder hears some 1,000 a second at the most, each some 20
 /// us.
-const SENT_PAUSE: Duration = Duration::from_millis(1);
+const SENT_INTERVAL_PER_PEER: Duration = Duration::from_millis(1);
 
 /// The least pause between two notes of what an instance has under way, when
 /// it has sent large prompts.
-const SOON_PAUSE: Duration = Duration::from_millis(20);
+const MIN_INTERIM_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The pause between two batches, where there are many peers.
-const BATCH_PAUSE: Duration = Duration::from_millis(40);
+const BATCH_INTERVAL: Duration = Duration::from_millis(40);
 
 /// What an instance is to the others.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -98,7 +98,7 @@
     status: Option<Instant>,
     work: Option<Instant>,
     batch: Option<Instant>,
-    asked: Option<Instant>,
+    demand: Option<Instant>,
 }
 
 impl Topology {
@@ -112,24 +112,24 @@
     /// Without a holder each tells all, less often.
     pub fn status_pause(self) -> Duration {
         match self.role {
-            _ if !self.uses_relays() => STATUS_EVERY,
-            Role::Holder => STATUS_EVERY,
-            Role::Follower => STATUS_EVERY * 2,
-            Role::Leaderless => STATUS_EVERY.max(HEARD_EVERY * self.count()),
+            _ if !self.uses_relays() => STATUS_INTERVAL,
+            Role::Holder => STATUS_INTERVAL,
+            Role::Follower => STATUS_INTERVAL * 2,
+            Role::Leaderless => STATUS_INTERVAL.max(LEADERLESS_RECEIVE_INTERVAL * self.count()),
         }
     }
 
     /// A few instances hear at once what engines get and lose. Many hear it a
     /// little later; who waits for an adapter is told at once in any case.
     fn batch_pause(self) -> Duration {
-        if self.uses_relays() { BATCH_PAUSE } else { Duration::ZERO }
+        if self.uses_relays() { BATCH_INTERVAL } else { Duration::ZERO }
     }
 
     /// The pause between two notes on what was sent: the holder hears those of
     /// all.
     fn sent_pause(self) -> Duration {
         if self.uses_relays() {
-            SENT_PAUSE * self.count()
+            SENT_INTERVAL_PER_PEER * self.count()
         } else {
             Duration::ZERO
         }
@@ -137,18 +137,18 @@
 
     /// Among a few instances, all hear soon what was sent; among many, only
     /// the holder does, as often as it can hear them all.
-    fn soon_pause(self) -> Duration {
-        SOON_PAUSE.max(self.sent_pause())
+    fn interim_pause(self) -> Duration {
+        MIN_INTERIM_INTERVAL.max(self.sent_pause())
     }
 
-    fn asked_pause(self, pending: Pending) -> Duration {
+    fn demand_pause(self, pending: Pending) -> Duration {
         match pending {
             Pending { has_waiting: true, .. } if self.uses_relays() => {
-                WAITING_PAUSE
+                WAITING_INTERVAL
             }
             Pending { has_waiting: true, .. } => Duration::ZERO,
             Pending { has_sent: true, .. } => self.sent_pause(),
-            _ => ASKED_EVERY,
+            _ => DEMAND_INTERVAL,
         }
     }
 
@@ -162,7 +162,7 @@
     pub fn wait(
         &self,
         pending: Pending,
-        around: Topology,
+        topology: Topology,
         now: Instant,
     ) -> Duration {
         let left = |last: Option<Instant>, pause: Duration| match last {
@@ -172,13 +172,13 @@
         if pending.has_store_change {
             return Duration::ZERO;
         }
-        let mut wait = left(self.status, around.status_pause())
-            .min(left(self.asked, around.asked_pause(pending)));
+        let mut wait = left(self.status, topology.status_pause())
+            .min(left(self.demand, topology.demand_pause(pending)));
         if pending.has_large_prompt {
-            wait = wait.min(left(self.work, around.soon_pause()));
+            wait = wait.min(left(self.work, topology.interim_pause()));
         }
         if pending.has_batch {
-            wait = wait.min(left(self.batch, around.batch_pause()));
+            wait = wait.min(left(self.batch, topology.batch_pause()));
         }
         wait
     }
@@ -187,20 +187,20 @@
     pub fn take(
         &mut self,
         pending: Pending,
-        around: Topology,
+        topology: Topology,
         now: Instant,
     ) -> Due {
         let is_over = |last: Option<Instant>, pause: Duration| {
             last.is_none_or(|last| now >= last + pause)
         };
         let status = pending.has_store_change
-            || is_over(self.status, around.status_pause());
+            || is_over(self.status, topology.status_pause());
         let interim_work = !status
             && pending.has_large_prompt
-            && is_over(self.work, around.soon_pause());
+            && is_over(self.work, topology.interim_pause());
         let batch =
-            pending.has_batch && is_over(self.batch, around.batch_pause());
-        let asked = is_over(self.asked, around.asked_pause(pending));
+            pending.has_batch && is_over(self.batch, topology.batch_pause());
+        let demand = is_over(self.demand, topology.demand_pause(pending));
         let note = |last: &mut Option<Instant>, is_due: bool| {
             if is_due {
                 *last = Some(now);
@@ -209,7 +209,7 @@
         note(&mut self.status, status);
         note(&mut self.work, status || interim_work);
         note(&mut self.batch, batch);
-        note(&mut self.asked, asked);
-        Due { status, interim_work, batch, demand: asked }
+        note(&mut self.demand, demand);
+        Due { status, interim_work, batch, demand }
     }
 }
