--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -74,7 +74,7 @@
         }
         PlacementPlanner {
             epoch,
-            store,
+            load_limiter,
             ordered: HashMap::new(),
             last_full_pass: None,
         }
--- a/crates/fleet/tests/placement_rules.rs
+++ b/crates/fleet/tests/placement_rules.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn what_a_request_waits_for_is_loaded_once() {
+fn an_adapter_with_waiting_requests_is_loaded_once() {
     let now = Instant::now();
     let mut view = synced(&[("e1", &[]), ("e2", &[])], now);
     let mut demand = Demand::default();
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn an_adapter_in_use_is_not_removed() {
+fn an_adapter_in_use_is_not_evicted() {
     let now = Instant::now();
     let full: &[u32] = &[1, 2, 3, 4];
     let mut view = synced(&[("e1", full)], now);
@@ -116,7 +116,7 @@
 /// An engine takes no order until an adapter that was ordered out has no more
 /// runs: streams of 3 s kept engines from loading for four fifths of a day.
 #[test]
-fn an_adapter_is_not_removed_while_requests_run_on_it() {
+fn an_adapter_with_running_requests_is_not_evicted() {
     let now = Instant::now();
     let mut view = synced(&[("e1", &[1, 2, 3, 4])], now);
     // The least asked for runs here, the next one for another instance.
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_busy_adapter_gets_another_engine() {
+fn a_busy_adapter_gets_a_replica() {
     let now = Instant::now();
     let mut view = synced(&[("e1", &[1]), ("e2", &[])], now);
     let mut demand = Demand::default();
@@ -175,7 +175,7 @@
 /// Engines with long prompts before them are passed over as homes, and what
 /// they hold gets a copy where it begins sooner.
 #[test]
-fn an_adapter_on_an_engine_with_much_to_read_gets_a_copy() {
+fn an_adapter_on_an_engine_with_a_prompt_backlog_gets_a_replica() {
     let now = Instant::now();
     let mut view = synced(&[("e1", &[1]), ("e2", &[]), ("e3", &[])], now);
     for n in 1..40_u64 {
@@ -374,7 +374,7 @@
 /// The lease was about to lapse and did not: orders that had not gone out were
 /// forgotten, but not that what they were to remove was still there.
 #[test]
-fn orders_that_did_not_go_out_leave_no_place_free() {
+fn reverted_orders_free_no_place() {
     let now = Instant::now();
     let mut view = synced(&[("e1", &[1, 2, 3, 4])], now);
     let mut demand = Demand::default();
@@ -396,7 +396,7 @@
 /// The removal of an adapter that is still on its way would be answered as
 /// done, and the adapter would come all the same.
 #[test]
-fn an_adapter_that_may_still_come_is_not_removed() {
+fn a_loading_adapter_is_not_evicted() {
     let now = Instant::now();
     let mut view = synced(&[("e1", &[1, 2, 3])], now);
     let mut demand = Demand::default();
@@ -420,7 +420,7 @@
 /// on the old ones, whose places are all in use.
 /// Cause: an adapter waited for an engine that has it at hand, however long.
 #[test]
-fn a_free_place_is_taken_while_the_engine_at_hand_has_none() {
+fn a_free_place_is_used_if_engines_with_the_adapter_in_memory_are_full() {
     let now = Instant::now();
     let mut view = synced(&[("e1", &[9]), ("e2", &[])], now);
     view.apply_report(&"e1".to_owned(), &report(&[1, 2, 3, 4], 0), now);
@@ -443,7 +443,7 @@
 /// look counted the base model's holders for each engine and each order, and the
 /// next one came after eight times as long.
 #[test]
-fn adapters_find_places_among_a_thousand_engines() {
+fn planning_scales_to_a_thousand_engines() {
     let now = Instant::now();
     let ids: Vec<String> = (0..1_010).map(|n| format!("e{n:04}")).collect();
     let engines: Vec<(&str, &[u32])> =
@@ -471,7 +471,7 @@
 /// full speed; the first one is thought to be there, and a fifth is ordered.
 /// Cause: a load counted as over at the time at which it was expected.
 #[test]
-fn a_load_that_may_be_late_counts_among_the_four_on_their_way() {
+fn a_late_load_counts_against_the_limit_of_concurrent_loads() {
     let now = Instant::now();
     let mut view = synced(&[("e1", &[])], now);
     let mut loader = loader(1, now);
@@ -509,7 +509,7 @@
 /// What waits for an adapter whose only engine takes no more from some instance, by
 /// its limit or its rest, gets another place; and not there.
 #[test]
-fn an_adapter_whose_engine_is_saturated_gets_another_place() {
+fn an_adapter_on_a_saturated_engine_is_placed_elsewhere() {
     let now = Instant::now();
     let mut view = synced(&[("e1", &[1]), ("e2", &[]), ("e3", &[])], now);
     let mut demand = Demand::default();
