--- a/crates/fleet/tests/load_times_rules.rs
+++ b/crates/fleet/tests/load_times_rules.rs
@@ -135,7 +135,7 @@
     /// From 40 ms to 3 s and for any number at full speed, few requests come too
     /// early, and none waits for much longer than the load took.
     #[test]
-    fn times_are_found_from_40_ms_to_3_s(
+    fn load_times_are_estimated_from_40_ms_to_3_s(
         full_speed_ms in 40.0..3_000.0_f64,
         at_once in 6.0..200.0_f64,
         seed in 0..1_000_u64,
@@ -152,7 +152,7 @@
 /// come too early. In spells of two and a half times the usual rate more loads are
 /// on their way than come at full speed.
 #[test]
-fn stores_that_random_seeds_showed_are_found() {
+fn regressions_of_random_seeds_are_estimated() {
     for (full_speed_ms, at_once, seed) in [
         (588.735_526_179_556_6, 170.363_930_309_059_9, 2),
         (1_298.529_359_786_046_8, 125.607_654_586_148_53, 388),
@@ -170,7 +170,7 @@
 /// takes longer, and all requests are sent after what one takes.
 /// Cause: a load was taken to last 270 ms, however many are on their way.
 #[test]
-fn bursts_of_loads_are_expected_later() {
+fn loads_in_bursts_are_predicted_to_take_longer() {
     for (at_once, per_s) in [(8.0, 16.0), (72.0, 150.0)] {
         let store = WeightStore {
             full_speed_ms: 250.0,
@@ -188,7 +188,7 @@
 /// wait for one of them ask again and again.
 /// Cause: each of these answers counted, as if a load took that long.
 #[test]
-fn loads_that_never_come_say_nothing() {
+fn loads_that_never_complete_are_ignored() {
     let mut times = LoadTimes::default();
     let mut now = Instant::now();
     let endpoint = "e1".to_owned();
--- a/crates/fleet/tests/store_reachability_rules.rs
+++ b/crates/fleet/tests/store_reachability_rules.rs
@@ -24,7 +24,7 @@
 /// Settled by: `endpoint_lapsed` with `left_ms` 1456 at 74.752 s, so the last
 /// failure counted from 73.71 s, while `store_regained` stands at 73.08 s.
 #[test]
-fn a_missing_entry_is_not_waited_for_beyond_contact_regained() {
+fn a_missing_entry_has_no_grace_once_the_store_is_in_touch() {
     let sent = Instant::now();
     let mut contact = StoreReachability::default();
     contact.record_failure(unanswered(sent, 1_200));
@@ -36,7 +36,7 @@
 /// store is out, and the holder of the lease go on by their word, while the
 /// store answers.
 #[test]
-fn a_call_lost_before_another_was_answered_does_not_put_the_store_out() {
+fn a_call_lost_before_an_answered_one_does_not_make_the_store_unreachable() {
     let sent = Instant::now();
     let mut contact = StoreReachability::default();
     contact.record_success(sent + Duration::from_secs(3));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_missing_entry_is_waited_for_after_an_outage() {
+fn a_missing_entry_has_a_grace_period_after_an_outage() {
     let now = Instant::now();
     let mut contact = StoreReachability::default();
     assert_eq!(contact.missing_entry_grace(now), Duration::ZERO);
@@ -65,7 +65,7 @@
 /// A holder may count on our word for as long as one holds, and no longer: for
 /// 30 s after an outage a new holder gave orders up to 2 s later than it could.
 #[test]
-fn our_word_that_the_store_is_out_ends_soon_after_it_is_regained() {
+fn an_outage_report_expires_soon_after_the_store_recovers() {
     let now = Instant::now();
     let word = Duration::from_secs(1);
     let mut contact = StoreReachability::default();
--- a/crates/fleet/tests/wait_policy_rules.rs
+++ b/crates/fleet/tests/wait_policy_rules.rs
@@ -38,7 +38,7 @@
 /// An adapter that is on its way comes; the caller has its answer sooner than
 /// by a new try.
 #[test]
-fn what_is_on_its_way_is_waited_for_also_if_the_answer_is_late() {
+fn a_request_waits_for_a_loading_adapter_even_if_it_is_late() {
     let now = Instant::now();
     let late = WaitReason::AdapterLoading(ms(900));
     assert!(chat(now).wait_until(late, now) >= now + ms(900));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn no_request_is_held_beyond_its_end() {
+fn no_request_waits_beyond_its_deadline() {
     let now = Instant::now();
     for obstacle in [
         NOT_LOADED,
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn callers_that_were_rejected_together_do_not_come_back_together() {
+fn callers_that_were_rejected_together_do_not_retry_together() {
     let after = |draw| retry_delay(ms(4_400), None, draw);
     let longest = after(0.0);
     assert!(longest <= ms(1_364));
