--- a/crates/fleet/tests/budget_rules.rs
+++ b/crates/fleet/tests/budget_rules.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn repeats_come_back_after_the_window() {
+fn retries_are_available_again_after_the_window() {
     let now = Instant::now();
     let mut budget = RetryBudget::new(ALLOWANCE);
     while budget.take("app", now, 6) {}
@@ -44,7 +44,7 @@
 /// All six days with trouble of a grown site broke the rule: repeats at the
 /// small service were earned by requests for the large one.
 #[test]
-fn requests_of_one_service_earn_no_repeats_at_another() {
+fn requests_of_one_service_earn_no_retries_at_another() {
     let now = Instant::now();
     let mut budget = RetryBudget::new(ALLOWANCE);
     for _ in 0..10_000 {
@@ -60,7 +60,7 @@
 /// Instances that all start again together begin with nothing of the fixed
 /// number: what their last lives used still counts.
 #[test]
-fn the_fixed_number_comes_back_over_a_window_after_a_start() {
+fn the_fixed_number_becomes_available_over_a_window_after_a_restart() {
     let now = Instant::now();
     let mut budget = RetryBudget::after_restart(ALLOWANCE, now);
     assert!(!budget.take("app", now, 1));
@@ -73,7 +73,7 @@
 
 proptest! {
     #[test]
-    fn repeats_never_exceed_the_share_and_the_slack(
+    fn retries_never_exceed_the_share_and_the_slack(
         steps in proptest::collection::vec((0u64..400, any::<bool>()), 1..300),
     ) {
         let start = Instant::now();
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn what_a_broken_stream_left_unfinished_is_thrown_away() {
+fn incomplete_events_of_a_broken_stream_are_discarded() {
     let mut cutter = EventFramer::after(Some("4".to_owned()));
     assert_eq!(cutter.push(b"id: 5\ndata: x\n\nid: 6\nda"), {
         b"id: 5\ndata: x\n\n".to_vec()
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn failures_in_a_row_eject_and_one_success_brings_back() {
+fn consecutive_failures_eject_and_one_success_readmits() {
     let now = Instant::now();
     let mut health = Health::default();
     for _ in 0..4 {
--- a/crates/fleet/tests/customer_rules.rs
+++ b/crates/fleet/tests/customer_rules.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_request_is_the_customers_whose_key_it_has() {
+fn a_request_belongs_to_the_customer_of_its_key() {
     let mut customers = Customers::default();
     assert!(customers.is_empty());
     let keys = [SECRET, "k7b2"].map(|key| KeyDigest::of(key.as_bytes()));
@@ -34,7 +34,7 @@
 
 /// What is printed of a configuration shows neither keys nor their digests.
 #[test]
-fn nothing_prints_a_key() {
+fn debug_output_contains_no_key() {
     let mut customers = Customers::default();
     customers.add(customer("one", 0), [KeyDigest::of(SECRET.as_bytes())]);
     let printed = format!("{customers:?}");
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_customers_rank_comes_before_its_routes() {
+fn customer_priority_precedes_route_priority() {
     let (first, second) = (customer("one", 0), customer("two", 1));
     for route in 0..10 {
         assert!(
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_request_that_tells_no_tokens_counts_what_is_configured() {
+fn a_request_with_unknown_tokens_counts_the_configured_number() {
     let tokens = Unit::Tokens { plain: 200.0 };
     assert_eq!((tokens.count(1_540), tokens.count(0)), (1_540.0, 200.0));
     assert_eq!(Unit::Requests.count(1_540), 1.0);
@@ -65,7 +65,7 @@
 /// An instance that is cut off cannot know that a key was taken away: it serves
 /// keyed requests for less than the time within which keys must stop.
 #[test]
-fn keys_are_sure_for_a_time_after_the_newest_was_known() {
+fn keys_are_fresh_for_a_limited_time_after_a_confirmation() {
     let within = Duration::from_secs(5);
     let start = Instant::now();
     let mut known = KeyFreshness::new(Some(within));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn without_a_bound_keys_are_always_sure() {
+fn without_a_bound_keys_are_always_fresh() {
     let known = KeyFreshness::new(None);
     assert!(known.is_fresh(Instant::now()));
     assert_eq!(known.watch_timeout(Instant::now()), None);
--- a/crates/fleet/tests/rate_limiter_rules.rs
+++ b/crates/fleet/tests/rate_limiter_rules.rs
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn usual_demand_is_not_turned_away_however_it_is_spread() {
+fn usual_demand_is_not_rejected_however_it_is_spread() {
     for (instances, skew) in [(7, 1.0), (7, 4.0), (75, 1.0), (75, 6.0)] {
         let load = Load { usual: 0.55, hot: 0.75, skew };
         let taken = play(instances, load, 0, 3);
@@ -129,7 +129,7 @@
     /// Cut-off instances keep the part that they had: together with the others,
     /// who then share the whole, no more than twice the allowance is taken.
     #[test]
-    fn cuts_never_double_an_allowance(
+    fn partitions_never_double_an_allowance(
         instances in 2_usize..30,
         cut_part in 0.0..0.5_f64,
         hot in 1.0..8.0_f64,
--- a/crates/fleet/tests/request_digest_rules.rs
+++ b/crates/fleet/tests/request_digest_rules.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_request_of_nobody_is_not_that_of_a_customer_without_a_name() {
+fn an_anonymous_request_differs_from_that_of_an_unnamed_customer() {
     let texts = ["", "GET", "h", "/p/"].map(str::to_owned);
     let named = RequestDigest::of(parts(&texts, b""));
     let unnamed = RequestParts { customer: None, ..parts(&texts, b"") };
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn what_is_no_digest_is_not_read_as_one() {
+fn invalid_digests_are_not_parsed() {
     for text in ["", "12", &"g".repeat(32), &"é".repeat(16), &"+".repeat(32)]
     {
         assert_eq!(RequestDigest::parse(text), None, "{text}");
