--- a/crates/fleet/tests/poison_model.rs
+++ b/crates/fleet/tests/poison_model.rs
@@ -388,7 +388,7 @@
     /// Whatever is cut or starts again, instances in touch send the request to three
     /// more endpoints at most, later than they have to be in touch after the third.
     #[test]
-    fn a_poison_request_is_stopped_whatever_is_cut(day in day()) {
+    fn a_poison_request_is_stopped_under_any_partition(day in day()) {
         let outcome = Model::play(Way::AllCount, &day);
         prop_assert!(outcome.later <= MOST_LATER, "{outcome:?}");
     }
@@ -397,7 +397,7 @@
 /// On days without faults four endpoints end at most, and all know it within half a
 /// second, though notes are lost.
 #[test]
-fn on_calm_days_four_endpoints_end_at_most() {
+fn without_faults_at_most_four_endpoints_crash() {
     for seed in 0..60 {
         let events = Vec::new();
         let day = Day { events, tries_ms: 200 + 23 * seed, seed };
@@ -411,7 +411,7 @@
 /// than it may. Run with `--nocapture` for the figures; `MODEL_DAYS` sets how many
 /// days.
 #[test]
-fn counting_everywhere_ends_the_fewest_endpoints() {
+fn counting_everywhere_crashes_the_fewest_endpoints() {
     let mut runner = proptest::test_runner::TestRunner::deterministic();
     let count = std::env::var("MODEL_DAYS").ok();
     let count = count.and_then(|text| text.parse().ok()).unwrap_or(40);
--- a/crates/fleet/tests/poison_rules.rs
+++ b/crates/fleet/tests/poison_rules.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn three_ends_one_after_the_other_condemn() {
+fn three_separate_crashes_condemn() {
     let (mut poison, of) = (PoisonDetector::default(), digest(1));
     let at = crash_in_turn(&mut poison, 0..2, of, Instant::now());
     assert!(!is_condemned(&poison, of, at));
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_connection_that_breaks_at_a_live_endpoint_counts_for_nothing() {
+fn a_connection_that_breaks_at_a_live_endpoint_does_not_count() {
     let (mut poison, of) = (PoisonDetector::default(), digest(1));
     let mut at = Instant::now();
     for endpoint in 0..6 {
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn another_instance_that_sees_the_end_settles_what_broke_here() {
+fn a_crash_seen_by_another_instance_counts_here() {
     let (mut near, mut far) =
         (PoisonDetector::default(), PoisonDetector::default());
     let (one, other) = (digest(1), digest(2));
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_run_that_ends_well_clears_what_was_held_against_it() {
+fn a_successful_run_clears_the_evidence() {
     let (mut poison, of) = (PoisonDetector::default(), digest(1));
     let at = crash_in_turn(&mut poison, 0..2, of, Instant::now());
     assert!(poison.clear(of, at));
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn what_was_condemned_before_a_good_run_is_refuted() {
+fn a_condemnation_before_a_successful_run_is_refuted() {
     let (mut poison, mut other) =
         (PoisonDetector::default(), PoisonDetector::default());
     let of = digest(1);
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn it_is_tried_again_after_a_time_and_one_more_end_condemns_it_anew() {
+fn a_released_request_is_condemned_again_by_one_crash() {
     let (mut poison, of) = (PoisonDetector::default(), digest(1));
     let at = crash_in_turn(&mut poison, 0..3, of, Instant::now());
     let released_in = poison.verdict(of, at).expect("a verdict").released_in;
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn what_is_known_is_bounded() {
+fn retained_evidence_is_bounded() {
     let mut poison = PoisonDetector::default();
     let mut at = Instant::now();
     for n in 0..2_000 {
@@ -232,7 +232,7 @@
     /// Whatever order notes come in, and however often, all instances come to the
     /// same verdicts.
     #[test]
-    fn all_that_hear_the_same_agree(
+    fn instances_with_the_same_reports_agree(
         events in events(),
         order in any::<proptest::sample::Index>(),
     ) {
@@ -268,7 +268,7 @@
     /// come within a try, whoever sends it; others that ran beside it once are sent
     /// on, and those that end well in between are never held.
     #[test]
-    fn a_poison_request_is_stopped_and_what_ran_beside_is_not(
+    fn a_poison_request_is_stopped_and_requests_beside_it_are_not(
         tries in proptest::collection::vec(0..6usize, 5..30),
         beside in proptest::collection::vec(1..9u32, 5..30),
     ) {
