--- a/crates/fleet/tests/catch_up_rules.rs
+++ b/crates/fleet/tests/catch_up_rules.rs
@@ -34,7 +34,7 @@
 /// A change comes by the own watch within some 20 ms; asking for each at once would
 /// cost as many bytes again.
 #[test]
-fn what_the_own_watch_brings_soon_is_not_asked_for() {
+fn a_change_that_the_own_watch_brings_soon_is_not_fetched() {
     let mut now = Instant::now();
     let mut catch_up = CatchUp::default();
     catch_up.record_peer(&"a".to_owned(), knows(2), true, now);
@@ -47,7 +47,7 @@
 
 /// Bytes between zones have a price.
 #[test]
-fn one_of_the_own_zone_is_asked_first() {
+fn an_instance_of_the_own_zone_is_preferred() {
     let mut now = Instant::now();
     let mut catch_up = CatchUp::default();
     for (id, is_own_zone) in [("far", false), ("near", true), ("off", false)] {
@@ -60,7 +60,7 @@
 /// One that cannot be reached is followed by another, and is asked again where there
 /// is no other one.
 #[test]
-fn one_that_brings_nothing_is_followed_by_another() {
+fn a_failed_fetch_is_followed_by_another_instance() {
     let mut now = Instant::now();
     let mut catch_up = CatchUp::default();
     catch_up.record_peer(&"a".to_owned(), knows(2), true, now);
@@ -75,7 +75,7 @@
 
 /// With 300 that are behind at once, questions are spread over 300 ms.
 #[test]
-fn many_do_not_ask_at_once() {
+fn many_instances_do_not_fetch_at_once() {
     let now = Instant::now();
     let first_question = |draw| {
         let mut catch_up = CatchUp::default();
@@ -92,7 +92,7 @@
 /// A version that nobody has, told once by mistake, would make an instance ask and
 /// refuse for now as long as it lives.
 #[test]
-fn what_was_said_long_ago_counts_no_longer() {
+fn old_summaries_expire() {
     let now = Instant::now();
     let mut catch_up = CatchUp::default();
     catch_up.record_peer(&"a".to_owned(), knows(99), true, now);
@@ -104,7 +104,7 @@
 
 /// A request that waits for a newer version does not wait for the own watch.
 #[test]
-fn a_request_that_waits_makes_it_ask_at_once() {
+fn a_waiting_request_triggers_a_fetch_at_once() {
     let now = Instant::now();
     let mut catch_up = CatchUp::default();
     catch_up.record_peer(&"a".to_owned(), knows(2), true, now);
--- a/crates/fleet/tests/in_force_model.rs
+++ b/crates/fleet/tests/in_force_model.rs
@@ -359,7 +359,7 @@
     /// told its number. Wherever a way to the store, or to an instance that has it, is
     /// whole for the time within which it must be in force, it is; and never goes back.
     #[test]
-    fn a_version_is_in_force_in_time_wherever_there_is_a_way(day in any_day()) {
+    fn a_version_is_in_force_in_time_wherever_a_path_exists(day in any_day()) {
         let outcome = World::new(day).play();
         prop_assert_eq!(outcome.back, 0);
         let late = outcome.late.first();
@@ -371,7 +371,7 @@
 /// instance: an instance that reads the store 0.13 s late was cut off from it, again
 /// and again, beside one that had it.
 #[test]
-fn a_day_that_needs_the_others_is_in_force_in_time() {
+fn a_version_that_only_peers_can_bring_is_in_force_in_time() {
     let outcome = World::new(Day {
         instances: 2,
         change_every: 20,
--- a/crates/fleet/tests/note_schedule_rules.rs
+++ b/crates/fleet/tests/note_schedule_rules.rs
@@ -27,7 +27,7 @@
 /// s; one takes it and orders are due at once.
 /// Cause: the time of its next word was fixed when it spoke last.
 #[test]
-fn a_new_holder_of_many_speaks_at_once() {
+fn a_new_holder_of_a_large_fleet_sends_at_once() {
     let start = Instant::now();
     let mut schedule = NoteSchedule::default();
     let leaderless = around(MANY, Role::Leaderless);
@@ -43,7 +43,7 @@
 /// A new holder knows nothing of what the others have under way until they say
 /// so: they go over to the pace of followers when they hear it.
 #[test]
-fn whoever_hears_a_new_holder_speaks_at_once() {
+fn followers_of_a_new_holder_send_at_once() {
     let start = Instant::now();
     let mut schedule = NoteSchedule::default();
     let _ = schedule.take(NOTHING, around(MANY, Role::Leaderless), start);
@@ -58,7 +58,7 @@
 /// another request waits for an adapter.
 /// Cause: both went through the same pause of 194 ms.
 #[test]
-fn what_waits_is_told_at_once_after_a_send() {
+fn waiting_requests_are_reported_at_once_after_a_send() {
     let start = Instant::now();
     let follower = around(MANY, Role::Follower);
     let mut schedule = NoteSchedule::default();
@@ -76,7 +76,7 @@
 /// absent ones: what waits is told within 5 ms, and the holder hears at most
 /// 2,000 notes a second of some 20 us each, a 25th of its core.
 #[test]
-fn the_holder_hears_no_more_than_it_can() {
+fn the_holder_receives_no_more_than_it_can_process() {
     for (requests_per_s, absent_part) in [(720.0, 0.2), (1_500.0, 1.0)] {
         let mut heard = 0;
         let mut longest = Duration::ZERO;
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn few_instances_are_told_everything_at_once() {
+fn a_small_fleet_is_told_everything_at_once() {
     let start = Instant::now();
     let few = around(6, Role::Follower);
     let mut schedule = NoteSchedule::default();
--- a/crates/fleet/tests/revocation_rules.rs
+++ b/crates/fleet/tests/revocation_rules.rs
@@ -209,7 +209,7 @@
 /// 3.1 s, and is over 6.2 s after what is known.
 /// Cause: each watch waited for a fixed time, whatever was left.
 #[test]
-fn a_change_late_in_a_watch_makes_nobody_unsure() {
+fn a_change_late_in_a_watch_keeps_keys_fresh() {
     let store =
         Store { changes: vec![3_000], answer_ms: 4, ..Store::default() };
     assert!(cost(&store, Way::Fixed).unsure_ms > 1_000);
@@ -284,7 +284,7 @@
 
 /// The ways that stay sure, by calls to the store, which have a price.
 #[test]
-fn a_few_that_watch_and_others_that_ask_take_the_fewest_calls() {
+fn few_watchers_and_many_pollers_take_the_fewest_calls() {
     for (name, changes) in [
         ("none", Vec::new()),
         ("each 20 s", every(20_000)),
@@ -309,7 +309,7 @@
 
 /// One that the store alone does not answer goes on by what the others know.
 #[test]
-fn an_instance_cut_off_from_the_store_alone_stays_sure() {
+fn an_instance_cut_off_from_the_store_alone_stays_fresh() {
     let store = Store { answer_ms: 4, ..Store::default() };
     let watchers: Vec<Play<'_>> = (0..WATCHERS)
         .map(|_| Play::new(&store, Way::Watcher).played())
@@ -323,7 +323,7 @@
 /// An answer counts from its question, however late it comes, and once another
 /// question is out not at all.
 #[test]
-fn a_late_answer_says_nothing_newer_than_its_question() {
+fn a_late_answer_confirms_nothing_newer_than_its_question() {
     let start = Instant::now();
     let ms = Duration::from_millis;
     let mut asking = FreshnessPoll::default();
@@ -337,7 +337,7 @@
 /// What a cut takes, wherever it falls between watches: less than with watches of
 /// a fixed time, since more is left when it begins after a change.
 #[test]
-fn an_instance_that_was_cut_off_is_unsure_for_less() {
+fn an_instance_that_was_cut_off_is_stale_for_less_time() {
     for cut_ms in [500, 2_000, 4_000, 9_000] {
         println!("== cut off for {cut_ms} ms");
         let mean_ms = |way| {
@@ -359,7 +359,7 @@
 
 proptest! {
     #[test]
-    fn a_calm_store_makes_nobody_unsure(
+    fn a_working_store_keeps_keys_fresh(
         mut changes in proptest::collection::vec(0..PLAYED_MS, 0..60),
         answer_ms in 1_u64..300,
     ) {
