--- a/crates/fleet/tests/poison_model.rs
+++ b/crates/fleet/tests/poison_model.rs
@@ -17,15 +17,15 @@
 };
 
 const TICK_MS: u64 = 20;
-const DAY_MS: u64 = 40_000;
+const DURATION_MS: u64 = 40_000;
 const INSTANCES: usize = 6;
 
 /// How long a request runs before it ends its endpoint.
-const RUNS_MS: u64 = 80;
+const CRASH_AFTER_MS: u64 = 80;
 
 /// A regular note is due so often; one in twenty is lost.
 const STATUS_MS: u64 = 160;
-const LOST: f64 = 0.05;
+const LOSS_PROBABILITY: f64 = 0.05;
 
 /// Instances that watch the store for the others.
 const WATCHERS: usize = 4;
@@ -34,7 +34,7 @@
 const WRITE_AFTER_MS: u64 = 250;
 
 /// Whoever was not heard for so long is not there.
-const SILENT_MS: u64 = 1_200;
+const DEAD_AFTER_MS: u64 = 1_200;
 
 /// Bounds hold for an instance after so long without a fault at it or the store.
 const CONTACT_MS: u64 = 3_000;
@@ -46,7 +46,7 @@
 
 /// How what one instance saw comes to the others.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
+enum Design {
     /// Each tells all, each counts, and what is condemned stands in the store.
     AllCount,
     /// Each tells the first instance that is there, which counts and tells all.
@@ -60,7 +60,7 @@
     Restart(usize),
     RestartAll,
     /// An instance hears none of the others, and they do not hear it.
-    Apart(usize),
+    Partitioned(usize),
     /// An instance does not reach the store.
     NoStore(usize),
     /// No instance does.
@@ -89,7 +89,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Day {
+struct Scenario {
     events: Vec<Event>,
     /// Between two tries of the request's caller.
     tries_ms: u64,
@@ -118,8 +118,8 @@
 }
 
 struct Model<'a> {
-    way: Way,
-    day: &'a Day,
+    design: Design,
+    scenario: &'a Scenario,
     start: Instant,
     rng: StdRng,
     instances: Vec<Instance>,
@@ -142,19 +142,19 @@
 }
 
 impl Model<'_> {
-    fn play(way: Way, day: &Day) -> Outcome {
+    fn simulate(design: Design, scenario: &Scenario) -> Outcome {
         let mut instances = Vec::new();
         instances.resize_with(INSTANCES, Instance::default);
         let mut model = Model {
-            way,
-            day,
+            design,
+            scenario,
             start: Instant::now(),
-            rng: StdRng::seed_from_u64(day.seed),
+            rng: StdRng::seed_from_u64(scenario.seed),
             instances,
             stored: None,
             outcome: Outcome::default(),
         };
-        for now in (0..DAY_MS).step_by(TICK_MS as usize) {
+        for now in (0..DURATION_MS).step_by(TICK_MS as usize) {
             model.tick(now);
         }
         model.outcome
@@ -165,20 +165,20 @@
     }
 
     fn is_up(&self, n: usize, now: u64) -> bool {
-        !self.day.events.iter().any(|e| e.stops(n) && e.covers(now))
+        !self.scenario.events.iter().any(|e| e.stops(n) && e.covers(now))
     }
 
     fn hears(&self, one: usize, other: usize, now: u64) -> bool {
-        let is_apart = |n: usize| {
-            let mut events = self.day.events.iter();
+        let is_partitioned = |n: usize| {
+            let mut events = self.scenario.events.iter();
             events.any(|e| {
-                matches!(e.fault, Fault::Apart(of) if of == n) && e.covers(now)
+                matches!(e.fault, Fault::Partitioned(of) if of == n) && e.covers(now)
             })
         };
         self.is_up(one, now)
             && self.is_up(other, now)
-            && !is_apart(one)
-            && !is_apart(other)
+            && !is_partitioned(one)
+            && !is_partitioned(other)
     }
 
     fn reaches_store(&self, n: usize, now: u64) -> bool {
@@ -188,7 +188,7 @@
             _ => false,
         };
         self.is_up(n, now)
-            && !self.day.events.iter().any(|e| is_cut(e) && e.covers(now))
+            && !self.scenario.events.iter().any(|e| is_cut(e) && e.covers(now))
     }
 
     fn in_touch(&self, n: usize, now: u64) -> bool {
@@ -201,7 +201,7 @@
     fn rank(&self, n: usize, now: u64) -> usize {
         let heard = |m: &usize| {
             let at = self.instances[n].heard_ms.get(m);
-            at.is_some_and(|at| now - at < SILENT_MS)
+            at.is_some_and(|at| now - at < DEAD_AFTER_MS)
         };
         (0..n).filter(heard).count()
     }
@@ -212,7 +212,7 @@
                 self.instances[n] = Instance::default();
             }
         }
-        if now.is_multiple_of(self.day.tries_ms / TICK_MS * TICK_MS) {
+        if now.is_multiple_of(self.scenario.tries_ms / TICK_MS * TICK_MS) {
             self.send(now);
         }
         for n in 0..INSTANCES {
@@ -221,7 +221,7 @@
                 self.tell_status(n, now);
             }
             self.catch_up(n, now);
-            if self.way == Way::AllCount {
+            if self.design == Design::AllCount {
                 self.keep_records(n, now);
             }
         }
@@ -242,14 +242,14 @@
             self.outcome.later += 1;
         }
         let endpoint = ended.len() as u32;
-        self.outcome.ended_at.push(now + RUNS_MS);
+        self.outcome.ended_at.push(now + CRASH_AFTER_MS);
         self.instances[n].running.push((endpoint, now));
     }
 
     fn end_runs(&mut self, n: usize, now: u64) {
         let running = std::mem::take(&mut self.instances[n].running);
         for (endpoint, began) in running {
-            if now < began + RUNS_MS {
+            if now < began + CRASH_AFTER_MS {
                 self.instances[n].running.push((endpoint, began));
                 continue;
             }
@@ -266,10 +266,10 @@
 
     fn tell(&mut self, n: usize, crashes: &[Crash], now: u64) {
         for m in (0..INSTANCES).filter(|m| *m != n) {
-            if self.way == Way::HolderCounts && self.rank(m, now) > 0 {
+            if self.design == Design::HolderCounts && self.rank(m, now) > 0 {
                 continue;
             }
-            let is_lost = self.rng.random_bool(LOST);
+            let is_lost = self.rng.random_bool(LOSS_PROBABILITY);
             if is_lost || !self.hears(n, m, now) {
                 continue;
             }
@@ -285,7 +285,7 @@
         self.tell(n, &crashes, now);
         let known = self.instances[n].poison.condemned_len();
         for m in (0..INSTANCES).filter(|m| *m != n) {
-            let is_lost = self.rng.random_bool(LOST);
+            let is_lost = self.rng.random_bool(LOSS_PROBABILITY);
             if is_lost || !self.hears(n, m, now) {
                 continue;
             }
@@ -360,24 +360,24 @@
 fn event() -> impl Strategy<Value = Event> {
     let fault = prop_oneof![
         (0..INSTANCES).prop_map(Fault::Restart),
-        (0..INSTANCES).prop_map(Fault::Apart),
+        (0..INSTANCES).prop_map(Fault::Partitioned),
         (0..INSTANCES).prop_map(Fault::NoStore),
         Just(Fault::StoreOut),
     ];
-    (fault, 0..DAY_MS - 10_000, 200..9_000u64)
+    (fault, 0..DURATION_MS - 10_000, 200..9_000u64)
         .prop_map(|(fault, at_ms, lasts_ms)| Event { fault, at_ms, lasts_ms })
 }
 
-fn day() -> impl Strategy<Value = Day> {
+fn scenario() -> impl Strategy<Value = Scenario> {
     let events = proptest::collection::vec(event(), 0..8);
-    let all_at = proptest::option::of(2_000..DAY_MS - 10_000);
+    let all_at = proptest::option::of(2_000..DURATION_MS - 10_000);
     (events, all_at, 200..2_000u64, any::<u64>()).prop_map(
         |(mut events, all_at, tries_ms, seed)| {
             let fault = Fault::RestartAll;
             let all =
                 all_at.map(|at_ms| Event { fault, at_ms, lasts_ms: 300 });
             events.extend(all);
-            Day { events, tries_ms, seed }
+            Scenario { events, tries_ms, seed }
         },
     )
 }
@@ -388,8 +388,8 @@
     /// Whatever is cut or starts again, instances in touch send the request to three
     /// more endpoints at most, later than they have to be in touch after the third.
     #[test]
-    fn a_poison_request_is_stopped_under_any_partition(day in day()) {
-        let outcome = Model::play(Way::AllCount, &day);
+    fn a_poison_request_is_stopped_under_any_partition(scenario in scenario()) {
+        let outcome = Model::simulate(Design::AllCount, &scenario);
         prop_assert!(outcome.later <= MOST_LATER, "{outcome:?}");
     }
 }
@@ -400,8 +400,8 @@
 fn without_faults_at_most_four_endpoints_crash() {
     for seed in 0..60 {
         let events = Vec::new();
-        let day = Day { events, tries_ms: 200 + 23 * seed, seed };
-        let outcome = Model::play(Way::AllCount, &day);
+        let scenario = Scenario { events, tries_ms: 200 + 23 * seed, seed };
+        let outcome = Model::simulate(Design::AllCount, &scenario);
         assert!(outcome.ended_at.len() <= 4, "{seed}: {outcome:?}");
         assert!(outcome.known_ms.is_some_and(|ms| ms <= 500), "{outcome:?}");
     }
@@ -415,13 +415,13 @@
     let mut runner = proptest::test_runner::TestRunner::deterministic();
     let count = std::env::var("MODEL_DAYS").ok();
     let count = count.and_then(|text| text.parse().ok()).unwrap_or(40);
-    let days: Vec<Day> = (0..count)
-        .map(|_| day().new_tree(&mut runner).expect("a day").current())
+    let scenarios: Vec<Scenario> = (0..count)
+        .map(|_| scenario().new_tree(&mut runner).expect("a scenario").current())
         .collect();
     let mut ended = HashMap::new();
-    for way in [Way::AllCount, Way::HolderCounts, Way::NoStore] {
+    for design in [Design::AllCount, Design::HolderCounts, Design::NoStore] {
         let outcomes: Vec<Outcome> =
-            days.iter().map(|day| Model::play(way, day)).collect();
+            scenarios.iter().map(|scenario| Model::simulate(design, scenario)).collect();
         let sum: usize = outcomes.iter().map(|o| o.ended_at.len()).sum();
         let most = outcomes.iter().map(|o| o.ended_at.len()).max();
         let past = outcomes.iter().filter(|o| o.later > MOST_LATER).count();
@@ -430,15 +430,15 @@
         known.sort_unstable();
         let p99 = known.get(known.len() * 99 / 100);
         println!(
-            "{way:?}: {:.2} endpoints ended a day, {most:?} at most; {past} of \
-             {} days past the bound; all knew after {:?} ms at the median, \
-             {p99:?} at p99, on {} days",
-            sum as f64 / days.len() as f64,
-            days.len(),
+            "{design:?}: {:.2} endpoints ended a scenario, {most:?} at most; {past} of \
+             {} scenarios past the bound; all knew after {:?} ms at the median, \
+             {p99:?} at p99, on {} scenarios",
+            sum as f64 / scenarios.len() as f64,
+            scenarios.len(),
             known.get(known.len() / 2),
             known.len(),
         );
-        ended.insert(format!("{way:?}"), sum);
+        ended.insert(format!("{design:?}"), sum);
     }
     assert!(ended["AllCount"] <= ended["HolderCounts"]);
     assert!(ended["AllCount"] <= ended["NoStore"]);
