--- a/crates/fleet/tests/revocation_rules.rs
+++ b/crates/fleet/tests/revocation_rules.rs
@@ -13,27 +13,27 @@
 const WITHIN: Duration = Duration::from_millis(5_000);
 
 /// What remains of it after the margin for clocks.
-const MOST_MS: u64 = 4_700;
+const MAX_AGE_MS: u64 = 4_700;
 
 /// How long a call without an answer is waited for, beyond a watch's own time.
 const UNANSWERED_MS: u64 = 1_000;
 
 /// The pauses after failed calls.
-const BACK_OFF_MS: (u64, u64) = (150, 1_200);
+const BACKOFF_MS: (u64, u64) = (150, 1_200);
 
 /// Instances of a fleet, and those of them that watch.
 const INSTANCES: usize = 74;
 const WATCHERS: usize = 4;
 
 /// How often an instance looks whether to ask.
-const LOOK_MS: u64 = 100;
+const CHECK_INTERVAL_MS: u64 = 100;
 
 /// How long a played time is.
-const PLAYED_MS: u64 = 60_000;
+const DURATION_MS: u64 = 60_000;
 
 /// How an instance keeps itself sure.
 #[derive(Clone, Copy, Debug)]
-enum Way {
+enum WatchPolicy {
     /// Each watch waits two thirds of the whole time.
     Fixed,
     /// Each watch waits a third of it, so that any two fit.
@@ -77,9 +77,9 @@
 }
 
 /// Plays an instance that lists once and then watches.
-struct Play<'a> {
+struct Simulation<'a> {
     store: &'a Store,
-    way: Way,
+    policy: WatchPolicy,
     start: Instant,
     known: KeyFreshness,
     known_until_ms: u64,
@@ -93,20 +93,20 @@
     confirmed: Vec<(u64, u64)>,
 }
 
-impl<'a> Play<'a> {
-    fn new(store: &'a Store, way: Way) -> Play<'a> {
+impl<'a> Simulation<'a> {
+    fn new(store: &'a Store, policy: WatchPolicy) -> Simulation<'a> {
         let start = Instant::now();
         let mut known = KeyFreshness::new(Some(WITHIN));
         known.confirm(start);
-        Play {
+        Simulation {
             store,
-            way,
+            policy,
             start,
             known,
             known_until_ms: 0,
             heard_ms: 0,
             now_ms: 0,
-            back_off_ms: BACK_OFF_MS.0,
+            back_off_ms: BACKOFF_MS.0,
             is_lost: false,
             cost: Cost::default(),
             confirmed: vec![(0, 0)],
@@ -114,11 +114,11 @@
     }
 
     fn run(self) -> Cost {
-        self.played().cost
+        self.finished().cost
     }
 
-    fn played(mut self) -> Self {
-        while self.now_ms < PLAYED_MS {
+    fn finished(mut self) -> Self {
+        while self.now_ms < DURATION_MS {
             match self.is_lost {
                 true => self.read(),
                 false => self.watch(),
@@ -129,14 +129,14 @@
 
     fn wait_ms(&self) -> u64 {
         let now = self.start + Duration::from_millis(self.now_ms);
-        match self.way {
-            Way::Fixed | Way::ReadAfterChange => MOST_MS * 2 / 3,
-            Way::Short => MOST_MS / 3,
-            Way::WhatIsLeft => {
+        match self.policy {
+            WatchPolicy::Fixed | WatchPolicy::ReadAfterChange => MAX_AGE_MS * 2 / 3,
+            WatchPolicy::Short => MAX_AGE_MS / 3,
+            WatchPolicy::WhatIsLeft => {
                 let age = self.known.age(now).expect("it was confirmed");
-                (MOST_MS - MOST_MS.min(age.as_millis() as u64)) * 2 / 3 + 1
+                (MAX_AGE_MS - MAX_AGE_MS.min(age.as_millis() as u64)) * 2 / 3 + 1
             }
-            Way::Watcher => {
+            WatchPolicy::Watcher => {
                 self.known.watch_timeout(now).expect("bounded").as_millis()
                     as u64
             }
@@ -155,7 +155,7 @@
         }
         self.answered(done);
         self.confirm(if seen_at.is_some() { sent } else { done });
-        if seen_at.is_some() && matches!(self.way, Way::ReadAfterChange) {
+        if seen_at.is_some() && matches!(self.policy, WatchPolicy::ReadAfterChange) {
             self.read();
         }
     }
@@ -174,17 +174,17 @@
         self.heard_ms = at;
         self.now_ms = at + self.store.answer_ms;
         self.is_lost = false;
-        self.back_off_ms = BACK_OFF_MS.0;
+        self.back_off_ms = BACKOFF_MS.0;
     }
 
     fn lost(&mut self, noticed: u64) {
         self.is_lost = true;
         self.now_ms = noticed + self.back_off_ms;
-        self.back_off_ms = (self.back_off_ms * 2).min(BACK_OFF_MS.1);
+        self.back_off_ms = (self.back_off_ms * 2).min(BACKOFF_MS.1);
     }
 
     fn confirm(&mut self, until: u64) {
-        let sure_until = self.known_until_ms + MOST_MS;
+        let sure_until = self.known_until_ms + MAX_AGE_MS;
         self.cost.unsure_ms += self.now_ms.saturating_sub(sure_until);
         self.known_until_ms = self.known_until_ms.max(until);
         self.confirmed.push((self.now_ms, self.known_until_ms));
@@ -192,14 +192,14 @@
     }
 }
 
-fn cost(store: &Store, way: Way) -> Cost {
-    let cost = Play::new(store, way).run();
-    println!("{way:?}: {cost:?}");
+fn cost(store: &Store, policy: WatchPolicy) -> Cost {
+    let cost = Simulation::new(store, policy).run();
+    println!("{policy:?}: {cost:?}");
     cost
 }
 
 fn every(ms: u64) -> Vec<u64> {
-    (1..PLAYED_MS / ms).map(|n| n * ms).collect()
+    (1..DURATION_MS / ms).map(|n| n * ms).collect()
 }
 
 /// Symptom: all instances turned keyed requests away for 0.8 s though nothing was
@@ -212,12 +212,12 @@
 fn a_change_late_in_a_watch_keeps_keys_fresh() {
     let store =
         Store { changes: vec![3_000], answer_ms: 4, ..Store::default() };
-    assert!(cost(&store, Way::Fixed).unsure_ms > 1_000);
-    assert_eq!(cost(&store, Way::WhatIsLeft).unsure_ms, 0);
+    assert!(cost(&store, WatchPolicy::Fixed).unsure_ms > 1_000);
+    assert_eq!(cost(&store, WatchPolicy::WhatIsLeft).unsure_ms, 0);
 }
 
 /// An instance that asks those that watch, and reads where that is not enough.
-fn asker(store: &Store, watchers: &[Play<'_>], lost: f64, seed: u64) -> Cost {
+fn simulate_poller(store: &Store, watchers: &[Simulation<'_>], lost: f64, seed: u64) -> Cost {
     let mut rng = StdRng::seed_from_u64(seed);
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
@@ -228,8 +228,8 @@
     let mut read_again_ms = 0;
     // Changes until then are in force here.
     let mut has_ms = 0;
-    let mut now_ms = seed % LOOK_MS;
-    while now_ms < PLAYED_MS {
+    let mut now_ms = seed % CHECK_INTERVAL_MS;
+    while now_ms < DURATION_MS {
         let now = at(now_ms);
         if known.is_read_due(now) && now_ms >= read_again_ms {
             cost.calls += 1;
@@ -262,20 +262,20 @@
                 }
             }
         }
-        cost.unsure_ms += if known.is_fresh(now) { 0 } else { LOOK_MS };
-        now_ms += LOOK_MS;
+        cost.unsure_ms += if known.is_fresh(now) { 0 } else { CHECK_INTERVAL_MS };
+        now_ms += CHECK_INTERVAL_MS;
     }
     cost
 }
 
 /// What all instances of a fleet cost where four watch and the others ask.
-fn asked_fleet(store: &Store, lost: f64) -> Cost {
-    let watchers: Vec<Play<'_>> = (0..WATCHERS)
-        .map(|_| Play::new(store, Way::Watcher).played())
+fn simulate_fleet(store: &Store, lost: f64) -> Cost {
+    let watchers: Vec<Simulation<'_>> = (0..WATCHERS)
+        .map(|_| Simulation::new(store, WatchPolicy::Watcher).finished())
         .collect();
     let watched = watchers.iter().map(|watcher| watcher.cost);
     let asked =
-        (WATCHERS..INSTANCES).map(|n| asker(store, &watchers, lost, n as u64));
+        (WATCHERS..INSTANCES).map(|n| simulate_poller(store, &watchers, lost, n as u64));
     watched.chain(asked).fold(Cost::default(), |sum, cost| Cost {
         calls: sum.calls + cost.calls,
         unsure_ms: sum.unsure_ms + cost.unsure_ms,
@@ -293,14 +293,14 @@
     ] {
         println!("== changes: {name}");
         let store = Store { changes, answer_ms: 4, ..Store::default() };
-        let left = cost(&store, Way::WhatIsLeft);
-        let short = cost(&store, Way::Short);
-        let read = cost(&store, Way::ReadAfterChange);
-        cost(&store, Way::Fixed);
+        let left = cost(&store, WatchPolicy::WhatIsLeft);
+        let short = cost(&store, WatchPolicy::Short);
+        let read = cost(&store, WatchPolicy::ReadAfterChange);
+        cost(&store, WatchPolicy::Fixed);
         assert_eq!((left.unsure_ms, short.unsure_ms), (0, 0), "{name}");
         assert!(left.calls <= short.calls, "{name}");
         assert!(left.calls <= read.calls, "{name}");
-        let ours = asked_fleet(&store, 0.01);
+        let ours = simulate_fleet(&store, 0.01);
         println!("{INSTANCES} instances, asked: {ours:?}");
         assert_eq!(ours.unsure_ms, 0, "{name}");
         assert!(ours.calls * 2 < left.calls * INSTANCES as u32, "{name}");
@@ -311,13 +311,13 @@
 #[test]
 fn an_instance_cut_off_from_the_store_alone_stays_fresh() {
     let store = Store { answer_ms: 4, ..Store::default() };
-    let watchers: Vec<Play<'_>> = (0..WATCHERS)
-        .map(|_| Play::new(&store, Way::Watcher).played())
+    let watchers: Vec<Simulation<'_>> = (0..WATCHERS)
+        .map(|_| Simulation::new(&store, WatchPolicy::Watcher).finished())
         .collect();
     let cuts = vec![(10_000, 50_000)];
     let cut_off = Store { cuts, ..Store::default() };
-    assert_eq!(asker(&cut_off, &watchers, 0.05, 7).unsure_ms, 0);
-    assert!(cost(&cut_off, Way::WhatIsLeft).unsure_ms > 30_000);
+    assert_eq!(simulate_poller(&cut_off, &watchers, 0.05, 7).unsure_ms, 0);
+    assert!(cost(&cut_off, WatchPolicy::WhatIsLeft).unsure_ms > 30_000);
 }
 
 /// An answer counts from its question, however late it comes, and once another
@@ -340,33 +340,33 @@
 fn an_instance_that_was_cut_off_is_stale_for_less_time() {
     for cut_ms in [500, 2_000, 4_000, 9_000] {
         println!("== cut off for {cut_ms} ms");
-        let mean_ms = |way| {
+        let mean_ms = |policy| {
             let began = (20_000..27_000).step_by(100);
             let unsure = began.map(|began| {
                 let cuts = vec![(began, began + cut_ms)];
                 let changes = every(7_000);
                 let store = Store { cuts, answer_ms: 4, changes };
-                Play::new(&store, way).run().unsure_ms
+                Simulation::new(&store, policy).run().unsure_ms
             });
             unsure.sum::<u64>() / 70
         };
-        let ours = mean_ms(Way::WhatIsLeft);
-        let others = [Way::Fixed, Way::Short, Way::ReadAfterChange];
-        println!("{ours} ms; {:?}", others.map(|way| (way, mean_ms(way))));
-        assert!(ours <= mean_ms(Way::Fixed));
+        let ours = mean_ms(WatchPolicy::WhatIsLeft);
+        let others = [WatchPolicy::Fixed, WatchPolicy::Short, WatchPolicy::ReadAfterChange];
+        println!("{ours} ms; {:?}", others.map(|policy| (policy, mean_ms(policy))));
+        assert!(ours <= mean_ms(WatchPolicy::Fixed));
     }
 }
 
 proptest! {
     #[test]
     fn a_working_store_keeps_keys_fresh(
-        mut changes in proptest::collection::vec(0..PLAYED_MS, 0..60),
+        mut changes in proptest::collection::vec(0..DURATION_MS, 0..60),
         answer_ms in 1_u64..300,
     ) {
         changes.sort_unstable();
         let store = Store { changes, answer_ms, cuts: Vec::new() };
-        prop_assert_eq!(Play::new(&store, Way::WhatIsLeft).run().unsure_ms, 0);
-        prop_assert_eq!(Play::new(&store, Way::Watcher).run().unsure_ms, 0);
-        prop_assert_eq!(asked_fleet(&store, 0.02).unsure_ms, 0);
+        prop_assert_eq!(Simulation::new(&store, WatchPolicy::WhatIsLeft).run().unsure_ms, 0);
+        prop_assert_eq!(Simulation::new(&store, WatchPolicy::Watcher).run().unsure_ms, 0);
+        prop_assert_eq!(simulate_fleet(&store, 0.02).unsure_ms, 0);
     }
 }
