--- a/crates/fleet/tests/in_force_model.rs
+++ b/crates/fleet/tests/in_force_model.rs
@@ -22,17 +22,17 @@
 const IN_FORCE_WITHIN: Duration = Duration::from_millis(2_000);
 
 /// How often each instance says what it knows.
-const NOTE_EVERY: u32 = 15;
+const NOTE_INTERVAL: u32 = 15;
 
 /// The longest time that a call to the store waits for its answer, in ticks.
 const CALL_TICKS: u32 = 120;
 
 /// How long a question to another instance waits for its answer, in ticks.
-const ASK_TICKS: u32 = 20;
+const FETCH_TICKS: u32 = 20;
 
 /// What a day is like.
 #[derive(Clone, Copy, Debug)]
-struct Day {
+struct Scenario {
     instances: usize,
     /// Ticks between two versions.
     change_every: u32,
@@ -96,7 +96,7 @@
 }
 
 struct World {
-    day: Day,
+    scenario: Scenario,
     rng: StdRng,
     origin: Instant,
     instances: Vec<Instance>,
@@ -112,11 +112,11 @@
 }
 
 impl World {
-    fn new(day: Day) -> World {
-        let n = day.instances;
+    fn new(scenario: Scenario) -> World {
+        let n = scenario.instances;
         World {
-            day,
-            rng: StdRng::seed_from_u64(day.seed),
+            scenario,
+            rng: StdRng::seed_from_u64(scenario.seed),
             origin: Instant::now(),
             instances: (0..n).map(|_| Instance::new(0)).collect(),
             links: vec![vec![0; n]; n],
@@ -137,7 +137,7 @@
 
     /// Returns the version that a read of the store shows to an instance.
     fn shown(&self, idx: usize, tick: u32) -> u64 {
-        let lag = if idx == 0 { 0 } else { self.day.stale };
+        let lag = if idx == 0 { 0 } else { self.scenario.stale };
         let shown = self.acknowledged.iter().rposition(|at| at + lag <= tick);
         shown.unwrap_or(0) as u64
     }
@@ -147,11 +147,11 @@
     }
 
     fn faults(&mut self, tick: u32) {
-        if !tick.is_multiple_of(self.day.fault_every) || tick == 0 {
+        if !tick.is_multiple_of(self.scenario.fault_every) || tick == 0 {
             return;
         }
-        let n = self.day.instances;
-        let until = tick + self.rng.random_range(1..=self.day.fault_for);
+        let n = self.scenario.instances;
+        let until = tick + self.rng.random_range(1..=self.scenario.fault_for);
         let idx = self.rng.random_range(0..n);
         match self.rng.random_range(0..5) {
             0 | 1 => self.instances[idx].cut_until = until,
@@ -208,7 +208,7 @@
     }
 
     fn tell(&mut self, idx: usize, tick: u32) {
-        if !(tick + idx as u32).is_multiple_of(NOTE_EVERY) {
+        if !(tick + idx as u32).is_multiple_of(NOTE_INTERVAL) {
             return;
         }
         let knows = StateSummary {
@@ -216,8 +216,8 @@
             ..StateSummary::default()
         };
         let now = self.at(tick);
-        for other in 0..self.day.instances {
-            let is_lost = self.rng.random_bool(self.day.lost);
+        for other in 0..self.scenario.instances {
+            let is_lost = self.rng.random_bool(self.scenario.lost);
             if other == idx || is_lost || !self.reaches(idx, other, tick) {
                 continue;
             }
@@ -251,7 +251,7 @@
             return;
         }
         let draw = self.rng.random();
-        let others = self.day.instances - 1;
+        let others = self.scenario.instances - 1;
         let instance = &mut self.instances[idx];
         let own = StateSummary {
             configuration: instance.version,
@@ -265,7 +265,7 @@
             }
             Step::Fetch(whom) => {
                 let whom = whom.parse().expect("an index");
-                instance.asking = Some((tick + ASK_TICKS, whom));
+                instance.asking = Some((tick + FETCH_TICKS, whom));
                 instance.next_step = tick;
                 self.outcome.questions += 1;
             }
@@ -274,7 +274,7 @@
 
     /// Notes since when ways are whole and versions are there, and what is late.
     fn check(&mut self, tick: u32, before: &[u64]) {
-        let n = self.day.instances;
+        let n = self.scenario.instances;
         for (idx, before) in before.iter().enumerate() {
             let version = self.instances[idx].version;
             let is_same_life = self.instances[idx].restarted < tick;
@@ -304,7 +304,7 @@
                 let since = had.max(self.whole_since[idx][o]).max(held_up);
                 Some(since.max(self.instances[o].restarted))
             });
-            let store = (idx == 0 || self.day.stale == 0).then(|| {
+            let store = (idx == 0 || self.scenario.stale == 0).then(|| {
                 let acked = self.acknowledged[missed as usize];
                 acked.max(self.instances[idx].cut_until).max(held_up)
             });
@@ -316,15 +316,15 @@
         }
     }
 
-    fn play(mut self) -> Outcome {
+    fn simulate(mut self) -> Outcome {
         for tick in 1..TICKS {
-            if tick.is_multiple_of(self.day.change_every) {
+            if tick.is_multiple_of(self.scenario.change_every) {
                 self.acknowledged.push(tick);
             }
             let before: Vec<u64> =
                 self.instances.iter().map(|i| i.version).collect();
             self.faults(tick);
-            for idx in 0..self.day.instances {
+            for idx in 0..self.scenario.instances {
                 self.read(idx, tick);
                 self.tell(idx, tick);
                 self.ask(idx, tick);
@@ -336,7 +336,7 @@
 }
 
 prop_compose! {
-    fn any_day()(
+    fn any_scenario()(
         instances in 2_usize..9,
         change_every in 20_u32..300,
         fault_every in 15_u32..400,
@@ -344,8 +344,8 @@
         lost in 0.0..0.3_f64,
         stale in prop_oneof![Just(0_u32), 0_u32..800],
         seed in any::<u64>(),
-    ) -> Day {
-        Day {
+    ) -> Scenario {
+        Scenario {
             instances, change_every, fault_every, fault_for, lost, stale, seed,
         }
     }
@@ -359,8 +359,8 @@
     /// told its number. Wherever a way to the store, or to an instance that has it, is
     /// whole for the time within which it must be in force, it is; and never goes back.
     #[test]
-    fn a_version_is_in_force_in_time_wherever_a_path_exists(day in any_day()) {
-        let outcome = World::new(day).play();
+    fn a_version_is_in_force_in_time_wherever_a_path_exists(scenario in any_scenario()) {
+        let outcome = World::new(scenario).simulate();
         prop_assert_eq!(outcome.back, 0);
         let late = outcome.late.first();
         prop_assert!(late.is_none(), "{:?} of {}", late, outcome.late.len());
@@ -372,7 +372,7 @@
 /// and again, beside one that had it.
 #[test]
 fn a_version_that_only_peers_can_bring_is_in_force_in_time() {
-    let outcome = World::new(Day {
+    let outcome = World::new(Scenario {
         instances: 2,
         change_every: 20,
         fault_every: 49,
@@ -381,7 +381,7 @@
         stale: 13,
         seed: 16_836_398_738_045_868_757,
     })
-    .play();
+    .simulate();
     assert!(outcome.late.is_empty(), "{:?}", outcome.late);
     assert!(outcome.questions > 0);
 }
