--- a/crates/fleet/tests/load_times_rules.rs
+++ b/crates/fleet/tests/load_times_rules.rs
@@ -44,7 +44,7 @@
 /// Plays seconds of loads that are asked for at a rate, in spells of `burst` times that;
 /// each has a request that is sent when the load is expected to be done. What is
 /// counted begins after `settle_s`.
-fn play(
+fn simulate(
     mut store: WeightStore,
     per_s: f64,
     burst: f64,
@@ -122,11 +122,11 @@
 
 /// Plays a weight store at half of what it can bring, and in spells of two and a
 /// half times that, until it was seen for long enough.
-fn play_any(full_speed_ms: f64, at_once: f64, seed: u64) -> Outcome {
+fn simulate_at_half_rate(full_speed_ms: f64, at_once: f64, seed: u64) -> Outcome {
     let store = WeightStore { full_speed_ms, at_once, on_way: HashMap::new() };
     let per_s = (0.5 * at_once / full_speed_ms * 1_000.0).min(150.0);
     let settle_s = 30 + (full_speed_ms / 50.0) as u32;
-    play(store, per_s, 2.5, (settle_s, settle_s + 30), seed)
+    simulate(store, per_s, 2.5, (settle_s, settle_s + 30), seed)
 }
 
 proptest! {
@@ -140,7 +140,7 @@
         at_once in 6.0..200.0_f64,
         seed in 0..1_000_u64,
     ) {
-        let outcome = play_any(full_speed_ms, at_once, seed);
+        let outcome = simulate_at_half_rate(full_speed_ms, at_once, seed);
         let early = f64::from(outcome.early) / f64::from(outcome.loads);
         prop_assert!(early < 0.2, "early {early}");
         let wasted = outcome.wasted_ms / f64::from(outcome.loads);
@@ -157,7 +157,7 @@
         (588.735_526_179_556_6, 170.363_930_309_059_9, 2),
         (1_298.529_359_786_046_8, 125.607_654_586_148_53, 388),
     ] {
-        let outcome = play_any(full_speed_ms, at_once, seed);
+        let outcome = simulate_at_half_rate(full_speed_ms, at_once, seed);
         let early = f64::from(outcome.early) / f64::from(outcome.loads);
         assert!(early < 0.2, "{full_speed_ms} ms: early {early}");
     }
@@ -177,7 +177,7 @@
             at_once,
             on_way: HashMap::new(),
         };
-        let outcome = play(store, per_s, 4.0, (10, 60), 7);
+        let outcome = simulate(store, per_s, 4.0, (10, 60), 7);
         let early = f64::from(outcome.early) / f64::from(outcome.loads);
         assert!(early < 0.25, "{at_once} at once: {early} were too early");
     }
--- a/crates/fleet/tests/note_schedule_rules.rs
+++ b/crates/fleet/tests/note_schedule_rules.rs
@@ -82,7 +82,7 @@
         let mut longest = Duration::ZERO;
         for n in 0..=MANY as u64 {
             let rate = requests_per_s / (MANY + 1) as f64;
-            let (notes, delay) = play(n, rate, absent_part);
+            let (notes, delay) = simulate(n, rate, absent_part);
             heard += notes;
             longest = longest.max(delay);
         }
@@ -96,7 +96,7 @@
 
 /// Plays one instance by the millisecond; returns the notes that it told the
 /// holder of requests, and the longest time until it told of one that waited.
-fn play(seed: u64, per_s: f64, absent_part: f64) -> (u64, Duration) {
+fn simulate(seed: u64, per_s: f64, absent_part: f64) -> (u64, Duration) {
     let mut rng = StdRng::seed_from_u64(seed);
     let follower = around(MANY, Role::Follower);
     let mut schedule = NoteSchedule::default();
--- a/crates/fleet/tests/rate_limiter_rules.rs
+++ b/crates/fleet/tests/rate_limiter_rules.rs
@@ -47,7 +47,7 @@
 
 /// Plays 20 seconds on some instances; the last `cut` of them neither hear nor
 /// are heard from the sixth second on.
-fn play(instances: usize, load: Load, cut: usize, seed: u64) -> Taken {
+fn simulate(instances: usize, load: Load, cut: usize, seed: u64) -> Taken {
     let mut rng = StdRng::seed_from_u64(seed);
     let customer = customer();
     let mut all: Vec<RateLimiter> = vec![RateLimiter::default(); instances];
@@ -104,7 +104,7 @@
 fn usual_demand_is_not_rejected_however_it_is_spread() {
     for (instances, skew) in [(7, 1.0), (7, 4.0), (75, 1.0), (75, 6.0)] {
         let load = Load { usual: 0.55, hot: 0.75, skew };
-        let taken = play(instances, load, 0, 3);
+        let taken = simulate(instances, load, 0, 3);
         let refused = taken.refused / taken.asked;
         assert!(refused < 0.02, "{instances} {skew}: {refused} refused");
     }
@@ -114,7 +114,7 @@
 fn a_hot_customer_takes_little_more_than_its_allowance() {
     for instances in [7, 75, 200] {
         let load = Load { usual: 0.55, hot: 6.0, skew: 3.0 };
-        let taken = play(instances, load, 0, 5);
+        let taken = simulate(instances, load, 0, 5);
         let most = most_in_window(&taken);
         assert!(most < 1.2, "{instances} instances: {most}");
         // And most of it: eight hot seconds bring at least seven tenths.
@@ -138,7 +138,7 @@
     ) {
         let cut = (instances as f64 * cut_part) as usize;
         let load = Load { usual: 0.6, hot, skew };
-        let taken = play(instances, load, cut, seed);
+        let taken = simulate(instances, load, cut, seed);
         let most = most_in_window(&taken);
         prop_assert!(most < 2.0, "{most}");
     }
