--- a/crates/fleet/src/catch_up.rs
+++ b/crates/fleet/src/catch_up.rs
@@ -174,9 +174,9 @@
     /// Makes the next step ask at once: a request waits for what is missed.
     pub fn fetch_now(&mut self, now: Instant) {
         // After a question that brought nothing, the pause before the next holds.
-        let is_first = self
-            .next_fetch
-            .is_none_or(|at| at.saturating_duration_since(now) > FETCH_RETRY_DELAY);
+        let is_first = self.next_fetch.is_none_or(|at| {
+            at.saturating_duration_since(now) > FETCH_RETRY_DELAY
+        });
         if is_first {
             self.next_fetch = Some(now);
         }
--- a/crates/fleet/src/customer.rs
+++ b/crates/fleet/src/customer.rs
@@ -137,7 +137,8 @@
     /// Returns the rank of a request on a route of this rank.
     pub fn effective_priority(&self, route_priority: u8) -> u8 {
         let own = self.priority.saturating_mul(ROUTE_PRIORITIES);
-        own.saturating_add(route_priority.min(ROUTE_PRIORITIES - 1)).min(LOWEST_PRIORITY)
+        own.saturating_add(route_priority.min(ROUTE_PRIORITIES - 1))
+            .min(LOWEST_PRIORITY)
     }
 }
 
--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -46,7 +46,8 @@
 impl AdapterDemand {
     /// Returns the rate, in requests a second.
     pub fn rate_per_s(&self, now: Instant) -> f64 {
-        self.decayed(self.rate_weight, RATE_DECAY_TIME, now) / RATE_DECAY_TIME.as_secs_f64()
+        self.decayed(self.rate_weight, RATE_DECAY_TIME, now)
+            / RATE_DECAY_TIME.as_secs_f64()
     }
 
     /// Returns how often it was asked for lately, in requests; by this the
@@ -66,9 +67,11 @@
     }
 
     fn add(&mut self, count: f64, now: Instant) {
-        self.rate_weight = self.decayed(self.rate_weight, RATE_DECAY_TIME, now) + count;
+        self.rate_weight =
+            self.decayed(self.rate_weight, RATE_DECAY_TIME, now) + count;
         self.popularity_weight =
-            self.decayed(self.popularity_weight, POPULARITY_DECAY_TIME, now) + count;
+            self.decayed(self.popularity_weight, POPULARITY_DECAY_TIME, now)
+                + count;
         self.updated = now;
         self.last_requested = now;
     }
--- a/crates/fleet/src/load_rate_limiter.rs
+++ b/crates/fleet/src/load_rate_limiter.rs
@@ -40,7 +40,8 @@
         }
         let allowed = loads_per_s * self.window.as_secs_f64() * self.overage;
         let limit = allowed * USED_FRACTION;
-        let remaining = limit - self.starts.len() as f64 - self.inherited(now, limit);
+        let remaining =
+            limit - self.starts.len() as f64 - self.inherited(now, limit);
         remaining.max(0.0) as u32
     }
 
--- a/crates/fleet/src/load_times.rs
+++ b/crates/fleet/src/load_times.rs
@@ -225,8 +225,10 @@
     /// Returns when a load that begins now is likely to be done.
     pub fn predict_cold_load(&mut self, now: Instant) -> Duration {
         self.prediction_count += 1;
-        let is_early_trial = self.prediction_count.is_multiple_of(EARLY_TRIAL_INTERVAL);
-        let shortening = if is_early_trial { BUCKET_RATIO.powi(3) } else { 1.0 };
+        let is_early_trial =
+            self.prediction_count.is_multiple_of(EARLY_TRIAL_INTERVAL);
+        let shortening =
+            if is_early_trial { BUCKET_RATIO.powi(3) } else { 1.0 };
         let starts_per_ms = self.starts_per_ms(now);
         let most = self.max_in_flight(0.0);
         let candidate = &mut self.candidates[self.selected];
@@ -236,7 +238,8 @@
 
     /// Returns how many loads began lately, a millisecond.
     fn starts_per_ms(&self, now: Instant) -> f64 {
-        let window = self.estimate().load_time.mul_f64(START_RATE_WINDOW_FRACTION);
+        let window =
+            self.estimate().load_time.mul_f64(START_RATE_WINDOW_FRACTION);
         let window = window.max(MIN_START_RATE_WINDOW);
         let since = self.recent_starts.iter().rev();
         let joined = since.take_while(|at| now - **at < window).count();
@@ -312,7 +315,8 @@
         }
         let selected = contradiction[self.selected];
         let next = self.selected + 1;
-        let is_equal_to_selected = |next: &f64| *next <= selected + WEIGHT_TOLERANCE;
+        let is_equal_to_selected =
+            |next: &f64| *next <= selected + WEIGHT_TOLERANCE;
         if contradiction[best] + SWITCH_MARGIN < selected {
             self.selected = best;
         } else if contradiction.get(next).is_some_and(is_equal_to_selected) {
@@ -348,8 +352,9 @@
         };
         while now > at {
             let left_ms = (now - at).as_secs_f64() * 1_000.0;
-            let speed =
-                (self.concurrency / self.in_flight.len().max(1) as f64).min(1.0);
+            let speed = (self.concurrency
+                / self.in_flight.len().max(1) as f64)
+                .min(1.0);
             let end = clock + left_ms * speed;
             let done = self.in_flight.front().map(|b| b + self.load_time_ms);
             match done.filter(|done| *done <= end) {
@@ -384,8 +389,10 @@
         let mut takes_ms = 0.0;
         for part in 0..PREDICTION_STEPS {
             let served = clock + part_ms * f64::from(part);
-            let is_done = |started_at: &f64| started_at + self.load_time_ms <= served;
-            let done = self.in_flight.iter().take_while(|b| is_done(b)).count();
+            let is_done =
+                |started_at: &f64| started_at + self.load_time_ms <= served;
+            let done =
+                self.in_flight.iter().take_while(|b| is_done(b)).count();
             before = before.min(self.in_flight.len() - done);
             let in_flight = (before as f64 + joined).min(most) + 1.0;
             let takes = part_ms * (in_flight / self.concurrency).max(1.0);
@@ -416,7 +423,8 @@
             *weight *= OBSERVATION_DECAY;
         }
         let started_at = self.clock_at(load.started_at);
-        let took = |at: Instant| bucket((self.clock_at(at) - started_at).max(0.0));
+        let took =
+            |at: Instant| bucket((self.clock_at(at) - started_at).max(0.0));
         let last_absent = load.last_absent.map(took);
         let present = took(present_at);
         self.present[present] += 1.0;
@@ -467,7 +475,8 @@
 }
 
 fn bucket(ms: f64) -> usize {
-    let bucket = (ms.max(MIN_LOAD_TIME_MS) / MIN_LOAD_TIME_MS).ln() / BUCKET_RATIO.ln();
+    let bucket =
+        (ms.max(MIN_LOAD_TIME_MS) / MIN_LOAD_TIME_MS).ln() / BUCKET_RATIO.ln();
     (bucket as usize).min(BUCKETS - 1)
 }
 
--- a/crates/fleet/src/note_schedule.rs
+++ b/crates/fleet/src/note_schedule.rs
@@ -115,7 +115,9 @@
             _ if !self.uses_relays() => STATUS_INTERVAL,
             Role::Holder => STATUS_INTERVAL,
             Role::Follower => STATUS_INTERVAL * 2,
-            Role::Leaderless => STATUS_INTERVAL.max(LEADERLESS_RECEIVE_INTERVAL * self.count()),
+            Role::Leaderless => {
+                STATUS_INTERVAL.max(LEADERLESS_RECEIVE_INTERVAL * self.count())
+            }
         }
     }
 
--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -90,8 +90,9 @@
         times: &mut LoadTimes,
         now: Instant,
     ) -> Vec<Order> {
-        let is_full_pass =
-            self.last_full_pass.is_none_or(|at| now - at >= FULL_PASS_INTERVAL);
+        let is_full_pass = self
+            .last_full_pass
+            .is_none_or(|at| now - at >= FULL_PASS_INTERVAL);
         if is_full_pass {
             self.last_full_pass = Some(now);
             self.expire_orders(now);
@@ -178,7 +179,8 @@
             .map(|state| (state.endpoint.id.clone(), state.endpoint.address))
             .collect();
         for (endpoint, address) in empty {
-            if !self.claim_order(&endpoint, &key) || !self.acquire_model_load() {
+            if !self.claim_order(&endpoint, &key) || !self.acquire_model_load()
+            {
                 continue;
             }
             let task = Task::LoadModel(model.name.clone());
@@ -286,7 +288,8 @@
 
     /// Puts an adapter on one more engine; returns whether it could.
     fn place(&mut self, key: &AdapterKey, orders: &mut Vec<Order>) -> bool {
-        let can_start = self.times.can_start_load(self.group.loads_per_s, self.now);
+        let can_start =
+            self.times.can_start_load(self.group.loads_per_s, self.now);
         if !can_start && self.view.warm(key).is_empty() {
             return false;
         }
@@ -384,7 +387,13 @@
         key: &AdapterKey,
         version: WeightVersion,
     ) -> Placed {
-        self.placed(endpoint, key, version, self.times.predict_warm_load(), false)
+        self.placed(
+            endpoint,
+            key,
+            version,
+            self.times.predict_warm_load(),
+            false,
+        )
     }
 
     fn placed(
@@ -407,7 +416,11 @@
     }
 
     /// Returns whether an order on this key is due; it is not again at once.
-    fn claim_order(&mut self, endpoint: &EndpointId, key: &AdapterKey) -> bool {
+    fn claim_order(
+        &mut self,
+        endpoint: &EndpointId,
+        key: &AdapterKey,
+    ) -> bool {
         let id = (endpoint.clone(), key.clone());
         if self.planner.ordered.contains_key(&id) {
             return false;
--- a/crates/fleet/src/placement/target.rs
+++ b/crates/fleet/src/placement/target.rs
@@ -4,7 +4,7 @@
 
 use sedgewall_state::id::EndpointId;
 
-use super::{MAX_UTILIZATION, SERVICE_TIME_S, PlanningPass};
+use super::{MAX_UTILIZATION, PlanningPass, SERVICE_TIME_S};
 use crate::{
     adapter::AdapterKey,
     endpoint_state::EndpointState,
--- a/crates/fleet/src/poison.rs
+++ b/crates/fleet/src/poison.rs
@@ -120,7 +120,8 @@
     ended: HashMap<EndpointIncarnation, Instant>,
     suspects: HashMap<RequestDigest, Suspect>,
     /// What others are told again.
-    recent_interruptions: Vec<(EndpointIncarnation, Interruption, RequestDigest)>,
+    recent_interruptions:
+        Vec<(EndpointIncarnation, Interruption, RequestDigest)>,
     /// Requests that were condemned since the last look.
     newly_condemned: Vec<RequestDigest>,
 }
@@ -200,9 +201,14 @@
         let broken = self.broken.remove(endpoint)?;
         let mut crash = Crash { endpoint: endpoint.clone(), runs: Vec::new() };
         for run in broken.into_iter().filter(|run| run.is_fresh(now)) {
-            let interruption = Interruption { began: run.began, broke: run.broke };
+            let interruption =
+                Interruption { began: run.began, broke: run.broke };
             self.add_evidence(endpoint, run.digest, interruption, now);
-            self.recent_interruptions.push((endpoint.clone(), interruption, run.digest));
+            self.recent_interruptions.push((
+                endpoint.clone(),
+                interruption,
+                run.digest,
+            ));
             crash.runs.push(interruption.report(run.digest, now));
         }
         (!crash.runs.is_empty()).then_some(crash)
@@ -236,7 +242,8 @@
         };
         for run in &crash.runs {
             let began = ago(run.began_ms_ago);
-            let interruption = Interruption { began, broke: ago(run.broke_ms_ago) };
+            let interruption =
+                Interruption { began, broke: ago(run.broke_ms_ago) };
             self.add_evidence(&crash.endpoint, run.digest, interruption, now);
         }
         self.endpoint_ended(&crash.endpoint, now)
@@ -273,7 +280,10 @@
         };
         let had_evidence = suspect.condemned_at.is_some()
             || suspect.is_on_probation
-            || suspect.interruptions.values().any(|(_, evidence)| *evidence == Evidence::Valid);
+            || suspect
+                .interruptions
+                .values()
+                .any(|(_, evidence)| *evidence == Evidence::Valid);
         suspect.clear_evidence();
         suspect.cleared_at = Some(now);
         had_evidence
@@ -346,7 +356,9 @@
     /// Returns what others are told again of our runs, the newest first.
     pub fn recent_crashes(&self, now: Instant) -> Vec<Crash> {
         let mut crashes: Vec<Crash> = Vec::new();
-        for (endpoint, interruption, digest) in self.recent_interruptions.iter().rev().take(MAX_RUNS_PER_NOTE) {
+        for (endpoint, interruption, digest) in
+            self.recent_interruptions.iter().rev().take(MAX_RUNS_PER_NOTE)
+        {
             let run = interruption.report(*digest, now);
             match crashes.iter_mut().find(|c| c.endpoint == *endpoint) {
                 Some(crash) => crash.runs.push(run),
@@ -367,7 +379,9 @@
             !runs.is_empty()
         });
         self.ended.retain(|_, at| age(*at) < ENDED_ENDPOINT_RETENTION);
-        self.recent_interruptions.retain(|(_, interruption, _)| age(interruption.broke) < CRASH_REPEATED_FOR);
+        self.recent_interruptions.retain(|(_, interruption, _)| {
+            age(interruption.broke) < CRASH_REPEATED_FOR
+        });
         let over: Vec<RequestDigest> = self
             .suspects
             .iter()
@@ -381,7 +395,9 @@
             self.release(digest, now);
         }
         self.suspects.retain(|_, suspect| {
-            suspect.interruptions.retain(|_, (interruption, _)| age(interruption.broke) < CRASH_VALID_FOR);
+            suspect.interruptions.retain(|_, (interruption, _)| {
+                age(interruption.broke) < CRASH_VALID_FOR
+            });
             suspect.condemned_at.is_some()
                 || suspect.last.is_some_and(|last| age(last) < CRASH_VALID_FOR)
         });
@@ -455,7 +471,8 @@
 
 impl Suspect {
     fn endpoints(&self) -> Vec<EndpointIncarnation> {
-        let mut endpoints: Vec<_> = self.interruptions.keys().cloned().collect();
+        let mut endpoints: Vec<_> =
+            self.interruptions.keys().cloned().collect();
         endpoints.sort_unstable();
         endpoints
     }
@@ -492,6 +509,7 @@
                 last = Some(interruption.broke);
             }
         }
-        interruptions.len() >= CRASHES_TO_CONDEMN && rounds >= ROUNDS_TO_CONDEMN
+        interruptions.len() >= CRASHES_TO_CONDEMN
+            && rounds >= ROUNDS_TO_CONDEMN
     }
 }
--- a/crates/fleet/src/rate_limiter.rs
+++ b/crates/fleet/src/rate_limiter.rs
@@ -137,7 +137,8 @@
             balance: bucket.balance,
             share,
             total_per_s,
-            total_age: received.map(|h| now.saturating_duration_since(h.received_at)),
+            total_age: received
+                .map(|h| now.saturating_duration_since(h.received_at)),
         })
     }
 
@@ -150,17 +151,19 @@
 
     /// Returns what each customer asks of this instance.
     pub fn local_demand(&self, now: Instant) -> Vec<CustomerDemand> {
-        let demand = self.buckets.iter().map(|(name, bucket)| CustomerDemand {
-            customer: name.clone(),
-            per_s: bucket.per_s(now).round(),
-        });
+        let demand =
+            self.buckets.iter().map(|(name, bucket)| CustomerDemand {
+                customer: name.clone(),
+                per_s: bucket.per_s(now).round(),
+            });
         demand.filter(|demand| demand.per_s >= 1.0).collect()
     }
 
     /// Returns what each customer asks of all instances, as far as we hear.
     pub fn total_demand(&self, now: Instant) -> Vec<CustomerDemand> {
         let mut sums: HashMap<CustomerName, f64> = HashMap::new();
-        let received = self.peers.values().filter(|received| now < received.expires_at);
+        let received =
+            self.peers.values().filter(|received| now < received.expires_at);
         let of_peers = received.flat_map(|received| received.demand.clone());
         for demand in of_peers.chain(self.local_demand(now)) {
             *sums.entry(demand.customer).or_default() += demand.per_s;
@@ -179,7 +182,10 @@
         at: Instant,
         expires_at: Instant,
     ) {
-        self.peers.insert(from.clone(), ReceivedDemand { demand, received_at: at, expires_at });
+        self.peers.insert(
+            from.clone(),
+            ReceivedDemand { demand, received_at: at, expires_at },
+        );
     }
 
     /// Takes in what customers ask of all instances.
@@ -189,13 +195,18 @@
         at: Instant,
         expires_at: Instant,
     ) {
-        self.totals = Some(ReceivedDemand { demand, received_at: at, expires_at });
+        self.totals =
+            Some(ReceivedDemand { demand, received_at: at, expires_at });
     }
 
     /// Forgets instances that are silent, and customers that ask for nothing.
     pub fn forget(&mut self, now: Instant) {
         self.peers.retain(|_, received| now < received.expires_at);
-        if self.totals.as_ref().is_some_and(|received| now >= received.expires_at) {
+        if self
+            .totals
+            .as_ref()
+            .is_some_and(|received| now >= received.expires_at)
+        {
             self.totals = None;
         }
         self.buckets.retain(|_, bucket| {
@@ -219,12 +230,16 @@
                 .map(|demand| demand.per_s)
                 .sum::<f64>()
         };
-        let totals = self.totals.as_ref().filter(|received| now < received.expires_at);
+        let totals =
+            self.totals.as_ref().filter(|received| now < received.expires_at);
         if let Some(totals) = totals {
             return Some(of(totals).max(own_per_s));
         }
-        let mut live =
-            self.peers.values().filter(|received| now < received.expires_at).peekable();
+        let mut live = self
+            .peers
+            .values()
+            .filter(|received| now < received.expires_at)
+            .peekable();
         live.peek()?;
         Some(live.map(of).sum::<f64>() + own_per_s)
     }
--- a/crates/fleet/src/store_reachability.rs
+++ b/crates/fleet/src/store_reachability.rs
@@ -77,8 +77,9 @@
     /// answered does not put the store out again.
     pub fn record_failure(&mut self, failure: CallFailure) -> bool {
         let unreachable_since = failure.unreachable_at();
-        let is_newest =
-            self.last_failed.is_none_or(|last| last.unreachable_at() <= unreachable_since);
+        let is_newest = self
+            .last_failed
+            .is_none_or(|last| last.unreachable_at() <= unreachable_since);
         if is_newest {
             self.last_failed = Some(failure);
         }
@@ -110,7 +111,10 @@
     /// Returns until when somebody may count on our word that the store is out,
     /// if we ever gave it: as long as such a word holds after the store was
     /// regained, and for ever while it is out.
-    pub fn reported_outage(&self, report_valid_for: Duration) -> ReportedOutage {
+    pub fn reported_outage(
+        &self,
+        report_valid_for: Duration,
+    ) -> ReportedOutage {
         match (self.is_unreachable, self.recovered_at) {
             (true, _) => ReportedOutage::Ongoing,
             (false, Some(at)) => ReportedOutage::Until(at + report_valid_for),
--- a/crates/fleet/src/wait_policy.rs
+++ b/crates/fleet/src/wait_policy.rs
@@ -69,7 +69,9 @@
         let latest = self.latest_send().min(self.arrived + MAX_WAIT);
         match reason {
             // An answer is certain to come; a new try would have it later.
-            WaitReason::AdapterLoading(ready_in) if now + ready_in <= latest => {
+            WaitReason::AdapterLoading(ready_in)
+                if now + ready_in <= latest =>
+            {
                 latest
             }
             WaitReason::AdapterLoading(_) => self.arrived,
--- a/crates/fleet/tests/load_times_rules.rs
+++ b/crates/fleet/tests/load_times_rules.rs
@@ -122,7 +122,11 @@
 
 /// Plays a weight store at half of what it can bring, and in spells of two and a
 /// half times that, until it was seen for long enough.
-fn simulate_at_half_rate(full_speed_ms: f64, at_once: f64, seed: u64) -> Outcome {
+fn simulate_at_half_rate(
+    full_speed_ms: f64,
+    at_once: f64,
+    seed: u64,
+) -> Outcome {
     let store = WeightStore { full_speed_ms, at_once, on_way: HashMap::new() };
     let per_s = (0.5 * at_once / full_speed_ms * 1_000.0).min(150.0);
     let settle_s = 30 + (full_speed_ms / 50.0) as u32;
--- a/crates/fleet/tests/poison_model.rs
+++ b/crates/fleet/tests/poison_model.rs
@@ -172,7 +172,8 @@
         let is_partitioned = |n: usize| {
             let mut events = self.scenario.events.iter();
             events.any(|e| {
-                matches!(e.fault, Fault::Partitioned(of) if of == n) && e.covers(now)
+                matches!(e.fault, Fault::Partitioned(of) if of == n)
+                    && e.covers(now)
             })
         };
         self.is_up(one, now)
@@ -416,12 +417,16 @@
     let count = std::env::var("MODEL_DAYS").ok();
     let count = count.and_then(|text| text.parse().ok()).unwrap_or(40);
     let scenarios: Vec<Scenario> = (0..count)
-        .map(|_| scenario().new_tree(&mut runner).expect("a scenario").current())
+        .map(|_| {
+            scenario().new_tree(&mut runner).expect("a scenario").current()
+        })
         .collect();
     let mut ended = HashMap::new();
     for design in [Design::AllCount, Design::HolderCounts, Design::NoStore] {
-        let outcomes: Vec<Outcome> =
-            scenarios.iter().map(|scenario| Model::simulate(design, scenario)).collect();
+        let outcomes: Vec<Outcome> = scenarios
+            .iter()
+            .map(|scenario| Model::simulate(design, scenario))
+            .collect();
         let sum: usize = outcomes.iter().map(|o| o.ended_at.len()).sum();
         let most = outcomes.iter().map(|o| o.ended_at.len()).max();
         let past = outcomes.iter().filter(|o| o.later > MOST_LATER).count();
--- a/crates/fleet/tests/revocation_rules.rs
+++ b/crates/fleet/tests/revocation_rules.rs
@@ -130,11 +130,14 @@
     fn wait_ms(&self) -> u64 {
         let now = self.start + Duration::from_millis(self.now_ms);
         match self.policy {
-            WatchPolicy::Fixed | WatchPolicy::ReadAfterChange => MAX_AGE_MS * 2 / 3,
+            WatchPolicy::Fixed | WatchPolicy::ReadAfterChange => {
+                MAX_AGE_MS * 2 / 3
+            }
             WatchPolicy::Short => MAX_AGE_MS / 3,
             WatchPolicy::WhatIsLeft => {
                 let age = self.known.age(now).expect("it was confirmed");
-                (MAX_AGE_MS - MAX_AGE_MS.min(age.as_millis() as u64)) * 2 / 3 + 1
+                (MAX_AGE_MS - MAX_AGE_MS.min(age.as_millis() as u64)) * 2 / 3
+                    + 1
             }
             WatchPolicy::Watcher => {
                 self.known.watch_timeout(now).expect("bounded").as_millis()
@@ -155,7 +158,9 @@
         }
         self.answered(done);
         self.confirm(if seen_at.is_some() { sent } else { done });
-        if seen_at.is_some() && matches!(self.policy, WatchPolicy::ReadAfterChange) {
+        if seen_at.is_some()
+            && matches!(self.policy, WatchPolicy::ReadAfterChange)
+        {
             self.read();
         }
     }
@@ -217,7 +222,12 @@
 }
 
 /// An instance that asks those that watch, and reads where that is not enough.
-fn simulate_poller(store: &Store, watchers: &[Simulation<'_>], lost: f64, seed: u64) -> Cost {
+fn simulate_poller(
+    store: &Store,
+    watchers: &[Simulation<'_>],
+    lost: f64,
+    seed: u64,
+) -> Cost {
     let mut rng = StdRng::seed_from_u64(seed);
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
@@ -262,7 +272,8 @@
                 }
             }
         }
-        cost.unsure_ms += if known.is_fresh(now) { 0 } else { CHECK_INTERVAL_MS };
+        cost.unsure_ms +=
+            if known.is_fresh(now) { 0 } else { CHECK_INTERVAL_MS };
         now_ms += CHECK_INTERVAL_MS;
     }
     cost
@@ -274,8 +285,8 @@
         .map(|_| Simulation::new(store, WatchPolicy::Watcher).finished())
         .collect();
     let watched = watchers.iter().map(|watcher| watcher.cost);
-    let asked =
-        (WATCHERS..INSTANCES).map(|n| simulate_poller(store, &watchers, lost, n as u64));
+    let asked = (WATCHERS..INSTANCES)
+        .map(|n| simulate_poller(store, &watchers, lost, n as u64));
     watched.chain(asked).fold(Cost::default(), |sum, cost| Cost {
         calls: sum.calls + cost.calls,
         unsure_ms: sum.unsure_ms + cost.unsure_ms,
@@ -351,8 +362,15 @@
             unsure.sum::<u64>() / 70
         };
         let ours = mean_ms(WatchPolicy::WhatIsLeft);
-        let others = [WatchPolicy::Fixed, WatchPolicy::Short, WatchPolicy::ReadAfterChange];
-        println!("{ours} ms; {:?}", others.map(|policy| (policy, mean_ms(policy))));
+        let others = [
+            WatchPolicy::Fixed,
+            WatchPolicy::Short,
+            WatchPolicy::ReadAfterChange,
+        ];
+        println!(
+            "{ours} ms; {:?}",
+            others.map(|policy| (policy, mean_ms(policy)))
+        );
         assert!(ours <= mean_ms(WatchPolicy::Fixed));
     }
 }
