--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -1,4 +1,5 @@
-//! How often each adapter is asked for.
+//! Tracks the demand for each adapter as exponentially decaying request
+//! counts.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -7,20 +8,21 @@
 
 use crate::adapter::AdapterKey;
 
-/// The time over which the rate forgets to a third. Popularity shifts within
-/// seconds on the days that we were shown; a longer memory keeps what nobody
-/// asks for, a shorter one forgets what comes every few seconds.
+/// Time constant of the request rate, after which a request counts a third.
+/// Popularity shifts within seconds: a longer time keeps adapters without
+/// demand, a shorter one drops adapters that are requested every few seconds.
 const RATE_DECAY_TIME: Duration = Duration::from_secs(6);
 
-/// The time over which the standing of an adapter forgets to a third: the tail
-/// is asked for every ten seconds or so.
+/// Time constant of the popularity. Rarely requested adapters are requested
+/// about every ten seconds.
 const POPULARITY_DECAY_TIME: Duration = Duration::from_secs(30);
 
-/// How long an adapter counts as waited for after it was last asked for. A
-/// caller that was refused comes back within a third of its time, some 1.7 s.
+/// How long after its last request an adapter still counts as waited for. A
+/// rejected caller retries within a third of its remaining time, which is
+/// about 1.7 s.
 const WAIT_VALID_FOR: Duration = Duration::from_millis(2_000);
 
-/// Below this standing an adapter is forgotten, in requests.
+/// Popularity, in requests, below which an adapter is no longer tracked.
 const MIN_POPULARITY: f64 = 0.1;
 
 /// The demand for all adapters.
@@ -35,23 +37,24 @@
     rate_weight: f64,
     popularity_weight: f64,
     updated: Instant,
-    /// When it was last asked for.
+    /// Time of the last request.
     pub last_requested: Instant,
-    /// Where it was last asked for.
+    /// Zone of the last request.
     pub zone: ZoneName,
-    /// The rank of the most urgent request that waits for it.
+    /// Priority of the most urgent request that waits for the adapter, 0 being
+    /// the most urgent; `None` if no request waits.
     waiting: Option<u8>,
 }
 
 impl AdapterDemand {
-    /// Returns the rate, in requests a second.
+    /// Returns the request rate, per second.
     pub fn rate_per_s(&self, now: Instant) -> f64 {
         self.decayed(self.rate_weight, RATE_DECAY_TIME, now)
             / RATE_DECAY_TIME.as_secs_f64()
     }
 
-    /// Returns how often it was asked for lately, in requests; by this the
-    /// weight store's rate is given out.
+    /// Returns the popularity: the number of requests with a long decay. The
+    /// planner places adapters in descending order of popularity.
     pub fn popularity(&self, now: Instant) -> f64 {
         self.decayed(self.popularity_weight, POPULARITY_DECAY_TIME, now)
     }
@@ -61,7 +64,8 @@
         weight * (-age / decay_time.as_secs_f64()).exp()
     }
 
-    /// Returns whether requests wait for it, or will come back for it.
+    /// Returns whether requests wait for the adapter, or are expected to be
+    /// retried for it.
     pub fn has_waiting(&self, now: Instant) -> bool {
         self.waiting.is_some() && now - self.last_requested < WAIT_VALID_FOR
     }
@@ -78,7 +82,7 @@
 }
 
 impl Demand {
-    /// Counts requests for an adapter from one zone.
+    /// Adds requests for an adapter from one zone.
     pub fn add(
         &mut self,
         key: &AdapterKey,
@@ -100,31 +104,31 @@
         zone.clone_into(&mut entry.zone);
     }
 
-    /// Notes that a request waits for an adapter.
+    /// Marks an adapter as one that a request of this priority waits for.
     pub fn mark_waiting(&mut self, key: &AdapterKey, priority: u8) {
         let Some(entry) = self.adapters.get_mut(key) else { return };
         let most_urgent = entry.waiting.unwrap_or(priority);
         entry.waiting = Some(most_urgent.min(priority));
     }
 
-    /// Notes that nothing waits for an adapter any more.
+    /// Marks an adapter as one that no request waits for.
     pub fn clear_waiting(&mut self, key: &AdapterKey) {
         if let Some(entry) = self.adapters.get_mut(key) {
             entry.waiting = None;
         }
     }
 
-    /// Returns the demand for an adapter.
+    /// Returns the demand for an adapter, or `None` if it is not tracked.
     pub fn get(&self, key: &AdapterKey) -> Option<&AdapterDemand> {
         self.adapters.get(key)
     }
 
-    /// Returns all adapters that are asked for.
+    /// Returns all adapters with demand.
     pub fn iter(&self) -> impl Iterator<Item = (&AdapterKey, &AdapterDemand)> {
         self.adapters.iter()
     }
 
-    /// Forgets what is no longer asked for.
+    /// Removes adapters whose demand has decayed.
     pub fn forget(&mut self, now: Instant) {
         self.adapters
             .retain(|_, entry| entry.popularity(now) >= MIN_POPULARITY);
--- a/crates/fleet/src/load_rate_limiter.rs
+++ b/crates/fleet/src/load_rate_limiter.rs
@@ -1,39 +1,39 @@
-//! Loads from the weight store, kept within its rate over a sliding window.
+//! A sliding-window rate limiter for loads from the weight store.
 
 use std::{collections::VecDeque, time::Duration};
 
 use sedgewall_clock::Instant;
 
-/// The part of what is allowed that we use; a load may begin later than its
-/// order, and then counts in another window.
+/// Fraction of the permitted loads that is used. A load may start later than
+/// its order and then counts in another window.
 const USED_FRACTION: f64 = 0.96;
 
-/// Counts the loads of a sliding window.
+/// Limits the number of loads in a sliding window.
 #[derive(Clone, Debug)]
 pub struct LoadRateLimiter {
     window: Duration,
-    /// What a window allows, as a multiple of the rate.
+    /// Loads permitted in a window, as a multiple of the rate.
     overage: f64,
     starts: VecDeque<Instant>,
-    /// Loads that a holder before us may have begun, by when they count no
-    /// longer.
+    /// Loads that the previous lease holder may have started: the end of the
+    /// assumed use, and its fraction of a window's loads.
     inherited: Option<(Instant, f64)>,
 }
 
 impl LoadRateLimiter {
-    /// Returns a count for windows of this length, in which loads may begin
-    /// this many times as fast as the rate says.
+    /// Returns a limiter for windows of this length, in which loads may start
+    /// at `overage` times the rate.
     pub fn new(window: Duration, overage: f64) -> LoadRateLimiter {
         let (starts, inherited) = (VecDeque::new(), None);
         LoadRateLimiter { window, overage, starts, inherited }
     }
 
-    /// Assumes that somebody else used the whole rate until now.
+    /// Assumes that the previous lease holder used the full rate until now.
     pub fn assume_used(&mut self, now: Instant) {
         self.inherited = Some((now, 1.0));
     }
 
-    /// Returns how many loads may begin now at this rate a second.
+    /// Returns how many loads may start now at the given rate.
     pub fn available(&mut self, now: Instant, loads_per_s: f64) -> u32 {
         while self.starts.front().is_some_and(|at| now - *at >= self.window) {
             self.starts.pop_front();
@@ -45,7 +45,7 @@
         remaining.max(0.0) as u32
     }
 
-    /// Counts a load that begins now.
+    /// Records a load that starts now.
     pub fn record(&mut self, now: Instant) {
         self.starts.push_back(now);
     }
--- a/crates/fleet/src/load_times.rs
+++ b/crates/fleet/src/load_times.rs
@@ -1,15 +1,20 @@
-//! How long adapters take from the weight store, as requests show.
+//! Estimates how long adapters take to load from the weight store.
 //!
-//! A load takes some time while few are on their way over all engines, and
-//! longer in proportion beyond some number; the platform tells neither. The
-//! store is taken for a server that shares its speed among all loads: for each
-//! number that it may carry at full speed, a clock runs that slows down while
-//! more are on their way, and by that clock all loads take the same. Each request
-//! that is sent to an adapter on its way brackets that time from one side: it was
-//! there, or not yet. The number whose clock makes the answers contradict each
-//! other least is believed. The invariant: a load counts from when its engine took
-//! the order, once it is known to have come, and once, however many requests asked
-//! for it too early; one that never comes says nothing.
+//! The time of a load is constant while few loads are in flight over all
+//! engines, and grows in proportion to their number beyond some concurrency.
+//! The platform reports neither the time nor the concurrency. The weight store
+//! is modelled as a server that shares its speed among all loads: for each
+//! candidate concurrency, a virtual clock slows down while more loads are in
+//! flight, and all loads take equally long by that clock.
+//!
+//! Each request that reaches an engine while its adapter loads bounds the load
+//! time from one side: the adapter was present, or not yet. The candidate
+//! whose clock makes these observations contradict each other least is
+//! selected.
+//!
+//! The invariants: a load counts from when its engine accepted the order; it
+//! counts only once it is known to have completed, and only once, however many
+//! requests came too early; and a load that never completes is ignored.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -21,120 +26,124 @@
 
 use crate::adapter::AdapterKey;
 
-/// What a load is taken to last before the first answers: on the deployments
-/// that we know it lasts 250 to 288 ms.
+/// Estimated load time before the first observation. Loads take 250 to 288 ms
+/// on known deployments.
 const INITIAL_LOAD_TIME: Duration = Duration::from_millis(270);
 
-/// What a load takes that an engine brings from its own memory, as a part of one
-/// from the weight store (the platform's pages).
+/// Duration of a load from an engine's own memory, as a fraction of a load
+/// from the weight store, according to the platform's documentation.
 const WARM_LOAD_FRACTION: f64 = 0.1;
 
-/// Loads that may come at full speed side by side, as candidates: a fifth apart,
-/// which tells the time of a load among many within a tenth.
+/// Candidate numbers of loads that run concurrently at full speed. They are a
+/// fifth apart, which determines the time of a load among many within a tenth.
 const CONCURRENCY_CANDIDATES: [f64; 24] = [
     4.0, 5.0, 6.0, 7.0, 8.0, 10.0, 12.0, 14.0, 17.0, 20.0, 24.0, 29.0, 35.0,
     42.0, 50.0, 60.0, 72.0, 87.0, 104.0, 125.0, 150.0, 180.0, 216.0, 260.0,
 ];
 
-/// Loads may begin up to the next candidate beyond the one that is believed, so
-/// that a number that has become larger shows.
+/// Number of candidates beyond the selected one up to which loads may start,
+/// so that an increased concurrency of the weight store is observed.
 const EXPLORATION_STEPS: usize = 1;
 
-/// The weight store's rate for a time may always begin, in seconds: a number that
-/// is believed far too small would leave adapters waiting, and nothing would show
-/// it. One that is too large only makes loads later, as expected.
+/// Loads may always start at the weight store's rate over this time, in
+/// seconds. If the selected concurrency were far too low, adapters would wait
+/// and no observation would correct it. If it is too high, loads only take
+/// longer, as predicted.
 const MIN_IN_FLIGHT_S: f64 = 1.0;
 
-/// The shortest time that is told apart.
+/// Shortest load time that is distinguished, in milliseconds.
 const MIN_LOAD_TIME_MS: f64 = 10.0;
 
-/// From one class of times to the next; a request waits too long by half of this
-/// at the mean.
+/// Ratio between the limits of adjacent histogram buckets. On average, a
+/// request waits too long by half of this.
 const BUCKET_RATIO: f64 = 1.06;
 
-/// Classes of times: the longest is 18 s.
+/// Number of histogram buckets. The last one starts at about 18 s.
 const BUCKETS: usize = 128;
 
-/// What each new answer leaves of the weight of those before it: some 100 count,
-/// which come within a second where a hundred adapters a second are brought.
+/// Factor by which each new observation reduces the weight of the earlier
+/// ones. About 100 observations count, which arrive within a second where a
+/// hundred adapters are loaded per second.
 const OBSERVATION_DECAY: f64 = 0.99;
 
-/// Each so many-th load is expected three classes sooner, so that a time that became
-/// shorter is seen, and at most one in so many requests is sent too early for it.
+/// One load in this many is predicted three buckets shorter, so that a load
+/// time that has decreased is detected. At most one request in as many is sent
+/// too early because of it.
 const EARLY_TRIAL_INTERVAL: u64 = 64;
 
-/// Parts into which the time of a load is cut to predict it, each with its own number
-/// of loads on the way.
+/// Number of steps in which the progress of a load is predicted, each with its
+/// own number of loads in flight.
 const PREDICTION_STEPS: u32 = 16;
 
-/// Loads that join are counted over this part of the time of one load, so that a burst
-/// shows while it lasts.
+/// Window over which started loads are counted, as a fraction of one load's
+/// time, so that a burst is detected while it lasts.
 const START_RATE_WINDOW_FRACTION: f64 = 0.5;
 
-/// They are counted over this time at least: a rate over less is one of chance.
+/// Minimum of the window over which started loads are counted. A rate over a
+/// shorter window is dominated by chance.
 const MIN_START_RATE_WINDOW: Duration = Duration::from_millis(250);
 
-/// The weight of the first guess, in answers.
+/// Weight of the initial load time, in observations.
 const INITIAL_WEIGHT: f64 = 3.0;
 
-/// Weights that differ by less are equal.
+/// Difference up to which weights are considered equal.
 const WEIGHT_TOLERANCE: f64 = 1e-6;
 
-/// A candidate is believed in place of another if it contradicts this much less
-/// of what was seen.
+/// Margin by which a candidate must be contradicted less than the selected one
+/// to replace it, in observations.
 const SWITCH_MARGIN: f64 = 1.5;
 
-/// How long a load is remembered, for answers that come later.
+/// How long a load is retained, for observations that arrive later.
 const LOAD_RETENTION: Duration = Duration::from_secs(6);
 
-/// Observes how long adapters take from the weight store.
+/// Estimates load times from the weight store from observed loads.
 #[derive(Clone, Debug)]
 pub struct LoadTimes {
     candidates: Vec<Candidate>,
     selected: usize,
     loads: HashMap<(EndpointId, AdapterKey), Load>,
-    /// When loads began lately.
+    /// Start times of recent loads.
     recent_starts: VecDeque<Instant>,
     observation_count: u64,
     prediction_count: u64,
 }
 
-/// A load that has begun.
+/// A load that has started.
 #[derive(Clone, Copy, Debug)]
 struct Load {
     started_at: Instant,
-    /// When it was last seen not to be done.
+    /// Time of the last observation in which the adapter was absent.
     last_absent: Option<Instant>,
 }
 
-/// An answer to a request that was sent to an adapter on its way.
+/// What a request showed of an adapter that was loading.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadObservation {
-    /// When the request was at the engine.
+    /// Time at which the request was sent to the engine.
     pub at: Instant,
-    /// Whether the adapter was there.
+    /// Whether the adapter was loaded.
     pub is_loaded: bool,
 }
 
-/// What is believed of a load's time.
+/// Estimated load time and concurrency of the weight store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadEstimate {
-    /// What one takes at full speed.
+    /// Time of one load at full speed.
     pub load_time: Duration,
-    /// How many come at full speed side by side.
+    /// Number of loads that run concurrently at full speed.
     pub concurrency: f64,
 }
 
-/// One number of loads that may come at full speed, and what the answers say if
-/// it is the right one.
+/// A candidate concurrency with the observations by its clock.
 #[derive(Clone, Debug)]
 struct Candidate {
     concurrency: f64,
-    /// Milliseconds at full speed, by time.
+    /// Virtual clock: milliseconds of work at full speed, by real time.
     clock: VecDeque<(Instant, f64)>,
-    /// Where the clock stood when each load on its way began.
+    /// Value of the clock at the start of each load in flight.
     in_flight: VecDeque<f64>,
-    /// Weights of answers by class of the time between.
+    /// Weights of observations in which the adapter was absent, by bucket of
+    /// the time since the start of the load.
     absent: Vec<f64>,
     present: Vec<f64>,
     load_time_ms: f64,
@@ -157,7 +166,7 @@
 }
 
 impl LoadTimes {
-    /// Takes in that a load from the weight store begins.
+    /// Records that a load from the weight store starts.
     pub fn start_load(
         &mut self,
         endpoint: &EndpointId,
@@ -173,8 +182,8 @@
         }
     }
 
-    /// Takes in that an engine has taken the order for a load: it begins now, and
-    /// not when it was planned.
+    /// Records that an engine has accepted the order for a load. The load
+    /// counts from this time, and not from when it was planned.
     pub fn order_accepted(
         &mut self,
         endpoint: &EndpointId,
@@ -187,7 +196,7 @@
         }
     }
 
-    /// Takes in that a load did not begin after all.
+    /// Removes a load that did not start.
     pub fn cancel(&mut self, endpoint: &EndpointId, key: &AdapterKey) {
         let id = (endpoint.clone(), key.clone());
         if self.loads.remove(&id).is_none() {
@@ -198,7 +207,8 @@
         }
     }
 
-    /// Takes in an answer about a load; one that is not known says nothing.
+    /// Records an observation of a load. Observations of unknown loads are
+    /// ignored.
     pub fn observe(
         &mut self,
         endpoint: &EndpointId,
@@ -222,7 +232,8 @@
         self.select_candidate();
     }
 
-    /// Returns when a load that begins now is likely to be done.
+    /// Returns the predicted time of a load from the weight store that starts
+    /// now.
     pub fn predict_cold_load(&mut self, now: Instant) -> Duration {
         self.prediction_count += 1;
         let is_early_trial =
@@ -236,7 +247,7 @@
         millis(candidate.predicted_time_ms(starts_per_ms, most) / shortening)
     }
 
-    /// Returns how many loads began lately, a millisecond.
+    /// Returns the recent rate of started loads, per millisecond.
     fn starts_per_ms(&self, now: Instant) -> f64 {
         let window =
             self.estimate().load_time.mul_f64(START_RATE_WINDOW_FRACTION);
@@ -246,35 +257,35 @@
         joined as f64 / (window.as_secs_f64() * 1_000.0)
     }
 
-    /// Returns how many loads may be on their way, from a weight store whose rate for
-    /// base models is this.
+    /// Returns how many loads may be in flight for a weight store that loads
+    /// base models at the given rate.
     fn max_in_flight(&self, rate_per_s: f64) -> f64 {
         let idx =
             (self.selected + EXPLORATION_STEPS).min(self.candidates.len() - 1);
         self.candidates[idx].concurrency.max(rate_per_s * MIN_IN_FLIGHT_S)
     }
 
-    /// Returns whether one more load may begin, from a weight store whose rate for
-    /// base models is this. With many more on their way than come at full speed,
-    /// another one would only make all of them later.
+    /// Returns whether one more load may start, for a weight store that loads
+    /// base models at the given rate. With many more loads in flight than run
+    /// at full speed, another load would only delay all of them.
     pub fn can_start_load(&mut self, rate_per_s: f64, now: Instant) -> bool {
         let most = self.max_in_flight(rate_per_s);
         (self.in_flight(now) as f64) < most
     }
 
-    /// Returns how long an adapter takes from an engine's own memory.
+    /// Returns the predicted time of a load from an engine's own memory.
     pub fn predict_warm_load(&self) -> Duration {
         self.estimate().load_time.mul_f64(WARM_LOAD_FRACTION)
     }
 
-    /// Returns how many loads are on their way.
+    /// Returns the number of loads in flight.
     pub fn in_flight(&mut self, now: Instant) -> usize {
         let candidate = &mut self.candidates[self.selected];
         candidate.advance(now);
         candidate.in_flight.len()
     }
 
-    /// Returns what is believed now.
+    /// Returns the current estimate.
     pub fn estimate(&self) -> LoadEstimate {
         let candidate = &self.candidates[self.selected];
         LoadEstimate {
@@ -283,12 +294,12 @@
         }
     }
 
-    /// Returns how many answers were taken in.
+    /// Returns the number of completed loads that were observed.
     pub fn observations(&self) -> u64 {
         self.observation_count
     }
 
-    /// Forgets old loads. Call it about once a second.
+    /// Removes old loads. To be called about once a second.
     pub fn forget(&mut self, now: Instant) {
         self.loads.retain(|_, load| now - load.started_at < LOAD_RETENTION);
         self.recent_starts.retain(|at| now - *at < LOAD_RETENTION);
@@ -297,13 +308,15 @@
         }
     }
 
-    /// Believes the number that the answers contradict least, and the next larger one
-    /// where they tell no difference.
+    /// Selects the candidate that the observations contradict least, or the
+    /// next larger one if the observations do not tell the two apart.
     ///
-    /// Batches that are all as large as what may begin look alike by the clock of the
-    /// right number and by that of a smaller one with a shorter time. The smaller one
-    /// was believed for good then, and 26 to 86 in 100 requests came too early, at 31
-    /// of 200 simulated stores drawn at random; 20 in 100 or more come at one of them.
+    /// Batches that are all as large as the permitted number of loads look the
+    /// same by the clock of the right candidate and by that of a smaller one
+    /// with a shorter load time. When the smaller one was selected and kept,
+    /// 26 to 86 of 100 requests came too early with 31 of 200 randomly drawn
+    /// simulated stores. With the larger one, one of the 200 has 20 or more of
+    /// 100 too early.
     fn select_candidate(&mut self) {
         let contradiction: Vec<f64> =
             self.candidates.iter().map(Candidate::contradiction).collect();
@@ -343,8 +356,7 @@
         }
     }
 
-    /// Lets the clock run until now; loads that are done on the way make it
-    /// faster.
+    /// Advances the clock to now. Loads that complete in between speed it up.
     fn advance(&mut self, now: Instant) {
         let Some(&(mut at, mut clock)) = self.clock.back() else {
             self.clock.push_back((now, 0.0));
@@ -374,13 +386,14 @@
         self.in_flight.push_back(clock);
     }
 
-    /// Returns what a load takes that begins now, while others join at a rate up to
-    /// a number on their way.
+    /// Returns the predicted time of a load that starts now, in milliseconds,
+    /// while other loads start at a given rate, up to a maximum in flight.
     ///
-    /// Those that join while it is on its way slow it down as those before it do, and
-    /// outlast it. With those before it alone, 26 in 100 requests came too early in
-    /// bursts at a simulated store of 170 loads at full speed; 16 with them.
-    /// It is not taken for shorter than with the number on the way as it is.
+    /// Loads that start during this load slow it down like those before it,
+    /// and outlast it. Without them in the prediction, 26 of 100 requests came
+    /// too early in bursts at a simulated store that runs 170 loads at full
+    /// speed; with them, 16 of 100. The prediction is never shorter than with
+    /// the current number of loads in flight.
     fn predicted_time_ms(&self, starts_per_ms: f64, most: f64) -> f64 {
         let clock = self.clock.back().map_or(0.0, |(_, clock)| *clock);
         let part_ms = self.load_time_ms / f64::from(PREDICTION_STEPS);
@@ -403,7 +416,7 @@
         takes_ms.max(self.load_time_ms * unchanged)
     }
 
-    /// Returns where the clock stood.
+    /// Returns the value of the clock at a time.
     fn clock_at(&self, at: Instant) -> f64 {
         let idx = self.clock.partition_point(|(known, _)| *known <= at);
         match (idx.checked_sub(1).map(|i| self.clock[i]), self.clock.get(idx))
@@ -432,20 +445,22 @@
             self.absent[last_absent] += 1.0;
         }
         let (most_likely_bucket, _) = self.most_likely_bucket();
-        // A class beyond: the clock of a time that is too short counts loads out
-        // before they are done, and lets too many begin.
+        // One bucket beyond the likeliest: with a load time that is too short,
+        // the clock drops loads before they complete, and too many loads
+        // start.
         self.load_time_ms = bucket_end_ms(most_likely_bucket + 1);
     }
 
-    /// Returns the weight of the answers that contradict the likeliest time.
+    /// Returns the weight of the observations that contradict the likeliest
+    /// load time.
     fn contradiction(&self) -> f64 {
         self.most_likely_bucket().1
     }
 
-    /// Returns the class of times that the answers contradict least, and the
-    /// weight of those that do: adapters that were not there later, or that were
-    /// there sooner. Of equal ones it is the shortest time after which one was
-    /// there.
+    /// Returns the bucket of load times that the observations contradict
+    /// least, and the weight of those that contradict it: adapters that were
+    /// absent after a longer time or present after a shorter one. Of equal
+    /// buckets, the first one with an observed load is returned.
     fn most_likely_bucket(&self) -> (usize, f64) {
         let mut late: f64 = self.absent.iter().sum();
         let mut soon = 0.0;
--- a/crates/fleet/src/order.rs
+++ b/crates/fleet/src/order.rs
@@ -1,5 +1,5 @@
-//! Orders to engines, and what becomes of the table when one is not carried
-//! out.
+//! Orders to engines, and how an order that was not carried out is undone in
+//! the view.
 
 use std::net::SocketAddr;
 
@@ -10,36 +10,37 @@
     view::FleetView,
 };
 
-/// What an engine is told to do.
+/// The action that an order requests from an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Task {
-    /// Report what it holds, before it gets orders.
+    /// Report the adapters that the engine holds. Precedes all other orders.
     Sync,
     /// Load a base model.
     LoadModel(ModelName),
-    /// Load an adapter, or replace it by its newest version.
+    /// Load this version of an adapter, replacing an older one.
     Load(AdapterKey, WeightVersion),
-    /// Remove an adapter.
+    /// Unload an adapter.
     Unload(AdapterKey),
 }
 
-/// One order to an engine.
+/// An order to an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Order {
-    /// The engine.
+    /// The engine that the order goes to.
     pub endpoint: EndpointId,
-    /// Its address.
+    /// The address of the engine.
     pub address: SocketAddr,
-    /// What to do.
+    /// The requested action.
     pub task: Task,
-    /// Whether the weight store is needed.
+    /// Whether the load needs the weight store.
     pub is_cold: bool,
 }
 
 impl Order {
-    /// Takes back what the table believes of an order that was not carried
-    /// out, or may not have been. What its engine holds is known again once it
-    /// reports: an adapter that was to leave is still there.
+    /// Undoes what planning this order changed in the view, because the order
+    /// was not, or may not have been, carried out. The contents of the engine
+    /// are unknown until its next report: an adapter that was to be unloaded
+    /// is still loaded.
     pub fn revert(&self, view: &mut FleetView) {
         if let Task::Load(key, _) = &self.task {
             view.remove_placement(&self.endpoint, key);
--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -1,11 +1,14 @@
-//! What the holder of the lease orders: which adapters sit on which engine.
+//! Plans which adapters are loaded on which engine.
 //!
-//! The head of the popularity gets replicas, one in each zone that asks and
-//! more where an engine would fill up. The tail gets one home, and keeps it:
-//! an engine that lately held an adapter loads it again from its own memory,
-//! without the weight store. The invariants: no engine is ordered to hold more
-//! adapters than it has places, and none before it is known what it holds; and
-//! loads of base models stay within the weight store's rate.
+//! Only the instance that holds the lease on orders runs the planner.
+//! Frequently requested adapters get replicas while their engines are short of
+//! slots, preferably in the zone that requests them. Rarely requested adapters
+//! get one engine and return to it: an engine that held an adapter recently
+//! reloads it from its own memory, without the weight store.
+//!
+//! The invariants: no engine is ordered to hold more adapters than it has
+//! places; no engine gets an order before it has reported what it holds; and
+//! loads of base models stay within the rate of the weight store.
 
 mod target;
 
@@ -27,43 +30,48 @@
     view::{BUSY_BACKLOG, FleetView},
 };
 
-/// Adapters on their way to one engine at once; the platform allows this many.
+/// Maximum number of adapters that load on one engine at the same time. The
+/// platform allows this many.
 const MAX_LOADING_PER_ENGINE: usize = 4;
 
-/// Requests under way for one adapter on one engine, as a part of its slots,
-/// beyond which another engine gets the adapter too.
+/// Fraction of an engine's slots that requests for one adapter may use before
+/// the adapter gets another replica.
 const MAX_ADAPTER_SLOT_SHARE: f64 = 0.2;
 
-/// How long a request holds a slot, to turn rates into requests under way.
+/// Mean time that a request holds a slot, in seconds. Converts a request rate
+/// to a number of concurrent requests.
 const SERVICE_TIME_S: f64 = 0.7;
 
-/// Requests under way as a part of an engine's slots, beyond which what it
-/// holds gets another engine too.
+/// Fraction of an engine's slots in use from which on the adapters that it
+/// holds get another replica.
 const MAX_UTILIZATION: f64 = 0.85;
 
-/// An engine that has not reported is asked again after this long.
+/// Interval at which a report is requested again from an engine that has not
+/// sent one.
 const SYNC_RETRY_INTERVAL: Duration = Duration::from_millis(700);
 
-/// How often more is looked at than what requests wait for: engines that came,
-/// versions, replicas.
+/// Interval between full planning passes, which handle new engines, new
+/// versions and replicas. The passes between them only place adapters that
+/// requests wait for.
 const FULL_PASS_INTERVAL: Duration = Duration::from_millis(100);
 
-/// An order that shows no effect is given again after this long.
+/// Time after which an order without a visible effect is given again.
 const ORDER_RETRY_INTERVAL: Duration = Duration::from_secs(4);
 
-/// Decides for all engines, while its instance holds the lease.
+/// Plans placement on all engines while this instance holds the lease.
 #[derive(Clone, Debug)]
 pub struct PlacementPlanner {
     epoch: Epoch,
     load_limiter: LoadRateLimiter,
     ordered: HashMap<(EndpointId, AdapterKey), Instant>,
-    /// When all was looked at, not only what requests wait for.
+    /// Time of the last full planning pass.
     last_full_pass: Option<Instant>,
 }
 
 impl PlacementPlanner {
-    /// Returns the loader of a new epoch. Whoever held the lease before may
-    /// have used the weight store's whole rate until now.
+    /// Returns the planner of a new epoch. From the second epoch on, it
+    /// assumes that the previous lease holder used the full rate of the weight
+    /// store until now.
     pub fn new(
         epoch: Epoch,
         mut load_limiter: LoadRateLimiter,
@@ -80,8 +88,8 @@
         }
     }
 
-    /// Decides what to order now. The view is changed as if all orders were
-    /// taken.
+    /// Returns the orders to give now. The view is updated as if every order
+    /// had been carried out.
     pub fn plan(
         &mut self,
         routing: &RoutingConfiguration,
@@ -120,7 +128,8 @@
         orders
     }
 
-    /// Returns how many loads the weight store allows now.
+    /// Returns how many loads of base models the rate of the weight store
+    /// allows now.
     pub fn loads_left(&mut self, loads_per_s: f64, now: Instant) -> u32 {
         self.load_limiter.available(now, loads_per_s)
     }
@@ -130,7 +139,7 @@
     }
 }
 
-/// One look at the engines of one service.
+/// One planning pass over the engines of one service.
 struct PlanningPass<'a> {
     planner: &'a mut PlacementPlanner,
     service: &'a str,
@@ -139,13 +148,13 @@
     demand: &'a mut Demand,
     times: &'a mut LoadTimes,
     now: Instant,
-    /// What each engine can take; computed when first asked for, and again
-    /// for the engine that gets an order.
+    /// Headroom of each engine. Computed on first use; an engine that gets an
+    /// order is computed again.
     engines: Option<Vec<EngineHeadroom>>,
 }
 
 impl PlanningPass<'_> {
-    /// Engines of which nobody knows what they hold are asked.
+    /// Requests a report from each engine whose contents are unknown.
     fn sync_engines(&mut self, orders: &mut Vec<Order>) {
         let asked = AdapterKey::base("");
         let unknown: Vec<(EndpointId, SocketAddr)> = self
@@ -169,7 +178,7 @@
         }
     }
 
-    /// Engines that came empty get a base model.
+    /// Loads the base model on engines that hold none.
     fn load_models(&mut self, orders: &mut Vec<Order>) {
         let Some(model) = self.group.models.first() else { return };
         let key = AdapterKey::base(&model.name);
@@ -188,9 +197,10 @@
         }
     }
 
-    /// Where an older version sits, the newest one replaces it if it is asked
-    /// for and has a place until the old one's runs have ended; else the old
-    /// one goes, and requests bring the newest one.
+    /// Replaces outdated versions. The newest version is loaded beside the
+    /// outdated one if it has demand and the engine has a place free until the
+    /// requests on the outdated version have ended. Otherwise the outdated
+    /// version is unloaded, and demand brings the newest one.
     fn replace_versions(&mut self, orders: &mut Vec<Order>) {
         let mut old = Vec::new();
         for state in self.engines() {
@@ -232,8 +242,8 @@
         }
     }
 
-    /// What requests wait for and no engine can serve gets a home, or one
-    /// more; first what is asked for most.
+    /// Places adapters that requests wait for and that no engine can serve, in
+    /// descending order of popularity.
     fn serve_demand(&mut self, orders: &mut Vec<Order>) {
         let mut wanted: Vec<(f64, AdapterKey)> = Vec::new();
         for (key, demand) in self.demand.iter() {
@@ -252,8 +262,8 @@
         }
     }
 
-    /// Returns whether some engine that holds an adapter, or will soon, has
-    /// room for a request.
+    /// Returns whether an engine that holds or loads the adapter has room for
+    /// another request.
     fn can_be_served(&self, key: &AdapterKey) -> bool {
         self.holders(key).any(|state| {
             state.load() < MAX_UTILIZATION
@@ -262,7 +272,8 @@
         })
     }
 
-    /// Adapters that fill their engines get another one.
+    /// Adds a replica of each adapter whose requests use up its share of the
+    /// slots on the engines that hold it.
     fn add_replicas(&mut self, orders: &mut Vec<Order>) {
         let slots = f64::from(self.group.slots.max(1));
         let mut short = Vec::new();
@@ -286,7 +297,8 @@
         }
     }
 
-    /// Puts an adapter on one more engine; returns whether it could.
+    /// Orders one more engine to load an adapter. Returns whether an engine
+    /// was found.
     fn place(&mut self, key: &AdapterKey, orders: &mut Vec<Order>) -> bool {
         let can_start =
             self.times.can_start_load(self.group.loads_per_s, self.now);
@@ -314,7 +326,7 @@
         true
     }
 
-    /// Returns whether an engine has a place for one more adapter as it is.
+    /// Returns whether an engine has a free place, without an eviction.
     fn has_free_place(&self, id: &EndpointId) -> bool {
         let state = self.view.get(id);
         state.is_some_and(|state| self.make_room(state) == Some(None))
@@ -324,7 +336,7 @@
         self.demand.get(key).map_or(0.0, |d| d.rate_per_s(self.now))
     }
 
-    /// Returns the usable engines that hold an adapter, or will soon.
+    /// Returns the usable engines that hold or load an adapter.
     fn holders(
         &self,
         key: &AdapterKey,
@@ -368,7 +380,8 @@
         self.view.apply_removed(&removed, self.now);
     }
 
-    /// Begins a load from the weight store.
+    /// Starts a load from the weight store and returns the note that announces
+    /// it.
     fn start_cold_load(
         &mut self,
         endpoint: &EndpointId,
@@ -380,7 +393,7 @@
         self.placed(endpoint, key, version, takes, true)
     }
 
-    /// Begins a load from an engine's own memory.
+    /// Returns the note that announces a load from an engine's own memory.
     fn start_warm_load(
         &self,
         endpoint: &EndpointId,
@@ -415,7 +428,9 @@
         }
     }
 
-    /// Returns whether an order on this key is due; it is not again at once.
+    /// Returns whether an order for this endpoint and key may be given now,
+    /// and records it if so. A recent order for the same pair is not repeated
+    /// at once.
     fn claim_order(
         &mut self,
         endpoint: &EndpointId,
@@ -429,7 +444,8 @@
         true
     }
 
-    /// Takes a load of a base model, if the weight store's rate allows one.
+    /// Consumes one load of a base model if the rate of the weight store
+    /// allows it.
     fn acquire_model_load(&mut self) -> bool {
         let rate = self.group.loads_per_s;
         let is_allowed = self.planner.loads_left(rate, self.now) > 0;
--- a/crates/fleet/src/placement/target.rs
+++ b/crates/fleet/src/placement/target.rs
@@ -1,4 +1,5 @@
-//! Where an adapter goes: the engine that is its home, and what makes way there.
+//! Selects the engine that an adapter is placed on, and the adapter to evict
+//! from it.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,15 +14,16 @@
     view::{BUSY_BACKLOG, OTHER_ZONE_COST},
 };
 
-/// What the removal of an adapter costs, in parts of an engine's load: a free
-/// place is taken first.
+/// Cost of an eviction, as a fraction of an engine's load, so that a free
+/// place is preferred.
 const EVICTION_COST: f64 = 0.1;
 
-/// An adapter that was asked for within this time is not removed: a request
-/// may be on its way to it that nobody has told of yet.
+/// Time after a request during which its adapter is not evicted. The request
+/// may be on its way to the engine without having been reported to the lease
+/// holder.
 const RECENT_USE: Duration = Duration::from_millis(300);
 
-/// The engine that an adapter goes to.
+/// The engine that an adapter is placed on.
 pub(super) struct PlacementTarget {
     pub(super) endpoint: EndpointId,
     address: SocketAddr,
@@ -41,14 +43,20 @@
 }
 
 impl PlanningPass<'_> {
-    /// The engine for an adapter. One that has it at hand keeps it, even if
-    /// that takes a moment: a load from the weight store has a price. Else it
-    /// is one with the least to do, in the zone that asks if possible. While no
-    /// engine that has it at hand can take one more, a place that is free elsewhere
-    /// is taken: after many engines were replaced 250 of 1,000 requests a second
-    /// were refused beside 160 free places. Making way for it elsewhere
-    /// removes what is asked for there: where places are scarce that costs more than it
-    /// brings (`docs/DECISIONS.md`).
+    /// Returns the engine to place an adapter on, or `None` if no engine can
+    /// take it.
+    ///
+    /// An engine that still has the adapter in its own memory is preferred,
+    /// even if the adapter has to wait for a place there, because a load from
+    /// the weight store has a price. Otherwise the engine with the least load
+    /// is chosen, if possible in the zone that requests the adapter.
+    ///
+    /// If every engine with the adapter in memory is unable to take one more,
+    /// a free place on another engine is used. Without this rule, 250 of 1,000
+    /// requests per second were refused beside 160 free places after many
+    /// engines had been replaced. An adapter is not evicted elsewhere for
+    /// this: where places are scarce, evicting an adapter that has demand
+    /// costs more than it gains (`docs/DECISIONS.md`).
     pub(super) fn find_target(
         &mut self,
         key: &AdapterKey,
@@ -120,7 +128,7 @@
         })
     }
 
-    /// Returns what each engine that is known and usable can take.
+    /// Returns the headroom of each usable engine whose contents are known.
     fn headrooms(&self) -> Vec<EngineHeadroom> {
         let takes_more = |s: &&EndpointState| {
             s.is_usable(self.now) && !s.is_saturated(self.now)
@@ -130,9 +138,9 @@
     }
 
     fn headroom(&self, state: &EndpointState) -> EngineHeadroom {
-        // The base model is on all engines, and its share the same on each; to
-        // count its holders for each took 0.34 ms an order among 1,010 engines, and the
-        // next look came 2 s later.
+        // The base model is excluded: every engine holds it, so that its share
+        // is the same on each. Counting its holders for each engine took 0.34
+        // ms per order with 1,010 engines and delayed the next pass by 2 s.
         let adapters =
             state.placements().filter(|(key, _)| key.adapter.is_some());
         let shares = adapters.map(|(key, _)| {
@@ -166,7 +174,7 @@
         }
     }
 
-    /// Looks again at what an engine can take, after an order.
+    /// Recomputes the headroom of an engine after an order.
     pub(super) fn refresh_headroom(&mut self, id: &EndpointId) {
         let Some(mut engines) = self.engines.take() else { return };
         let known = engines.iter_mut().find(|e| e.endpoint == *id);
@@ -176,13 +184,14 @@
         self.engines = Some(engines);
     }
 
-    /// Returns what must leave an engine for one more adapter: nothing, or
-    /// the one that is asked for least and not in use. None if nothing may.
+    /// Returns the adapter to evict so that an engine can load one more:
+    /// `Some(None)` if a place is free, or the adapter with the lowest rate
+    /// that is not in use. Returns `None` if no place can be made.
     ///
-    /// An engine takes no order while one that was ordered out still runs:
-    /// with streams of 3 s that cost four fifths of the time in which engines
-    /// could load. Adapters that requests run on are left alone
-    /// (`docs/DECISIONS.md`).
+    /// Adapters with running requests are not evicted (`docs/DECISIONS.md`).
+    /// An engine takes no order while a request runs on an adapter that it was
+    /// ordered to unload: with streams of 3 s, this blocked loads for four
+    /// fifths of the time.
     pub(super) fn make_room(
         &self,
         state: &EndpointState,
