--- a/crates/fleet/src/event_framer.rs
+++ b/crates/fleet/src/event_framer.rs
@@ -1,10 +1,10 @@
-//! Streams of events, cut where an event ends.
+//! Splits a stream of server-sent events into whole events.
 //!
-//! A stream that goes on at another engine must go on after a whole event, so
-//! what an engine left unfinished is thrown away. The invariant: what comes
-//! out is a sequence of whole events.
+//! A stream that is resumed at another engine must continue after a whole
+//! event, so that an event which an engine left incomplete is discarded. The
+//! invariant: the output consists of whole events.
 
-/// Cuts a stream into whole events and remembers the last one's id.
+/// Splits a stream into whole events and tracks the id of the last one.
 #[derive(Clone, Debug, Default)]
 pub struct EventFramer {
     pending: Vec<u8>,
@@ -12,12 +12,13 @@
 }
 
 impl EventFramer {
-    /// Returns a cutter for a stream that goes on after this event.
+    /// Returns a framer for a stream that continues after the event with this
+    /// id.
     pub fn after(last_id: Option<String>) -> EventFramer {
         EventFramer { pending: Vec::new(), last_id }
     }
 
-    /// Takes in bytes and returns all events that are now whole.
+    /// Appends bytes and returns all events that are now complete.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<u8> {
         self.pending.extend_from_slice(bytes);
         let Some(end) = last_event_end(&self.pending) else {
@@ -31,12 +32,12 @@
         whole
     }
 
-    /// Throws away an event that is not whole.
+    /// Discards an incomplete event.
     pub fn discard_partial(&mut self) {
         self.pending.clear();
     }
 
-    /// Returns what came after the last whole event.
+    /// Removes and returns the bytes after the last whole event.
     pub fn take_partial(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.pending)
     }
@@ -47,7 +48,8 @@
     }
 }
 
-/// Returns where the last whole event ends: after an empty line.
+/// Returns the offset after the last whole event, which ends with an empty
+/// line.
 fn last_event_end(bytes: &[u8]) -> Option<usize> {
     let lf = bytes.windows(2).rposition(|pair| pair == b"\n\n");
     let crlf = bytes.windows(4).rposition(|four| four == b"\r\n\r\n");
--- a/crates/fleet/src/retry_budget.rs
+++ b/crates/fleet/src/retry_budget.rs
@@ -1,9 +1,10 @@
-//! The allowance for sending requests once more, shared by all instances.
+//! The retry budget, which all instances share.
 //!
-//! Within some window, all instances together may repeat a share of the
-//! requests plus a fixed number, for each service by itself. No instance asks
-//! another: each keeps to its own requests' share and to its part of the fixed
-//! number, divided by the instances that it believes to be there.
+//! Within a sliding window, all instances together may retry a share of the
+//! requests plus a fixed number, for each service separately. Instances do not
+//! coordinate: each uses the share of its own requests and an equal part of
+//! the fixed number, divided by the number of instances that it believes to be
+//! live.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -14,31 +15,33 @@
 
 use crate::route::ServiceName;
 
-/// Fraction of the retry budget in use. The rest absorbs a stale instance count.
+/// Fraction of the retry budget that is used. The rest absorbs an outdated
+/// number of instances.
 const USED_FRACTION: f64 = 0.7;
 
-/// The allowance of all instances together.
+/// The retry budget of all instances together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryAllowance {
-    /// Repeats as a share of requests.
+    /// Retries as a share of requests.
     pub share: f64,
-    /// Repeats beyond the share, in one window.
+    /// Retries beyond the share, per window.
     pub slack: f64,
-    /// The window.
+    /// The length of the sliding window.
     pub window: Duration,
 }
 
-/// What one instance has used, by service.
+/// The part of the retry budget that one instance has used, by service.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     allowance: RetryAllowance,
-    /// From when on the fixed number comes back over one window, if it does:
-    /// what an earlier life of the instance used is not known.
+    /// Time of a restart, from which the fixed number becomes available over
+    /// one window: the retries before the restart are unknown. `None` if the
+    /// instance did not restart.
     restarted_at: Option<Instant>,
     services: HashMap<ServiceName, Usage>,
 }
 
-/// What was used of one service's allowance.
+/// The use of one service's retry budget.
 #[derive(Clone, Debug, Default)]
 struct Usage {
     requests: VecDeque<Instant>,
@@ -51,7 +54,7 @@
         RetryBudget { allowance, restarted_at: None, services: HashMap::new() }
     }
 
-    /// Returns the budget of an instance that starts again now.
+    /// Returns the budget of an instance that restarts now.
     pub fn after_restart(
         allowance: RetryAllowance,
         now: Instant,
@@ -59,7 +62,7 @@
         RetryBudget { restarted_at: Some(now), ..RetryBudget::new(allowance) }
     }
 
-    /// Counts a request of a caller for a service.
+    /// Counts a caller's request for a service.
     pub fn count_request(&mut self, service: &str, now: Instant) {
         let window = self.allowance.window;
         let usage = self.usage(service);
@@ -67,8 +70,8 @@
         usage.requests.push_back(now);
     }
 
-    /// Takes one repeat at a service, if there is one left among this many
-    /// instances.
+    /// Takes one retry at a service. Returns whether one was left for this
+    /// instance, among this many instances.
     pub fn take(
         &mut self,
         service: &str,
--- a/crates/fleet/src/store_reachability.rs
+++ b/crates/fleet/src/store_reachability.rs
@@ -1,35 +1,37 @@
-//! What an instance's calls show of the platform's store: whether it answers,
-//! and when it was last known not to.
+//! Tracks whether the platform's store is reachable, from the results of this
+//! instance's calls, and when it was last known to be unreachable.
 //!
-//! It does no I/O and reads no clock. The invariant: a failure speaks of the
-//! time at which the store is known to have failed, never of a later one.
+//! This module does no I/O and reads no clock. The invariant: a failure is
+//! dated by the time at which the store is known to have failed, never later.
 
 use std::time::Duration;
 
 use sedgewall_clock::Instant;
 
-/// How long after the store was last known to be out a missing entry may still
-/// come back. Entries that lapsed are back within two seconds of the outage's
-/// end (the platform's pages), which lies up to a call's pause later. An endpoint
-/// that has really left gets no work for longer: 3 s after the end we are held to
-/// that, and 0.2 s are for requests that were just sent.
+/// How long after the last known failure of the store a missing entry may
+/// still reappear. Entries that lapsed reappear within 2 s of the end of an
+/// outage, according to the platform's documentation, and the outage ends up
+/// to one pause between calls after the last failure. The value must not be
+/// longer: 3 s after the outage, no more requests may go to an endpoint that
+/// has really left, and 0.2 s are reserved for requests that were just sent.
 const MISSING_ENTRY_GRACE: Duration = Duration::from_millis(2_800);
 
-/// A call to the store that failed.
+/// A failed call to the store.
 #[derive(Clone, Copy, Debug)]
 pub struct CallFailure {
-    /// When it was sent.
+    /// Time at which the call was sent.
     pub sent: Instant,
-    /// When we knew that it had failed.
+    /// Time at which the failure was detected.
     pub noticed: Instant,
-    /// Whether nothing came back: the store may have been out when it was sent
-    /// and not since.
+    /// Whether the call got no answer. The store may then have been
+    /// unreachable when the call was sent, and reachable since.
     pub is_unanswered: bool,
 }
 
 impl CallFailure {
-    /// Returns when the store is known not to have answered. A call without an
-    /// answer may be lost on a path that has worked again ever since.
+    /// Returns the latest time at which the store is known to have been
+    /// unreachable. A call without an answer counts from when it was sent: it
+    /// may have been lost on a path that has worked ever since.
     pub fn unreachable_at(&self) -> Instant {
         match self.is_unanswered {
             true => self.sent,
@@ -38,18 +40,20 @@
     }
 }
 
-/// Until when others may count on our word that the store is out.
+/// Until when other instances may rely on this instance's report that the
+/// store is unreachable.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReportedOutage {
-    /// It was never out.
+    /// The store was never unreachable.
     Never,
-    /// It was regained; our word before that holds until then.
+    /// The store is reachable again. The last report of the outage is valid
+    /// until this time.
     Until(Instant),
-    /// It is out.
+    /// The store is unreachable.
     Ongoing,
 }
 
-/// What this instance's calls show of the store.
+/// Reachability of the store, as seen by this instance.
 #[derive(Clone, Debug, Default)]
 pub struct StoreReachability {
     is_unreachable: bool,
@@ -61,7 +65,8 @@
 }
 
 impl StoreReachability {
-    /// Notes that a call was answered; returns whether that is news.
+    /// Records a call that was answered. Returns whether the store was
+    /// unreachable before.
     pub fn record_success(&mut self, now: Instant) -> bool {
         self.last_answered = Some(now);
         if !std::mem::take(&mut self.is_unreachable) {
@@ -72,9 +77,11 @@
         true
     }
 
-    /// Notes that a call failed; returns whether that is news. The holder of
-    /// the lease counts on our word, so a call that was lost before another was
-    /// answered does not put the store out again.
+    /// Records a failed call. Returns whether the store was reachable before.
+    ///
+    /// The lease holder relies on reports of an outage. So a call that was
+    /// lost before a later call was answered does not make the store
+    /// unreachable again.
     pub fn record_failure(&mut self, failure: CallFailure) -> bool {
         let unreachable_since = failure.unreachable_at();
         let is_newest = self
@@ -93,12 +100,12 @@
         true
     }
 
-    /// Returns whether the store did not answer our last call.
+    /// Returns whether the store is unreachable.
     pub fn is_unreachable(&self) -> bool {
         self.is_unreachable
     }
 
-    /// Returns whether it is out, or was regained within this time.
+    /// Returns whether the store is unreachable, or was so within this time.
     pub fn was_unreachable_within(
         &self,
         time: Duration,
@@ -108,9 +115,9 @@
         self.is_unreachable || self.recovered_at.is_some_and(is_recent)
     }
 
-    /// Returns until when somebody may count on our word that the store is out,
-    /// if we ever gave it: as long as such a word holds after the store was
-    /// regained, and for ever while it is out.
+    /// Returns until when another instance may rely on a report of an outage
+    /// by this instance. A report stays valid for the given time after the
+    /// store is reachable again, and without a limit while it is unreachable.
     pub fn reported_outage(
         &self,
         report_valid_for: Duration,
@@ -122,34 +129,36 @@
         }
     }
 
-    /// Returns for how long entries of endpoints that lapsed while the store
-    /// was out may still come back.
+    /// Returns how much longer entries of endpoints that lapsed during an
+    /// outage of the store may reappear.
     pub fn missing_entry_grace(&self, now: Instant) -> Duration {
         let Some(failed) = self.last_failed else { return Duration::ZERO };
         MISSING_ENTRY_GRACE.saturating_sub(now - failed.unreachable_at())
     }
 
-    /// Returns the last call that failed.
+    /// Returns the last failed call.
     pub fn last_failure(&self) -> Option<CallFailure> {
         self.last_failed
     }
 
-    /// Returns whether others have yet to hear of a change.
+    /// Returns whether other instances have not been told yet of a change.
     pub fn has_change(&self) -> bool {
         self.has_unreported_change
     }
 
-    /// Returns whether others have yet to hear of a change, once.
+    /// Returns whether other instances have not been told yet of a change, and
+    /// marks the change as told.
     pub fn take_change(&mut self) -> bool {
         std::mem::take(&mut self.has_unreported_change)
     }
 
-    /// Begins to probe the store, unless that is under way.
+    /// Starts a probe of the store, unless the store is unreachable or a probe
+    /// is running. Returns whether it was started.
     pub fn begin_probe(&mut self) -> bool {
         !self.is_unreachable && !std::mem::replace(&mut self.is_probing, true)
     }
 
-    /// Ends the probe.
+    /// Marks the probe as finished.
     pub fn end_probe(&mut self) {
         self.is_probing = false;
     }
--- a/crates/fleet/src/wait_policy.rs
+++ b/crates/fleet/src/wait_policy.rs
@@ -1,81 +1,82 @@
-//! How long a request that cannot be sent now is held, and when its caller may
-//! come back.
+//! Decides how long a request that cannot be sent yet waits, and when a
+//! rejected caller may retry.
 //!
-//! A request is held while it can still be served in time, by what is known of
-//! the obstacle: when its adapter comes, what a load takes, and what the engine
-//! takes from there. One that can only be late is held where an answer is certain
-//! to come, because its adapter is on its way: the answer comes sooner than to a
-//! new try. All others are rejected as soon as that is known. The invariant: no
-//! request is held beyond the time at which its caller must have an answer.
+//! A request waits while it can still be served in time, by what is known of
+//! the reason: when its adapter will be loaded, how long a load takes, and how
+//! long the engine takes from there. A request that is certain to be late
+//! still waits if its adapter is loading, because its answer comes sooner than
+//! that of a retry. All other requests are rejected as soon as they are known
+//! to be late.
+//!
+//! The invariant: no request waits beyond its deadline.
 
 use std::time::Duration;
 
 use sedgewall_clock::Instant;
 
-/// Of the time that is left, a caller waits this part at most before it comes
-/// back.
+/// Maximum delay before a retry, as a fraction of the caller's remaining time.
 const MAX_RETRY_DELAY_FRACTION: f64 = 0.31;
 
-/// What is drawn off the time to come back, as a part of it: callers that were
-/// rejected in the same moment do not come back as one wave.
+/// Jitter that is subtracted from the retry delay, as a fraction of it, so
+/// that callers that were rejected together do not retry together.
 const JITTER_FRACTION: f64 = 0.2;
 
-/// The part of the target for which a request waits for a free place, in a queue
-/// of which nothing is known: it is then sent in time as far as the engine keeps
-/// to what it took lately.
+/// Fraction of the target latency for which a request waits for capacity where
+/// the length of the queue is unknown. A request that is sent by then is
+/// answered in time as far as engines keep to their recent latency.
 const CAPACITY_WAIT_FRACTION: f64 = 0.22;
 
-/// How long a request looks for an endpoint at most before it is sent, however
-/// long its target is: an instance that stops has 8 s for all.
+/// Maximum time for which a request waits for an endpoint, whatever its
+/// target. An instance that stops has 8 s to finish all requests.
 const MAX_WAIT: Duration = Duration::from_secs(4);
 
-/// A request that cannot be sent now.
+/// A request that cannot be sent yet.
 #[derive(Clone, Copy, Debug)]
 pub struct WaitingRequest {
-    /// When it arrived.
+    /// Time at which the request arrived.
     pub arrived: Instant,
-    /// When its caller must have an answer.
+    /// Time by which the caller must have an answer.
     pub deadline: Instant,
-    /// Within this time its answer should begin.
+    /// Target time from the request's arrival to the start of its answer.
     pub target: Duration,
-    /// What an engine is likely to take until its answer begins.
+    /// Expected time that an engine takes to start the answer.
     pub engine_time: Duration,
-    /// Whether its caller was rejected before: another rejection leaves it
-    /// nothing.
+    /// Whether the caller was rejected before. It has no time left for another
+    /// retry.
     pub is_later_try: bool,
 }
 
-/// Why a request cannot be sent.
+/// Why a request cannot be sent yet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WaitReason {
-    /// Its adapter is on its way and ready after this time.
+    /// The adapter is loading and will be ready after this time.
     AdapterLoading(Duration),
-    /// Its adapter is nowhere; a load takes this long from when it begins.
+    /// No engine holds or loads the adapter.
     AdapterNotLoaded {
-        /// What a load takes now.
+        /// Time that a load takes now, once it starts.
         load_time: Duration,
     },
-    /// All endpoints that could take it are full, or none is usable.
+    /// All suitable endpoints are at capacity, or none is usable.
     NoCapacity,
-    /// All endpoints that could take it announce that they take no more, until this
+    /// All suitable endpoints announce that they accept no requests until this
     /// time has passed.
     Saturated(Duration),
 }
 
 impl WaitingRequest {
-    /// Returns until when it is held for an obstacle; it is rejected at once if
-    /// that lies before now.
+    /// Returns the time until which the request waits for this reason. It is
+    /// rejected at once if that time is before `now`.
     pub fn wait_until(&self, reason: WaitReason, now: Instant) -> Instant {
         let latest = self.latest_send().min(self.arrived + MAX_WAIT);
         match reason {
-            // An answer is certain to come; a new try would have it later.
+            // The answer is certain; a retry would get it later.
             WaitReason::AdapterLoading(ready_in)
                 if now + ready_in <= latest =>
             {
                 latest
             }
             WaitReason::AdapterLoading(_) => self.arrived,
-            // What is known to come too late is rejected at once.
+            // A wait that is known to be too long is not started.
             WaitReason::Saturated(ready_in)
                 if now + ready_in > self.capacity_deadline() =>
             {
@@ -91,27 +92,29 @@
         }
     }
 
-    /// Returns until when it waits for a place.
+    /// Returns the time until which the request waits for capacity.
     fn capacity_deadline(&self) -> Instant {
         self.arrived + self.target.mul_f64(CAPACITY_WAIT_FRACTION)
     }
 
-    /// Returns the last moment at which something that takes so long may begin
-    /// for the answer to begin in time.
+    /// Returns the latest time at which a step of this duration may start so
+    /// that the answer starts within the target.
     fn latest_start(&self, takes: Duration) -> Instant {
         let needs = self.engine_time + takes;
         self.arrived + self.target.saturating_sub(needs)
     }
 
-    /// Returns the last moment at which it can be sent and be answered.
+    /// Returns the latest time at which the request can be sent and still be
+    /// answered before its deadline.
     fn latest_send(&self) -> Instant {
         let left = self.deadline.saturating_duration_since(self.arrived);
         self.arrived + left.saturating_sub(self.engine_time.max(self.target))
     }
 }
 
-/// Returns when a caller may come back that has this much time left and whose
-/// obstacle is likely to be gone after another; `draw` is a number between 0 and
+/// Returns the delay after which a rejected caller may retry. `left` is the
+/// caller's remaining time, `gone_in` the time after which the reason for the
+/// rejection is expected to be gone, and `draw` a random number between 0 and
 /// 1.
 pub fn retry_delay(
     left: Duration,
