--- a/crates/fleet/src/customer.rs
+++ b/crates/fleet/src/customer.rs
@@ -1,8 +1,9 @@
-//! Customers, and the keys by which requests are theirs.
+//! Customers and the API keys that identify their requests.
 //!
-//! A key is a secret: of each, only a digest is kept, compared in constant time,
-//! and nothing here can print one. The invariant: a request is a customer's if and
-//! only if the configuration in force says that its key is that customer's.
+//! A key is a secret: only its digest is kept, digests are compared in
+//! constant time, and no output of this module contains a key. The invariant:
+//! a request belongs to a customer if and only if the configuration in force
+//! assigns its key to that customer.
 
 use std::{
     collections::HashMap,
@@ -18,47 +19,50 @@
 /// The name of a customer.
 pub type CustomerName = String;
 
-/// Ranks of routes that are told apart within a customer's rank: ten ranks are
-/// there for both.
+/// Number of route priorities that are distinguished within one customer's
+/// priority. Ten values are available for both.
 const ROUTE_PRIORITIES: u8 = 3;
 
-/// The last rank that endpoints know.
+/// The lowest priority that endpoints support.
 const LOWEST_PRIORITY: u8 = 9;
 
-/// The digest of a key (SHA-256). Keys are random, so that it needs no salt.
+/// The SHA-256 digest of an API key. Keys are random, so that it needs no
+/// salt.
 #[derive(Clone, Copy, Deserialize, Serialize)]
 pub struct KeyDigest([u8; 32]);
 
-/// One customer.
+/// A customer, with its priority and its allowance.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Customer {
-    /// Its name, which endpoints are told.
+    /// The name, which is sent to endpoints.
     pub name: CustomerName,
-    /// Its rank, 0 the most urgent; it comes before the route's.
+    /// The priority, 0 being the most urgent. It takes precedence over the
+    /// route's.
     pub priority: u8,
-    /// What all instances together may take of it; none if there is no limit.
+    /// What the customer may use at all instances together; `None` if it is
+    /// not limited.
     pub allowance: Option<Allowance>,
 }
 
-/// What all instances together may take of one customer.
+/// What one customer may use at all instances together.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Allowance {
-    /// Units a second.
+    /// Units per second.
     pub per_s: f64,
-    /// Units above that.
+    /// Units that may be used at once beyond the rate.
     pub burst: f64,
-    /// How requests are counted.
+    /// The unit that requests are counted in.
     pub unit: Unit,
 }
 
-/// What an allowance counts.
+/// The unit of an allowance.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Unit {
-    /// Requests.
+    /// Each request counts one unit.
     Requests,
-    /// Tokens of prompt and answer.
+    /// Tokens of the prompt and the answer.
     Tokens {
-        /// What a request counts that tells no tokens.
+        /// Tokens that a request counts for if their number is unknown.
         plain: f64,
     },
 }
@@ -71,7 +75,8 @@
     by_key: HashMap<KeyDigest, Rc<Customer>>,
 }
 
-/// One customer with the digests of its keys, as instances pass it on.
+/// A customer with the digests of its keys, as instances send it to each
+/// other.
 #[derive(Clone, Deserialize, Serialize)]
 struct CustomerKeys {
     customer: Customer,
@@ -134,7 +139,8 @@
 }
 
 impl Customer {
-    /// Returns the rank of a request on a route of this rank.
+    /// Returns the priority of a request on a route of the given priority:
+    /// first by customer, then by route.
     pub fn effective_priority(&self, route_priority: u8) -> u8 {
         let own = self.priority.saturating_mul(ROUTE_PRIORITIES);
         own.saturating_add(route_priority.min(ROUTE_PRIORITIES - 1))
@@ -143,7 +149,7 @@
 }
 
 impl Unit {
-    /// Returns what a request counts.
+    /// Returns the units that a request with this many tokens counts for.
     pub fn count(self, tokens: u64) -> f64 {
         match self {
             Unit::Requests => 1.0,
@@ -155,7 +161,7 @@
 
 impl Customers {
     /// Adds a customer with the digests of its keys. A key that two customers
-    /// claim stays the first one's.
+    /// claim belongs to the first one.
     pub fn add(
         &mut self,
         customer: Customer,
@@ -168,7 +174,7 @@
         self.all.push(customer);
     }
 
-    /// Returns whether there are none: then requests need no key.
+    /// Returns whether no customers are configured. Requests need no key then.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
@@ -178,7 +184,7 @@
         self.all.iter().map(|customer| &**customer)
     }
 
-    /// Returns whose a key is.
+    /// Returns the customer that a key belongs to.
     pub fn find_by_key(&self, key: &KeyDigest) -> Option<&Rc<Customer>> {
         self.by_key.get(key)
     }
--- a/crates/fleet/src/rate_limiter.rs
+++ b/crates/fleet/src/rate_limiter.rs
@@ -1,13 +1,15 @@
-//! What each customer may use, summed over all instances, with no store of our
-//! own.
+//! A distributed rate limiter for customers, without a store of its own.
 //!
-//! Each instance says in its notes how much each customer asks of it. While the
-//! sum is well below the customer's allowance, nothing is turned away. Beyond, an
-//! instance takes the part of the allowance that it has of the demand, from a
-//! bucket that may fall into debt: what was taken before the others' demand was
-//! heard of is paid back out of what comes next. The invariant: whatever is
-//! heard, an instance takes no more than its bucket over time, and the parts of
-//! instances that hear each other add up to one.
+//! Each instance reports in its notes how much each customer demands of it.
+//! While the sum is well below the customer's allowance, nothing is rejected.
+//! Above that, each instance enforces a share of the allowance in proportion
+//! to its share of the demand, with a token bucket whose balance may become
+//! negative: units that were taken before the demand at other instances was
+//! known are paid back from later refills.
+//!
+//! The invariants: over time, an instance takes no more than its bucket
+//! provides, whatever it receives; and the shares of instances that receive
+//! each other's notes add up to one.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -17,57 +19,62 @@
 
 use crate::customer::{Allowance, Customer, CustomerName};
 
-/// The time over which demand forgets to a third: an instance that gets one
-/// request in some seconds still has its part, and what a customer takes before
-/// it is seen to be hot is paid back.
+/// Time constant of the demand, after which a request counts a third. It is
+/// long enough that an instance that gets one request in some seconds keeps
+/// its share. What a customer takes before it is known to exceed its allowance
+/// is paid back.
 const DEMAND_DECAY_TIME: Duration = Duration::from_millis(2_500);
 
-/// The least part of an allowance, in equal parts: for an instance of which a
-/// customer asks for the first time.
+/// Minimum share of an allowance, as a fraction of an equal share. It applies
+/// to an instance that gets its first request of a customer.
 const MIN_SHARE: f64 = 0.25;
 
-/// The part of an allowance below which nothing is turned away. Demand within
-/// limits swings by a fifth within seconds.
+/// Fraction of an allowance below which no request is rejected. Demand within
+/// limits varies by a fifth within seconds.
 const UNLIMITED_BELOW: f64 = 0.85;
 
-/// The part of an allowance that is given out: notes are late, and parts add up
-/// to a little more while demand moves from one instance to another.
+/// Fraction of an allowance that the shares distribute. Notes arrive late, and
+/// the shares add up to slightly more than one while demand moves between
+/// instances.
 const DISTRIBUTED_FRACTION: f64 = 0.95;
 
-/// The largest debt, in seconds of the bucket's rate: beyond, a customer whose
-/// demand jumped would get nothing for longer than anybody counts.
+/// Maximum debt, in seconds of the bucket's refill rate. A larger debt would
+/// reject all requests of a customer whose demand jumped for longer than the
+/// time over which its use is accounted.
 const MAX_DEBT_S: f64 = 6.0;
 
-/// What a customer asks of an instance, or of all.
+/// Demand of one customer, at one instance or at all.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CustomerDemand {
     /// The customer.
     pub customer: CustomerName,
-    /// Units a second.
+    /// Units per second.
     pub per_s: f64,
 }
 
-/// Why units are not given, and what that was decided by.
+/// Error of [`RateLimiter::take`]: the allowance is used up. Holds the values
+/// that the decision was based on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitExceeded {
-    /// When some are there again.
+    /// Time until units are available again.
     pub retry_in: Duration,
-    /// What may be taken; below zero, what has to come back first.
+    /// Units in the bucket. If negative, the debt that refills pay back first.
     pub balance: f64,
-    /// This instance's part of the allowance.
+    /// This instance's share of the allowance.
     pub share: f64,
-    /// What the customer asks of all instances, in units a second, if it is known.
+    /// The customer's demand at all instances, in units per second, if it is
+    /// known.
     pub total_per_s: Option<f64>,
-    /// How old the sum of the holder of the lease is, if it was heard.
+    /// Age of the total that the lease holder reported, if one was received.
     pub total_age: Option<Duration>,
 }
 
-/// One instance's part of all allowances.
+/// Enforces this instance's share of the allowances of all customers.
 #[derive(Clone, Debug, Default)]
 pub struct RateLimiter {
     buckets: HashMap<CustomerName, Bucket>,
     peers: HashMap<InstanceId, ReceivedDemand>,
-    /// What the holder of the lease says that all ask for.
+    /// Demand at all instances, as reported by the lease holder.
     totals: Option<ReceivedDemand>,
 }
 
@@ -80,22 +87,22 @@
 
 #[derive(Clone, Debug)]
 struct Bucket {
-    /// Units asked for lately, the newest weighing most.
+    /// Recently requested units, with exponential decay.
     demand: f64,
-    /// What may be taken; below zero, what has to come back first.
+    /// Units in the bucket. If negative, the debt that refills pay back first.
     balance: f64,
     updated: Instant,
-    /// Our part of the allowance when it was last known.
+    /// The last known share of this instance.
     share: Option<f64>,
 }
 
 impl RateLimiter {
-    /// Takes units of a customer's allowance for a request, or returns when some
-    /// are there again.
+    /// Takes units of a customer's allowance for a request.
     ///
     /// # Errors
     ///
-    /// The time until then, with what that was decided by.
+    /// Returns [`LimitExceeded`], with the time until units are available, if
+    /// the allowance is used up.
     pub fn take(
         &mut self,
         customer: &Customer,
@@ -106,8 +113,8 @@
         let Some(allowance) = customer.allowance else { return Ok(()) };
         let bucket = self.buckets.entry(customer.name.clone());
         let bucket = bucket.or_insert_with(|| Bucket::new(now));
-        // Without the request itself, which would make the part of an instance
-        // that gets few too large.
+        // Excludes this request, which would make the share of an instance
+        // with few requests too large.
         let own_per_s = bucket.per_s(now);
         let age = bucket.add_demand(units, now);
         let known_share = bucket.share;
@@ -142,14 +149,14 @@
         })
     }
 
-    /// Gives back what a request took that did not run.
+    /// Returns the units of a request that did not run.
     pub fn refund(&mut self, customer: &Customer, units: f64) {
         if let Some(bucket) = self.buckets.get_mut(&customer.name) {
             bucket.balance += units;
         }
     }
 
-    /// Returns what each customer asks of this instance.
+    /// Returns the demand of each customer at this instance.
     pub fn local_demand(&self, now: Instant) -> Vec<CustomerDemand> {
         let demand =
             self.buckets.iter().map(|(name, bucket)| CustomerDemand {
@@ -159,7 +166,8 @@
         demand.filter(|demand| demand.per_s >= 1.0).collect()
     }
 
-    /// Returns what each customer asks of all instances, as far as we hear.
+    /// Returns the demand of each customer at all instances whose reports are
+    /// valid.
     pub fn total_demand(&self, now: Instant) -> Vec<CustomerDemand> {
         let mut sums: HashMap<CustomerName, f64> = HashMap::new();
         let received =
@@ -173,8 +181,8 @@
             .collect()
     }
 
-    /// Takes in what customers ask of another instance, which was heard at a moment
-    /// and counts until another.
+    /// Records the demand at another instance, received at `at` and valid
+    /// until `expires_at`.
     pub fn record_peer(
         &mut self,
         from: &InstanceId,
@@ -188,7 +196,7 @@
         );
     }
 
-    /// Takes in what customers ask of all instances.
+    /// Records the demand at all instances.
     pub fn record_totals(
         &mut self,
         demand: Vec<CustomerDemand>,
@@ -199,7 +207,7 @@
             Some(ReceivedDemand { demand, received_at: at, expires_at });
     }
 
-    /// Forgets instances that are silent, and customers that ask for nothing.
+    /// Removes expired reports and the buckets of idle customers.
     pub fn forget(&mut self, now: Instant) {
         self.peers.retain(|_, received| now < received.expires_at);
         if self
@@ -215,7 +223,8 @@
         });
     }
 
-    /// Returns what a customer asks of all; nothing where too few are heard.
+    /// Returns the demand of a customer at all instances, or `None` if no
+    /// other instance's report is valid.
     fn total(
         &self,
         name: &CustomerName,
@@ -250,7 +259,7 @@
         Bucket { demand: 0.0, balance: 0.0, updated: now, share: None }
     }
 
-    /// Counts what is asked for; returns the time since that was done last.
+    /// Adds requested units. Returns the time since the last update.
     fn add_demand(&mut self, units: f64, now: Instant) -> Duration {
         let age = now.saturating_duration_since(self.updated);
         self.demand = self.decayed(now) + units;
@@ -267,8 +276,8 @@
         self.demand * (-age / DEMAND_DECAY_TIME.as_secs_f64()).exp()
     }
 
-    /// Lets come back what a part of the allowance brings in a time; a bucket
-    /// that is new has an equal part of the burst.
+    /// Adds the refill of the elapsed time. A new bucket starts with an equal
+    /// share of the burst.
     fn refill(
         &mut self,
         allowance: Allowance,
@@ -287,7 +296,7 @@
     }
 }
 
-/// Returns what a part of an allowance brings, in units a second.
+/// Returns the refill rate of a share of an allowance, in units per second.
 fn rate(allowance: Allowance, share: f64) -> f64 {
     allowance.per_s * share * DISTRIBUTED_FRACTION
 }
--- a/crates/fleet/src/revocation.rs
+++ b/crates/fleet/src/revocation.rs
@@ -1,61 +1,64 @@
-//! Keys that were taken away stop in time, also where nobody can say so.
+//! Enforces the revocation of API keys in time, also at instances that cannot
+//! reach the platform's store.
 //!
-//! An instance that cannot know the newest configuration cannot know whose keys
-//! were taken away. It serves keyed requests only for so long after the moment up
-//! to which it is sure to know all changes: a lease on the configuration's
-//! freshness, on its own steady clock, which the platform's store renews, or another
-//! instance that was asked. A few instances watch the store for all.
+//! An instance that does not know the newest configuration does not know which
+//! keys were revoked. It serves requests with keys only for a limited time
+//! after the moment up to which it is certain to know all changes. This is a
+//! lease on the freshness of the configuration, measured with the instance's
+//! own monotonic clock, and renewed by the platform's store or by another
+//! instance. A few instances watch the store on behalf of all.
 
 use std::time::Duration;
 
 use sedgewall_clock::Instant;
 
-/// What is kept of the time within which a key must stop, for clocks that run
-/// apart by some per cent and for the moment between a look and a send.
+/// Margin that is subtracted from the time within which a revoked key must
+/// stop. It covers clock rates that differ by some per cent and the time
+/// between a check and a send.
 const CLOCK_MARGIN: Duration = Duration::from_millis(300);
 
-/// The longest wait of a watch, as a part of the time: others ask those that watch,
-/// and what they hear is as old as the watch is long.
+/// Maximum wait of a watch, as a fraction of the maximum age. Other instances
+/// poll those that watch, and their information is as old as the watch is
+/// long.
 const WATCH_FRACTION: f64 = 0.25;
 
-/// How often another instance is asked, as a part of the time. With a watch's part
-/// and an answer that is lost, half of the time is used.
+/// Poll interval, as a fraction of the maximum age. Together with the wait of
+/// a watch and one lost answer, it uses half of the maximum age.
 const POLL_FRACTION: f64 = 0.2;
 
-/// An instance that has not answered after this is taken not to.
+/// Time after which a polled instance counts as not answering.
 const POLL_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The age, as a part of the time, from which on the store is asked: what is left
-/// is for a call that fails and another one.
+/// Age from which on the store itself is read, as a fraction of the maximum
+/// age. The rest is for one call that fails and another one.
 const READ_FRACTION: f64 = 0.6;
 
-/// The shortest wait of a watch: with nothing left, it only asks what is in force.
-/// Twenty calls a second are far below what the store allows, and last for one
-/// call.
+/// Minimum wait of a watch. A watch without remaining time only reads the
+/// current state. The resulting 20 calls per second are far below the store's
+/// limit, and end with the first call that succeeds.
 const MIN_WATCH: Duration = Duration::from_millis(50);
 
-/// How sure an instance is to know which keys are in force.
+/// How fresh this instance's knowledge of the keys in force is.
 #[derive(Clone, Copy, Debug)]
 pub struct KeyFreshness {
-    /// Within this time after a key was taken away it must stop; none if that is
-    /// not asked for.
+    /// Time within which a revoked key must stop; `None` if there is no bound.
     within: Option<Duration>,
-    /// All changes until then are known.
+    /// Time up to which all changes are known.
     known_until: Option<Instant>,
 }
 
 impl KeyFreshness {
-    /// Returns the state of an instance that knows no configuration.
+    /// Returns the state of an instance without a configuration.
     pub fn new(within: Option<Duration>) -> KeyFreshness {
         KeyFreshness { within, known_until: None }
     }
 
-    /// Takes in that all changes before a moment are known.
+    /// Records that all changes before a time are known.
     pub fn confirm(&mut self, until: Instant) {
         self.known_until = self.known_until.max(Some(until));
     }
 
-    /// Returns whether keyed requests may be served now.
+    /// Returns whether requests with keys may be served now.
     pub fn is_fresh(&self, now: Instant) -> bool {
         let Some(within) = self.within else { return true };
         let max_age = within.saturating_sub(CLOCK_MARGIN);
@@ -63,19 +66,20 @@
             .is_some_and(|at| now.saturating_duration_since(at) < max_age)
     }
 
-    /// Returns how long ago all changes were known; none if they never were.
+    /// Returns the time since all changes were known; `None` if they never
+    /// were.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.known_until.map(|at| now.saturating_duration_since(at))
     }
 
-    /// Returns how long the next watch may wait for a change; none if nothing
-    /// bounds it.
+    /// Returns how long the next watch may wait for a change; `None` if there
+    /// is no bound.
     ///
-    /// A watch that brings a change shows that all changes before it was *sent*
-    /// are known, no more: its answer may have lain somewhere since. So the next
-    /// one waits two thirds of what is left then. Two watches of a fixed two
-    /// thirds took 4/3 of the time, and each change of the configuration made
-    /// all instances turn keyed requests away for 0.8 s.
+    /// A watch that returns a change confirms only the changes before it was
+    /// *sent*, since its answer may have been delayed. So the next watch waits
+    /// two thirds of the time that is left then. With two watches of a fixed
+    /// two thirds, which take 4/3 of the time, each change of the
+    /// configuration made all instances reject requests with keys for 0.8 s.
     pub fn watch_timeout(&self, now: Instant) -> Option<Duration> {
         let max_age = self.max_age()?;
         let age = self.age(now).unwrap_or(max_age);
@@ -84,8 +88,9 @@
         Some(wait.max(MIN_WATCH))
     }
 
-    /// Returns when another instance is to be asked, none if nothing bounds what is
-    /// known; one that does not answer is followed by the next soon.
+    /// Returns the time until the next poll of another instance; `None` if
+    /// there is no bound. After an instance that does not answer, the next one
+    /// is polled soon.
     pub fn next_poll_in(
         &self,
         poll: &FreshnessPoll,
@@ -102,8 +107,8 @@
         )
     }
 
-    /// Returns whether the others' answers are too old, so that the store is to
-    /// be asked.
+    /// Returns whether the known state is so old that the store itself must be
+    /// read.
     pub fn is_read_due(&self, now: Instant) -> bool {
         let Some(max_age) = self.max_age() else { return false };
         self.age(now).is_none_or(|age| age > max_age.mul_f64(READ_FRACTION))
@@ -114,22 +119,22 @@
     }
 }
 
-/// Asks other instances up to when they know all changes.
+/// Polls other instances for the age of their knowledge.
 ///
-/// A word of another instance that was delayed is not told from a new one, without
-/// a clock that both share. An answer is: it was given after its question was
-/// asked. So what an answer says to be known for so long is known since the
-/// question, less that time, on our own clock.
+/// Without a shared clock, a delayed message cannot be told from a new one. An
+/// answer can: it was given after its question was sent. An answer that states
+/// an age confirms all changes up to the time of the question minus that age,
+/// on this instance's own clock.
 #[derive(Clone, Debug, Default)]
 pub struct FreshnessPoll {
     number: u64,
-    /// The last question and when it was sent.
+    /// Number and send time of the last poll.
     last_poll: Option<(u64, Instant)>,
     is_answered: bool,
 }
 
 impl FreshnessPoll {
-    /// Notes that a question goes out now; returns its number.
+    /// Records that a poll is sent now. Returns its number.
     pub fn start(&mut self, now: Instant) -> u64 {
         self.number += 1;
         self.last_poll = Some((self.number, now));
@@ -137,7 +142,8 @@
         self.number
     }
 
-    /// Returns whom to ask of so many: another one after each that did not answer.
+    /// Returns the index of the instance to poll, among this many. It changes
+    /// after each instance that did not answer.
     pub fn next_target(&self, others: usize) -> usize {
         match others {
             0 => 0,
@@ -145,8 +151,8 @@
         }
     }
 
-    /// Takes in an answer; returns up to when all changes are known by it. An
-    /// answer to an earlier question says nothing more.
+    /// Records an answer. Returns the time up to which it confirms all
+    /// changes, or `None` for an answer to an earlier poll.
     pub fn record_answer(
         &mut self,
         number: u64,
