--- a/crates/fleet/src/poison.rs
+++ b/crates/fleet/src/poison.rs
@@ -1,12 +1,14 @@
-//! Requests that end the endpoints which run them.
+//! Detects poison requests: requests that crash the endpoints that run them.
 //!
-//! A poison request ends each endpoint that begins to run it, with all that runs
-//! there beside it, and comes again with another id, at any instance. So each
-//! instance notes which of its runs broke off when their endpoint ended, and tells
-//! all others; what they saw together decides here. The invariants: a connection
-//! that was reset at an endpoint that lives on counts for nothing; endpoints that
-//! end together count as one cause; and a run that ends well clears its request,
-//! whatever was held against it.
+//! A poison request crashes each endpoint that starts to run it, together with
+//! everything else that runs there, and is retried with another id, at any
+//! instance. So each instance records which of its runs broke off when their
+//! endpoint ended, and reports them to all others; this module decides from
+//! what all instances saw.
+//!
+//! The invariants: a connection that was reset by an endpoint that lives on
+//! does not count; endpoints that end at the same time count as one cause; and
+//! a run that succeeds clears its request of all evidence.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -15,114 +17,116 @@
 
 use crate::{incarnation::EndpointIncarnation, request_digest::RequestDigest};
 
-/// Endpoints that must have ended under a request before it is condemned. The users
-/// allow three.
+/// Number of endpoints that must have ended while they ran a request before it
+/// is condemned. The users allow three.
 const CRASHES_TO_CONDEMN: usize = 3;
 
-/// Times, one after the other, at which some of them must have ended. When a rack
-/// loses power, all its endpoints end under each request that many callers send
-/// alike, at one moment.
+/// Number of separate times at which these endpoints must have ended. A rack
+/// that loses power ends all its endpoints at one moment, under each request
+/// that many callers send alike.
 const ROUNDS_TO_CONDEMN: usize = 2;
 
-/// How long a run that broke off waits for what becomes of its endpoint: a dead one
-/// leaves the platform's list after three heartbeats of 1.2 s, and a watch of the
-/// list may be 2.5 s late.
+/// How long a run that broke off is retained until the end of its endpoint is
+/// known. A dead endpoint leaves the platform's list after three heartbeats of
+/// 1.2 s, and a watch of the list may be 2.5 s late.
 const BROKEN_RUN_RETENTION: Duration = Duration::from_secs(8);
 
-/// How long before its endpoint's end a run may have lost its caller and still have
-/// been there: engines stop within half a second.
+/// How long before the end of its endpoint a run may have lost its caller and
+/// still count as running. Engines stop a run within half a second.
 const ABANDONED_RUN_RETENTION: Duration = Duration::from_millis(500);
 
-/// How long it is known of an endpoint that it ended: what it ran breaks off within
-/// this time, also on connections that say nothing.
+/// How long the end of an endpoint is remembered. Its runs break off within
+/// this time, also on connections on which nothing arrives.
 const ENDED_ENDPOINT_RETENTION: Duration = Duration::from_secs(8);
 
-/// How long an end counts against a request.
+/// How long the end of an endpoint counts against a request.
 const CRASH_VALID_FOR: Duration = Duration::from_secs(600);
 
-/// How long a request stays condemned. Then it is tried again, since engines get
-/// mended too, and one more end condemns it anew: one endpoint in ten minutes is what
-/// such a request may cost.
+/// How long a request stays condemned. It is tried again afterwards, since
+/// engines are repaired too, and one more crash condemns it again: such a
+/// request may cost one endpoint in ten minutes.
 pub const CONDEMNED_FOR: Duration = Duration::from_secs(600);
 
-/// How long each instance says again which of its runs ended with an endpoint: notes
-/// are due every 0.15 to 2.4 s, and some are lost.
+/// How long each instance repeats the report of a crash in its notes, which
+/// are sent every 0.15 to 2.4 s and may be lost.
 const CRASH_REPEATED_FOR: Duration = Duration::from_secs(4);
 
-/// Runs in one note at most, so that it stays in two packets: each takes some 30
-/// bytes.
+/// Maximum number of runs in one note. Each takes about 30 bytes, so that the
+/// note fits in two packets.
 const MAX_RUNS_PER_NOTE: usize = 64;
 
-/// Requests that ends are held against at most, the oldest being forgotten first. A
-/// crash takes all that its endpoint ran, some 32, with it; they take 1 MB.
+/// Maximum number of suspected requests; the oldest is evicted first. A crash
+/// interrupts all requests on its endpoint, about 32. The table takes 1 MB.
 const MAX_SUSPECTS: usize = 4_096;
 
-/// Condemned requests at most, the oldest being forgotten first.
+/// Maximum number of condemned requests; the oldest is evicted first.
 const MAX_CONDEMNED: usize = 1_024;
 
-/// An endpoint that ended, and which runs of one instance ended with it.
+/// An endpoint that ended, and the runs of one instance that it interrupted.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Crash {
-    /// The endpoint.
+    /// The endpoint that ended.
     pub endpoint: EndpointIncarnation,
-    /// What it ran.
+    /// The interrupted runs.
     pub runs: Vec<CrashedRun>,
 }
 
 /// A run that broke off because its endpoint ended.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CrashedRun {
-    /// The request.
+    /// The digest of the request.
     pub digest: RequestDigest,
-    /// How long ago it was sent to the endpoint, in milliseconds.
+    /// Time since the request was sent to the endpoint, in milliseconds.
     pub began_ms_ago: u64,
-    /// How long ago it broke off, in milliseconds.
+    /// Time since the run broke off, in milliseconds.
     pub broke_ms_ago: u64,
 }
 
-/// A condemned request, as instances pass it on.
+/// A condemned request, as instances send it to each other.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Condemned {
-    /// The request.
+    /// The digest of the request.
     pub digest: RequestDigest,
-    /// How long ago it was condemned, in milliseconds.
+    /// Time since the request was condemned, in milliseconds.
     pub ms_ago: u64,
-    /// The endpoints that ended under it.
+    /// The endpoints that ended while they ran the request.
     pub endpoints: Vec<EndpointIncarnation>,
 }
 
-/// Why a request is not sent on.
+/// Why a request is not sent to any endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Verdict {
-    /// The endpoints that ended under it.
+    /// The endpoints that ended while they ran the request.
     pub endpoints: Vec<EndpointIncarnation>,
-    /// How long ago it was condemned.
+    /// Time since the request was condemned.
     pub condemned_ago: Duration,
-    /// When it is tried again.
+    /// Time until the request is tried again.
     pub released_in: Duration,
 }
 
 /// How a run was lost.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Loss {
-    /// Its connection broke, or nothing came on it any more.
+    /// The connection broke or timed out.
     Broken,
-    /// Its caller left.
+    /// The caller closed its connection.
     CallerLeft,
 }
 
-/// What was seen of requests whose endpoints ended.
+/// Evidence against requests whose endpoints ended.
 #[derive(Clone, Debug, Default)]
 pub struct PoisonDetector {
-    /// Runs that wait for what becomes of their endpoint.
+    /// Runs that broke off, until it is known whether their endpoint has
+    /// ended.
     broken: HashMap<EndpointIncarnation, Vec<BrokenRun>>,
-    /// Endpoints that ended lately.
+    /// Endpoints that ended recently.
     ended: HashMap<EndpointIncarnation, Instant>,
     suspects: HashMap<RequestDigest, Suspect>,
-    /// What others are told again.
+    /// Interrupted runs of this instance that its notes report again.
     recent_interruptions:
         Vec<(EndpointIncarnation, Interruption, RequestDigest)>,
-    /// Requests that were condemned since the last look.
+    /// Requests that were condemned since the last call of
+    /// [`PoisonDetector::take_newly_condemned`].
     newly_condemned: Vec<RequestDigest>,
 }
 
@@ -134,7 +138,7 @@
     loss: Loss,
 }
 
-/// The end of an endpoint under a request.
+/// One run of a request that ended with its endpoint.
 #[derive(Clone, Copy, Debug)]
 struct Interruption {
     began: Instant,
@@ -143,25 +147,27 @@
 
 #[derive(Clone, Debug, Default)]
 struct Suspect {
-    /// By endpoint, so that what is told twice counts once. Those from before a run
-    /// that ended well stay, and count no longer.
+    /// Keyed by endpoint, so that a repeated report counts once. Crashes from
+    /// before a successful run are retained but no longer count.
     interruptions: HashMap<EndpointIncarnation, (Interruption, Evidence)>,
     condemned_at: Option<Instant>,
-    /// Whether it was condemned before, and one more end is enough.
+    /// Whether the request was condemned before, so that one more crash
+    /// condemns it again.
     is_on_probation: bool,
-    /// When a run of it last ended well.
+    /// Time of the last successful run.
     cleared_at: Option<Instant>,
     last: Option<Instant>,
 }
 
-/// What became of word that a request was condemned elsewhere.
+/// Result of merging a condemned request of another instance.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MergeOutcome {
-    /// It is condemned here now too.
+    /// The request is now condemned here too.
     Added,
-    /// It was known, or is over.
+    /// The request was already condemned here, or no longer is.
     AlreadyKnown,
-    /// A run of it has ended well since; others are to hear so.
+    /// A run has succeeded since the request was condemned. The other
+    /// instances must be told.
     Refuted,
 }
 
@@ -172,8 +178,8 @@
 }
 
 impl PoisonDetector {
-    /// Notes that a run was lost at an endpoint. If that is known to have ended,
-    /// returns what others are to be told.
+    /// Records that a run was lost at an endpoint. If the endpoint is known to
+    /// have ended, returns the crash to report to the other instances.
     pub fn record_lost_run(
         &mut self,
         endpoint: &EndpointIncarnation,
@@ -190,8 +196,8 @@
         }
     }
 
-    /// Notes that an endpoint has ended; returns what others are to be told, if runs
-    /// of ours ended with it.
+    /// Records that an endpoint has ended. Returns the crash to report to the
+    /// other instances if it interrupted runs of this instance.
     pub fn endpoint_ended(
         &mut self,
         endpoint: &EndpointIncarnation,
@@ -214,8 +220,8 @@
         (!crash.runs.is_empty()).then_some(crash)
     }
 
-    /// Notes that an endpoint was there at a moment: what broke off before was no end
-    /// of it.
+    /// Records that an endpoint was alive at a time. Runs that broke off
+    /// before did not end with it.
     pub fn endpoint_alive(
         &mut self,
         endpoint: &EndpointIncarnation,
@@ -229,8 +235,8 @@
         }
     }
 
-    /// Takes in which runs of another instance ended with an endpoint; returns what
-    /// others are to be told of ours.
+    /// Records a crash that another instance reports. Returns the crash to
+    /// report to the other instances if it interrupted runs of this instance.
     pub fn record_crash(
         &mut self,
         crash: &Crash,
@@ -249,7 +255,7 @@
         self.endpoint_ended(&crash.endpoint, now)
     }
 
-    /// Returns why a request is not sent on, if it is not.
+    /// Returns why a request must not be sent, or `None` if it may be.
     pub fn verdict(
         &self,
         digest: RequestDigest,
@@ -266,14 +272,14 @@
         })
     }
 
-    /// Returns whether anything is held against any request. Without that, nobody
-    /// needs a digest.
+    /// Returns whether there is evidence against any request. Otherwise
+    /// callers of this module need not compute digests.
     pub fn has_suspects(&self) -> bool {
         !self.suspects.is_empty()
     }
 
-    /// Takes in that a run of a request ended well, here or at another instance;
-    /// returns whether anything was held against it.
+    /// Records that a run of a request succeeded, here or at another instance.
+    /// Returns whether there was evidence against the request.
     pub fn clear(&mut self, digest: RequestDigest, now: Instant) -> bool {
         let Some(suspect) = self.suspects.get_mut(&digest) else {
             return false;
@@ -289,7 +295,7 @@
         had_evidence
     }
 
-    /// Lets a condemned request go, to be tried again.
+    /// Releases a condemned request, so that it is tried again.
     pub fn release(&mut self, digest: RequestDigest, now: Instant) {
         if let Some(suspect) = self.suspects.get_mut(&digest)
             && suspect.condemned_at.is_some()
@@ -300,7 +306,7 @@
         }
     }
 
-    /// Takes in that a request was condemned elsewhere.
+    /// Merges a request that another instance has condemned.
     pub fn merge_condemned(
         &mut self,
         condemned: &Condemned,
@@ -329,7 +335,7 @@
         MergeOutcome::Added
     }
 
-    /// Returns all requests that are condemned now.
+    /// Returns all condemned requests.
     pub fn condemned(&self, now: Instant) -> Vec<Condemned> {
         let condemned =
             self.suspects.iter().filter_map(|(digest, suspect)| {
@@ -342,18 +348,20 @@
         condemned.collect()
     }
 
-    /// Returns how many requests are condemned.
+    /// Returns the number of condemned requests.
     pub fn condemned_len(&self) -> usize {
         let all = self.suspects.values();
         all.filter(|suspect| suspect.condemned_at.is_some()).count()
     }
 
-    /// Returns the requests that were condemned by what was seen since the last call.
+    /// Returns the requests that were condemned from evidence since the last
+    /// call.
     pub fn take_newly_condemned(&mut self) -> Vec<RequestDigest> {
         std::mem::take(&mut self.newly_condemned)
     }
 
-    /// Returns what others are told again of our runs, the newest first.
+    /// Returns the recent crashes of this instance's runs, newest first, which
+    /// its notes repeat.
     pub fn recent_crashes(&self, now: Instant) -> Vec<Crash> {
         let mut crashes: Vec<Crash> = Vec::new();
         for (endpoint, interruption, digest) in
@@ -371,7 +379,8 @@
         crashes
     }
 
-    /// Forgets what counts no longer, and lets go what was condemned long ago.
+    /// Removes expired evidence and releases requests that have been condemned
+    /// for [`CONDEMNED_FOR`].
     pub fn forget(&mut self, now: Instant) {
         let age = |at: Instant| now.saturating_duration_since(at);
         self.broken.retain(|_, runs| {
@@ -421,7 +430,7 @@
         self.enforce_limits(digest);
     }
 
-    /// Forgets the oldest of too many, but for the one that was just noted.
+    /// Evicts the oldest requests beyond the limits, except the given one.
     fn enforce_limits(&mut self, kept: RequestDigest) {
         self.evict_oldest(kept, MAX_CONDEMNED, true);
         self.evict_oldest(kept, MAX_SUSPECTS, false);
@@ -448,7 +457,8 @@
 }
 
 impl BrokenRun {
-    /// Returns whether an end of its endpoint that is noticed now is what broke it.
+    /// Returns whether the run still counts as interrupted if the end of its
+    /// endpoint is detected now.
     fn is_fresh(&self, now: Instant) -> bool {
         let retention = match self.loss {
             Loss::Broken => BROKEN_RUN_RETENTION,
@@ -485,8 +495,9 @@
         self.is_on_probation = false;
     }
 
-    /// Returns whether enough endpoints ended under it, and not all together: runs
-    /// that were there at the same moment may have ended by one cause.
+    /// Returns whether enough endpoints ended while they ran the request, and
+    /// not all at the same time: runs that overlap may have ended for one
+    /// cause.
     fn has_enough_evidence(&self, now: Instant) -> bool {
         let mut interruptions: Vec<Interruption> = self
             .interruptions
--- a/crates/fleet/src/request_digest.rs
+++ b/crates/fleet/src/request_digest.rs
@@ -1,35 +1,36 @@
-//! What makes two tries of a caller the same request.
+//! Identifies a request across the retries of its caller.
 //!
-//! Each try has an id of its own. What stays is whose it is, where it goes and
-//! what it carries; a digest of these tells it again at any instance.
+//! Each try has an id of its own. The customer, the destination and the
+//! content stay the same, and a digest of these identifies the request at any
+//! instance.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Bytes of a digest that are kept: with 16, two of a billion requests are taken
-/// for one with a chance of some 10⁻²¹.
+/// Length of a digest in bytes. With 16 bytes, two of a billion requests have
+/// the same digest with a probability of about 10⁻²¹.
 const LEN: usize = 16;
 
-/// The digest of a request (SHA-256, shortened). A digest that callers could
-/// collide at will would let one shut out another's request.
+/// The digest of a request (truncated SHA-256). If callers could create
+/// collisions, one caller could block the request of another.
 #[derive(
     Clone, Copy, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct RequestDigest([u8; LEN]);
 
-/// What a digest is of.
+/// The parts of a request that its digest covers.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestParts<'a> {
-    /// Whose request it is, where callers are known. A customer's new key does
-    /// not make another request.
+    /// The customer, if the caller is identified. A new key of a customer does
+    /// not change the digest.
     pub customer: Option<&'a str>,
-    /// The method.
+    /// The HTTP method.
     pub method: &'a str,
-    /// The host that it is for.
+    /// The requested host.
     pub host: &'a str,
-    /// The path with its query.
+    /// The path, including the query.
     pub path: &'a str,
     /// The body.
     pub body: &'a [u8],
@@ -43,7 +44,8 @@
         hasher.update([u8::from(customer.is_some())]);
         let customer = customer.unwrap_or_default();
         for text in [customer, method, host, path] {
-            // With its length, so that no part runs into the next.
+            // Each part is prefixed with its length, so that different parts
+            // cannot give the same input.
             hasher.update((text.len() as u64).to_le_bytes());
             hasher.update(text);
         }
@@ -53,7 +55,8 @@
         RequestDigest(digest)
     }
 
-    /// Reads a digest as it is written in hexadecimal digits.
+    /// Parses a digest from its hexadecimal form. Returns `None` if the text
+    /// is none.
     pub fn parse(text: &str) -> Option<RequestDigest> {
         if text.len() != 2 * LEN
             || !text.bytes().all(|b| b.is_ascii_hexdigit())
