--- a/crates/fleet/src/catch_up.rs
+++ b/crates/fleet/src/catch_up.rs
@@ -1,10 +1,13 @@
-//! An instance that is behind gets what it misses from those that have it.
+//! Fetches state that this instance lacks from other instances (anti-entropy).
 //!
-//! Instances tell each other, several times a second, which configuration they go
-//! by and how many versions of weights they know. Whoever hears of more than it has
-//! reads the store as usual, and where that does not bring it soon, asks one of
-//! those that said so. It does no I/O and reads no clock. The invariant: what is
-//! asked for is newer than what is there, and one instance is asked at a time.
+//! Several times per second, each instance reports the version of its
+//! configuration, the number of weight versions it knows and the number of
+//! requests it has condemned. An instance that receives a higher number reads
+//! the store as usual. If this does not bring the state soon, it fetches it
+//! from an instance that reported it.
+//!
+//! This module does no I/O and reads no clock. The invariants: only state that
+//! is newer than the own one is fetched, and from one instance at a time.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -20,63 +23,65 @@
     route::RoutingConfiguration,
 };
 
-/// How long our own read of the store may take before others are asked. A watch
-/// brings a change within some 20 ms where the store answers.
+/// How long this instance's own watch of the store may take before the state
+/// is fetched from another instance. Where the store answers, a watch brings a
+/// change within about 20 ms.
 const FETCH_DELAY: Duration = Duration::from_millis(150);
 
-/// What each other instance adds to the longest draw before the first question, so
-/// that not all of many that are behind ask at once.
+/// Maximum jitter before the first fetch, per other instance, so that many
+/// instances that are behind do not fetch at once.
 const JITTER_PER_INSTANCE: Duration = Duration::from_millis(1);
 
-/// The pause before the next one is asked, after one that did not answer or had no
-/// more than we.
+/// Delay before the next instance is asked, after one that did not answer or
+/// had nothing newer.
 const FETCH_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// An instance that did not answer is not asked again for this long, if there is
-/// another one.
+/// How long an instance that did not answer is avoided, if there is another
+/// one.
 const AVOID_FOR: Duration = Duration::from_secs(2);
 
-/// What an instance said counts for this long: among many, each tells all others
-/// every 2.4 s. A version that nobody has, told by mistake, counts no longer.
+/// How long a reported summary is valid. In a large fleet, each instance
+/// reports to all others every 2.4 s. A version that was reported by mistake,
+/// and that no instance has, expires.
 const SUMMARY_VALID_FOR: Duration = Duration::from_secs(5);
 
-/// How much an instance has of what all must know.
+/// Versions of the state that all instances must have, at one instance.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize,
 )]
 pub struct StateSummary {
-    /// The version of its configuration.
+    /// The version of the configuration in force.
     pub configuration: ConfigurationVersion,
-    /// How many versions of weights were named, counting each rise.
+    /// Number of weight versions that were announced, counting each increase.
     pub versions: u64,
-    /// How many requests it has condemned. An instance of the release before says
-    /// none.
+    /// Number of condemned requests. Instances of the previous release do not
+    /// send it.
     #[serde(default)]
     pub condemned: u64,
 }
 
-/// What one instance has and another misses.
+/// State that one instance has and another lacks.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct StateDelta {
-    /// The configuration in force there, if it is newer.
+    /// The configuration in force at the sender, if it is newer.
     pub deployment: Option<RoutingConfiguration>,
-    /// The named versions of weights, if there are more.
+    /// The announced weight versions, if there are more.
     pub versions: Vec<(AdapterKey, WeightVersion)>,
-    /// Endpoints that have left.
+    /// Endpoints that have departed.
     pub departures: Vec<Departure>,
-    /// Requests that end the endpoints which run them.
+    /// Condemned requests.
     #[serde(default)]
     pub condemned: Vec<Condemned>,
 }
 
-/// What is to be done now.
+/// The next step of the catch-up.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Nothing is missed.
+    /// Nothing is missing.
     Idle,
-    /// To look again then, or when more is heard.
+    /// Check again at this time, or when a newer summary is received.
     Wait(Instant),
-    /// To ask this instance.
+    /// Fetch the missing state from this instance.
     Fetch(InstanceId),
 }
 
@@ -87,7 +92,8 @@
     is_same_zone: bool,
 }
 
-/// What an instance heard others to know, and whom it asked.
+/// The summaries of other instances, and the progress of fetching what is
+/// missing here.
 #[derive(Clone, Debug, Default)]
 pub struct CatchUp {
     peers: HashMap<InstanceId, PeerSummary>,
@@ -97,14 +103,14 @@
 }
 
 impl StateSummary {
-    /// Returns whether there is anything that the other one has not.
+    /// Returns whether any version is higher than that of `other`.
     pub fn has_more_than(self, other: StateSummary) -> bool {
         self.configuration > other.configuration
             || self.versions > other.versions
             || self.condemned > other.condemned
     }
 
-    /// Returns the most that either has.
+    /// Returns the higher of each version.
     fn merge(self, other: StateSummary) -> StateSummary {
         StateSummary {
             configuration: self.configuration.max(other.configuration),
@@ -115,7 +121,7 @@
 }
 
 impl CatchUp {
-    /// Takes in what an instance says that it knows.
+    /// Records the summary that another instance reports.
     pub fn record_peer(
         &mut self,
         from: &InstanceId,
@@ -132,7 +138,7 @@
         }
     }
 
-    /// Returns the most that was heard of lately.
+    /// Returns the highest recently reported version of each kind.
     pub fn newest_heard(&self, now: Instant) -> StateSummary {
         let recent = self.peers.values().filter(|peer| peer.is_recent(now));
         recent
@@ -140,8 +146,8 @@
             .fold(StateSummary::default(), StateSummary::merge)
     }
 
-    /// Returns what to do now for an instance that knows so much, before so many
-    /// others. `draw` is a random number.
+    /// Returns the next step of an instance with the given state, among this
+    /// many others. `draw` is a random number.
     pub fn step(
         &mut self,
         own: StateSummary,
@@ -171,9 +177,10 @@
         }
     }
 
-    /// Makes the next step ask at once: a request waits for what is missed.
+    /// Makes the next step fetch at once, because a request waits for the
+    /// missing state.
     pub fn fetch_now(&mut self, now: Instant) {
-        // After a question that brought nothing, the pause before the next holds.
+        // The delay after an unsuccessful fetch still applies.
         let is_first = self.next_fetch.is_none_or(|at| {
             at.saturating_duration_since(now) > FETCH_RETRY_DELAY
         });
@@ -182,25 +189,25 @@
         }
     }
 
-    /// Takes in that an instance did not answer, or had no more than we.
+    /// Records that an instance did not answer or had nothing newer.
     pub fn fetch_failed(&mut self, source: &InstanceId, now: Instant) {
         self.avoided.insert(source.clone(), now);
     }
 
-    /// Returns for how long more was heard of than there is.
+    /// Returns for how long this instance has been behind.
     pub fn behind_for(&self, now: Instant) -> Option<Duration> {
         self.behind_since.map(|since| now.saturating_duration_since(since))
     }
 
-    /// Forgets what was said long ago.
+    /// Removes expired summaries.
     pub fn forget(&mut self, now: Instant) {
         self.peers.retain(|_, peer| peer.is_recent(now));
         self.avoided.retain(|_, at| now - *at < AVOID_FOR);
     }
 
-    /// Returns one of those that have more: in our own zone if there is one, so that
-    /// few bytes cross between zones, and none that just brought nothing if there is
-    /// another.
+    /// Returns an instance with newer state to fetch from. Prefers instances
+    /// of the own zone, to save traffic between zones, and avoids those whose
+    /// last fetch failed if there is another one.
     fn pick_source(
         &self,
         own: StateSummary,
--- a/crates/fleet/src/note.rs
+++ b/crates/fleet/src/note.rs
@@ -1,8 +1,8 @@
-//! What instances tell each other, in datagrams.
+//! Notes: the messages that instances send to each other as UDP datagrams.
 //!
-//! Each note repairs the loss of those before it: loads are whole sums, not
-//! changes, and what a [`Note::Placed`] says shows in the platform's list a
-//! little later.
+//! Each note makes up for the loss of earlier ones: work is reported as
+//! totals, not as changes, and what a [`Note::Placed`] reports appears in the
+//! platform's list a little later.
 
 use std::time::Duration;
 
@@ -22,248 +22,258 @@
     work::Work,
 };
 
-/// Up to so many other instances hear each note from its sender, and know well
-/// what each has under way. More take relays, and sums of the holder's.
+/// Maximum number of other instances to which each note is sent directly and
+/// which know each other's work. Beyond it, notes go through relays, and the
+/// lease holder sends totals.
 pub const MAX_DIRECT_PEERS: usize = 12;
 
-/// One datagram.
+/// A message in one datagram.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Note {
-    /// What an instance has under way, to all others.
+    /// Work of an instance. Sent to all others.
     Status(Status),
-    /// What was asked for since the last such note, to the holder of the
-    /// lease.
+    /// Demand for adapters since the last report. Sent to the lease holder.
     #[serde(rename = "Asked")]
     DemandReport(DemandReport),
-    /// An adapter is being loaded.
+    /// An engine was ordered to load an adapter.
     Placed(Placed),
-    /// An adapter is being removed.
+    /// An engine was ordered to unload an adapter.
     Removed(Removed),
-    /// An endpoint is leaving or gone, as the platform's store says.
+    /// An endpoint is draining or gone, according to the platform's store.
     Departed(Departure),
-    /// An endpoint ended, and these runs of one instance with it.
+    /// An endpoint ended and interrupted these runs of one instance.
     Crashed(Crash),
-    /// A run of a request ended well: it ends no endpoints.
+    /// A run of a request succeeded, so that it is no poison request.
     Cleared(RequestDigest),
-    /// The store did not answer the holder of the lease: all see whether it
-    /// answers them, and say so.
+    /// The store did not answer the lease holder. Each receiver probes the
+    /// store and reports whether it is reachable.
     #[serde(rename = "StoreFails")]
     ProbeStore,
-    /// The holder of the lease cannot reach the store; whoever gets this renews
-    /// the lease for it.
+    /// The lease holder cannot reach the store. The receiver renews the lease
+    /// on its behalf.
     #[serde(rename = "RenewForMe")]
     RenewalRequest(RenewalRequest),
-    /// What the store answered to such a renewal.
+    /// The store's answer to a [`Note::RenewalRequest`].
     #[serde(rename = "Renewed")]
     RenewalAnswer(RenewalAnswer),
-    /// Several instances cannot reach an engine: all leave it out for a while.
+    /// Several instances cannot reach an engine. All instances exclude it for
+    /// a while.
     Suspect {
-        /// The engine.
+        /// The endpoint of the engine.
         endpoint: EndpointId,
-        /// For how long, in milliseconds.
+        /// How long the engine is excluded, in milliseconds.
         for_ms: u64,
     },
-    /// Up to when does whoever gets this know all changes of the configuration?
+    /// Asks how old the receiver's knowledge of the configuration is.
     #[serde(rename = "AskFresh")]
     FreshnessQuery {
-        /// Who asks.
+        /// The instance that asks.
         from: InstanceId,
-        /// The number of the question.
+        /// The number of the query.
         number: u64,
     },
-    /// The answer.
+    /// Answers a [`Note::FreshnessQuery`].
     #[serde(rename = "Fresh")]
     FreshnessAnswer {
-        /// The number of the question.
+        /// The number of the query.
         number: u64,
-        /// How long ago all changes were known, in milliseconds.
+        /// Time since all changes of the configuration were known, in
+        /// milliseconds.
         age_ms: u64,
-        /// The version that is in force there.
+        /// The version in force at the sender.
         configuration: u64,
     },
     /// Several notes in one datagram.
     Batch(Vec<Note>),
-    /// A note to all, on its way through one instance of a group.
+    /// A note to all instances, relayed by one instance of a group.
     #[serde(rename = "Relayed")]
     GroupRelay(GroupRelay),
-    /// A note to all, on its way through one instance of a zone.
+    /// A note to all instances, relayed by one instance of a zone.
     #[serde(rename = "ForZone")]
     ZoneRelay(Box<Note>),
 }
 
-/// A renewal of the lease that another instance is to send to the store.
+/// A renewal of the lease that another instance sends to the store on behalf
+/// of the holder.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RenewalRequest {
-    /// The holder, which is to hear the answer.
+    /// The lease holder, to which the answer is sent.
     pub from: InstanceId,
-    /// Tells this request from the holder's other ones.
+    /// Distinguishes this request from the lease holder's other requests.
     pub number: u64,
-    /// What to send.
+    /// The write to send to the store.
     pub write: LeaseWrite,
-    /// The newest revision of an endpoint's entry that the holder knows.
+    /// The newest revision of an endpoint's entry that the lease holder knows.
     #[serde(default)]
     pub known_revision: Revision,
 }
 
-/// The store's answer to a [`RenewalRequest`], and what the holder cannot see
-/// while it does not reach the store.
+/// The store's answer to a [`RenewalRequest`], with changes that the lease
+/// holder does not receive while it cannot reach the store.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RenewalAnswer {
-    /// The number of the request.
+    /// The number of the renewal request.
     pub number: u64,
-    /// The answer.
+    /// The store's answer to the write.
     pub answer: WriteAnswer,
-    /// The endpoints that are newer than the holder knows, the oldest first,
-    /// without their adapters.
+    /// Endpoints with a newer revision than the lease holder knows, oldest
+    /// first, without their adapters.
     pub endpoints: Vec<Endpoint>,
-    /// The newest versions that were named.
+    /// The newest announced weight versions.
     pub versions: Vec<(AdapterKey, WeightVersion)>,
 }
 
-/// A note that whoever gets it hears, and passes on to its group.
+/// A note that the receiver handles and relays to its group.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct GroupRelay {
-    /// The number of the group ([`crate::relays::Group`]).
+    /// The index of the group ([`crate::relays::Group`]).
     pub index: u32,
-    /// How many groups the zone has.
+    /// The number of groups in the zone.
     pub count: u32,
-    /// The note.
+    /// The relayed note.
     pub note: Box<Note>,
 }
 
-/// The lease on orders, as its holder knows it.
+/// The lease on orders, as its holder reports it.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LeaderLease {
-    /// Its epoch.
+    /// The epoch of the lease.
     pub epoch: Epoch,
-    /// The last renewal that the store has answered.
+    /// Number of the last renewal that the store has answered.
     pub renewal: u64,
-    /// How long it holds without another, in milliseconds.
+    /// Time until the lease expires without another renewal, in milliseconds.
     pub left_ms: u64,
 }
 
-/// What an instance has under way.
+/// Work and state of an instance.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Status {
-    /// Who says so.
+    /// The sender.
     pub from: InstanceId,
-    /// Rises with each note of one life of the instance.
+    /// Sequence number, which increases with each status of one run of the
+    /// instance.
     pub sequence: u64,
-    /// When the next such note is due, in milliseconds.
+    /// Time until the next status is due, in milliseconds.
     pub next_in_ms: u64,
-    /// The lease, while its holder is sure to hold it.
+    /// The lease, if the sender is certain to hold it.
     pub leads: Option<LeaderLease>,
-    /// The version of the configuration that is in force there.
+    /// Version of the configuration in force at the sender.
     pub configuration: u64,
-    /// How many versions of weights were named, as far as it knows.
+    /// Number of announced weight versions that the sender knows.
     pub versions: u64,
-    /// Whether the platform's store did not answer it when it asked last.
+    /// Whether the platform's store is unreachable for the sender.
     pub store_is_out: bool,
-    /// Whether it takes no more work and will end.
+    /// Whether the sender accepts no more work and will stop.
     pub is_leaving: bool,
-    /// What customers ask of the sender, or of all if the work is a total.
+    /// Demand of customers at the sender, or at all instances if `is_total` is
+    /// set.
     #[serde(default)]
     pub asked_by_customers: Vec<rate_limiter::CustomerDemand>,
-    /// Endpoints that left lately. An instance of the release before says none.
+    /// Endpoints that departed recently. Instances of the previous release do
+    /// not send them.
     #[serde(default)]
     pub departures: Vec<Departure>,
-    /// What is under way, by endpoint; those without work are left out.
+    /// Work by endpoint. Endpoints without work are omitted.
     pub work: Vec<(EndpointId, Work)>,
-    /// Whether they are those of all instances, as the holder of the lease
-    /// knows them, and not the sender's own.
+    /// Whether `work` covers all instances, as known to the lease holder,
+    /// rather than the sender alone.
     pub is_total: bool,
-    /// Whether totals are of some endpoints only, and the others as told before.
+    /// Whether the totals cover only some endpoints. Those of the others are
+    /// unchanged.
     #[serde(default)]
     pub is_part: bool,
-    /// Runs of the sender's that ended with their endpoints lately.
+    /// Recent crashes of endpoints that interrupted runs of the sender.
     #[serde(default)]
     pub crashes: Vec<Crash>,
-    /// How many requests it has condemned.
+    /// Number of requests that the sender has condemned.
     #[serde(default)]
     pub condemned: u64,
-    /// The limits of endpoints that it knows, with what it wants to send there, or
-    /// all instances if the work is a total.
+    /// Limits of endpoints that the sender knows, with its demand there, or
+    /// that of all instances if `is_total` is set.
     #[serde(default)]
     pub limits: Vec<LimitReport>,
 }
 
-/// Notes of an instance that may be lost in a row before what it said of itself
-/// counts no longer.
+/// Number of consecutive notes that may be lost before the last status of an
+/// instance expires.
 const MAX_LOST_STATUSES: u32 = 6;
 
 impl Status {
-    /// Returns how long this note counts without another one.
+    /// Returns how long this status is valid without another one.
     pub fn valid_for(&self) -> Duration {
         Duration::from_millis(self.next_in_ms) * MAX_LOST_STATUSES
     }
 }
 
-/// Requests for adapters.
+/// A report of the demand for adapters.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct DemandReport {
-    /// Who says so, and is to hear what became of it.
+    /// The sender, which is notified of the resulting placements.
     pub from: InstanceId,
-    /// Where they were asked for.
+    /// The zone of the requests.
     pub zone: ZoneName,
-    /// How often each was asked for.
+    /// Number of requests for each adapter.
     pub counts: Vec<(AdapterKey, u32)>,
-    /// What requests wait for, with the rank of the most urgent.
+    /// Adapters that requests wait for, with the priority of the most urgent
+    /// request.
     pub waiting: Vec<(AdapterKey, u8)>,
-    /// Engines that could not be reached.
+    /// Engines that the sender could not reach.
     pub unreachable: Vec<EndpointId>,
-    /// Whether adapters were there when requests were sent to them.
+    /// Observations of loading adapters by requests that were sent to them.
     #[serde(default)]
     pub arrivals: Vec<LoadObservationReport>,
-    /// Endpoints that take no more from the sender, and for how long, in
-    /// milliseconds.
+    /// Endpoints that accept no more requests from the sender, and for how
+    /// long, in milliseconds.
     #[serde(default)]
     pub saturated: Vec<(EndpointId, u64)>,
 }
 
-/// What a request showed that was sent to an adapter on its way.
+/// Whether a loading adapter was present when a request was sent to it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LoadObservationReport {
-    /// The engine.
+    /// The endpoint of the engine.
     pub endpoint: EndpointId,
     /// The adapter.
     pub key: AdapterKey,
-    /// Whether it was there.
+    /// Whether the adapter was loaded.
     pub is_there: bool,
-    /// How long ago the request was sent, in milliseconds.
+    /// Time since the request was sent, in milliseconds.
     pub ago_ms: u64,
 }
 
-/// An adapter on its way to an engine.
+/// A load of an adapter that was ordered.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Placed {
-    /// The epoch of the holder that ordered it.
+    /// The epoch of the lease holder that gave the order.
     pub epoch: Epoch,
-    /// The engine.
+    /// The endpoint of the engine.
     pub endpoint: EndpointId,
     /// The adapter.
     pub key: AdapterKey,
-    /// The version that the load brings.
+    /// The version that is loaded.
     pub version: WeightVersion,
-    /// When it is likely to be ready, in milliseconds from now.
+    /// Expected time until the adapter is ready, in milliseconds.
     pub ready_in_ms: u64,
-    /// Whether it comes from the weight store.
+    /// Whether it is loaded from the weight store.
     #[serde(default)]
     pub is_cold: bool,
-    /// Which life of the engine was ordered, if it tells its lives apart.
+    /// Incarnation of the engine that the order is for, if the engine reports
+    /// incarnations.
     #[serde(default)]
     pub born: Option<Incarnation>,
 }
 
-/// An adapter that leaves an engine.
+/// An eviction of an adapter that was ordered.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Removed {
-    /// The epoch of the holder that ordered it.
+    /// The epoch of the lease holder that gave the order.
     pub epoch: Epoch,
-    /// The engine.
+    /// The endpoint of the engine.
     pub endpoint: EndpointId,
     /// The adapter.
     pub key: AdapterKey,
-    /// Which life of the engine was ordered, if it tells its lives apart.
+    /// Incarnation of the engine that the order is for, if the engine reports
+    /// incarnations.
     #[serde(default)]
     pub born: Option<Incarnation>,
 }
--- a/crates/fleet/src/note_schedule.rs
+++ b/crates/fleet/src/note_schedule.rs
@@ -1,11 +1,12 @@
-//! When an instance speaks to the others.
+//! Schedules the notes of an instance.
 //!
-//! Among a few instances everything is told at once. Among many, one of them,
-//! the holder of the lease on orders, hears all and tells the sums, and each
-//! other paces what it says so that the holder can hear it. The invariant: a
-//! pause is counted from what was last said, with the pace that holds *now*. So
-//! a new holder speaks at once, and not when the pace of the time without a
-//! holder would have let it.
+//! In a small fleet, everything is sent at once. In a large one, the lease
+//! holder receives the notes of all instances and sends the totals, and each
+//! other instance paces its notes so that the holder can process them.
+//!
+//! The invariant: an interval is counted from the last note, with the length
+//! that applies *now*. So a new lease holder sends at once, and does not wait
+//! for the longer interval that applied while there was no holder.
 
 use std::time::Duration;
 
@@ -13,86 +14,89 @@
 
 use crate::note::MAX_DIRECT_PEERS;
 
-/// How often each instance says what it has under way, at the least.
+/// Interval between two status notes of an instance, at least.
 const STATUS_INTERVAL: Duration = Duration::from_millis(150);
 
-/// The pause between two notes that an instance hears from all others
-/// together while there is no holder of the lease: with many instances each
-/// speaks less often, so that a small machine spends no more on hearing them.
+/// Interval between two notes that an instance receives from all others
+/// together while there is no lease holder. With many instances, each sends
+/// less often, so that a small machine spends no more time on receiving.
 const LEADERLESS_RECEIVE_INTERVAL: Duration = Duration::from_millis(25);
 
-/// How often it says what was asked for, if nothing waits.
+/// Interval between two reports of demand while no request waits.
 const DEMAND_INTERVAL: Duration = Duration::from_millis(300);
 
-/// The pause between two notes of what requests wait for. An adapter takes 250
-/// ms from the weight store, and a request for one that is absent has some 130
-/// ms until it must be on its way; so it is asked for at once, and only what
-/// comes in the same moment is told together. With the pause of
-/// [`SENT_INTERVAL_PER_PEER`] between 195 instances, each of which sends some four requests
-/// a second, 7 of 100 streams were refused on a calm day.
+/// Interval between two notes on adapters that requests wait for. An adapter
+/// takes 250 ms to load from the weight store, and a request for an absent
+/// adapter has about 130 ms until its load must have started. So the note is
+/// sent at once, and only requests of the same moment are combined. With the
+/// interval of [`SENT_INTERVAL_PER_PEER`] between 195 instances, each of which
+/// sends about four requests per second, 7 of 100 streams were refused without
+/// any fault.
 const WAITING_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What each of many peers adds to the pause between two notes on what was sent
-/// to engines. The holder hears some 1,000 a second at the most, each some 20
-/// us.
+/// Interval between two notes on requests that were sent to engines, per peer,
+/// in a large fleet. The lease holder then receives at most 1,000 notes per
+/// second, which take about 20 µs each.
 const SENT_INTERVAL_PER_PEER: Duration = Duration::from_millis(1);
 
-/// The least pause between two notes of what an instance has under way, when
-/// it has sent large prompts.
+/// Minimum interval between two interim reports of work after large prompts
+/// were sent.
 const MIN_INTERIM_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The pause between two batches, where there are many peers.
+/// Interval between two batches in a large fleet.
 const BATCH_INTERVAL: Duration = Duration::from_millis(40);
 
-/// What an instance is to the others.
+/// The role of an instance in the fleet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Role {
-    /// It holds the lease on orders.
+    /// The instance holds the lease on orders.
     Holder,
-    /// It hears somebody else hold the lease.
+    /// Another instance is known to hold the lease.
     Follower,
-    /// It hears nobody hold the lease.
+    /// No instance is known to hold the lease.
     Leaderless,
 }
 
-/// The fleet around an instance.
+/// The size of the fleet and the role of this instance in it.
 #[derive(Clone, Copy, Debug)]
 pub struct Topology {
-    /// The other instances.
+    /// Number of other instances.
     pub peers: usize,
-    /// What this one is to them.
+    /// The role of this instance.
     pub role: Role,
 }
 
-/// What an instance has to say.
+/// What an instance has to send.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pending {
-    /// Whether the store was lost or regained.
+    /// Whether the reachability of the store has changed.
     pub has_store_change: bool,
-    /// Whether a large prompt was sent to an engine.
+    /// Whether a large prompt was sent to an engine since the last report of
+    /// work.
     pub has_large_prompt: bool,
-    /// Whether notes wait to go to all.
+    /// Whether notes to all instances are queued.
     pub has_batch: bool,
-    /// Whether requests wait for adapters, or an engine could not be reached.
+    /// Whether the lease holder must be told of requests that wait for
+    /// adapters, of unreachable engines or of observed loads.
     pub has_waiting: bool,
-    /// Whether requests were sent to engines.
+    /// Whether requests were sent to engines since the last report of demand.
     pub has_sent: bool,
 }
 
-/// What is to be said now.
+/// The notes that are due now.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Due {
-    /// What is under way, to all who are told so regularly.
+    /// The regular status note.
     pub status: bool,
-    /// The same between two regular notes.
+    /// An interim report of work between two status notes.
     pub interim_work: bool,
-    /// The notes that wait to go to all.
+    /// The queued notes to all instances.
     pub batch: bool,
-    /// What was asked for and what requests wait for.
+    /// The report of demand for adapters.
     pub demand: bool,
 }
 
-/// Knows when an instance last said what.
+/// Records when each kind of note was last sent.
 #[derive(Clone, Debug, Default)]
 pub struct NoteSchedule {
     status: Option<Instant>,
@@ -102,14 +106,16 @@
 }
 
 impl Topology {
-    /// Returns whether notes to all go through relays and sums.
+    /// Returns whether notes to all instances go through relays, and work is
+    /// reported as totals.
     pub fn uses_relays(self) -> bool {
         self.peers > MAX_DIRECT_PEERS
     }
 
-    /// Returns the pause between two notes of what an instance has under way.
-    /// Among many, each tells the holder, and the holder tells all the sums.
-    /// Without a holder each tells all, less often.
+    /// Returns the interval between two status notes. In a large fleet, each
+    /// instance sends them to the lease holder, and the holder sends the
+    /// totals to all. Without a holder, each instance sends to all, less
+    /// often.
     pub fn status_pause(self) -> Duration {
         match self.role {
             _ if !self.uses_relays() => STATUS_INTERVAL,
@@ -121,14 +127,16 @@
         }
     }
 
-    /// A few instances hear at once what engines get and lose. Many hear it a
-    /// little later; who waits for an adapter is told at once in any case.
+    /// Returns the interval between two batches. In a small fleet, loads and
+    /// evictions are announced at once. In a large one, they are announced a
+    /// little later; instances that wait for an adapter are notified at once
+    /// in any case.
     fn batch_pause(self) -> Duration {
         if self.uses_relays() { BATCH_INTERVAL } else { Duration::ZERO }
     }
 
-    /// The pause between two notes on what was sent: the holder hears those of
-    /// all.
+    /// Returns the interval between two notes on sent requests, of which the
+    /// lease holder receives those of all instances.
     fn sent_pause(self) -> Duration {
         if self.uses_relays() {
             SENT_INTERVAL_PER_PEER * self.count()
@@ -137,8 +145,9 @@
         }
     }
 
-    /// Among a few instances, all hear soon what was sent; among many, only
-    /// the holder does, as often as it can hear them all.
+    /// Returns the interval between two interim reports of work. In a small
+    /// fleet, they go to all instances; in a large one, only to the lease
+    /// holder, as often as it can process those of all.
     fn interim_pause(self) -> Duration {
         MIN_INTERIM_INTERVAL.max(self.sent_pause())
     }
@@ -160,7 +169,8 @@
 }
 
 impl NoteSchedule {
-    /// Returns how long an instance may be silent that has this to say.
+    /// Returns how long the instance may wait before it must send the pending
+    /// notes.
     pub fn wait(
         &self,
         pending: Pending,
@@ -185,7 +195,7 @@
         wait
     }
 
-    /// Returns what is due, and notes that it is said now.
+    /// Returns the notes that are due, and records them as sent now.
     pub fn take(
         &mut self,
         pending: Pending,
