--- a/crates/fleet/tests/placement_rules.rs
+++ b/crates/fleet/tests/placement_rules.rs
@@ -22,22 +22,22 @@
 
 const WINDOW: Duration = Duration::from_secs(5);
 
-fn loader(epoch: u64, now: Instant) -> PlacementPlanner {
+fn planner(epoch: u64, now: Instant) -> PlacementPlanner {
     PlacementPlanner::new(epoch, LoadRateLimiter::new(WINDOW, 1.1), now)
 }
 
 /// Plans without any observed load times.
 fn plan(
-    loader: &mut PlacementPlanner,
+    planner: &mut PlacementPlanner,
     view: &mut FleetView,
     demand: &mut Demand,
     now: Instant,
 ) -> Vec<Order> {
     let mut times = LoadTimes::default();
-    loader.plan(&routing(), view, demand, &mut times, now)
+    planner.plan(&routing(), view, demand, &mut times, now)
 }
 
-fn asked(demand: &mut Demand, n: u32, times: u32, now: Instant) {
+fn add_waiting(demand: &mut Demand, n: u32, times: u32, now: Instant) {
     demand.add(&key(n), times, "z1", now);
     demand.mark_waiting(&key(n), 1);
 }
@@ -68,9 +68,9 @@
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[]), now);
     let mut demand = Demand::default();
-    asked(&mut demand, 1, 1, now);
-    let mut loader = loader(1, now);
-    let orders = plan(&mut loader, &mut view, &mut demand, now);
+    add_waiting(&mut demand, 1, 1, now);
+    let mut planner = planner(1, now);
+    let orders = plan(&mut planner, &mut view, &mut demand, now);
     let tasks: Vec<_> = orders.iter().map(|o| &o.task).collect();
     assert_eq!(tasks, [&Task::Sync]);
 }
@@ -80,12 +80,12 @@
     let now = Instant::now();
     let mut view = synced(&[("e1", &[]), ("e2", &[])], now);
     let mut demand = Demand::default();
-    asked(&mut demand, 1, 1, now);
-    let mut loader = loader(1, now);
-    let orders = plan(&mut loader, &mut view, &mut demand, now);
+    add_waiting(&mut demand, 1, 1, now);
+    let mut planner = planner(1, now);
+    let orders = plan(&mut planner, &mut view, &mut demand, now);
     assert_eq!(loads(&orders).len(), 1);
-    asked(&mut demand, 1, 1, now);
-    let orders = plan(&mut loader, &mut view, &mut demand, now);
+    add_waiting(&mut demand, 1, 1, now);
+    let orders = plan(&mut planner, &mut view, &mut demand, now);
     assert_eq!(loads(&orders), []);
 }
 
@@ -98,17 +98,17 @@
     for n in full {
         demand.add(&key(*n), 1, "z1", now);
     }
-    asked(&mut demand, 9, 1, now);
-    let mut loader = loader(1, now);
-    let orders = plan(&mut loader, &mut view, &mut demand, now);
+    add_waiting(&mut demand, 9, 1, now);
+    let mut planner = planner(1, now);
+    let orders = plan(&mut planner, &mut view, &mut demand, now);
     assert_eq!(orders, []);
     // Some seconds later, the adapter with the lowest rate is evicted.
     let later = now + Duration::from_secs(3);
     for n in [1, 2, 4] {
         demand.add(&key(n), 5, "z1", later);
     }
-    asked(&mut demand, 9, 1, later);
-    let orders = plan(&mut loader, &mut view, &mut demand, later);
+    add_waiting(&mut demand, 9, 1, later);
+    let orders = plan(&mut planner, &mut view, &mut demand, later);
     let tasks: Vec<_> = orders.iter().map(|o| o.task.clone()).collect();
     assert_eq!(tasks, [Task::Unload(key(3)), Task::Load(key(9), 1)]);
 }
@@ -132,9 +132,9 @@
     demand.add(&key(3), 1, "z1", now);
     demand.add(&key(4), 2, "z1", now);
     let later = now + Duration::from_secs(3);
-    asked(&mut demand, 9, 1, later);
-    let mut loader = loader(1, now);
-    let orders = plan(&mut loader, &mut view, &mut demand, later);
+    add_waiting(&mut demand, 9, 1, later);
+    let mut planner = planner(1, now);
+    let orders = plan(&mut planner, &mut view, &mut demand, later);
     let tasks: Vec<_> = orders.iter().map(|o| o.task.clone()).collect();
     assert_eq!(tasks, [Task::Unload(key(3)), Task::Load(key(9), 1)]);
 }
@@ -144,10 +144,10 @@
     let now = Instant::now();
     let mut view = synced(&[("e1", &[1, 2, 3, 4]), ("e2", &[])], now);
     let mut demand = Demand::default();
-    let mut loader = loader(1, now);
-    asked(&mut demand, 9, 1, now);
+    let mut planner = planner(1, now);
+    add_waiting(&mut demand, 9, 1, now);
     view.apply_entry(endpoint("e3", "z1", &[]), now);
-    let orders = plan(&mut loader, &mut view, &mut demand, now);
+    let orders = plan(&mut planner, &mut view, &mut demand, now);
     assert_eq!(loads(&orders), [("e2", key(9))]);
     let later = now + Duration::from_secs(4);
     let home = "e2".to_owned();
@@ -157,8 +157,8 @@
     if let Some(state) = view.get_mut(&home) {
         state.own_work = requests(8);
     }
-    asked(&mut demand, 9, 1, later);
-    let orders = plan(&mut loader, &mut view, &mut demand, later);
+    add_waiting(&mut demand, 9, 1, later);
+    let orders = plan(&mut planner, &mut view, &mut demand, later);
     assert_eq!(loads(&orders), [("e2", key(9))]);
     assert!(orders.iter().all(|order| !order.is_cold));
 }
@@ -169,8 +169,8 @@
     let mut view = synced(&[("e1", &[1]), ("e2", &[])], now);
     let mut demand = Demand::default();
     demand.add(&key(1), 200, "z1", now);
-    let mut loader = loader(1, now);
-    let orders = plan(&mut loader, &mut view, &mut demand, now);
+    let mut planner = planner(1, now);
+    let orders = plan(&mut planner, &mut view, &mut demand, now);
     assert_eq!(loads(&orders), [("e2", key(1))]);
 }
 
@@ -190,13 +190,13 @@
         }
     }
     let mut demand = Demand::default();
-    asked(&mut demand, 1, 1, now);
-    let mut loader = loader(1, now);
-    let orders = plan(&mut loader, &mut view, &mut demand, now);
+    add_waiting(&mut demand, 1, 1, now);
+    let mut planner = planner(1, now);
+    let orders = plan(&mut planner, &mut view, &mut demand, now);
     assert_eq!(loads(&orders), [("e3", key(1))]);
     // One replica is enough while it loads.
-    asked(&mut demand, 1, 1, now);
-    let orders = plan(&mut loader, &mut view, &mut demand, now);
+    add_waiting(&mut demand, 1, 1, now);
+    let orders = plan(&mut planner, &mut view, &mut demand, now);
     assert_eq!(loads(&orders), []);
 }
 
@@ -207,8 +207,8 @@
     let mut demand = Demand::default();
     demand.add(&key(1), 1, "z1", now);
     view.record_version(&key(1), 2, now);
-    let mut loader = loader(1, now);
-    let orders = plan(&mut loader, &mut view, &mut demand, now);
+    let mut planner = planner(1, now);
+    let orders = plan(&mut planner, &mut view, &mut demand, now);
     let tasks: Vec<_> = orders.iter().map(|o| o.task.clone()).collect();
     assert_eq!(tasks, [Task::Load(key(1), 2)]);
 }
@@ -223,7 +223,7 @@
     let mut demand = Demand::default();
     demand.add(&key(1), 1, "z1", now);
     view.record_version(&key(1), 2, now);
-    let mut full = loader(1, now);
+    let mut full = planner(1, now);
     let orders = full.plan(
         &routing(),
         &mut view,
@@ -239,8 +239,8 @@
     for n in [1, 2, 3] {
         demand.add(&key(n), 1, "z1", now);
     }
-    asked(&mut demand, 9, 1, now);
-    let mut free = loader(1, now);
+    add_waiting(&mut demand, 9, 1, now);
+    let mut free = planner(1, now);
     let orders = free.plan(
         &routing(),
         &mut view,
@@ -262,9 +262,9 @@
     let mut nothing = report(&[], 0);
     nothing.models.clear();
     view.apply_report(&"e1".to_owned(), &nothing, now);
-    let mut loader = loader(1, now);
+    let mut planner = planner(1, now);
     let mut demand = Demand::default();
-    let orders = plan(&mut loader, &mut view, &mut demand, now);
+    let orders = plan(&mut planner, &mut view, &mut demand, now);
     let tasks: Vec<_> = orders.iter().map(|o| o.task.clone()).collect();
     assert_eq!(tasks, [Task::LoadModel(MODEL.to_owned())]);
 }
@@ -277,41 +277,41 @@
     leaving.is_draining = true;
     view.apply_entry(leaving, now);
     let mut demand = Demand::default();
-    asked(&mut demand, 1, 1, now);
-    let mut loader = loader(1, now);
-    let orders = plan(&mut loader, &mut view, &mut demand, now);
+    add_waiting(&mut demand, 1, 1, now);
+    let mut planner = planner(1, now);
+    let orders = plan(&mut planner, &mut view, &mut demand, now);
     assert_eq!(orders, []);
 }
 
 #[test]
 fn a_new_holder_assumes_that_the_rate_was_used() {
     let now = Instant::now();
-    let mut used = loader(2, now);
+    let mut used = planner(2, now);
     assert_eq!(used.loads_left(9.3, now), 0);
     assert!(used.loads_left(9.3, now + WINDOW) > 40);
-    let mut first = loader(1, now);
+    let mut first = planner(1, now);
     assert!(first.loads_left(9.3, now) > 40);
 }
 
 /// One step of a random history.
 #[derive(Clone, Debug)]
 enum Step {
-    Asked(u32, u32),
-    Later(u64),
+    Requested(u32, u32),
+    Elapsed(u64),
     Unlisted(usize),
     Listed(usize, Vec<u32>),
-    TurnedAway(usize, u32),
+    AdapterAbsent(usize, u32),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let adapters = proptest::collection::vec(1u32..40, 0..4);
     prop_oneof![
-        6 => (1u32..40, 1u32..30).prop_map(|(n, c)| Step::Asked(n, c)),
-        4 => (10u64..2_500).prop_map(Step::Later),
+        6 => (1u32..40, 1u32..30).prop_map(|(n, c)| Step::Requested(n, c)),
+        4 => (10u64..2_500).prop_map(Step::Elapsed),
         1 => (0usize..3).prop_map(Step::Unlisted),
         1 => ((0usize..3), adapters).prop_map(|(e, a)| Step::Listed(e, a)),
         1 => ((0usize..3), (1u32..40))
-            .prop_map(|(e, n)| Step::TurnedAway(e, n)),
+            .prop_map(|(e, n)| Step::AdapterAbsent(e, n)),
     ]
 }
 
@@ -330,11 +330,11 @@
             view.apply_entry(endpoint(id, "z1", &[]), now);
         }
         let mut demand = Demand::default();
-        let mut loader = loader(1, now);
+        let mut planner = planner(1, now);
         for (revision, step) in (2..).zip(steps) {
             match step {
-                Step::Asked(n, times) => asked(&mut demand, n, times, now),
-                Step::Later(ms) => now += Duration::from_millis(ms),
+                Step::Requested(n, times) => add_waiting(&mut demand, n, times, now),
+                Step::Elapsed(ms) => now += Duration::from_millis(ms),
                 Step::Unlisted(e) => {
                     view.remove_entry(&ids[e].to_owned(), revision, true, now);
                 }
@@ -343,13 +343,13 @@
                     entry.revision = revision;
                     view.apply_entry(entry, now);
                 }
-                Step::TurnedAway(e, n) => {
+                Step::AdapterAbsent(e, n) => {
                     let id = ids[e].to_owned();
                     view.record_absent(&id, &key(n), now);
                 }
             }
             let orders =
-                plan(&mut loader, &mut view, &mut demand, now);
+                plan(&mut planner, &mut view, &mut demand, now);
             for order in orders {
                 let e = ids.iter().position(|id| **id == order.endpoint);
                 let Some(e) = e else { continue };
@@ -382,17 +382,17 @@
     let now = Instant::now();
     let mut view = synced(&[("e1", &[1, 2, 3, 4])], now);
     let mut demand = Demand::default();
-    asked(&mut demand, 9, 1, now);
-    let mut loader = loader(1, now);
-    let orders = plan(&mut loader, &mut view, &mut demand, now);
+    add_waiting(&mut demand, 9, 1, now);
+    let mut planner = planner(1, now);
+    let orders = plan(&mut planner, &mut view, &mut demand, now);
     assert_eq!(loads(&orders), [("e1", key(9))]);
 
     for order in &orders {
         order.revert(&mut view);
     }
     let later = now + Duration::from_secs(1);
-    asked(&mut demand, 10, 1, later);
-    let orders = plan(&mut loader, &mut view, &mut demand, later);
+    add_waiting(&mut demand, 10, 1, later);
+    let orders = plan(&mut planner, &mut view, &mut demand, later);
     let tasks: Vec<_> = orders.iter().map(|o| &o.task).collect();
     assert_eq!(tasks, [&Task::Sync]);
 }
@@ -404,16 +404,16 @@
     let now = Instant::now();
     let mut view = synced(&[("e1", &[1, 2, 3])], now);
     let mut demand = Demand::default();
-    asked(&mut demand, 9, 1, now);
-    let mut loader = loader(1, now);
-    let orders = plan(&mut loader, &mut view, &mut demand, now);
+    add_waiting(&mut demand, 9, 1, now);
+    let mut planner = planner(1, now);
+    let orders = plan(&mut planner, &mut view, &mut demand, now);
     assert_eq!(loads(&orders), [("e1", key(9))]);
 
     let later = now + Duration::from_millis(1_500);
     for n in [1, 2, 3, 10] {
-        asked(&mut demand, n, 20, later);
+        add_waiting(&mut demand, n, 20, later);
     }
-    let orders = plan(&mut loader, &mut view, &mut demand, later);
+    let orders = plan(&mut planner, &mut view, &mut demand, later);
     let left = orders.iter().any(|o| o.task == Task::Unload(key(9)));
     assert!(!left, "{orders:?}");
 }
@@ -435,11 +435,11 @@
     }
     assert_eq!(view.warm(&key(9)), ["e1"]);
     let mut demand = Demand::default();
-    asked(&mut demand, 9, 1, now);
-    let mut loader = loader(1, now);
+    add_waiting(&mut demand, 9, 1, now);
+    let mut planner = planner(1, now);
     let mut times = LoadTimes::default();
     let orders =
-        loader.plan(&routing(), &mut view, &mut demand, &mut times, now);
+        planner.plan(&routing(), &mut view, &mut demand, &mut times, now);
     assert_eq!(loads(&orders), [("e2", key(9))]);
 }
 
@@ -456,10 +456,10 @@
     let mut view = synced(&engines, now);
     let mut demand = Demand::default();
     for n in 1..=100 {
-        asked(&mut demand, n, 1, now);
+        add_waiting(&mut demand, n, 1, now);
         demand.mark_waiting(&key(n), 1);
     }
-    let orders = plan(&mut loader(1, now), &mut view, &mut demand, now);
+    let orders = plan(&mut planner(1, now), &mut view, &mut demand, now);
     let placed = loads(&orders);
     assert_eq!(placed.len(), 100);
     let mut used: Vec<&str> = placed.iter().map(|(id, _)| *id).collect();
@@ -480,7 +480,7 @@
 fn a_late_load_counts_against_the_limit_of_concurrent_loads() {
     let now = Instant::now();
     let mut view = synced(&[("e1", &[])], now);
-    let mut loader = loader(1, now);
+    let mut planner = planner(1, now);
     let mut times = LoadTimes::default();
     let mut demand = Demand::default();
     let mut roomy = routing();
@@ -490,9 +490,9 @@
     }
     let mut ordered = |n: std::ops::RangeInclusive<u32>, view: &mut _, at| {
         for n in n {
-            asked(&mut demand, n, 1, at);
+            add_waiting(&mut demand, n, 1, at);
         }
-        let orders = loader.plan(&roomy, view, &mut demand, &mut times, at);
+        let orders = planner.plan(&roomy, view, &mut demand, &mut times, at);
         loads(&orders).into_iter().map(|(_, key)| key).collect::<Vec<_>>()
     };
     let first = ordered(1..=3, &mut view, now);
@@ -520,16 +520,16 @@
     let now = Instant::now();
     let mut view = synced(&[("e1", &[1]), ("e2", &[]), ("e3", &[])], now);
     let mut demand = Demand::default();
-    asked(&mut demand, 1, 1, now);
-    let mut loader = loader(1, now);
-    let orders = plan(&mut loader, &mut view, &mut demand, now);
+    add_waiting(&mut demand, 1, 1, now);
+    let mut planner = planner(1, now);
+    let orders = plan(&mut planner, &mut view, &mut demand, now);
     assert_eq!(loads(&orders), [], "its engine has room");
 
     let time = Duration::from_secs(1);
     for id in ["e1", "e2"] {
         view.mark_saturated(&id.to_owned(), time, now);
     }
-    asked(&mut demand, 1, 1, now);
-    let orders = plan(&mut loader, &mut view, &mut demand, now);
+    add_waiting(&mut demand, 1, 1, now);
+    let orders = plan(&mut planner, &mut view, &mut demand, now);
     assert_eq!(loads(&orders), [("e3", key(1))]);
 }
