--- a/crates/fleet/tests/catch_up_rules.rs
+++ b/crates/fleet/tests/catch_up_rules.rs
@@ -16,7 +16,7 @@
 }
 
 /// Advances the time until a fetch starts. Returns the instance to fetch from.
-fn asked(
+fn next_source(
     catch_up: &mut CatchUp,
     own: StateSummary,
     now: &mut Instant,
@@ -28,7 +28,7 @@
             Step::Idle => panic!("nothing is missed"),
         }
     }
-    panic!("nobody was asked");
+    panic!("nobody was next_source");
 }
 
 /// The own watch brings a change within about 20 ms. Fetching each change at
@@ -54,7 +54,7 @@
         catch_up.record_peer(&id.to_owned(), knows(2), is_own_zone, now);
     }
     catch_up.record_peer(&"older".to_owned(), knows(1), true, now);
-    assert_eq!(asked(&mut catch_up, knows(1), &mut now), "near");
+    assert_eq!(next_source(&mut catch_up, knows(1), &mut now), "near");
 }
 
 /// An instance that cannot be reached is followed by another one, and is asked
@@ -65,12 +65,12 @@
     let mut catch_up = CatchUp::default();
     catch_up.record_peer(&"a".to_owned(), knows(2), true, now);
     catch_up.record_peer(&"b".to_owned(), knows(2), false, now);
-    let first = asked(&mut catch_up, knows(1), &mut now);
+    let first = next_source(&mut catch_up, knows(1), &mut now);
     catch_up.fetch_failed(&first, now);
-    let second = asked(&mut catch_up, knows(1), &mut now);
+    let second = next_source(&mut catch_up, knows(1), &mut now);
     assert_eq!((first.as_str(), second.as_str()), ("a", "b"));
     catch_up.fetch_failed(&second, now);
-    assert_eq!(asked(&mut catch_up, knows(1), &mut now), "a");
+    assert_eq!(next_source(&mut catch_up, knows(1), &mut now), "a");
 }
 
 /// With 300 instances behind at once, fetches are spread over 300 ms.
--- a/crates/fleet/tests/revocation_rules.rs
+++ b/crates/fleet/tests/revocation_rules.rs
@@ -235,7 +235,7 @@
     let at = |ms: u64| start + Duration::from_millis(ms);
     let mut known = KeyFreshness::new(Some(WITHIN));
     known.confirm(start);
-    let mut asking = FreshnessPoll::default();
+    let mut poll = FreshnessPoll::default();
     let mut cost = Cost::default();
     let mut read_again_ms = 0;
     // Changes up to this time are in force here.
@@ -251,9 +251,9 @@
                 has_ms = now_ms;
             }
         }
-        if known.next_poll_in(&asking, now) == Some(Duration::ZERO) {
-            let watcher = &watchers[asking.next_target(watchers.len())];
-            let number = asking.start(now);
+        if known.next_poll_in(&poll, now) == Some(Duration::ZERO) {
+            let watcher = &watchers[poll.next_target(watchers.len())];
+            let number = poll.start(now);
             let heard = watcher.confirmed.iter().rev();
             let until = heard.copied().find(|c| c.0 <= now_ms);
             let age_ms = until.map(|(_, until)| now_ms - until);
@@ -261,7 +261,7 @@
                 && !rng.random_bool(lost)
             {
                 let age = Duration::from_millis(age_ms);
-                let until = asking.record_answer(number, age);
+                let until = poll.record_answer(number, age);
                 let until = until.expect("the answer is to the question");
                 // A newer version is in force there and is read first.
                 let newer = store.next_change(has_ms);
@@ -342,12 +342,12 @@
 fn a_late_answer_confirms_nothing_newer_than_its_question() {
     let start = Instant::now();
     let ms = Duration::from_millis;
-    let mut asking = FreshnessPoll::default();
-    let first = asking.start(start + ms(1_000));
-    assert_eq!(asking.record_answer(first, ms(300)), Some(start + ms(700)));
-    let second = asking.start(start + ms(2_000));
-    assert_eq!(asking.record_answer(first, ms(0)), None);
-    assert_eq!(asking.record_answer(second, ms(0)), Some(start + ms(2_000)));
+    let mut poll = FreshnessPoll::default();
+    let first = poll.start(start + ms(1_000));
+    assert_eq!(poll.record_answer(first, ms(300)), Some(start + ms(700)));
+    let second = poll.start(start + ms(2_000));
+    assert_eq!(poll.record_answer(first, ms(0)), None);
+    assert_eq!(poll.record_answer(second, ms(0)), Some(start + ms(2_000)));
 }
 
 /// An outage, wherever it falls between watches, makes the instance reject
