--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -281,14 +281,14 @@
             if !self.serves_model(key) || key.adapter.is_none() {
                 continue;
             }
-            let under_way = self.rate(key) * SERVICE_TIME_S;
-            let wanted = (under_way / (slots * MAX_ADAPTER_SLOT_SHARE)).ceil();
+            let in_flight = self.rate(key) * SERVICE_TIME_S;
+            let wanted = (in_flight / (slots * MAX_ADAPTER_SLOT_SHARE)).ceil();
             if wanted <= 1.0 {
                 continue;
             }
             let has = self.holders(key).count() as f64;
             if has >= 1.0 && has < wanted {
-                short.push((under_way / has, key.clone()));
+                short.push((in_flight / has, key.clone()));
             }
         }
         short.sort_by(|a, b| b.0.total_cmp(&a.0));
@@ -350,10 +350,10 @@
     }
 
     fn is_loading_limit_reached(&self, state: &EndpointState) -> bool {
-        let on_their_way = state
+        let loading = state
             .placements()
             .filter(|(_, placement)| placement.is_loading(self.now));
-        on_their_way.count() >= MAX_LOADING_PER_ENGINE
+        loading.count() >= MAX_LOADING_PER_ENGINE
     }
 
     fn serves_model(&self, key: &AdapterKey) -> bool {
--- a/crates/fleet/src/placement/target.rs
+++ b/crates/fleet/src/placement/target.rs
@@ -200,11 +200,11 @@
         let adapters =
             || state.placements().filter(|(k, _)| k.adapter.is_some());
         let replaced = adapters().filter(|(_, s)| s.is_replacing(self.now));
-        let taken = adapters().count() + replaced.count();
-        if taken < places {
+        let used = adapters().count() + replaced.count();
+        if used < places {
             return Some(None);
         }
-        if taken > places {
+        if used > places {
             return None;
         }
         adapters()
