--- a/crates/fleet/tests/catch_up_rules.rs
+++ b/crates/fleet/tests/catch_up_rules.rs
@@ -28,7 +28,7 @@
             Step::Idle => panic!("nothing is missed"),
         }
     }
-    panic!("nobody was next_source");
+    panic!("no fetch was started");
 }
 
 /// The own watch brings a change within about 20 ms. Fetching each change at
