--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -13,8 +13,8 @@
 /// demand, a shorter one drops adapters that are requested every few seconds.
 const RATE_DECAY_TIME: Duration = Duration::from_secs(6);
 
-/// Time constant of the popularity. Rarely requested adapters are requested
-/// about every ten seconds.
+/// Time constant of the popularity, after which a request counts a third.
+/// Rarely requested adapters are requested about every ten seconds.
 const POPULARITY_DECAY_TIME: Duration = Duration::from_secs(30);
 
 /// How long after its last request an adapter still counts as waited for. A
--- a/crates/fleet/src/load_times.rs
+++ b/crates/fleet/src/load_times.rs
@@ -51,7 +51,8 @@
 /// longer, as predicted.
 const MIN_IN_FLIGHT_S: f64 = 1.0;
 
-/// Shortest load time that is distinguished, in milliseconds.
+/// Lower limit of the histogram, in milliseconds. Shorter load times are not
+/// distinguished.
 const MIN_LOAD_TIME_MS: f64 = 10.0;
 
 /// Ratio between the limits of adjacent histogram buckets. On average, a
--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -128,8 +128,8 @@
         orders
     }
 
-    /// Returns how many loads of base models the rate of the weight store
-    /// allows now.
+    /// Returns how many base models may be loaded now within the rate of the
+    /// weight store.
     pub fn loads_left(&mut self, loads_per_s: f64, now: Instant) -> u32 {
         self.load_limiter.available(now, loads_per_s)
     }
--- a/crates/fleet/tests/budget_rules.rs
+++ b/crates/fleet/tests/budget_rules.rs
@@ -43,8 +43,8 @@
 }
 
 /// Guards against one retry budget for all services: requests for a large
-/// service earned retries for a small one, which exceeded the limit of the
-/// small one.
+/// service earned retries for a small one, which then exceeded its limit. Seen
+/// in all six runs with faults of a large deployment.
 #[test]
 fn requests_of_one_service_earn_no_retries_at_another() {
     let now = Instant::now();
