--- a/crates/sedgewalld/src/fleet/admit.rs
+++ b/crates/sedgewalld/src/fleet/admit.rs
@@ -10,7 +10,9 @@
     route::{Route, RoutingConfiguration},
 };
 
-use super::{attempt::CallerRequest, instance::FleetNode, refusal::Reason};
+use super::{
+    attempt::CallerRequest, instance::FleetInstance, refusal::Reason,
+};
 
 /// How long a request that the configuration refuses waits for a newer one that was
 /// heard of: two questions to other instances.
@@ -35,30 +37,30 @@
 /// was heard of, by that one, which another instance gives in some 5 ms. A refusal
 /// that the newer one may not hold to is for now: callers do not come back after 404.
 pub(super) async fn admit_by_newest(
-    node: &FleetNode,
+    instance: &FleetInstance,
     asked: &Asked,
 ) -> Result<Admitted, Reason> {
     let is_doubtful = |reason: Reason| {
-        reason.is_of_configuration() && node.is_configuration_behind()
+        reason.is_of_configuration() && instance.is_configuration_behind()
     };
-    match admit(node, asked) {
+    match admit(instance, asked) {
         Err(reason) if is_doubtful(reason) => {}
         decided => return decided,
     }
-    node.newer_configuration(NEWER_WAIT).await;
-    admit(node, asked).map_err(|reason| match is_doubtful(reason) {
+    instance.newer_configuration(NEWER_WAIT).await;
+    admit(instance, asked).map_err(|reason| match is_doubtful(reason) {
         true => Reason::ConfigurationBehind,
         false => reason,
     })
 }
 
-fn admit(node: &FleetNode, asked: &Asked) -> Result<Admitted, Reason> {
-    let routing = node.routing().ok_or(Reason::NoConfiguration)?;
+fn admit(instance: &FleetInstance, asked: &Asked) -> Result<Admitted, Reason> {
+    let routing = instance.routing().ok_or(Reason::NoConfiguration)?;
     let route = routing.route(&asked.host, &asked.path);
     let route = route.ok_or(Reason::NoRoute)?.clone();
     let credential = asked.credential.as_ref();
-    let customer = admit_key(node, &routing, &route, credential)?;
-    let decided_by = node.decides();
+    let customer = admit_key(instance, &routing, &route, credential)?;
+    let decided_by = instance.decides();
     Ok(Admitted { routing, route, customer, decided_by })
 }
 
@@ -66,7 +68,7 @@
 /// was taken away stops on open connections too, and what was read before runs
 /// on.
 fn admit_key(
-    node: &FleetNode,
+    instance: &FleetInstance,
     routing: &RoutingConfiguration,
     route: &Route,
     credential: Option<&KeyDigest>,
@@ -78,7 +80,7 @@
     let Some(credential) = credential else {
         return if route.is_public { Ok(None) } else { Err(Reason::NoKey) };
     };
-    if !node.keys.are_sure() {
+    if !instance.keys.are_sure() {
         return Err(Reason::KeysUnsure);
     }
     let known = customers.find_by_key(credential).cloned();
@@ -87,23 +89,26 @@
 
 /// Takes what a request counts of its customer's allowance.
 pub(super) fn take_allowance(
-    node: &FleetNode,
+    instance: &FleetInstance,
     customer: &Customer,
     tokens: u64,
 ) -> Result<(), Reason> {
     let Some(allowance) = customer.allowance else { return Ok(()) };
     let units = allowance.unit.count(tokens);
-    let (now, instances) = (Instant::now(), node.instances());
-    let mut shares = node.shares.borrow_mut();
+    let (now, instances) = (Instant::now(), instance.instances());
+    let mut shares = instance.shares.borrow_mut();
     let taken = shares.take(customer, units, instances, now);
     taken.map_err(Reason::OverAllowance)
 }
 
 /// Gives back what a request took of its customer's allowance and did not use.
-pub(super) fn give_back_allowance(node: &FleetNode, call: &CallerRequest) {
+pub(super) fn give_back_allowance(
+    instance: &FleetInstance,
+    call: &CallerRequest,
+) {
     let Some(customer) = &call.customer else { return };
     let Some(allowance) = customer.allowance else { return };
     let tokens = call.facts.prompt_tokens + call.facts.answer_tokens;
     let units = allowance.unit.count(tokens);
-    node.shares.borrow_mut().refund(customer, units);
+    instance.shares.borrow_mut().refund(customer, units);
 }
--- a/crates/sedgewalld/src/fleet/announcements.rs
+++ b/crates/sedgewalld/src/fleet/announcements.rs
@@ -16,7 +16,9 @@
 use sedgewall_platform::AnswerFacts;
 use sedgewall_state::id::EndpointId;
 
-use super::{attempt::CallerRequest, instance::FleetNode, watch_endpoints};
+use super::{
+    attempt::CallerRequest, instance::FleetInstance, watch_endpoints,
+};
 
 /// A limit that changes by a smaller fraction is not worth a line in the log.
 const LOGGED_CHANGE: f64 = 0.05;
@@ -26,7 +28,7 @@
 
 /// Takes in what the head of an answer announces of its endpoint.
 pub(crate) fn hear_answer(
-    node: &FleetNode,
+    instance: &FleetInstance,
     call: &CallerRequest,
     answered: &AnsweredRequest,
     status: StatusCode,
@@ -36,22 +38,24 @@
         return;
     }
     let now = Instant::now();
-    log_unreadable(node, answered, facts);
+    log_unreadable(instance, answered, facts);
     match facts.announcement.cooldown {
         Some(rest) => {
-            hear_rest(node, answered, rest, &call.facts.request_id);
+            hear_rest(instance, answered, rest, &call.facts.request_id);
         }
-        None => hear_no_rest(node, answered),
+        None => hear_no_rest(instance, answered),
     }
     if facts.announcement.is_leaving {
-        hear_departure(node, answered, &call.facts.request_id, now);
+        hear_departure(instance, answered, &call.facts.request_id, now);
     }
     let limit = facts.announcement.limit;
     let is_named = limit.per_s().is_some();
     // What an endpoint turns away it may answer before it looks at its limit.
     if is_named || facts.is_proven {
-        let change =
-            node.view.borrow_mut().apply_announced_limit(answered, limit, now);
+        let change = instance
+            .view
+            .borrow_mut()
+            .apply_announced_limit(answered, limit, now);
         if let Some(change) = change {
             log_limit(&answered.endpoint, change, "answer");
         }
@@ -60,13 +64,17 @@
 
 /// Takes in that an endpoint asks for rest.
 pub(crate) fn hear_rest(
-    node: &FleetNode,
+    instance: &FleetInstance,
     answered: &AnsweredRequest,
     rest: Duration,
     request: &str,
 ) {
     let now = Instant::now();
-    if !node.view.borrow_mut().apply_announced_cooldown(answered, rest, now) {
+    if !instance
+        .view
+        .borrow_mut()
+        .apply_announced_cooldown(answered, rest, now)
+    {
         return;
     }
     metrics::counter!("sedgewall_endpoint_rests_total").increment(1);
@@ -76,58 +84,62 @@
 }
 
 /// Takes in that an endpoint answered without a wish for rest.
-fn hear_no_rest(node: &FleetNode, answered: &AnsweredRequest) {
-    if !node.view.borrow_mut().record_answer(answered) {
+fn hear_no_rest(instance: &FleetInstance, answered: &AnsweredRequest) {
+    if !instance.view.borrow_mut().record_answer(answered) {
         return;
     }
     let endpoint = &answered.endpoint;
     tracing::info!(event = "endpoint_rest_over", endpoint);
-    node.wake_all();
+    instance.wake_all();
 }
 
 /// One line a second at most for values that cannot be read.
 fn log_unreadable(
-    node: &FleetNode,
+    instance: &FleetInstance,
     answered: &AnsweredRequest,
     facts: &AnswerFacts,
 ) {
     let Some(value) = &facts.announcement.unreadable else { return };
     metrics::counter!("sedgewall_announcements_unreadable_total").increment(1);
     let now = Instant::now();
-    let logged = node.unreadable_logged.get();
+    let logged = instance.unreadable_logged.get();
     if logged.is_some_and(|at| now - at < UNREADABLE_LOGGED_EVERY) {
         return;
     }
-    node.unreadable_logged.set(Some(now));
+    instance.unreadable_logged.set(Some(now));
     let endpoint = &answered.endpoint;
     tracing::warn!(event = "announcement_unreadable", endpoint, value);
 }
 
 /// Takes in that an endpoint leaves, and tells all others.
 fn hear_departure(
-    node: &FleetNode,
+    instance: &FleetInstance,
     answered: &AnsweredRequest,
     request: &str,
     now: Instant,
 ) {
-    if !node.view.borrow_mut().apply_announced_departure(answered, now) {
+    if !instance.view.borrow_mut().apply_announced_departure(answered, now) {
         return;
     }
     metrics::counter!("sedgewall_endpoint_departures_announced_total")
         .increment(1);
     let endpoint = &answered.endpoint;
     tracing::info!(event = "departure_announced", endpoint, request);
-    watch_endpoints::tell_departures(node);
-    node.wake_all();
-    node.notify_loader();
+    watch_endpoints::tell_departures(instance);
+    instance.wake_all();
+    instance.notify_loader();
 }
 
 /// Takes in what another instance reports of limits.
-pub(crate) fn hear_reports(node: &FleetNode, status: &Status, now: Instant) {
+pub(crate) fn hear_reports(
+    instance: &FleetInstance,
+    status: &Status,
+    now: Instant,
+) {
     let until = now + status.valid_for();
     let (from, is_total) = (&status.from, status.is_total);
     let source = ReportSource { from, is_total, until };
-    let mut view = node.view.borrow_mut();
+    let mut view = instance.view.borrow_mut();
     for report in &status.limits {
         if let Some(change) = view.apply_limit_report(report, source, now) {
             log_limit(&report.endpoint, change, from);
--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -30,7 +30,7 @@
 use super::{
     announcements,
     in_flight::UnderWay,
-    instance::{FleetNode, SeenArrival},
+    instance::{FleetInstance, SeenArrival},
     poison,
 };
 
@@ -179,7 +179,7 @@
 
 /// Sends a request to an endpoint and waits for the head of its answer.
 pub(crate) async fn send(
-    node: &Rc<FleetNode>,
+    instance: &Rc<FleetInstance>,
     call: &CallerRequest,
     target: &Target,
     last_event: Option<&str>,
@@ -187,43 +187,45 @@
 ) -> Result<GoodAnswer, AttemptError> {
     let prompt_tokens = call.facts.prompt_tokens;
     let mut under_way =
-        UnderWay::begin(node, &target.id, call.key(), prompt_tokens);
+        UnderWay::begin(instance, &target.id, call.key(), prompt_tokens);
     let request = build(call, target, last_event);
     let began = Instant::now();
     let answered = AnsweredRequest {
         endpoint: target.id.clone(),
-        born: node.view.borrow().incarnation(&target.id),
+        born: instance.view.borrow().incarnation(&target.id),
         sent: began,
     };
-    node.view.borrow_mut().record_sent(&target.id, began);
-    let sending = node.pool.send(target.address, request, CONNECT_TIME);
+    instance.view.borrow_mut().record_sent(&target.id, began);
+    let sending = instance.pool.send(target.address, request, CONNECT_TIME);
     let ended = match compio::time::timeout(limits.within, sending).await {
         Ok(Ok(answer)) => {
             let status = answer.status;
             let facts = AnswerFacts::read(status, &answer.headers);
-            announcements::hear_answer(node, call, &answered, status, &facts);
+            announcements::hear_answer(
+                instance, call, &answered, status, &facts,
+            );
             judge(call, answer, facts, limits.is_last)
         }
         Ok(Err(SendError::NotSent(cause))) => {
             Err(AttemptError::Unreachable(cause))
         }
         Ok(Err(SendError::Broken(cause))) => {
-            poison::run_broke(node, call, target, &cause);
+            poison::run_broke(instance, call, target, &cause);
             Err(AttemptError::Unclear(cause))
         }
         Err(_) => {
-            poison::run_lost(node, call, Loss::Broken);
+            poison::run_lost(instance, call, Loss::Broken);
             Err(AttemptError::TimedOut)
         }
     };
     under_way.answer_begins();
     if ended.is_ok() && call.key().is_some() {
         let tokens = target.unread_tokens + prompt_tokens;
-        let mut view = node.view.borrow_mut();
+        let mut view = instance.view.borrow_mut();
         view.observe_first_event(&call.service, tokens, began.elapsed());
     }
-    note_arrival(node, call, target, &ended, began);
-    note(node, call, target, &ended);
+    note_arrival(instance, call, target, &ended, began);
+    note(instance, call, target, &ended);
     ended.map(|answer| GoodAnswer { answer, under_way })
 }
 
@@ -285,7 +287,7 @@
 /// Notes what a send to an adapter on its way showed: it was there when the
 /// request came, or not.
 fn note_arrival(
-    node: &FleetNode,
+    instance: &FleetInstance,
     call: &CallerRequest,
     target: &Target,
     ended: &Result<PooledAnswer, AttemptError>,
@@ -297,26 +299,26 @@
         Err(AttemptError::Misdirected) => false,
         _ => return,
     };
-    if !node.view.borrow_mut().confirm_load(&target.id, key, is_there) {
+    if !instance.view.borrow_mut().confirm_load(&target.id, key, is_there) {
         return;
     }
-    node.arrivals.borrow_mut().push(SeenArrival {
+    instance.arrivals.borrow_mut().push(SeenArrival {
         endpoint: target.id.clone(),
         key: key.clone(),
         is_there,
         sent,
     });
-    node.notify_notes();
+    instance.notify_notes();
 }
 
 fn note(
-    node: &FleetNode,
+    instance: &FleetInstance,
     call: &CallerRequest,
     target: &Target,
     ended: &Result<PooledAnswer, AttemptError>,
 ) {
     let now = Instant::now();
-    let mut view = node.view.borrow_mut();
+    let mut view = instance.view.borrow_mut();
     if let (Err(AttemptError::Misdirected | AttemptError::Busy), Some(key)) =
         (ended, call.key())
     {
@@ -346,8 +348,8 @@
         Err(AttemptError::Unreachable(_)) => {
             state.health.unreachable(now);
             if call.is_engine {
-                node.unreachable.borrow_mut().insert(target.id.clone());
-                node.notify_notes();
+                instance.unreachable.borrow_mut().insert(target.id.clone());
+                instance.notify_notes();
             }
             !state.health.is_usable(now)
         }
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -37,7 +37,7 @@
         self, AttemptError, CallerRequest, GoodAnswer, SendLimits, SentTo,
     },
     in_flight::OpenRequest,
-    instance::{FleetNode, Stage},
+    instance::{FleetInstance, Stage},
     permits::{Permits, PermittedChoice},
     poison,
     refusal::{self, Reason},
@@ -78,16 +78,16 @@
 
 /// Answers one request.
 pub(crate) async fn answer(
-    node: Rc<FleetNode>,
+    instance: Rc<FleetInstance>,
     request: Request<Incoming>,
 ) -> Response<LocalBody> {
-    let open = OpenRequest::begin(&node);
+    let open = OpenRequest::begin(&instance);
     let arrived = Instant::now();
-    let mut response = match read(&node, request, arrived).await {
-        Ok(call) => serve(&node, Rc::new(call), open).await,
+    let mut response = match read(&instance, request, arrived).await {
+        Ok(call) => serve(&instance, Rc::new(call), open).await,
         Err(refused) => refuse_unread(refused, arrived),
     };
-    if node.stage.get() == Stage::Leaving {
+    if instance.stage.get() == Stage::Leaving {
         let close = header::HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
@@ -134,7 +134,7 @@
 }
 
 async fn read(
-    node: &FleetNode,
+    instance: &FleetInstance,
     request: Request<Incoming>,
     arrived: Instant,
 ) -> Result<CallerRequest, Unread> {
@@ -148,21 +148,20 @@
         request_id: request_id.clone(),
         path: path.clone(),
         customer: None,
-        decided_by: node.decides(),
+        decided_by: instance.decides(),
     };
     let asked = Asked {
         host: host_of(&head),
         path: path.clone(),
         credential: facts.as_ref().and_then(|f| f.credential),
     };
-    let admitted = admit_by_newest(node, &asked).await.map_err(&refuse)?;
+    let admitted = admit_by_newest(instance, &asked).await.map_err(&refuse)?;
     let Admitted { routing, route, customer, decided_by } = admitted;
     let facts = facts.ok_or_else(|| refuse(Reason::NoRequestId))?;
     let tokens = facts.prompt_tokens + facts.answer_tokens;
     if let Some(customer) = &customer {
-        take_allowance(node, customer, tokens).map_err(|reason| Unread {
-            customer: Some(customer.clone()),
-            ..refuse(reason)
+        take_allowance(instance, customer, tokens).map_err(|reason| {
+            Unread { customer: Some(customer.clone()), ..refuse(reason) }
         })?;
     }
     let most = routing.limits.body_bytes;
@@ -174,7 +173,7 @@
     })?;
     let patience = facts.patience.unwrap_or(PATIENCE_UNSTATED);
     let end = arrived + patience.min(route.timeout) - ANSWER_MARGIN;
-    let longest = node.longest_patience(&route.name, patience);
+    let longest = instance.longest_patience(&route.name, patience);
     let is_later_try = patience < longest.mul_f64(LATER_TRY_PART);
     let service = route
         .pick_service(draw_of(&facts.request_id))
@@ -230,13 +229,13 @@
 }
 
 async fn serve(
-    node: &Rc<FleetNode>,
+    instance: &Rc<FleetInstance>,
     call: Rc<CallerRequest>,
     open: OpenRequest,
 ) -> Response<LocalBody> {
-    node.budget.borrow_mut().count_request(&call.service, call.arrived);
+    instance.budget.borrow_mut().count_request(&call.service, call.arrived);
     if let Some(key) = call.key() {
-        *node.asked.borrow_mut().entry(key.clone()).or_default() += 1;
+        *instance.asked.borrow_mut().entry(key.clone()).or_default() += 1;
     }
     let mut progress = Progress {
         tried: Vec::new(),
@@ -246,16 +245,16 @@
         engine: Duration::ZERO,
         gone_in: None,
     };
-    let mut watch = request_log::Unanswered::begin(node, call.clone());
+    let mut watch = request_log::Unanswered::begin(instance, call.clone());
     let last_event = call.facts.last_event.clone();
-    let found = obtain(node, &call, &mut progress, last_event.as_deref());
+    let found = obtain(instance, &call, &mut progress, last_event.as_deref());
     let response = match found.await {
         Ok((good, target)) => {
-            pass_on(node, call, progress, good, target, open).await
+            pass_on(instance, call, progress, good, target, open).await
         }
         Err(reason) => {
             if progress.runs == 0 {
-                give_back_allowance(node, &call);
+                give_back_allowance(instance, &call);
             }
             request_log::refused(&call, &progress, reason);
             refusal::answer(reason, come_back_of(&call, &progress))
@@ -267,22 +266,22 @@
 
 /// Finds an endpoint that answers; tries others as far as that is allowed.
 pub(crate) async fn obtain(
-    node: &Rc<FleetNode>,
+    instance: &Rc<FleetInstance>,
     call: &CallerRequest,
     progress: &mut Progress,
     last_event: Option<&str>,
 ) -> Result<(GoodAnswer, Target), Reason> {
     loop {
-        poison::check(node, call, progress.runs)?;
-        let target = match find(node, call, progress).await {
+        poison::check(instance, call, progress.runs)?;
+        let target = match find(instance, call, progress).await {
             Ok(target) => target,
             Err(_) if progress.runs > 0 => return Err(Reason::OutcomeUnknown),
             Err(reason) => return Err(reason),
         };
         // Others may have seen its endpoints end while it waited for a place.
-        poison::check(node, call, progress.runs)?;
+        poison::check(instance, call, progress.runs)?;
         let is_first = progress.sends == 0;
-        if !is_first && !take_repeat(node, call) {
+        if !is_first && !take_repeat(instance, call) {
             return Err(match progress.runs {
                 0 => Reason::RetriesSpent,
                 _ => Reason::OutcomeUnknown,
@@ -294,7 +293,7 @@
         let limits = send_limits(call, progress);
         let began = Instant::now();
         let sent =
-            attempt::send(node, call, &target, last_event, limits).await;
+            attempt::send(instance, call, &target, last_event, limits).await;
         progress.engine = began.elapsed();
         let err = match sent {
             Ok(good) => return Ok((good, target)),
@@ -310,10 +309,10 @@
 }
 
 /// Takes one repeat of the allowance that all instances share.
-fn take_repeat(node: &FleetNode, call: &CallerRequest) -> bool {
+fn take_repeat(instance: &FleetInstance, call: &CallerRequest) -> bool {
     let now = Instant::now();
-    let instances = node.instances();
-    node.budget.borrow_mut().take(&call.service, now, instances)
+    let instances = instance.instances();
+    instance.budget.borrow_mut().take(&call.service, now, instances)
 }
 
 /// Returns whether there may be another send, or the final answer.
@@ -353,14 +352,14 @@
 
 /// Waits for an endpoint that can take the request.
 async fn find(
-    node: &Rc<FleetNode>,
+    instance: &Rc<FleetInstance>,
     call: &CallerRequest,
     progress: &mut Progress,
 ) -> Result<Target, Reason> {
     let draw = xxh3_64(call.facts.request_id.as_bytes());
     let began = Instant::now();
     let target = call.route.target_latency;
-    let held = held(node, call);
+    let held = held(instance, call);
     let look_again = match held.is_later_try {
         true => LOOK_AGAIN_LONG,
         false => LOOK_AGAIN,
@@ -381,7 +380,7 @@
             may_wait,
         };
         let PermittedChoice { choice, limited_for } =
-            permits.choose(node, need, now);
+            permits.choose(instance, need, now);
         progress.waited = now - began;
         let (reason, obstacle, pause) = match choice {
             Choice::Send(found) => return Ok(found),
@@ -392,10 +391,10 @@
             Choice::Absent => {
                 let resting = call
                     .key()
-                    .and_then(|key| node.note_resting_holders(key, now));
+                    .and_then(|key| instance.note_resting_holders(key, now));
                 let limited_for = limited_for.or(resting);
-                ask_for(node, call);
-                let load_time = node.view.borrow().load_time();
+                ask_for(instance, call);
+                let load_time = instance.view.borrow().load_time();
                 let obstacle = WaitReason::AdapterNotLoaded { load_time };
                 match limited_for {
                     Some(ready_in) => {
@@ -406,16 +405,20 @@
                 }
             }
             Choice::Full => {
-                ask_for(node, call);
+                ask_for(instance, call);
                 (Reason::Full, WaitReason::NoCapacity, look_again)
             }
             Choice::Busy(ready_in) => {
                 if ready_in.is_none() {
-                    ask_for(node, call);
+                    ask_for(instance, call);
                 }
                 let left = patient_until - now;
-                sleep_or_hear(node, call, ready_in.unwrap_or(left).min(left))
-                    .await;
+                sleep_or_hear(
+                    instance,
+                    call,
+                    ready_in.unwrap_or(left).min(left),
+                )
+                .await;
                 continue;
             }
             Choice::NoEndpoint => {
@@ -424,7 +427,7 @@
                     progress.tried.clear();
                 }
                 let resting = || {
-                    let view = node.view.borrow();
+                    let view = instance.view.borrow();
                     view.service_cooldown(&call.service, now)
                 };
                 match limited_for.or_else(resting) {
@@ -451,7 +454,7 @@
             };
             return Err(reason);
         }
-        sleep_or_hear(node, call, pause.min(until - now)).await;
+        sleep_or_hear(instance, call, pause.min(until - now)).await;
     }
 }
 
@@ -467,11 +470,11 @@
 }
 
 /// Returns what is known of a request that may have to wait.
-fn held(node: &FleetNode, call: &CallerRequest) -> WaitingRequest {
+fn held(instance: &FleetInstance, call: &CallerRequest) -> WaitingRequest {
     let tokens = call.facts.prompt_tokens;
     let engine_time = match call.key() {
         Some(_) => {
-            node.view.borrow().idle_first_event_time(&call.service, tokens)
+            instance.view.borrow().idle_first_event_time(&call.service, tokens)
         }
         None => Duration::ZERO,
     };
@@ -486,26 +489,26 @@
 
 /// Waits for a time, or until something is heard of the request's adapter.
 async fn sleep_or_hear(
-    node: &FleetNode,
+    instance: &FleetInstance,
     call: &CallerRequest,
     time: Duration,
 ) {
     let pause = time + Duration::from_millis(1);
     match call.key() {
-        Some(key) => node.wait_for(key, pause).await,
+        Some(key) => instance.wait_for(key, pause).await,
         None => compio::time::sleep(pause).await,
     }
 }
 
 /// Asks the holder of the lease for an adapter.
-fn ask_for(node: &FleetNode, call: &CallerRequest) {
+fn ask_for(instance: &FleetInstance, call: &CallerRequest) {
     if let Some(key) = call.key() {
-        node.ask_for(key, call.rank());
+        instance.ask_for(key, call.rank());
     }
 }
 
 async fn pass_on(
-    node: &Rc<FleetNode>,
+    instance: &Rc<FleetInstance>,
     call: Rc<CallerRequest>,
     progress: Progress,
     good: GoodAnswer,
@@ -515,8 +518,14 @@
     let status = good.answer.status;
     let headers = to_caller(&good.answer.headers);
     if call.route.is_stream && status.is_success() {
-        let stream =
-            relay::stream(node.clone(), call, progress, good, target, open);
+        let stream = relay::stream(
+            instance.clone(),
+            call,
+            progress,
+            good,
+            target,
+            open,
+        );
         let mut response = Response::new(stream);
         *response.status_mut() = status;
         *response.headers_mut() = headers;
@@ -533,7 +542,7 @@
             };
             request_log::served(&call, &progress, &target, &delivered);
             if status.is_success() {
-                poison::ended_well(node, &call);
+                poison::ended_well(instance, &call);
             }
             let mut response = Response::new(LocalBody::whole(body));
             *response.status_mut() = status;
@@ -544,11 +553,11 @@
             let reason = match &whole {
                 Ok(Err(err)) => {
                     let cause = err.to_string();
-                    poison::run_broke(node, &call, &target, &cause);
+                    poison::run_broke(instance, &call, &target, &cause);
                     Reason::OutcomeUnknown
                 }
                 _ => {
-                    poison::run_lost(node, &call, Loss::Broken);
+                    poison::run_lost(instance, &call, Loss::Broken);
                     Reason::TimedOut
                 }
             };
--- a/crates/sedgewalld/src/fleet/catch_up.rs
+++ b/crates/sedgewalld/src/fleet/catch_up.rs
@@ -18,7 +18,7 @@
 };
 
 use super::{
-    instance::FleetNode,
+    instance::FleetInstance,
     notes, poison,
     watch_configuration::{Source, put_in_force},
 };
@@ -61,42 +61,46 @@
 }
 
 /// Asks for what is missed, for ever.
-pub(crate) async fn run(node: Rc<FleetNode>) {
+pub(crate) async fn run(instance: Rc<FleetInstance>) {
     loop {
-        let own = node.knowledge();
-        match next_step(&node, own) {
-            Step::Idle => node.catch_up_notified(REST).await,
+        let own = instance.knowledge();
+        match next_step(&instance, own) {
+            Step::Idle => instance.catch_up_notified(REST).await,
             Step::Wait(until) => {
                 let now = Instant::now();
                 let pause = until.saturating_duration_since(now);
-                node.catch_up_notified(pause).await;
+                instance.catch_up_notified(pause).await;
             }
-            Step::Fetch(whom) => ask_one(&node, &whom, own).await,
+            Step::Fetch(whom) => ask_one(&instance, &whom, own).await,
         }
     }
 }
 
-fn next_step(node: &FleetNode, own: StateSummary) -> Step {
-    let others = node.peers.borrow().len();
-    let mut catch_up = node.catch_up.borrow_mut();
+fn next_step(instance: &FleetInstance, own: StateSummary) -> Step {
+    let others = instance.peers.borrow().len();
+    let mut catch_up = instance.catch_up.borrow_mut();
     catch_up.step(own, others, rand::random(), Instant::now())
 }
 
-async fn ask_one(node: &FleetNode, whom: &InstanceId, own: StateSummary) {
+async fn ask_one(
+    instance: &FleetInstance,
+    whom: &InstanceId,
+    own: StateSummary,
+) {
     let began = Instant::now();
-    let asked = compio::time::timeout(ANSWER_TIME, ask(node, whom, own));
+    let asked = compio::time::timeout(ANSWER_TIME, ask(instance, whom, own));
     let answer = asked.await.unwrap_or(Err(AskError::Unanswered));
     let took_ms = began.elapsed().as_millis() as u64;
     match answer {
         Ok((missed, bytes)) => {
-            let is_news = take_in(node, missed);
-            let read = &node.configuration_read;
+            let is_news = take_in(instance, missed);
+            let read = &instance.configuration_read;
             read.set(read.get().max(Some(began)));
             tracing::info!(
                 event = "caught_up",
                 from = whom,
                 had = own.configuration,
-                configuration = node.configuration_version(),
+                configuration = instance.configuration_version(),
                 is_news,
                 bytes,
                 took_ms,
@@ -115,18 +119,18 @@
             );
         }
     }
-    let mut catch_up = node.catch_up.borrow_mut();
+    let mut catch_up = instance.catch_up.borrow_mut();
     catch_up.fetch_failed(whom, Instant::now());
 }
 
 async fn ask(
-    node: &FleetNode,
+    instance: &FleetInstance,
     whom: &InstanceId,
     own: StateSummary,
 ) -> Result<(StateDelta, usize), AskError> {
-    let address = node.address_of(whom).ok_or(AskError::Unknown)?;
+    let address = instance.address_of(whom).ok_or(AskError::Unknown)?;
     let request = question(address, own)?;
-    let sent = node.peer_pool.send(address, request, CONNECT_TIME).await;
+    let sent = instance.peer_pool.send(address, request, CONNECT_TIME).await;
     let answer = sent.map_err(AskError::Unreachable)?;
     if answer.status != StatusCode::OK {
         return Err(AskError::Refused(answer.status));
@@ -151,37 +155,40 @@
 }
 
 /// Takes in what another instance has; returns whether any of it is news.
-fn take_in(node: &FleetNode, missed: StateDelta) -> bool {
-    let before = node.knowledge();
+fn take_in(instance: &FleetInstance, missed: StateDelta) -> bool {
+    let before = instance.knowledge();
     let now = Instant::now();
     if let Some(routing) = missed.deployment {
-        put_in_force(node, routing, Source::Instance);
+        put_in_force(instance, routing, Source::Instance);
     }
     for (key, version) in &missed.versions {
-        node.name_version(key, *version);
+        instance.name_version(key, *version);
     }
     for departure in &missed.departures {
-        notes::hear_departure(node, departure, now);
+        notes::hear_departure(instance, departure, now);
     }
     for condemned in &missed.condemned {
-        poison::take_in(node, condemned, "instance");
+        poison::take_in(instance, condemned, "instance");
     }
-    node.knowledge().has_more_than(before)
+    instance.knowledge().has_more_than(before)
 }
 
 /// Answers other instances, for ever.
-pub(crate) async fn answer_others(node: Rc<FleetNode>, listener: TcpListener) {
+pub(crate) async fn answer_others(
+    instance: Rc<FleetInstance>,
+    listener: TcpListener,
+) {
     let limits = ServerLimits {
         connections: ANSWERED_AT_ONCE,
         header_time: QUESTION_TIME,
     };
     let handler: Handler =
-        Rc::new(move |request| Box::pin(answer(node.clone(), request)));
+        Rc::new(move |request| Box::pin(answer(instance.clone(), request)));
     serve(listener, limits, handler).await;
 }
 
 async fn answer(
-    node: Rc<FleetNode>,
+    instance: Rc<FleetInstance>,
     request: Request<Incoming>,
 ) -> Response<LocalBody> {
     let (head, body) = request.into_parts();
@@ -198,7 +205,7 @@
         Ok(Ok(known)) => known,
         Ok(Err(_)) | Err(_) => return status(StatusCode::BAD_REQUEST),
     };
-    match rmp_serde::to_vec(&missed_by(&node, known)) {
+    match rmp_serde::to_vec(&missed_by(&instance, known)) {
         Ok(body) => {
             let mut response = Response::new(LocalBody::whole(body));
             // One question a connection, so that those that rest take no place.
@@ -214,11 +221,11 @@
 }
 
 /// Returns what an instance misses that knows so much.
-fn missed_by(node: &FleetNode, known: StateSummary) -> StateDelta {
+fn missed_by(instance: &FleetInstance, known: StateSummary) -> StateDelta {
     let newer = |version| version > known.configuration;
-    let routing = node.routing().filter(|d| newer(d.version));
-    let condemned = node.poison.borrow().condemned(Instant::now());
-    let view = node.view.borrow();
+    let routing = instance.routing().filter(|d| newer(d.version));
+    let condemned = instance.poison.borrow().condemned(Instant::now());
+    let view = instance.view.borrow();
     let versions = match view.versions_announced() > known.versions {
         true => view.newest_versions().map(|(k, v)| (k.clone(), v)).collect(),
         false => Vec::new(),
--- a/crates/sedgewalld/src/fleet/daemon.rs
+++ b/crates/sedgewalld/src/fleet/daemon.rs
@@ -16,7 +16,7 @@
 
 use super::{
     caller, catch_up,
-    instance::{FleetNode, Stage},
+    instance::{FleetInstance, Stage},
     keys, leader, lease, list_watch,
     log_buffer::LogBuffer,
     note_sender, notes,
@@ -68,62 +68,69 @@
     let callers = bind(settings.caller_listen).await?;
     let operators = bind(settings.operator_listen).await?;
     let others = bind(settings.peer_listen).await?;
-    let node = FleetNode::new(settings, fleet, store);
+    let instance = FleetInstance::new(settings, fleet, store);
     let (sender, receiver) =
-        note_sender::open(&node).map_err(|source| DaemonError::Listen {
-            address: node.settings.peer_listen.to_string(),
-            source,
+        note_sender::open(&instance).map_err(|source| {
+            DaemonError::Listen {
+                address: instance.settings.peer_listen.to_string(),
+                source,
+            }
         })?;
     tracing::info!(
         event = "start",
-        instance = node.id(),
-        incarnation = node.incarnation,
-        zone = node.settings.zone,
-        callers = %node.settings.caller_listen,
-        operators = %node.settings.operator_listen,
-        notes = %node.settings.peer_listen,
+        instance = instance.id(),
+        incarnation = instance.incarnation,
+        zone = instance.settings.zone,
+        callers = %instance.settings.caller_listen,
+        operators = %instance.settings.operator_listen,
+        notes = %instance.settings.peer_listen,
         store = %store,
         version = env!("CARGO_PKG_VERSION"),
     );
     let (stopping, stop) = stop_signal();
-    let orders = Orders::new(node.clone(), sender.clone());
+    let orders = Orders::new(instance.clone(), sender.clone());
     compio::runtime::spawn(log.clone().run()).detach();
-    start_to_follow(&node);
+    start_to_follow(&instance);
     compio::runtime::spawn(notes::receive(
-        node.clone(),
+        instance.clone(),
         sender.clone(),
         receiver,
     ))
     .detach();
-    compio::runtime::spawn(catch_up::run(node.clone())).detach();
-    compio::runtime::spawn(catch_up::answer_others(node.clone(), others))
+    compio::runtime::spawn(catch_up::run(instance.clone())).detach();
+    compio::runtime::spawn(catch_up::answer_others(instance.clone(), others))
         .detach();
-    compio::runtime::spawn(keys::stay_sure(node.clone(), sender.clone()))
+    compio::runtime::spawn(keys::stay_sure(instance.clone(), sender.clone()))
         .detach();
-    compio::runtime::spawn(notes::tell(node.clone(), sender)).detach();
-    compio::runtime::spawn(lease::run(node.clone())).detach();
-    compio::runtime::spawn(leader::run(node.clone(), orders)).detach();
-    compio::runtime::spawn(serve_callers(node.clone(), callers, stop))
+    compio::runtime::spawn(notes::tell(instance.clone(), sender)).detach();
+    compio::runtime::spawn(lease::run(instance.clone())).detach();
+    compio::runtime::spawn(leader::run(instance.clone(), orders)).detach();
+    compio::runtime::spawn(serve_callers(instance.clone(), callers, stop))
         .detach();
-    if let Some(address) = node.fleet.metrics_listen {
-        spawn_metrics(&node, address, metrics.clone()).await;
+    if let Some(address) = instance.fleet.metrics_listen {
+        spawn_metrics(&instance, address, metrics.clone()).await;
     }
-    compio::runtime::spawn(serve_operators(node.clone(), operators, metrics))
-        .detach();
+    compio::runtime::spawn(serve_operators(
+        instance.clone(),
+        operators,
+        metrics,
+    ))
+    .detach();
     wait_for_stop(signals).await;
-    finish(&node, stopping).await;
+    finish(&instance, stopping).await;
     log.flush();
     Ok(())
 }
 
-fn start_to_follow(node: &Rc<FleetNode>) {
-    list_watch::spawn(node, Configuration(node.clone()));
-    list_watch::spawn(node, Endpoints::new(node));
-    list_watch::spawn(node, Versions(node.clone()));
-    list_watch::spawn(node, Instances(node.clone()));
-    list_watch::spawn(node, PoisonRequests::new(node));
-    compio::runtime::spawn(watch_poison::keep_records(node.clone())).detach();
-    compio::runtime::spawn(announce(node.clone())).detach();
+fn start_to_follow(instance: &Rc<FleetInstance>) {
+    list_watch::spawn(instance, Configuration(instance.clone()));
+    list_watch::spawn(instance, Endpoints::new(instance));
+    list_watch::spawn(instance, Versions(instance.clone()));
+    list_watch::spawn(instance, Instances(instance.clone()));
+    list_watch::spawn(instance, PoisonRequests::new(instance));
+    compio::runtime::spawn(watch_poison::keep_records(instance.clone()))
+        .detach();
+    compio::runtime::spawn(announce(instance.clone())).detach();
 }
 
 fn store_address(url: &str) -> Result<SocketAddr, DaemonError> {
@@ -139,14 +146,14 @@
 }
 
 async fn serve_callers(
-    node: Rc<FleetNode>,
+    instance: Rc<FleetInstance>,
     listener: TcpListener,
     stop: Stop,
 ) {
-    let connections = node.settings.limits.connections;
+    let connections = instance.settings.limits.connections;
     let limits = ServerLimits { connections, header_time: REST_TIME };
     let handler: Handler = Rc::new(move |request| {
-        Box::pin(caller::answer(node.clone(), request))
+        Box::pin(caller::answer(instance.clone(), request))
     });
     serve_until(listener, limits, handler, stop).await;
 }
@@ -154,13 +161,13 @@
 /// Serves metrics at an address of their own. Requests are served also where
 /// that address cannot be had.
 async fn spawn_metrics(
-    node: &Rc<FleetNode>,
+    instance: &Rc<FleetInstance>,
     address: SocketAddr,
     metrics: PrometheusHandle,
 ) {
     match bind(address).await {
         Ok(listener) => {
-            let serving = serve_operators(node.clone(), listener, metrics);
+            let serving = serve_operators(instance.clone(), listener, metrics);
             compio::runtime::spawn(serving).detach();
         }
         Err(err) => {
@@ -171,51 +178,51 @@
 }
 
 async fn serve_operators(
-    node: Rc<FleetNode>,
+    instance: Rc<FleetInstance>,
     listener: TcpListener,
     metrics: PrometheusHandle,
 ) {
     let connections = OPERATOR_CONNECTIONS;
     let limits = ServerLimits { connections, header_time: REST_TIME };
     let handler: Handler = Rc::new(move |request| {
-        let response = operator_answer(&node, &metrics, &request);
+        let response = operator_answer(&instance, &metrics, &request);
         Box::pin(async move { response })
     });
     serve(listener, limits, handler).await;
 }
 
 fn operator_answer(
-    node: &FleetNode,
+    instance: &FleetInstance,
     metrics: &PrometheusHandle,
     request: &Request<Incoming>,
 ) -> Response<LocalBody> {
     match request.uri().path() {
         "/healthz" => responses::text(StatusCode::OK, "live\n"),
-        "/readyz" if node.takes_requests() => {
+        "/readyz" if instance.takes_requests() => {
             responses::text(StatusCode::OK, "ready\n")
         }
         "/readyz" => {
             responses::text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
         }
         "/metrics" => {
-            note_gauges(node);
+            note_gauges(instance);
             responses::text(StatusCode::OK, metrics.render())
         }
         _ => responses::text(StatusCode::NOT_FOUND, "no such path\n"),
     }
 }
 
-fn note_gauges(node: &FleetNode) {
-    metrics::gauge!("sedgewall_requests_open").set(node.open.get() as f64);
+fn note_gauges(instance: &FleetInstance) {
+    metrics::gauge!("sedgewall_requests_open").set(instance.open.get() as f64);
     let resident = process::resident_bytes();
     metrics::gauge!("sedgewall_resident_bytes").set(resident as f64);
     let cpu_s = process::cpu_ms() as f64 / 1_000.0;
     metrics::gauge!("sedgewall_cpu_seconds").set(cpu_s);
     metrics::counter!("sedgewall_store_calls_total")
-        .absolute(node.store.calls());
+        .absolute(instance.store.calls());
     metrics::counter!("sedgewall_endpoint_connections_total")
-        .absolute(node.pool.opened());
-    let leads = node.current_lease(Instant::now()).is_some();
+        .absolute(instance.pool.opened());
+    let leads = instance.current_lease(Instant::now()).is_some();
     metrics::gauge!("sedgewall_leads").set(f64::from(u8::from(leads)));
 }
 
@@ -234,18 +241,19 @@
 
 /// Leaves: the balancer is told, then connections end with their requests.
 async fn finish(
-    node: &FleetNode,
+    instance: &FleetInstance,
     stopping: futures_channel::oneshot::Sender<()>,
 ) {
     let began = Instant::now();
-    tracing::info!(event = "stop", open = node.open.get());
-    node.stage.set(Stage::Leaving);
-    node.leaving_since.set(Some(began));
+    tracing::info!(event = "stop", open = instance.open.get());
+    instance.stage.set(Stage::Leaving);
+    instance.leaving_since.set(Some(began));
     compio::time::sleep(BALANCER_GRACE).await;
     drop(stopping);
-    let grace = Duration::from_secs_f64(node.fleet.grace_s);
+    let grace = Duration::from_secs_f64(instance.fleet.grace_s);
     let end = began + grace.saturating_sub(STOP_MARGIN);
-    let has_duties = || node.open.get() > 0 || node.held.get().is_some();
+    let has_duties =
+        || instance.open.get() > 0 || instance.held.get().is_some();
     while has_duties() && Instant::now() < end {
         compio::time::sleep(DRAIN_LOOK).await;
     }
@@ -253,7 +261,7 @@
     compio::time::sleep(DRAIN_LOOK).await;
     tracing::info!(
         event = "stopped",
-        cut_off = node.open.get(),
+        cut_off = instance.open.get(),
         took_ms = began.elapsed().as_millis() as u64,
     );
 }
--- a/crates/sedgewalld/src/fleet/in_flight.rs
+++ b/crates/sedgewalld/src/fleet/in_flight.rs
@@ -6,7 +6,7 @@
 use sedgewall_fleet::adapter::AdapterKey;
 use sedgewall_state::id::EndpointId;
 
-use super::instance::FleetNode;
+use super::instance::FleetInstance;
 
 /// A prompt that an engine reads for this long is told of at once: with fewer
 /// notes, others send to the same engine; a note for each
@@ -15,7 +15,7 @@
 
 /// A request under way at an endpoint; dropping it counts it out.
 pub(crate) struct UnderWay {
-    node: Rc<FleetNode>,
+    instance: Rc<FleetInstance>,
     endpoint: EndpointId,
     key: Option<AdapterKey>,
     /// Tokens of its prompt that still count as unread.
@@ -27,12 +27,12 @@
 
 impl UnderWay {
     pub(crate) fn begin(
-        node: &Rc<FleetNode>,
+        instance: &Rc<FleetInstance>,
         endpoint: &EndpointId,
         key: Option<&AdapterKey>,
         prompt_tokens: u64,
     ) -> UnderWay {
-        let mut view = node.view.borrow_mut();
+        let mut view = instance.view.borrow_mut();
         let reads_for = view.prefill_time(endpoint, prompt_tokens);
         let mut load = 0.0;
         if let Some(state) = view.get_mut(endpoint) {
@@ -41,15 +41,15 @@
         }
         drop(view);
         if reads_for >= LARGE_PROMPT {
-            node.has_untold_work.set(true);
+            instance.has_untold_work.set(true);
         }
         if key.is_some() {
             // The holder must hear of the adapter before it removes it.
-            node.has_untold_sends.set(true);
-            node.notify_notes();
+            instance.has_untold_sends.set(true);
+            instance.notify_notes();
         }
         UnderWay {
-            node: node.clone(),
+            instance: instance.clone(),
             endpoint: endpoint.clone(),
             key: key.cloned(),
             unread_tokens: prompt_tokens,
@@ -61,7 +61,7 @@
     /// Notes that the answer has begun, so the prompt was read.
     pub(crate) fn answer_begins(&mut self) {
         let read_tokens = std::mem::take(&mut self.unread_tokens);
-        let mut view = self.node.view.borrow_mut();
+        let mut view = self.instance.view.borrow_mut();
         if let Some(state) = view.get_mut(&self.endpoint) {
             state.own_work.prompt_read(read_tokens);
         }
@@ -71,7 +71,7 @@
 impl Drop for UnderWay {
     fn drop(&mut self) {
         self.answer_begins();
-        let mut view = self.node.view.borrow_mut();
+        let mut view = self.instance.view.borrow_mut();
         if let Some(state) = view.get_mut(&self.endpoint) {
             state.own_work.end(self.key.as_ref());
         }
@@ -83,12 +83,12 @@
 }
 
 /// A request that was read; dropping it counts it out.
-pub(crate) struct OpenRequest(Rc<FleetNode>);
+pub(crate) struct OpenRequest(Rc<FleetInstance>);
 
 impl OpenRequest {
-    pub(crate) fn begin(node: &Rc<FleetNode>) -> OpenRequest {
-        node.open.set(node.open.get() + 1);
-        OpenRequest(node.clone())
+    pub(crate) fn begin(instance: &Rc<FleetInstance>) -> OpenRequest {
+        instance.open.set(instance.open.get() + 1);
+        OpenRequest(instance.clone())
     }
 }
 
--- a/crates/sedgewalld/src/fleet/instance.rs
+++ b/crates/sedgewalld/src/fleet/instance.rs
@@ -125,7 +125,7 @@
 }
 
 /// What all parts of an instance share.
-pub(crate) struct FleetNode {
+pub(crate) struct FleetInstance {
     pub(crate) settings: Settings,
     pub(crate) fleet: FleetSettings,
     pub(crate) incarnation: Incarnation,
@@ -233,12 +233,12 @@
     pub(crate) askers: RefCell<HashMap<AdapterKey, BTreeSet<InstanceId>>>,
 }
 
-impl FleetNode {
+impl FleetInstance {
     pub(crate) fn new(
         settings: Settings,
         fleet: FleetSettings,
         store_address: SocketAddr,
-    ) -> Rc<FleetNode> {
+    ) -> Rc<FleetInstance> {
         let allowance = RetryAllowance {
             share: fleet.retry_share,
             slack: fleet.retry_slack,
@@ -251,7 +251,7 @@
         let revoke_within = fleet.revoke_within_ms.map(Duration::from_millis);
         let view = FleetView::new(&settings.zone);
         let pool = EndpointPool::new();
-        Rc::new(FleetNode {
+        Rc::new(FleetInstance {
             settings,
             fleet,
             incarnation: rand::random(),
@@ -511,7 +511,7 @@
         self.loader_notify.notify();
     }
 
-    /// Waits for [`FleetNode::notify_loader`], or for a time.
+    /// Waits for [`FleetInstance::notify_loader`], or for a time.
     pub(crate) async fn loader_notified(&self, within: Duration) {
         self.loader_notify.wait(within).await;
     }
@@ -521,7 +521,7 @@
         self.notes_notify.notify();
     }
 
-    /// Waits for [`FleetNode::notify_notes`], or for a time.
+    /// Waits for [`FleetInstance::notify_notes`], or for a time.
     pub(crate) async fn notes_notified(&self, within: Duration) {
         self.notes_notify.wait(within).await;
     }
--- a/crates/sedgewalld/src/fleet/keys.rs
+++ b/crates/sedgewalld/src/fleet/keys.rs
@@ -22,7 +22,7 @@
 };
 use sedgewall_state::id::InstanceId;
 
-use super::{instance::FleetNode, note_sender::NoteSender, notes};
+use super::{instance::FleetInstance, note_sender::NoteSender, notes};
 
 /// Instances that watch for all. Three may be cut off at once and one still
 /// answers.
@@ -87,107 +87,116 @@
 
 /// Returns how long the next watch of the configuration waits, if this instance is
 /// one of those that watch for all.
-pub(crate) fn own_watch(node: &FleetNode) -> Option<Duration> {
-    let is_watching = node.has_customers() && node.rank(0) < WATCHERS;
-    node.keys.is_watching.set(is_watching);
-    let wait = node.keys.known.get().watch_timeout(Instant::now());
+pub(crate) fn own_watch(instance: &FleetInstance) -> Option<Duration> {
+    let is_watching = instance.has_customers() && instance.rank(0) < WATCHERS;
+    instance.keys.is_watching.set(is_watching);
+    let wait = instance.keys.known.get().watch_timeout(Instant::now());
     wait.filter(|_| is_watching)
 }
 
 /// Asks those that watch, and the store where that is not enough, for ever.
-pub(crate) async fn stay_sure(node: Rc<FleetNode>, sender: Rc<NoteSender>) {
+pub(crate) async fn stay_sure(
+    instance: Rc<FleetInstance>,
+    sender: Rc<NoteSender>,
+) {
     loop {
-        let pause = ask_in(&node).unwrap_or(LOOK_EVERY);
+        let pause = ask_in(&instance).unwrap_or(LOOK_EVERY);
         compio::time::sleep(pause).await;
-        if ask_in(&node) != Some(Duration::ZERO) {
+        if ask_in(&instance) != Some(Duration::ZERO) {
             continue;
         }
         let now = Instant::now();
-        if node.keys.known.get().is_read_due(now) {
-            read_anew(&node, now);
+        if instance.keys.known.get().is_read_due(now) {
+            read_anew(&instance, now);
         }
-        ask(&node, &sender, now);
+        ask(&instance, &sender, now);
     }
 }
 
 /// Returns when to ask, if this instance does.
-fn ask_in(node: &FleetNode) -> Option<Duration> {
-    let asks = node.has_customers() && !node.keys.is_watching.get();
-    let asking = node.keys.asking.borrow();
-    let due = node.keys.known.get().next_poll_in(&asking, Instant::now());
+fn ask_in(instance: &FleetInstance) -> Option<Duration> {
+    let asks = instance.has_customers() && !instance.keys.is_watching.get();
+    let asking = instance.keys.asking.borrow();
+    let due = instance.keys.known.get().next_poll_in(&asking, Instant::now());
     due.filter(|_| asks)
 }
 
 /// Makes the configuration be listed with all that was acknowledged.
-fn read_anew(node: &FleetNode, now: Instant) {
-    let keys = &node.keys;
+fn read_anew(instance: &FleetInstance, now: Instant) {
+    let keys = &instance.keys;
     if keys.read_at.get().is_some_and(|at| now < at + READ_AGAIN) {
         return;
     }
     keys.read_at.set(Some(now));
-    node.is_configuration_behind.set(true);
-    node.configuration_notify.notify();
+    instance.is_configuration_behind.set(true);
+    instance.configuration_notify.notify();
 }
 
-fn ask(node: &FleetNode, sender: &NoteSender, now: Instant) {
-    let watchers = node.largest_peers(WATCHERS);
-    let mut asking = node.keys.asking.borrow_mut();
+fn ask(instance: &FleetInstance, sender: &NoteSender, now: Instant) {
+    let watchers = instance.largest_peers(WATCHERS);
+    let mut asking = instance.keys.asking.borrow_mut();
     let number = asking.start(now);
     let Some(whom) = watchers.get(asking.next_target(watchers.len())) else {
         return;
     };
-    let from = node.id().clone();
-    *node.keys.asked.borrow_mut() = Some(whom.clone());
-    sender.send_to_peer(node, whom, &Note::FreshnessQuery { from, number });
+    let from = instance.id().clone();
+    *instance.keys.asked.borrow_mut() = Some(whom.clone());
+    sender.send_to_peer(
+        instance,
+        whom,
+        &Note::FreshnessQuery { from, number },
+    );
 }
 
 /// Gets a newer configuration from an instance that has it; the next question says
 /// whether that is the newest. From the store it is read once what is known is old.
 fn behind(
-    node: &FleetNode,
+    instance: &FleetInstance,
     whom: Option<&InstanceId>,
     configuration: ConfigurationVersion,
     now: Instant,
 ) {
-    let Some(whom) = whom else { return read_anew(node, now) };
-    let told = StateSummary { configuration, ..node.knowledge() };
-    notes::hear_knowledge(node, whom, told, now);
-    node.notify_catch_up();
+    let Some(whom) = whom else { return read_anew(instance, now) };
+    let told = StateSummary { configuration, ..instance.knowledge() };
+    notes::hear_knowledge(instance, whom, told, now);
+    instance.notify_catch_up();
 }
 
 /// Answers another instance.
 pub(crate) fn answer(
-    node: &FleetNode,
+    instance: &FleetInstance,
     sender: &NoteSender,
     from: &InstanceId,
     number: u64,
 ) {
-    let Some(age) = node.keys.known.get().age(Instant::now()) else { return };
+    let Some(age) = instance.keys.known.get().age(Instant::now()) else {
+        return;
+    };
     let answer = Note::FreshnessAnswer {
         number,
         // Rounded up: what is said to be known must be.
         age_ms: age.as_millis() as u64 + 1,
-        configuration: node.configuration_version().unwrap_or(0),
+        configuration: instance.configuration_version().unwrap_or(0),
     };
-    sender.send_to_peer(node, from, &answer);
+    sender.send_to_peer(instance, from, &answer);
 }
 
 /// Hears an answer. Where a newer version is in force there, that is asked for first.
 pub(crate) fn hear(
-    node: &FleetNode,
+    instance: &FleetInstance,
     number: u64,
     age_ms: u64,
     configuration: u64,
 ) {
     let now = Instant::now();
-    let known = node.configuration_version().unwrap_or(0);
+    let known = instance.configuration_version().unwrap_or(0);
     if configuration > known {
-        let whom = node.keys.asked.borrow().clone();
-        return behind(node, whom.as_ref(), configuration, now);
+        let whom = instance.keys.asked.borrow().clone();
+        return behind(instance, whom.as_ref(), configuration, now);
     }
     let age = Duration::from_millis(age_ms);
-    let until = node.keys.asking.borrow_mut().record_answer(number, age);
+    let until = instance.keys.asking.borrow_mut().record_answer(number, age);
     if let Some(until) = until {
-        node.keys.confirm(until);
+        instance.keys.confirm(until);
     }
 }
--- a/crates/sedgewalld/src/fleet/knowledge.rs
+++ b/crates/sedgewalld/src/fleet/knowledge.rs
@@ -12,9 +12,9 @@
     route::RoutingConfiguration,
 };
 
-use super::instance::FleetNode;
+use super::instance::FleetInstance;
 
-impl FleetNode {
+impl FleetInstance {
     /// Returns the time within which an acknowledged change must be in force.
     pub(crate) fn in_force_within(&self) -> Duration {
         Duration::from_millis(self.fleet.in_force_within_ms)
@@ -100,7 +100,7 @@
         self.catch_up_notify.notify();
     }
 
-    /// Waits for [`FleetNode::notify_catch_up`], or for a time.
+    /// Waits for [`FleetInstance::notify_catch_up`], or for a time.
     pub(crate) async fn catch_up_notified(&self, within: Duration) {
         self.catch_up_notify.wait(within).await;
     }
--- a/crates/sedgewalld/src/fleet/leader.rs
+++ b/crates/sedgewalld/src/fleet/leader.rs
@@ -7,7 +7,7 @@
     load_rate_limiter::LoadRateLimiter, placement::PlacementPlanner,
 };
 
-use super::{instance::FleetNode, orders::Orders};
+use super::{instance::FleetInstance, orders::Orders};
 use crate::process;
 
 /// How often the holder looks at demand when nothing waits.
@@ -25,23 +25,23 @@
 const FORGET_EVERY: Duration = Duration::from_secs(1);
 
 /// Decides and gives orders, for ever.
-pub(crate) async fn run(node: Rc<FleetNode>, orders: Orders) {
+pub(crate) async fn run(instance: Rc<FleetInstance>, orders: Orders) {
     let mut last_forgotten = Instant::now();
     let mut epoch = None;
     loop {
-        node.loader_notified(LOOK_EVERY).await;
+        instance.loader_notified(LOOK_EVERY).await;
         let now = Instant::now();
         if now - last_forgotten >= FORGET_EVERY {
             last_forgotten = now;
-            node.demand.borrow_mut().forget(now);
-            node.load_times.borrow_mut().forget(now);
+            instance.demand.borrow_mut().forget(now);
+            instance.load_times.borrow_mut().forget(now);
             orders.forget_gone();
-            forget_askers(&node, now);
-            log_state(&node, &orders, now);
+            forget_askers(&instance, now);
+            log_state(&instance, &orders, now);
         }
-        let Some(held) = node.current_lease(now) else {
+        let Some(held) = instance.current_lease(now) else {
             if epoch.take().is_some() {
-                node.view.borrow_mut().stop_ordering(now);
+                instance.view.borrow_mut().stop_ordering(now);
             }
             continue;
         };
@@ -50,19 +50,21 @@
         }
         if epoch != Some(held.epoch) {
             epoch = Some(held.epoch);
-            node.view.borrow_mut().stop_ordering(now);
-            let window = Duration::from_secs_f64(node.fleet.store_window_s);
-            let rate = LoadRateLimiter::new(window, node.fleet.store_overage);
+            instance.view.borrow_mut().stop_ordering(now);
+            let window =
+                Duration::from_secs_f64(instance.fleet.store_window_s);
+            let rate =
+                LoadRateLimiter::new(window, instance.fleet.store_overage);
             let loader = PlacementPlanner::new(held.epoch, rate, now);
             *orders.loader.borrow_mut() = Some(loader);
         }
-        let Some(routing) = node.routing() else { continue };
+        let Some(routing) = instance.routing() else { continue };
         let planned = match orders.loader.borrow_mut().as_mut() {
             Some(loader) => loader.plan(
                 &routing,
-                &mut node.view.borrow_mut(),
-                &mut node.demand.borrow_mut(),
-                &mut node.load_times.borrow_mut(),
+                &mut instance.view.borrow_mut(),
+                &mut instance.demand.borrow_mut(),
+                &mut instance.load_times.borrow_mut(),
                 now,
             ),
             None => continue,
@@ -74,22 +76,23 @@
 }
 
 /// Forgets who asked for what nobody waits for any more.
-fn forget_askers(node: &FleetNode, now: Instant) {
-    let demand = node.demand.borrow();
-    node.askers
+fn forget_askers(instance: &FleetInstance, now: Instant) {
+    let demand = instance.demand.borrow();
+    instance
+        .askers
         .borrow_mut()
         .retain(|key, _| demand.get(key).is_some_and(|d| d.has_waiting(now)));
 }
 
 /// One line a second: what is asked for and what the engines hold.
-fn log_state(node: &FleetNode, orders: &Orders, now: Instant) {
-    if node.current_lease(now).is_none() {
+fn log_state(instance: &FleetInstance, orders: &Orders, now: Instant) {
+    if instance.current_lease(now).is_none() {
         return;
     }
-    let Some(routing) = node.routing() else { return };
-    let demand = node.demand.borrow();
-    let view = node.view.borrow();
-    let mut times = node.load_times.borrow_mut();
+    let Some(routing) = instance.routing() else { return };
+    let demand = instance.demand.borrow();
+    let view = instance.view.borrow();
+    let mut times = instance.load_times.borrow_mut();
     let (pace, on_way) = (times.estimate(), times.in_flight(now));
     for (service, group) in routing.engines() {
         let engines =
@@ -119,8 +122,8 @@
             loads_at_once = pace.concurrency,
             loads_on_way = on_way,
             load_answers = times.observations(),
-            notes_heard = node.work.notes_heard.get(),
-            asked_heard = node.work.asked_heard.get(),
+            notes_heard = instance.work.notes_heard.get(),
+            asked_heard = instance.work.asked_heard.get(),
             cpu_ms = process::cpu_ms(),
         );
     }
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -21,7 +21,7 @@
 };
 
 use super::{
-    instance::{FleetNode, HeldLease, Stage},
+    instance::{FleetInstance, HeldLease, Stage},
     lease_store::{self, Way},
 };
 
@@ -82,23 +82,24 @@
 const LONGEST_CUT: Duration = Duration::from_secs(15);
 
 /// Takes the lease when nobody holds it, and keeps it, for ever.
-pub(crate) async fn run(node: Rc<FleetNode>) {
-    let turn = Duration::from_millis(node.fleet.order_turn_ms) + TURN_MARGIN;
+pub(crate) async fn run(instance: Rc<FleetInstance>) {
+    let turn =
+        Duration::from_millis(instance.fleet.order_turn_ms) + TURN_MARGIN;
     let mut turns = Turns::new(turn);
-    wait_for_peers(&node).await;
+    wait_for_peers(&instance).await;
     let mut watching = new_lease();
     loop {
         compio::time::sleep(LOOK_EVERY).await;
-        if !may_challenge(&node) {
+        if !may_challenge(&instance) {
             continue;
         }
-        compio::time::sleep(rank_wait(&node)).await;
-        if !may_challenge(&node) {
+        compio::time::sleep(rank_wait(&instance)).await;
+        if !may_challenge(&instance) {
             continue;
         }
-        if let Some(taken) = take(&node, watching).await {
-            let kept = begin(&node, taken, &mut turns);
-            keep(&node, kept).await;
+        if let Some(taken) = take(&instance, watching).await {
+            let kept = begin(&instance, taken, &mut turns);
+            keep(&instance, kept).await;
         }
         watching = new_lease();
     }
@@ -107,28 +108,29 @@
 /// Waits until the others are known, by which an instance knows its rank. All
 /// start at once, and one that knows nobody takes itself for the first: 195 of
 /// them read the record two or three times each, at the full price.
-async fn wait_for_peers(node: &FleetNode) {
+async fn wait_for_peers(instance: &FleetInstance) {
     let began = Instant::now();
-    while !node.has_listed_instances.get() && began.elapsed() < PEERS_TIME {
+    while !instance.has_listed_instances.get() && began.elapsed() < PEERS_TIME
+    {
         compio::time::sleep(LOOK_EVERY).await;
     }
-    if !node.fleet.has_run_before {
+    if !instance.fleet.has_run_before {
         // The others' entries are just being written.
         compio::time::sleep(FIRST_START).await;
     }
 }
 
 /// Returns whether this instance takes requests and hears no holder.
-fn may_challenge(node: &FleetNode) -> bool {
-    node.stage.get() == Stage::Ready
-        && node.live_leader(Instant::now()).is_none()
+fn may_challenge(instance: &FleetInstance) -> bool {
+    instance.stage.get() == Stage::Ready
+        && instance.live_leader(Instant::now()).is_none()
 }
 
 /// Returns what this instance waits for those of a higher rank.
-fn rank_wait(node: &FleetNode) -> Duration {
-    let leader = node.leader.borrow();
+fn rank_wait(instance: &FleetInstance) -> Duration {
+    let leader = instance.leader.borrow();
     let epoch = leader.as_ref().map_or(0, |leader| leader.epoch);
-    let rank = u32::try_from(node.rank(epoch)).unwrap_or(u32::MAX);
+    let rank = u32::try_from(instance.rank(epoch)).unwrap_or(u32::MAX);
     RANK_WAITS.saturating_mul(rank).min(LONGEST_RANK_WAIT)
 }
 
@@ -155,18 +157,19 @@
 /// Watches the record until it is free or somebody is heard to hold it, and
 /// tries to take it.
 async fn take(
-    node: &FleetNode,
+    instance: &FleetInstance,
     mut watching: Lease<Watching>,
 ) -> Option<Taken> {
     // Whoever holds the lease decides for all engines: a large instance takes
     // it first. Where somebody held it before, every moment counts more.
-    let handicap = SMALLEST_WAITS.mul_f64(1.0 - node.fleet.cpu_share.min(1.0));
+    let handicap =
+        SMALLEST_WAITS.mul_f64(1.0 - instance.fleet.cpu_share.min(1.0));
     let mut has_waited = false;
     loop {
-        if !may_challenge(node) {
+        if !may_challenge(instance) {
             return None;
         }
-        let stored = lease_store::read(node).await.ok()?;
+        let stored = lease_store::read(instance).await.ok()?;
         if stored.is_none() && !std::mem::replace(&mut has_waited, true) {
             compio::time::sleep(handicap).await;
             continue;
@@ -174,22 +177,23 @@
         let now = Instant::now();
         watching.observe(stored, now);
         let before = watching.seen().cloned();
-        let is_own =
-            before.as_ref().is_some_and(|record| record.holder == *node.id());
+        let is_own = before
+            .as_ref()
+            .is_some_and(|record| record.holder == *instance.id());
         if is_own || watching.is_free(now) {
-            let ended = ended_by(node, &watching, now);
-            let acquiring = watching.acquire(&candidate(node), now);
-            let lease = acquire(node, acquiring).await?;
+            let ended = ended_by(instance, &watching, now);
+            let acquiring = watching.acquire(&candidate(instance), now);
+            let lease = acquire(instance, acquiring).await?;
             return Some(Taken { lease, before, ended, sent: now });
         }
-        compio::time::sleep(LOOK_EVERY + rank_wait(node)).await;
+        compio::time::sleep(LOOK_EVERY + rank_wait(instance)).await;
     }
 }
 
 /// Returns when the lease that is free now had ended. One that was given up
 /// ended just before we saw so.
 fn ended_by(
-    node: &FleetNode,
+    instance: &FleetInstance,
     watching: &Lease<Watching>,
     now: Instant,
 ) -> Instant {
@@ -197,12 +201,12 @@
     if is_released {
         return now;
     }
-    let leader = node.leader.borrow();
+    let leader = instance.leader.borrow();
     let noted = leader.as_ref().map(|leader| leader.noted);
     // A holder goes on while all say that the store is out, we among them; then
     // what it said before that has not ended its lease. Waiting for the record
     // alone, for 30 s after an outage, let 2 s more pass without orders.
-    let contact = node.store_contact.borrow();
+    let contact = instance.store_contact.borrow();
     let noted = match contact.reported_outage(REPORT_VALID_FOR + WORD_TRAVELS)
     {
         ReportedOutage::Never => noted,
@@ -216,15 +220,15 @@
 }
 
 async fn acquire(
-    node: &FleetNode,
+    instance: &FleetInstance,
     acquiring: Lease<Acquiring>,
 ) -> Option<Lease<Held>> {
-    let answer = lease_store::write(node, acquiring.write()).await;
+    let answer = lease_store::write(instance, acquiring.write()).await;
     match acquiring.answer(answer, Instant::now()) {
         Acquired::Held(held) => Some(held),
         Acquired::Lost(_) => None,
         Acquired::Unclear(acquiring) => {
-            let stored = lease_store::read(node).await.ok()?;
+            let stored = lease_store::read(instance).await.ok()?;
             match acquiring.settle(stored, Instant::now()) {
                 Acquired::Held(held) => Some(held),
                 Acquired::Lost(_) | Acquired::Unclear(_) => None,
@@ -247,21 +251,21 @@
 }
 
 /// Renews the lease until it is lost or this instance leaves.
-async fn keep(node: &FleetNode, mut kept: Kept) {
+async fn keep(instance: &FleetInstance, mut kept: Kept) {
     loop {
         let now = Instant::now();
         if now >= kept.order_from {
             kept.lease.end_turn();
         }
-        let is_current =
-            kept.lease.is_current(now) || node.no_instance_reaches_store(now);
+        let is_current = kept.lease.is_current(now)
+            || instance.no_instance_reaches_store(now);
         if !is_current {
-            node.held.set(None);
+            instance.held.set(None);
             let epoch = kept.lease.epoch();
             tracing::warn!(event = "lease_lapsed", epoch);
             return;
         }
-        let before = node.held.replace(Some(HeldLease {
+        let before = instance.held.replace(Some(HeldLease {
             epoch: kept.lease.epoch(),
             renewal: kept.lease.record().renewal,
             current_until: kept.renewed + TIME_TO_LIVE,
@@ -269,19 +273,19 @@
         }));
         if before.is_none() {
             // The others must hear of it before they can ask for anything.
-            node.notify_notes();
+            instance.notify_notes();
         }
         let is_cut_long =
             kept.cut_since.is_some_and(|since| now - since >= LONGEST_CUT);
-        if is_cut_long || must_hand_over(node, now) {
-            return release(node, &kept.lease).await;
+        if is_cut_long || must_hand_over(instance, now) {
+            return release(instance, &kept.lease).await;
         }
         if !kept.lease.is_renewal_due(now) {
             compio::time::sleep(TICK).await;
             continue;
         }
-        let Some(renewed) = renew(node, kept).await else {
-            node.held.set(None);
+        let Some(renewed) = renew(instance, kept).await else {
+            instance.held.set(None);
             tracing::warn!(event = "lease_lost");
             return;
         };
@@ -292,13 +296,13 @@
 /// Returns whether this instance stops so soon that another must take the
 /// lease. Nobody gives orders for a turn after that, so it is done once and late:
 /// instances that stop one after the other would pass it on each time.
-fn must_hand_over(node: &FleetNode, now: Instant) -> bool {
-    let Some(since) = node.leaving_since.get() else { return false };
-    let grace = Duration::from_secs_f64(node.fleet.grace_s);
+fn must_hand_over(instance: &FleetInstance, now: Instant) -> bool {
+    let Some(since) = instance.leaving_since.get() else { return false };
+    let grace = Duration::from_secs_f64(instance.fleet.grace_s);
     now - since >= grace.saturating_sub(HAND_OVER)
 }
 
-fn begin(node: &FleetNode, taken: Taken, turns: &mut Turns) -> Kept {
+fn begin(instance: &FleetInstance, taken: Taken, turns: &mut Turns) -> Kept {
     let now = Instant::now();
     let takeover = Takeover {
         taken: taken.lease.record(),
@@ -310,7 +314,7 @@
         event = "lease_taken",
         epoch = taken.lease.epoch(),
         before = taken.before.map(|record| record.holder),
-        rank = node.rank(taken.lease.epoch() - 1),
+        rank = instance.rank(taken.lease.epoch() - 1),
         orders_in_ms =
             order_from.saturating_duration_since(now).as_millis() as u64,
     );
@@ -323,9 +327,9 @@
     }
 }
 
-async fn release(node: &FleetNode, lease: &Lease<Held>) {
-    node.held.set(None);
-    let (answer, _) = lease_store::renew(node, &lease.release()).await;
+async fn release(instance: &FleetInstance, lease: &Lease<Held>) {
+    instance.held.set(None);
+    let (answer, _) = lease_store::renew(instance, &lease.release()).await;
     let epoch = lease.epoch();
     tracing::info!(event = "lease_released", epoch, answer = ?answer);
 }
@@ -333,11 +337,11 @@
 /// Renews the lease once, our own way or through another instance. A renewal
 /// without an answer is sent again as it is, and counts from the first time: the
 /// store may have taken that one. Returns nothing if somebody else has the lease.
-async fn renew(node: &FleetNode, kept: Kept) -> Option<Kept> {
+async fn renew(instance: &FleetInstance, kept: Kept) -> Option<Kept> {
     let Kept { lease, renewed, order_from, renewal_sent, cut_since } = kept;
     let renewal = lease.renewal();
     let first_sent = renewal_sent.unwrap_or_else(Instant::now);
-    let (answer, way) = lease_store::renew(node, &renewal).await;
+    let (answer, way) = lease_store::renew(instance, &renewal).await;
     let Renewed::Held(lease) =
         lease.renewed(renewal, answer, first_sent, Instant::now())
     else {
@@ -360,17 +364,17 @@
     }
     // All see whether the store answers them: while it answers nobody, nobody
     // can take the lease.
-    node.outbox.borrow_mut().push(Note::ProbeStore);
-    node.notify_notes();
+    instance.outbox.borrow_mut().push(Note::ProbeStore);
+    instance.notify_notes();
     compio::time::sleep(FAILED_PAUSE).await;
     let renewal_sent = Some(first_sent);
     Some(Kept { lease, renewed, order_from, renewal_sent, cut_since })
 }
 
-fn candidate(node: &FleetNode) -> Candidate {
+fn candidate(instance: &FleetInstance) -> Candidate {
     Candidate {
-        instance: node.id().clone(),
-        incarnation: node.incarnation,
-        peer_url: node.settings.peer_listen.to_string(),
+        instance: instance.id().clone(),
+        incarnation: instance.incarnation,
+        peer_url: instance.settings.peer_listen.to_string(),
     }
 }
--- a/crates/sedgewalld/src/fleet/lease_store.rs
+++ b/crates/sedgewalld/src/fleet/lease_store.rs
@@ -20,7 +20,7 @@
 use sedgewall_state::id::InstanceId;
 use serde::Deserialize;
 
-use super::{instance::FleetNode, note_sender::NoteSender};
+use super::{instance::FleetInstance, note_sender::NoteSender};
 
 /// The kind of leases in the store.
 const LEASES_KIND: &str = "sedgewall-leases";
@@ -45,14 +45,14 @@
 
 /// Reads the record.
 pub(super) async fn read(
-    node: &FleetNode,
+    instance: &FleetInstance,
 ) -> Result<Option<StoredLease>, StoreError> {
     let sent = Instant::now();
-    let read = node.store.get(LEASES_KIND, ORDERS_LEASE).await;
+    let read = instance.store.get(LEASES_KIND, ORDERS_LEASE).await;
     // The holder counts on our word: who can read the record can take it.
     match &read {
-        Ok(_) => node.store_reached(),
-        Err(err) => node.store_failed(sent, err),
+        Ok(_) => instance.store_reached(),
+        Err(err) => instance.store_failed(sent, err),
     }
     Ok(read?.and_then(|object| decode(&object)))
 }
@@ -69,7 +69,7 @@
 
 /// Writes the record our own way.
 pub(super) async fn write(
-    node: &FleetNode,
+    instance: &FleetInstance,
     write: &LeaseWrite,
 ) -> WriteAnswer {
     let spec = match serde_json::to_value(&write.record) {
@@ -82,9 +82,9 @@
     let (kind, name) = (LEASES_KIND, ORDERS_LEASE);
     let written = match write.expected {
         Some(revision) => {
-            node.store.replace(kind, name, revision, &spec).await
+            instance.store.replace(kind, name, revision, &spec).await
         }
-        None => node.store.create(kind, name, &spec).await,
+        None => instance.store.create(kind, name, &spec).await,
     };
     match written {
         Ok(object) => WriteAnswer::Done(object.revision),
@@ -110,18 +110,18 @@
 /// the store; both at once while our own way is taken to be cut. The write is the
 /// same and bound to a revision, so it is done once however many send it.
 pub(super) async fn renew(
-    node: &FleetNode,
+    instance: &FleetInstance,
     renewal: &LeaseWrite,
 ) -> (WriteAnswer, Way) {
-    if !node.store_contact.borrow().is_unreachable() {
-        let answer = renew_own_way(node, renewal).await;
+    if !instance.store_contact.borrow().is_unreachable() {
+        let answer = renew_own_way(instance, renewal).await;
         if answer != WriteAnswer::Unclear {
             return (answer, Way::Own);
         }
-        return (renew_through_peers(node, renewal).await, Way::Peer);
+        return (renew_through_peers(instance, renewal).await, Way::Peer);
     }
-    let own = pin!(renew_own_way(node, renewal));
-    let peers = pin!(renew_through_peers(node, renewal));
+    let own = pin!(renew_own_way(instance, renewal));
+    let peers = pin!(renew_through_peers(instance, renewal));
     match future::select(own, peers).await {
         Either::Left((WriteAnswer::Unclear, peers)) => {
             (peers.await, Way::Peer)
@@ -132,25 +132,31 @@
     }
 }
 
-async fn renew_own_way(node: &FleetNode, renewal: &LeaseWrite) -> WriteAnswer {
+async fn renew_own_way(
+    instance: &FleetInstance,
+    renewal: &LeaseWrite,
+) -> WriteAnswer {
     let sent = Instant::now();
-    let written = compio::time::timeout(OWN_TIME, write(node, renewal)).await;
+    let written =
+        compio::time::timeout(OWN_TIME, write(instance, renewal)).await;
     let answer = written.unwrap_or(WriteAnswer::Unclear);
     match answer {
         WriteAnswer::Unclear => {
-            node.store_failed(sent, &StoreError::Unanswered);
+            instance.store_failed(sent, &StoreError::Unanswered);
+        }
+        WriteAnswer::Done(_) | WriteAnswer::Conflict => {
+            instance.store_reached()
         }
-        WriteAnswer::Done(_) | WriteAnswer::Conflict => node.store_reached(),
     }
     answer
 }
 
 async fn renew_through_peers(
-    node: &FleetNode,
+    instance: &FleetInstance,
     renewal: &LeaseWrite,
 ) -> WriteAnswer {
     let now = Instant::now();
-    let mut peers: Vec<InstanceId> = node
+    let mut peers: Vec<InstanceId> = instance
         .store_reports
         .borrow()
         .instances_reaching_store(now)
@@ -158,7 +164,7 @@
         .collect();
     peers.shuffle(&mut rand::rng());
     for asked in peers.chunks(PEERS_ASKED).take(ROUNDS) {
-        let answer = renew_through(node, asked, renewal).await;
+        let answer = renew_through(instance, asked, renewal).await;
         tracing::info!(
             event = "lease_renewed_through",
             peers = asked.join(","),
@@ -176,24 +182,24 @@
 /// cut off without our knowing: one by one, two in a row took 0.4 s of the 0.85 s
 /// that the lease leaves, and orders stood still for 3 s.
 async fn renew_through(
-    node: &FleetNode,
+    instance: &FleetInstance,
     peers: &[InstanceId],
     renewal: &LeaseWrite,
 ) -> WriteAnswer {
     let number = rand::random();
     let (tx, rx) = oneshot::channel();
-    *node.renewal.borrow_mut() = Some((number, tx));
+    *instance.renewal.borrow_mut() = Some((number, tx));
     let request = RenewalRequest {
-        from: node.id().clone(),
+        from: instance.id().clone(),
         number,
         write: renewal.clone(),
-        known_revision: node.view.borrow().newest_revision(),
+        known_revision: instance.view.borrow().newest_revision(),
     };
     for peer in peers {
         let note = Note::RenewalRequest(request.clone());
-        node.letters.borrow_mut().push((peer.clone(), note));
+        instance.letters.borrow_mut().push((peer.clone(), note));
     }
-    node.notify_notes();
+    instance.notify_notes();
     match compio::time::timeout(PEER_TIME, rx).await {
         Ok(Ok(answer)) => answer,
         Ok(Err(_)) | Err(_) => WriteAnswer::Unclear,
@@ -202,12 +208,12 @@
 
 /// Renews the lease for its holder, which cannot reach the store.
 pub(super) async fn renew_for(
-    node: &FleetNode,
+    instance: &FleetInstance,
     sender: &NoteSender,
     request: RenewalRequest,
 ) {
     let RenewalRequest { from, number, write, known_revision } = request;
-    let answer = self::write(node, &write).await;
+    let answer = self::write(instance, &write).await;
     tracing::info!(
         event = "lease_renewed_for",
         holder = from,
@@ -215,7 +221,7 @@
         renewal = write.record.renewal,
         answer = ?answer,
     );
-    let view = node.view.borrow();
+    let view = instance.view.borrow();
     let versions = view.newest_versions();
     let answer = RenewalAnswer {
         number,
@@ -223,7 +229,7 @@
         endpoints: view.entries_since(known_revision),
         versions: versions.map(|(key, v)| (key.clone(), v)).collect(),
     };
-    sender.send_to_peer(node, &from, &Note::RenewalAnswer(answer));
+    sender.send_to_peer(instance, &from, &Note::RenewalAnswer(answer));
 }
 
 /// Takes in what the store answered to another instance. An answer to an older
@@ -231,20 +237,20 @@
 ///
 /// What it knows of endpoints and versions counts in any case: a holder that saw
 /// none of 18 new engines for 7 s left 500 adapters waiting for the others' places.
-pub(super) fn hear_answer(node: &FleetNode, heard: RenewalAnswer) {
+pub(super) fn hear_answer(instance: &FleetInstance, heard: RenewalAnswer) {
     let now = Instant::now();
-    let mut view = node.view.borrow_mut();
+    let mut view = instance.view.borrow_mut();
     view.apply_entries(heard.endpoints, now);
     drop(view);
     for (key, version) in &heard.versions {
-        node.name_version(key, *version);
+        instance.name_version(key, *version);
     }
-    node.notify_loader();
+    instance.notify_loader();
     if heard.answer == WriteAnswer::Unclear {
         // Another one that was asked may know more.
         return;
     }
-    let mut waiting = node.renewal.borrow_mut();
+    let mut waiting = instance.renewal.borrow_mut();
     if waiting.as_ref().is_some_and(|(number, _)| *number == heard.number)
         && let Some((_, tx)) = waiting.take()
     {
--- a/crates/sedgewalld/src/fleet/list_watch.rs
+++ b/crates/sedgewalld/src/fleet/list_watch.rs
@@ -14,7 +14,7 @@
     store::{Change, Freshness, Listing, Revision},
 };
 
-use super::{instance::FleetNode, notify::Notify};
+use super::{instance::FleetInstance, notify::Notify};
 
 /// How long a watch waits, but for that of endpoints. Each call has a price, and what
 /// other instances know in a newer version is listed soon. It is well within the
@@ -70,13 +70,16 @@
 }
 
 /// Starts to follow one kind.
-pub(crate) fn spawn<F: Follower + 'static>(node: &Rc<FleetNode>, follower: F) {
-    compio::runtime::spawn(run(node.clone(), follower)).detach();
+pub(crate) fn spawn<F: Follower + 'static>(
+    instance: &Rc<FleetInstance>,
+    follower: F,
+) {
+    compio::runtime::spawn(run(instance.clone(), follower)).detach();
 }
 
 /// How far the following of one kind has come.
 struct Following<F> {
-    node: Rc<FleetNode>,
+    instance: Rc<FleetInstance>,
     follower: F,
     /// Where the next watch goes on; without it, all is listed.
     since: Option<Revision>,
@@ -89,10 +92,10 @@
     back_off: BackOff,
 }
 
-async fn run<F: Follower>(node: Rc<FleetNode>, follower: F) {
-    let in_force_within = node.in_force_within();
+async fn run<F: Follower>(instance: Rc<FleetInstance>, follower: F) {
+    let in_force_within = instance.in_force_within();
     let mut following = Following {
-        node,
+        instance,
         follower,
         since: None,
         list_freshness: Some(F::FIRST_LIST),
@@ -132,7 +135,7 @@
         self.follower.notify().clear();
         let freshness = self.next_list();
         let sent = Instant::now();
-        let listing = self.node.store.list(F::KIND, freshness).await?;
+        let listing = self.instance.store.list(F::KIND, freshness).await?;
         self.list_freshness = None;
         let revision = listing.revision;
         log_unreadable(F::KIND, &listing.unreadable);
@@ -159,7 +162,7 @@
             Some(freshness) => freshness,
             None if self.follower.take_behind() => Freshness::Newest,
             None if self.follower.own_watch().is_some() => Freshness::Newest,
-            None => rank_freshness(&self.node),
+            None => rank_freshness(&self.instance),
         }
     }
 
@@ -172,12 +175,12 @@
             Some(own) => own,
             None => {
                 let before = self.watch_freshness;
-                (freshness(&self.node, before, F::KIND), F::WATCH)
+                (freshness(&self.instance, before, F::KIND), F::WATCH)
             }
         };
         self.watch_freshness = freshness;
         let sent = Instant::now();
-        let store = &self.node.store;
+        let store = &self.instance.store;
         let watch = store.watch(F::KIND, since, wait, freshness);
         let notify = self.follower.notify();
         let mut watch = pin!(watch.fuse());
@@ -203,11 +206,11 @@
 
     /// Goes on from a revision after the follower's pause.
     async fn reached(&mut self, revision: Revision) {
-        self.node.store_reached();
+        self.instance.store_reached();
         let notify = self.follower.notify();
         if std::mem::take(&mut self.is_out) {
             tracing::info!(event = "store_regained", kind = F::KIND);
-            self.node.list_others_anew(&notify);
+            self.instance.list_others_anew(&notify);
         }
         self.back_off.answered();
         let pause = self.follower.pause();
@@ -220,24 +223,24 @@
     /// Waits before the next call, or until another kind reaches the store: the
     /// first one that does notifies the others.
     async fn failed(&mut self, sent: Instant, err: &StoreError) {
-        self.node.store_failed(sent, err);
+        self.instance.store_failed(sent, err);
         let cause = err.to_string();
         if !std::mem::replace(&mut self.is_out, true) {
             tracing::warn!(event = "store_lost", kind = F::KIND, cause);
             if !F::TRIES_FIRST {
                 // Its watch may wait on a channel that says nothing further.
-                self.node.configuration_notify.notify();
+                self.instance.configuration_notify.notify();
             }
         }
         // A watch answers only once something changes; a list tells at once
         // that the store is regained, and what was missed.
         let is_list = self.since.take().is_none();
-        let calls = match rank_freshness(&self.node) {
+        let calls = match rank_freshness(&self.instance) {
             Freshness::Newest => CallKind::Watcher,
             Freshness::SecondsOld if F::TRIES_FIRST => CallKind::First,
             Freshness::SecondsOld => CallKind::Notified,
         };
-        let is_out = self.node.store_contact.borrow().is_unreachable();
+        let is_out = self.instance.store_contact.borrow().is_unreachable();
         let pause = self.back_off.failed(calls, is_out);
         tracing::info!(
             event = "store_call_failed",
@@ -259,7 +262,7 @@
         loop {
             let left = until.saturating_duration_since(Instant::now());
             let is_notified = notify.wait(left).await;
-            let is_out = self.node.store_contact.borrow().is_unreachable();
+            let is_out = self.instance.store_contact.borrow().is_unreachable();
             if !is_notified || !is_out {
                 return;
             }
@@ -276,17 +279,21 @@
 
 /// A few instances hear everything at once and tell the others, who watch for
 /// a tenth of the price and repair with it what notes lost.
-fn freshness(node: &FleetNode, before: Freshness, kind: &str) -> Freshness {
-    let freshness = rank_freshness(node);
+fn freshness(
+    instance: &FleetInstance,
+    before: Freshness,
+    kind: &str,
+) -> Freshness {
+    let freshness = rank_freshness(instance);
     if freshness != before {
-        let rank = node.rank(0);
+        let rank = instance.rank(0);
         tracing::info!(event = "watch", kind, rank, freshness = ?freshness);
     }
     freshness
 }
 
-fn rank_freshness(node: &FleetNode) -> Freshness {
-    match node.rank(0) < FRESH_WATCHERS {
+fn rank_freshness(instance: &FleetInstance) -> Freshness {
+    match instance.rank(0) < FRESH_WATCHERS {
         true => Freshness::Newest,
         false => Freshness::SecondsOld,
     }
@@ -294,30 +301,30 @@
 
 /// Sees whether the store answers, for the holder of the lease to hear. Our own
 /// watches may still wait on connections that were made before an outage.
-pub(crate) fn probe_store(node: &Rc<FleetNode>) {
-    if !node.store_contact.borrow_mut().begin_probe() {
+pub(crate) fn probe_store(instance: &Rc<FleetInstance>) {
+    if !instance.store_contact.borrow_mut().begin_probe() {
         return;
     }
-    let node = node.clone();
+    let instance = instance.clone();
     compio::runtime::spawn(async move {
         loop {
             let sent = Instant::now();
-            let probe = node.store.probe(CONFIG_KIND, CONFIG_NAME);
+            let probe = instance.store.probe(CONFIG_KIND, CONFIG_NAME);
             let probed = compio::time::timeout(PROBE_TIME, probe)
                 .await
                 .unwrap_or(Err(StoreError::Unanswered));
             tracing::info!(event = "store_probed", is_out = probed.is_err());
             let Err(err) = probed else {
-                node.store_reached();
+                instance.store_reached();
                 break;
             };
-            node.store_failed(sent, &err);
+            instance.store_failed(sent, &err);
             compio::time::sleep(PROBE_AGAIN).await;
-            if !node.store_contact.borrow().is_unreachable() {
+            if !instance.store_contact.borrow().is_unreachable() {
                 break;
             }
         }
-        node.store_contact.borrow_mut().end_probe();
+        instance.store_contact.borrow_mut().end_probe();
     })
     .detach();
 }
--- a/crates/sedgewalld/src/fleet/note_sender.rs
+++ b/crates/sedgewalld/src/fleet/note_sender.rs
@@ -19,7 +19,7 @@
 };
 use sedgewall_state::id::InstanceId;
 
-use super::instance::FleetNode;
+use super::instance::FleetInstance;
 
 /// The longest datagram that IPv4 carries, less some room for its head.
 pub(crate) const LARGEST_NOTE: usize = 60_000;
@@ -42,22 +42,22 @@
     /// Sends a note to one instance.
     pub(crate) fn send_to_peer(
         &self,
-        node: &FleetNode,
+        instance: &FleetInstance,
         peer: &InstanceId,
         note: &Note,
     ) {
-        if let Some(address) = node.address_of(peer) {
+        if let Some(address) = instance.address_of(peer) {
             self.send_to(address, note);
         }
     }
 
     /// Sends a note to all other instances, through relays if there are many.
-    pub(crate) fn broadcast(&self, node: &FleetNode, note: &Note) {
-        let peers = node.peers.borrow();
+    pub(crate) fn broadcast(&self, instance: &FleetInstance, note: &Note) {
+        let peers = instance.peers.borrow();
         if peers.len() <= MAX_DIRECT_PEERS {
             let Some(bytes) = encode(note) else { return };
             if peers.is_empty() {
-                for address in node.heard_addresses() {
+                for address in instance.heard_addresses() {
                     self.send(address, &bytes);
                 }
             }
@@ -67,9 +67,9 @@
             return;
         }
         let turn = self.next_turn();
-        let (now, view) = (Instant::now(), node.view.borrow());
+        let (now, view) = (Instant::now(), instance.view.borrow());
         let zones = peers.iter().map(|(id, peer)| (id, &peer.zone));
-        let own = &node.settings.zone;
+        let own = &instance.settings.zone;
         for id in
             zone_relays(zones, own, |id| view.is_live_peer(id, now), turn)
         {
@@ -77,15 +77,19 @@
             self.send_to(peers[id].address, &for_zone);
         }
         drop(view);
-        self.spread_in_zone(node, note);
+        self.spread_in_zone(instance, note);
     }
 
     /// Sends a note to one instance of each group of our zone.
-    pub(crate) fn spread_in_zone(&self, node: &FleetNode, note: &Note) {
-        let peers = node.peers.borrow();
+    pub(crate) fn spread_in_zone(
+        &self,
+        instance: &FleetInstance,
+        note: &Note,
+    ) {
+        let peers = instance.peers.borrow();
         let turn = self.next_turn();
-        let (now, view) = (Instant::now(), node.view.borrow());
-        let own = &node.settings.zone;
+        let (now, view) = (Instant::now(), instance.view.borrow());
+        let own = &instance.settings.zone;
         let zones = peers.iter().map(|(id, peer)| (id, &peer.zone));
         let zones = zones.filter(|(_, zone)| *zone == own);
         for (id, group) in relays(zones, |id| view.is_live_peer(id, now), turn)
@@ -105,11 +109,15 @@
     }
 
     /// Passes a note on to the rest of its group.
-    pub(crate) fn pass_on(&self, node: &FleetNode, relayed: &GroupRelay) {
+    pub(crate) fn pass_on(
+        &self,
+        instance: &FleetInstance,
+        relayed: &GroupRelay,
+    ) {
         let Some(bytes) = encode(&relayed.note) else { return };
         let group = Group { index: relayed.index, count: relayed.count };
-        for (id, peer) in node.peers.borrow().iter() {
-            if peer.zone == node.settings.zone && group.contains(id) {
+        for (id, peer) in instance.peers.borrow().iter() {
+            if peer.zone == instance.settings.zone && group.contains(id) {
                 self.send(peer.address, &bytes);
             }
         }
@@ -139,9 +147,9 @@
 
 /// Opens the socket for notes.
 pub(crate) fn open(
-    node: &FleetNode,
+    instance: &FleetInstance,
 ) -> io::Result<(Rc<NoteSender>, compio::net::UdpSocket)> {
-    let socket = UdpSocket::bind(node.settings.peer_listen)?;
+    let socket = UdpSocket::bind(instance.settings.peer_listen)?;
     socket.set_nonblocking(true)?;
     let sender = socket.try_clone()?;
     let receiver = compio::net::UdpSocket::from_std(socket)?;
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -19,7 +19,7 @@
 use sedgewall_platform::engine::{self, Holder, OrderAnswer, ReportError};
 use sedgewall_state::id::{EndpointId, Epoch};
 
-use super::{announcements, instance::FleetNode, note_sender::NoteSender};
+use super::{announcements, instance::FleetInstance, note_sender::NoteSender};
 
 /// What must be left of the lease when an order goes out: an order travels,
 /// and its engine may hear it only while the lease holds.
@@ -44,16 +44,19 @@
 /// The queues of orders, by engine.
 #[derive(Clone)]
 pub(crate) struct Orders {
-    node: Rc<FleetNode>,
+    instance: Rc<FleetInstance>,
     sender: Rc<NoteSender>,
     pub(crate) loader: Rc<RefCell<Option<PlacementPlanner>>>,
     queues: Rc<RefCell<HashMap<EndpointId, mpsc::UnboundedSender<Batch>>>>,
 }
 
 impl Orders {
-    pub(crate) fn new(node: Rc<FleetNode>, sender: Rc<NoteSender>) -> Orders {
+    pub(crate) fn new(
+        instance: Rc<FleetInstance>,
+        sender: Rc<NoteSender>,
+    ) -> Orders {
         let (loader, queues) = (Rc::default(), Rc::default());
-        Orders { node, sender, loader, queues }
+        Orders { instance, sender, loader, queues }
     }
 
     /// Sends orders; those in a row for one engine belong together.
@@ -77,7 +80,7 @@
 
     /// Forgets the queues of engines that are gone.
     pub(crate) fn forget_gone(&self) {
-        let view = self.node.view.borrow();
+        let view = self.instance.view.borrow();
         let mut queues = self.queues.borrow_mut();
         queues.retain(|id, _| view.get(id).is_some());
     }
@@ -133,7 +136,7 @@
             epoch,
             lease_is_current = self.may_order(epoch),
         );
-        order.revert(&mut self.node.view.borrow_mut());
+        order.revert(&mut self.instance.view.borrow_mut());
         self.forget_load(order);
     }
 
@@ -144,7 +147,7 @@
         }
         let since = taken.last_sent.map_or(Duration::MAX, |at| at.elapsed());
         compio::time::sleep(REPORT_LAG.saturating_sub(since)).await;
-        let report = engine::report(&self.node.pool, order.address).await;
+        let report = engine::report(&self.instance.pool, order.address).await;
         match report {
             Ok(report) if !report.is_busy => {
                 tracing::info!(
@@ -155,7 +158,7 @@
                     born = report.born,
                 );
                 let now = Instant::now();
-                let mut view = self.node.view.borrow_mut();
+                let mut view = self.instance.view.borrow_mut();
                 let is_of_this_life =
                     view.apply_report(&order.endpoint, &report, now);
                 taken.count = is_of_this_life.then_some(report.orders_taken);
@@ -177,21 +180,21 @@
     }
 
     fn is_resting(&self, endpoint: &EndpointId) -> bool {
-        self.node.view.borrow().is_cooling_down(endpoint, Instant::now())
+        self.instance.view.borrow().is_cooling_down(endpoint, Instant::now())
     }
 
     fn hear_rest(&self, endpoint: &EndpointId, rest: Duration) {
         let answered = AnsweredRequest {
             endpoint: endpoint.clone(),
-            born: self.node.view.borrow().incarnation(endpoint),
+            born: self.instance.view.borrow().incarnation(endpoint),
             sent: Instant::now(),
         };
-        announcements::hear_rest(&self.node, &answered, rest, "order");
+        announcements::hear_rest(&self.instance, &answered, rest, "order");
     }
 
     fn may_order(&self, epoch: Epoch) -> bool {
         let now = Instant::now();
-        self.node
+        self.instance
             .current_lease(now + ORDER_MARGIN)
             .is_some_and(|held| held.epoch == epoch && now >= held.order_from)
     }
@@ -204,17 +207,17 @@
         order: &Order,
         taken: u64,
     ) -> Option<u64> {
-        let born = self.node.view.borrow().incarnation(&order.endpoint);
+        let born = self.instance.view.borrow().incarnation(&order.endpoint);
         if let Task::Unload(key) = &order.task {
             let (endpoint, key) = (order.endpoint.clone(), key.clone());
             let removed = Removed { epoch, endpoint, key, born };
             self.tell_all(Note::Removed(removed));
         }
-        let instance = self.node.id().clone();
+        let instance = self.instance.id().clone();
         let holder = Holder { instance, epoch };
         let sent = Instant::now();
         let answer = engine::order(
-            &self.node.pool,
+            &self.instance.pool,
             order.address,
             &order.endpoint,
             &order.task,
@@ -232,14 +235,14 @@
             took_ms = sent.elapsed().as_millis() as u64,
         );
         metrics::counter!("sedgewall_orders_total").increment(1);
-        if self.node.view.borrow().incarnation(&order.endpoint) != born {
+        if self.instance.view.borrow().incarnation(&order.endpoint) != born {
             // Whatever its engine said, it has started again since and forgotten it.
             tracing::info!(
                 event = "order_outlived",
                 endpoint = order.endpoint
             );
             self.forget_load(order);
-            order.revert(&mut self.node.view.borrow_mut());
+            order.revert(&mut self.instance.view.borrow_mut());
             return None;
         }
         let count = match (&answer, &order.task) {
@@ -272,7 +275,7 @@
             }
         }
         if count.is_none() {
-            order.revert(&mut self.node.view.borrow_mut());
+            order.revert(&mut self.instance.view.borrow_mut());
         }
         count
     }
@@ -280,7 +283,7 @@
     /// Takes a load out of the count of those on their way.
     fn forget_load(&self, order: &Order) {
         if let Task::Load(key, _) = &order.task {
-            let mut times = self.node.load_times.borrow_mut();
+            let mut times = self.instance.load_times.borrow_mut();
             times.cancel(&order.endpoint, key);
         }
     }
@@ -288,7 +291,7 @@
     /// Notes that an engine has begun a load.
     fn note_taken(&self, order: &Order) {
         let Task::Load(key, _) = &order.task else { return };
-        let mut times = self.node.load_times.borrow_mut();
+        let mut times = self.instance.load_times.borrow_mut();
         times.order_accepted(&order.endpoint, key, Instant::now());
     }
 
@@ -297,14 +300,14 @@
     fn note_there(&self, order: &Order) {
         let Task::Load(key, _) = &order.task else { return };
         self.forget_load(order);
-        let mut view = self.node.view.borrow_mut();
+        let mut view = self.instance.view.borrow_mut();
         view.mark_present(&order.endpoint, key, Instant::now());
     }
 
     fn tell_placed(&self, epoch: Epoch, order: &Order, is_cold: bool) {
         let Task::Load(key, version) = &order.task else { return };
         let now = Instant::now();
-        let mut view = self.node.view.borrow_mut();
+        let mut view = self.instance.view.borrow_mut();
         let ready_in = view.order_accepted(&order.endpoint, key, now);
         let born = view.incarnation(&order.endpoint);
         drop(view);
@@ -318,17 +321,17 @@
             is_cold,
             born,
         };
-        let askers = self.node.askers.borrow_mut().remove(key);
+        let askers = self.instance.askers.borrow_mut().remove(key);
         for peer in askers.into_iter().flatten() {
             let note = Note::Placed(placed.clone());
-            self.sender.send_to_peer(&self.node, &peer, &note);
+            self.sender.send_to_peer(&self.instance, &peer, &note);
         }
         self.tell_all(Note::Placed(placed));
-        self.node.wake(key);
+        self.instance.wake(key);
     }
 
     fn tell_all(&self, note: Note) {
-        self.node.outbox.borrow_mut().push(note);
-        self.node.notify_notes();
+        self.instance.outbox.borrow_mut().push(note);
+        self.instance.notify_notes();
     }
 }
--- a/crates/sedgewalld/src/fleet/peers.rs
+++ b/crates/sedgewalld/src/fleet/peers.rs
@@ -9,7 +9,7 @@
 use sedgewall_state::id::InstanceId;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::instance::{FleetNode, Peer};
+use super::instance::{FleetInstance, Peer};
 
 /// An instance that was not heard for this long after its entry was read is
 /// not there.
@@ -26,7 +26,7 @@
     at: Instant,
 }
 
-impl FleetNode {
+impl FleetInstance {
     /// Notes where an instance's own note came from.
     pub(crate) fn heard_from(&self, id: &InstanceId, address: SocketAddr) {
         if self.peers.borrow().contains_key(id) || id == self.id() {
@@ -83,7 +83,7 @@
     }
 
     /// Returns the first other instances that are there, in the order of
-    /// [`FleetNode::rank`] without a draw.
+    /// [`FleetInstance::rank`] without a draw.
     pub(crate) fn largest_peers(&self, count: usize) -> Vec<InstanceId> {
         let now = Instant::now();
         let peers = self.peers.borrow();
--- a/crates/sedgewalld/src/fleet/permits.rs
+++ b/crates/sedgewalld/src/fleet/permits.rs
@@ -12,7 +12,7 @@
 use sedgewall_state::id::EndpointId;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::instance::FleetNode;
+use super::instance::FleetInstance;
 
 /// The least time for which an endpoint without room for a request is no place for
 /// what requests wait for.
@@ -36,7 +36,7 @@
     /// Chooses an endpoint that may get the request now.
     pub(crate) fn choose(
         &mut self,
-        node: &FleetNode,
+        instance: &FleetInstance,
         need: Need<'_>,
         now: Instant,
     ) -> PermittedChoice {
@@ -44,22 +44,22 @@
         let mut limited_for: Option<Duration> = None;
         loop {
             let choice = match denied.is_empty() {
-                true => node.view.borrow().choose(need, now),
+                true => instance.view.borrow().choose(need, now),
                 false => {
                     let exclude = [need.exclude, &denied].concat();
                     let need = Need { exclude: &exclude, ..need };
-                    node.view.borrow().choose(need, now)
+                    instance.view.borrow().choose(need, now)
                 }
             };
             let Choice::Send(target) = &choice else {
                 return PermittedChoice { choice, limited_for };
             };
-            if node.view.borrow().limit_per_s(&target.id).is_none() {
+            if instance.view.borrow().limit_per_s(&target.id).is_none() {
                 return PermittedChoice { choice, limited_for };
             }
             let id = target.id.clone();
-            let instances = node.known_instances();
-            let mut view = node.view.borrow_mut();
+            let instances = instance.known_instances();
+            let mut view = instance.view.borrow_mut();
             if !self.wanted.contains(&id) {
                 view.record_demand(&id, now);
                 self.wanted.push(id.clone());
@@ -77,7 +77,7 @@
                     let first = limited_for.unwrap_or(ready_in).min(ready_in);
                     limited_for = Some(first);
                     let until = now + ready_in.max(SATURATED_FOR);
-                    node.saturated.borrow_mut().insert(id.clone(), until);
+                    instance.saturated.borrow_mut().insert(id.clone(), until);
                     denied.push(id);
                 }
             }
@@ -85,7 +85,7 @@
     }
 }
 
-impl FleetNode {
+impl FleetInstance {
     /// Returns how many instances share what all may do together; nothing before
     /// the others are known.
     fn known_instances(&self) -> Option<usize> {
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -18,7 +18,8 @@
 use sedgewall_transport::Presence;
 
 use super::{
-    attempt::CallerRequest, instance::FleetNode, refusal::Reason, watch_poison,
+    attempt::CallerRequest, instance::FleetInstance, refusal::Reason,
+    watch_poison,
 };
 
 /// The longest time for an endpoint's machine to say whether it listens: within a
@@ -30,11 +31,11 @@
 
 /// Returns why a request is not sent on, if it is known to end endpoints.
 pub(crate) fn check(
-    node: &FleetNode,
+    instance: &FleetInstance,
     call: &CallerRequest,
     runs: u32,
 ) -> Result<(), Reason> {
-    let poison = node.poison.borrow();
+    let poison = instance.poison.borrow();
     if !poison.has_suspects() {
         return Ok(());
     }
@@ -66,7 +67,7 @@
 /// Notes that the connection of a run broke before the end of its answer, and looks
 /// whether its endpoint is still there.
 pub(crate) fn run_broke(
-    node: &Rc<FleetNode>,
+    instance: &Rc<FleetInstance>,
     call: &CallerRequest,
     target: &Target,
     cause: &str,
@@ -81,56 +82,64 @@
         cause,
         held_ms = call.arrived.elapsed().as_millis() as u64,
     );
-    run_lost(node, call, Loss::Broken);
-    look(node, target.id.clone(), target.address);
+    run_lost(instance, call, Loss::Broken);
+    look(instance, target.id.clone(), target.address);
 }
 
 /// Notes that the last run of a request will bring no answer. It counts if its
 /// endpoint turns out to have ended, and no run of it ended well here lately: what
 /// many callers send alike is at each endpoint that ends. Without that, such a read
 /// was condemned beside a request that ended all three endpoints of a service.
-pub(crate) fn run_lost(node: &FleetNode, call: &CallerRequest, loss: Loss) {
-    if node.recent_successes.borrow().contains(call.hash(&node.hash_key)) {
+pub(crate) fn run_lost(
+    instance: &FleetInstance,
+    call: &CallerRequest,
+    loss: Loss,
+) {
+    if instance
+        .recent_successes
+        .borrow()
+        .contains(call.hash(&instance.hash_key))
+    {
         return;
     }
     let Some(sent) = call.sent_to.borrow().clone() else { return };
-    let life = life_of(node, &sent.endpoint);
+    let life = life_of(instance, &sent.endpoint);
     let now = Instant::now();
-    let mut poison = node.poison.borrow_mut();
+    let mut poison = instance.poison.borrow_mut();
     let crash =
         poison.record_lost_run(&life, call.digest(), sent.at, loss, now);
     drop(poison);
-    tell(node, crash);
+    tell(instance, crash);
 }
 
 /// Notes that a run of a request ended well: it is none that ends endpoints.
-pub(crate) fn ended_well(node: &FleetNode, call: &CallerRequest) {
-    let hash = call.hash(&node.hash_key);
-    node.recent_successes.borrow_mut().record(hash, Instant::now());
-    if !node.poison.borrow().has_suspects() {
+pub(crate) fn ended_well(instance: &FleetInstance, call: &CallerRequest) {
+    let hash = call.hash(&instance.hash_key);
+    instance.recent_successes.borrow_mut().record(hash, Instant::now());
+    if !instance.poison.borrow().has_suspects() {
         return;
     }
     let digest = call.digest();
-    if !node.poison.borrow_mut().clear(digest, Instant::now()) {
+    if !instance.poison.borrow_mut().clear(digest, Instant::now()) {
         return;
     }
     let request = &call.facts.request_id;
     tracing::info!(event = "poison_cleared", %digest, request);
-    tell_cleared(node, digest);
-    watch_poison::refute(node, digest);
+    tell_cleared(instance, digest);
+    watch_poison::refute(instance, digest);
 }
 
 /// Looks whether an endpoint is still there, once at a time for each.
-fn look(node: &Rc<FleetNode>, id: EndpointId, address: SocketAddr) {
-    if !node.looked_at.borrow_mut().insert(id.clone()) {
+fn look(instance: &Rc<FleetInstance>, id: EndpointId, address: SocketAddr) {
+    if !instance.looked_at.borrow_mut().insert(id.clone()) {
         return;
     }
-    let node = node.clone();
-    let life = life_of(&node, &id);
+    let instance = instance.clone();
+    let life = life_of(&instance, &id);
     compio::runtime::spawn(async move {
         let began = Instant::now();
-        let presence = node.pool.presence(address, PRESENCE_TIME).await;
-        node.looked_at.borrow_mut().remove(&id);
+        let presence = instance.pool.presence(address, PRESENCE_TIME).await;
+        instance.looked_at.borrow_mut().remove(&id);
         tracing::info!(
             event = "endpoint_looked_at",
             endpoint = id,
@@ -139,10 +148,10 @@
         );
         match presence {
             Presence::Listens => {
-                let mut poison = node.poison.borrow_mut();
+                let mut poison = instance.poison.borrow_mut();
                 poison.endpoint_alive(&life, began);
             }
-            Presence::Refuses => life_ended(&node, &life),
+            Presence::Refuses => life_ended(&instance, &life),
             // Its entry will go, or another instance can tell.
             Presence::Unknown => {}
         }
@@ -151,42 +160,44 @@
 }
 
 /// Notes that an endpoint has ended without a word.
-pub(crate) fn endpoint_ended(node: &FleetNode, id: &EndpointId) {
-    let view = node.view.borrow();
+pub(crate) fn endpoint_ended(instance: &FleetInstance, id: &EndpointId) {
+    let view = instance.view.borrow();
     if view.get(id).is_none_or(|state| state.endpoint.is_draining) {
         return;
     }
     drop(view);
-    life_ended(node, &life_of(node, id));
+    life_ended(instance, &life_of(instance, id));
 }
 
-fn life_ended(node: &FleetNode, life: &EndpointIncarnation) {
+fn life_ended(instance: &FleetInstance, life: &EndpointIncarnation) {
     let now = Instant::now();
-    let crash = node.poison.borrow_mut().endpoint_ended(life, now);
-    tell(node, crash);
+    let crash = instance.poison.borrow_mut().endpoint_ended(life, now);
+    tell(instance, crash);
 }
 
 /// Hears which runs of another instance ended with an endpoint.
-pub(crate) fn hear(node: &FleetNode, crash: &Crash) {
-    let ours = node.poison.borrow_mut().record_crash(crash, Instant::now());
-    tell(node, ours);
+pub(crate) fn hear(instance: &FleetInstance, crash: &Crash) {
+    let ours =
+        instance.poison.borrow_mut().record_crash(crash, Instant::now());
+    tell(instance, ours);
 }
 
 /// Hears that a run of a request ended well elsewhere.
-pub(crate) fn hear_cleared(node: &FleetNode, digest: RequestDigest) {
-    if node.poison.borrow_mut().clear(digest, Instant::now()) {
+pub(crate) fn hear_cleared(instance: &FleetInstance, digest: RequestDigest) {
+    if instance.poison.borrow_mut().clear(digest, Instant::now()) {
         tracing::info!(event = "poison_clearance_heard", %digest);
     }
 }
 
 /// Takes in a request that was condemned elsewhere; one line if that is news.
 pub(crate) fn take_in(
-    node: &FleetNode,
+    instance: &FleetInstance,
     condemned: &Condemned,
     from: &str,
 ) -> MergeOutcome {
     let now = Instant::now();
-    let taken_in = node.poison.borrow_mut().merge_condemned(condemned, now);
+    let taken_in =
+        instance.poison.borrow_mut().merge_condemned(condemned, now);
     let digest = condemned.digest;
     match taken_in {
         MergeOutcome::Added => tracing::info!(
@@ -197,14 +208,14 @@
             from,
         ),
         MergeOutcome::AlreadyKnown => {}
-        MergeOutcome::Refuted => tell_cleared(node, digest),
+        MergeOutcome::Refuted => tell_cleared(instance, digest),
     }
     taken_in
 }
 
 /// Tells all others which of our runs ended with an endpoint, and says what all of
 /// them condemn together.
-fn tell(node: &FleetNode, crash: Option<Crash>) {
+fn tell(instance: &FleetInstance, crash: Option<Crash>) {
     if let Some(crash) = crash {
         metrics::counter!("sedgewall_endpoint_crashes_total").increment(1);
         let named = crash.runs.iter().take(NAMED_RUNS);
@@ -216,12 +227,13 @@
             runs = crash.runs.len(),
             digests = digests.join(" "),
         );
-        node.outbox.borrow_mut().push(Note::Crashed(crash));
-        node.notify_notes();
+        instance.outbox.borrow_mut().push(Note::Crashed(crash));
+        instance.notify_notes();
     }
-    let condemned = node.poison.borrow_mut().take_newly_condemned();
+    let condemned = instance.poison.borrow_mut().take_newly_condemned();
     for digest in &condemned {
-        let verdict = node.poison.borrow().verdict(*digest, Instant::now());
+        let verdict =
+            instance.poison.borrow().verdict(*digest, Instant::now());
         let endpoints = verdict.map_or(Vec::new(), |v| v.endpoints);
         metrics::counter!("sedgewall_poison_requests_total").increment(1);
         tracing::warn!(
@@ -231,17 +243,17 @@
         );
     }
     if !condemned.is_empty() {
-        watch_poison::notify(node);
+        watch_poison::notify(instance);
     }
 }
 
-fn tell_cleared(node: &FleetNode, digest: RequestDigest) {
-    node.outbox.borrow_mut().push(Note::Cleared(digest));
-    node.notify_notes();
+fn tell_cleared(instance: &FleetInstance, digest: RequestDigest) {
+    instance.outbox.borrow_mut().push(Note::Cleared(digest));
+    instance.notify_notes();
 }
 
-fn life_of(node: &FleetNode, id: &EndpointId) -> EndpointIncarnation {
-    let born = node.view.borrow().incarnation(id);
+fn life_of(instance: &FleetInstance, id: &EndpointId) -> EndpointIncarnation {
+    let born = instance.view.borrow().incarnation(id);
     EndpointIncarnation { id: id.clone(), born }
 }
 
--- a/crates/sedgewalld/src/fleet/relay.rs
+++ b/crates/sedgewalld/src/fleet/relay.rs
@@ -16,7 +16,7 @@
     attempt::{CallerRequest, GoodAnswer},
     caller::{self, Progress},
     in_flight::{OpenRequest, UnderWay},
-    instance::FleetNode,
+    instance::FleetInstance,
     poison, request_log,
 };
 
@@ -30,7 +30,7 @@
 const GAPS: u32 = 8;
 
 struct Relay {
-    node: Rc<FleetNode>,
+    instance: Rc<FleetInstance>,
     call: Rc<CallerRequest>,
     progress: Progress,
     target: Target,
@@ -55,7 +55,7 @@
 
 /// Returns a body that passes an engine's events on.
 pub(crate) fn stream(
-    node: Rc<FleetNode>,
+    instance: Rc<FleetInstance>,
     call: Rc<CallerRequest>,
     progress: Progress,
     good: GoodAnswer,
@@ -68,7 +68,7 @@
         .then(|| EventFramer::after(call.facts.last_event.clone()));
     let relay = Relay {
         head: call.arrived.elapsed(),
-        node,
+        instance,
         call,
         progress,
         target,
@@ -143,7 +143,7 @@
 
     fn finish(&mut self) -> Option<io::Result<Bytes>> {
         self.is_over = true;
-        poison::ended_well(&self.node, &self.call);
+        poison::ended_well(&self.instance, &self.call);
         request_log::served(
             &self.call,
             &self.progress,
@@ -174,7 +174,7 @@
         let last_event = cutter.last_id().map(str::to_owned);
         let call = self.call.clone();
         let found = caller::obtain(
-            &self.node,
+            &self.instance,
             &call,
             &mut self.progress,
             last_event.as_deref(),
@@ -198,20 +198,20 @@
 
     /// Notes the run's end, which may be that of its engine.
     fn note_lost(&self, stopped: &Stopped) {
-        let (node, call) = (&self.node, &self.call);
+        let (instance, call) = (&self.instance, &self.call);
         match stopped {
             Stopped::Broken(err) => {
                 let cause = err.to_string();
-                poison::run_broke(node, call, &self.target, &cause);
+                poison::run_broke(instance, call, &self.target, &cause);
             }
             Stopped::Silent | Stopped::TimeOver => {
-                poison::run_lost(node, call, Loss::Broken);
+                poison::run_lost(instance, call, Loss::Broken);
             }
         }
     }
 
     fn note_failure(&self) {
-        let mut view = self.node.view.borrow_mut();
+        let mut view = self.instance.view.borrow_mut();
         if let Some(state) = view.get_mut(&self.target.id) {
             state.health.failed(Instant::now());
         }
@@ -244,7 +244,7 @@
     fn drop(&mut self) {
         if !self.is_over {
             request_log::left(&self.call, self.bytes);
-            poison::run_lost(&self.node, &self.call, Loss::CallerLeft);
+            poison::run_lost(&self.instance, &self.call, Loss::CallerLeft);
         }
     }
 }
--- a/crates/sedgewalld/src/fleet/request_log.rs
+++ b/crates/sedgewalld/src/fleet/request_log.rs
@@ -7,7 +7,7 @@
 use super::{
     attempt::{AttemptError, CallerRequest},
     caller::Progress,
-    instance::FleetNode,
+    instance::FleetInstance,
     poison,
     refusal::Reason,
 };
@@ -15,17 +15,17 @@
 /// Watches over a request until it has an answer: a caller that leaves ends the
 /// work on it without another word.
 pub(crate) struct Unanswered {
-    node: Rc<FleetNode>,
+    instance: Rc<FleetInstance>,
     call: Rc<CallerRequest>,
     is_answered: bool,
 }
 
 impl Unanswered {
     pub(crate) fn begin(
-        node: &Rc<FleetNode>,
+        instance: &Rc<FleetInstance>,
         call: Rc<CallerRequest>,
     ) -> Unanswered {
-        Unanswered { node: node.clone(), call, is_answered: false }
+        Unanswered { instance: instance.clone(), call, is_answered: false }
     }
 
     pub(crate) fn answered(&mut self) {
@@ -37,7 +37,7 @@
     fn drop(&mut self) {
         if !self.is_answered {
             left(&self.call, 0);
-            poison::run_lost(&self.node, &self.call, Loss::CallerLeft);
+            poison::run_lost(&self.instance, &self.call, Loss::CallerLeft);
         }
     }
 }
--- a/crates/sedgewalld/src/fleet/watch_configuration.rs
+++ b/crates/sedgewalld/src/fleet/watch_configuration.rs
@@ -7,7 +7,7 @@
 use sedgewall_clock::Instant;
 
 use super::{
-    instance::{FleetNode, Stage},
+    instance::{FleetInstance, Stage},
     keys,
     list_watch::{Follower, QUIET_WATCH},
     notify::Notify,
@@ -21,10 +21,10 @@
 };
 
 /// Takes in the operator's configuration.
-pub(crate) struct Configuration(pub(crate) Rc<FleetNode>);
+pub(crate) struct Configuration(pub(crate) Rc<FleetInstance>);
 
 /// Takes in named versions of weights.
-pub(crate) struct Versions(pub(crate) Rc<FleetNode>);
+pub(crate) struct Versions(pub(crate) Rc<FleetInstance>);
 
 impl Follower for Configuration {
     const KIND: &'static str = CONFIG_KIND;
@@ -79,18 +79,18 @@
         if object.name != CONFIG_NAME {
             return;
         }
-        let node = &self.0;
+        let instance = &self.0;
         let routing = match decode_config(&object.spec) {
             Ok(routing) => routing,
             Err(err) => {
                 let cause = err.to_string();
                 tracing::error!(event = "configuration_unreadable", cause);
-                node.is_configuration_unreadable.set(true);
+                instance.is_configuration_unreadable.set(true);
                 return;
             }
         };
-        node.is_configuration_unreadable.set(false);
-        put_in_force(node, routing, Source::Store);
+        instance.is_configuration_unreadable.set(false);
+        put_in_force(instance, routing, Source::Store);
     }
 }
 
@@ -113,11 +113,11 @@
 
 /// Puts a configuration in force if it is newer than the one that is.
 pub(crate) fn put_in_force(
-    node: &FleetNode,
+    instance: &FleetInstance,
     routing: RoutingConfiguration,
     source: Source,
 ) {
-    let known = node.configuration_version().unwrap_or(0);
+    let known = instance.configuration_version().unwrap_or(0);
     if routing.version <= known {
         return;
     }
@@ -128,13 +128,13 @@
         replaces = known,
         from = source.name(),
     );
-    *node.routing.borrow_mut() = Some(Rc::new(routing));
-    node.forget_patience();
-    if node.stage.get() == Stage::Starting {
-        node.stage.set(Stage::Ready);
+    *instance.routing.borrow_mut() = Some(Rc::new(routing));
+    instance.forget_patience();
+    if instance.stage.get() == Stage::Starting {
+        instance.stage.set(Stage::Ready);
     }
-    node.wake_all();
-    node.wake_for_configuration();
+    instance.wake_all();
+    instance.wake_for_configuration();
 }
 
 impl Follower for Versions {
--- a/crates/sedgewalld/src/fleet/watch_endpoints.rs
+++ b/crates/sedgewalld/src/fleet/watch_endpoints.rs
@@ -20,7 +20,7 @@
 use sedgewall_state::id::EndpointId;
 
 use super::{
-    instance::FleetNode, list_watch::Follower, notify::Notify, poison,
+    instance::FleetInstance, list_watch::Follower, notify::Notify, poison,
 };
 
 /// How long a watch of endpoints waits for a change. A channel that went dead
@@ -45,7 +45,7 @@
 
 /// Takes in the entries of endpoints.
 pub(crate) struct Endpoints {
-    node: Rc<FleetNode>,
+    instance: Rc<FleetInstance>,
     /// Endpoints whose entries are gone, and may be back soon, with the revision
     /// at which they were missing.
     lapsed: Rc<RefCell<HashMap<EndpointId, Revision>>>,
@@ -56,12 +56,12 @@
     const WATCH: Duration = ENDPOINTS_WATCH;
 
     fn pause(&self) -> Duration {
-        let peers = self.node.peers.borrow().len() as u32;
+        let peers = self.instance.peers.borrow().len() as u32;
         ENDPOINTS_PAUSE.max(PAUSE_PER_INSTANCE * peers).min(LONGEST_PAUSE)
     }
 
     fn notify(&self) -> Rc<Notify> {
-        self.node.endpoints_notify.clone()
+        self.instance.endpoints_notify.clone()
     }
 
     fn list(&self, listing: Listing) {
@@ -71,7 +71,7 @@
             read.iter().map(|endpoint| &endpoint.id).collect();
         // A list that is seconds old does not show what is newer.
         let known: Vec<EndpointId> = self
-            .node
+            .instance
             .view
             .borrow()
             .endpoints()
@@ -84,16 +84,16 @@
         for endpoint in read {
             self.take(endpoint);
         }
-        tell_departures(&self.node);
-        self.node.wake_all();
-        self.node.notify_loader();
+        tell_departures(&self.instance);
+        self.instance.wake_all();
+        self.instance.notify_loader();
     }
 
     fn change(&self, change: Change) {
         let Change { object, is_deleted } = change;
         if is_deleted {
             self.entry_gone(&object.name, object.revision);
-            tell_departures(&self.node);
+            tell_departures(&self.instance);
             return;
         }
         match decoded(&object) {
@@ -101,19 +101,19 @@
             // It names no endpoint now, whatever it named before.
             None => self.entry_gone(&object.name, object.revision),
         }
-        tell_departures(&self.node);
-        self.node.wake_all();
+        tell_departures(&self.instance);
+        self.instance.wake_all();
     }
 }
 
 impl Endpoints {
-    pub(crate) fn new(node: &Rc<FleetNode>) -> Endpoints {
-        Endpoints { node: node.clone(), lapsed: Rc::default() }
+    pub(crate) fn new(instance: &Rc<FleetInstance>) -> Endpoints {
+        Endpoints { instance: instance.clone(), lapsed: Rc::default() }
     }
 
     /// Takes in an entry.
     fn take(&self, endpoint: Endpoint) {
-        let mut view = self.node.view.borrow_mut();
+        let mut view = self.instance.view.borrow_mut();
         // One that is there again belongs to the same life of its endpoint, but
         // what that holds is asked for anew.
         if self.lapsed.borrow_mut().remove(&endpoint.id).is_some() {
@@ -140,10 +140,10 @@
     /// live endpoint writes it again.
     fn entry_gone(&self, id: &EndpointId, revision: Revision) {
         let now = Instant::now();
-        let contact = self.node.store_contact.borrow();
+        let contact = self.instance.store_contact.borrow();
         let left = contact.missing_entry_grace(now);
         if left.is_zero() {
-            take_out(&self.node, id, revision);
+            take_out(&self.instance, id, revision);
             return;
         }
         if self.lapsed.borrow().contains_key(id) {
@@ -159,7 +159,7 @@
             left_ms = left.as_millis() as u64,
             known_out_ms_ago = last.map(|last| ms_ago(last.unreachable_at())),
         );
-        let (node, lapsed) = (self.node.clone(), self.lapsed.clone());
+        let (instance, lapsed) = (self.instance.clone(), self.lapsed.clone());
         let id = id.clone();
         compio::runtime::spawn(async move {
             compio::time::sleep(left).await;
@@ -168,33 +168,36 @@
                 return;
             }
             lapsed.borrow_mut().remove(&id);
-            take_out(&node, &id, revision);
-            tell_departures(&node);
+            take_out(&instance, &id, revision);
+            tell_departures(&instance);
         })
         .detach();
     }
 }
 
-fn take_out(node: &FleetNode, id: &EndpointId, revision: Revision) {
+fn take_out(instance: &FleetInstance, id: &EndpointId, revision: Revision) {
     let now = Instant::now();
-    let contact = node.store_contact.borrow();
+    let contact = instance.store_contact.borrow();
     let is_sure = !contact.was_unreachable_within(IN_DOUBT_FOR, now);
     tracing::info!(event = "endpoint_gone", endpoint = id, revision, is_sure);
     if is_sure {
-        poison::endpoint_ended(node, id);
+        poison::endpoint_ended(instance, id);
     }
-    node.view.borrow_mut().remove_entry(id, revision, is_sure, now);
+    instance.view.borrow_mut().remove_entry(id, revision, is_sure, now);
 }
 
 /// Tells all others of endpoints that we saw leave: their watches may be late,
 /// or their way to the store cut.
-pub(crate) fn tell_departures(node: &FleetNode) {
-    let untold = node.view.borrow_mut().take_unsent_departures();
+pub(crate) fn tell_departures(instance: &FleetInstance) {
+    let untold = instance.view.borrow_mut().take_unsent_departures();
     if untold.is_empty() {
         return;
     }
-    node.outbox.borrow_mut().extend(untold.into_iter().map(Note::Departed));
-    node.notify_notes();
+    instance
+        .outbox
+        .borrow_mut()
+        .extend(untold.into_iter().map(Note::Departed));
+    instance.notify_notes();
 }
 
 fn adapter_count(endpoint: &Endpoint) -> usize {
--- a/crates/sedgewalld/src/fleet/watch_instances.rs
+++ b/crates/sedgewalld/src/fleet/watch_instances.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    instance::{FleetNode, Peer},
+    instance::{FleetInstance, Peer},
     list_watch::{Follower, QUIET_WATCH},
     notify::Notify,
 };
@@ -42,7 +42,7 @@
 }
 
 /// Takes in the entries of the other instances.
-pub(crate) struct Instances(pub(crate) Rc<FleetNode>);
+pub(crate) struct Instances(pub(crate) Rc<FleetInstance>);
 
 impl Follower for Instances {
     const KIND: &'static str = INSTANCES_KIND;
@@ -105,24 +105,24 @@
 }
 
 /// Writes our own entry, until the store has it.
-pub(crate) async fn announce(node: Rc<FleetNode>) {
+pub(crate) async fn announce(instance: Rc<FleetInstance>) {
     let entry = InstanceEntry {
-        notes_address: node.settings.peer_listen,
-        zone: node.settings.zone.clone(),
-        cpu_percent: node.cpu_percent(),
+        notes_address: instance.settings.peer_listen,
+        zone: instance.settings.zone.clone(),
+        cpu_percent: instance.cpu_percent(),
     };
     let Ok(spec) = serde_json::to_value(&entry) else { return };
     // An instance that starts again at its address finds its entry in the first
     // list; the write would change nothing, and has the price of a call.
     let until = Instant::now() + FIRST_LIST_TIME;
-    while !node.has_listed_instances.get() && Instant::now() < until {
+    while !instance.has_listed_instances.get() && Instant::now() < until {
         compio::time::sleep(FIRST_LIST_LOOK).await;
     }
-    if node.own_entry.take().is_some_and(|known| known == spec) {
+    if instance.own_entry.take().is_some_and(|known| known == spec) {
         return;
     }
     let mut back_off = BackOff::default();
-    while let Err(err) = write_entry(&node, &spec).await {
+    while let Err(err) = write_entry(&instance, &spec).await {
         let cause = err.to_string();
         tracing::warn!(event = "announce_failed", cause);
         compio::time::sleep(back_off.failed(CallKind::Watcher, true)).await;
@@ -130,10 +130,11 @@
 }
 
 async fn write_entry(
-    node: &FleetNode,
+    instance: &FleetInstance,
     spec: &serde_json::Value,
 ) -> Result<(), StoreError> {
-    let written = node.store.create(INSTANCES_KIND, node.id(), spec).await;
+    let written =
+        instance.store.create(INSTANCES_KIND, instance.id(), spec).await;
     match written {
         // A start at the same address changes nothing.
         Err(StoreError::Conflict(Some(known))) if known.spec == *spec => {
@@ -141,8 +142,12 @@
         }
         Err(StoreError::Conflict(Some(known))) => {
             let revision = known.revision;
-            let (kind, name) = (INSTANCES_KIND, node.id());
-            node.store.replace(kind, name, revision, spec).await.map(|_| ())
+            let (kind, name) = (INSTANCES_KIND, instance.id());
+            instance
+                .store
+                .replace(kind, name, revision, spec)
+                .await
+                .map(|_| ())
         }
         written => written.map(|_| ()),
     }
--- a/crates/sedgewalld/src/fleet/watch_poison.rs
+++ b/crates/sedgewalld/src/fleet/watch_poison.rs
@@ -25,7 +25,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    instance::FleetNode,
+    instance::FleetInstance,
     list_watch::{FRESH_WATCHERS, Follower, QUIET_WATCH},
     notify::Notify,
     poison,
@@ -86,7 +86,7 @@
 
 /// Takes in the records of condemned requests.
 pub(crate) struct PoisonRequests {
-    node: Rc<FleetNode>,
+    instance: Rc<FleetInstance>,
     /// Whether it has not paused yet.
     is_first: Cell<bool>,
 }
@@ -99,14 +99,14 @@
         if self.is_first.take() {
             return FIRST_WATCH_AFTER;
         }
-        match is_watcher(&self.node) {
+        match is_watcher(&self.instance) {
             true => Duration::ZERO,
             false => OTHERS_LIST_EVERY,
         }
     }
 
     fn notify(&self) -> Rc<Notify> {
-        self.node.poison_notify.clone()
+        self.instance.poison_notify.clone()
     }
 
     fn list(&self, listing: Listing) {
@@ -116,7 +116,7 @@
         };
         // A list that is seconds old does not show what is newer.
         let gone: Vec<RequestDigest> = self
-            .node
+            .instance
             .poison_records
             .borrow()
             .0
@@ -144,8 +144,11 @@
 }
 
 impl PoisonRequests {
-    pub(crate) fn new(node: &Rc<FleetNode>) -> PoisonRequests {
-        PoisonRequests { node: node.clone(), is_first: Cell::new(true) }
+    pub(crate) fn new(instance: &Rc<FleetInstance>) -> PoisonRequests {
+        PoisonRequests {
+            instance: instance.clone(),
+            is_first: Cell::new(true),
+        }
     }
 
     fn take(&self, object: &StoredObject) {
@@ -167,67 +170,76 @@
         let left = CONDEMNED_FOR.saturating_sub(ago);
         let endpoints = record.endpoints;
         let condemned = Condemned { digest, ms_ago, endpoints };
-        let taken_in = poison::take_in(&self.node, &condemned, "store");
+        let taken_in = poison::take_in(&self.instance, &condemned, "store");
         let known = KnownRecord {
             revision: object.revision,
             over_at: Instant::now() + left + RECORD_MARGIN,
             is_refuted: taken_in == MergeOutcome::Refuted,
         };
-        self.node.poison_records.borrow_mut().0.insert(digest, known);
-        notify(&self.node);
+        self.instance.poison_records.borrow_mut().0.insert(digest, known);
+        notify(&self.instance);
     }
 
     /// Lets a request go whose record was deleted: it is over, or an operator says
     /// so.
     fn record_gone(&self, digest: RequestDigest) {
-        if self.node.poison_records.borrow_mut().0.remove(&digest).is_none() {
+        if self
+            .instance
+            .poison_records
+            .borrow_mut()
+            .0
+            .remove(&digest)
+            .is_none()
+        {
             return;
         }
         tracing::info!(event = "poison_released", %digest);
-        self.node.poison.borrow_mut().release(digest, Instant::now());
+        self.instance.poison.borrow_mut().release(digest, Instant::now());
     }
 }
 
-fn is_watcher(node: &FleetNode) -> bool {
-    node.rank(0) < FRESH_WATCHERS
+fn is_watcher(instance: &FleetInstance) -> bool {
+    instance.rank(0) < FRESH_WATCHERS
 }
 
 /// Begins to watch the records if that has become this instance's part: those before
 /// it have left, or it hears them no longer.
-pub(crate) fn note_rank(node: &FleetNode) {
-    let is_watcher = is_watcher(node);
-    if is_watcher && !node.watches_poison.replace(is_watcher) {
-        node.poison_notify.notify();
+pub(crate) fn note_rank(instance: &FleetInstance) {
+    let is_watcher = is_watcher(instance);
+    if is_watcher && !instance.watches_poison.replace(is_watcher) {
+        instance.poison_notify.notify();
     }
-    node.watches_poison.set(is_watcher);
+    instance.watches_poison.set(is_watcher);
 }
 
 /// Notes that a run of a request ended well: its record is to go.
-pub(crate) fn refute(node: &FleetNode, digest: RequestDigest) {
-    if let Some(known) = node.poison_records.borrow_mut().0.get_mut(&digest) {
+pub(crate) fn refute(instance: &FleetInstance, digest: RequestDigest) {
+    if let Some(known) =
+        instance.poison_records.borrow_mut().0.get_mut(&digest)
+    {
         known.is_refuted = true;
     }
-    notify(node);
+    notify(instance);
 }
 
 /// Wakes the part that keeps the records.
-pub(crate) fn notify(node: &FleetNode) {
-    node.poison_records_notify.notify();
+pub(crate) fn notify(instance: &FleetInstance) {
+    instance.poison_records_notify.notify();
 }
 
 /// Writes what is condemned and not in the store, and deletes what is over, for ever.
-pub(crate) async fn keep_records(node: Rc<FleetNode>) {
+pub(crate) async fn keep_records(instance: Rc<FleetInstance>) {
     let mut back_off = BackOff::default();
     loop {
-        node.poison_records_notify.wait(LOOK_EVERY).await;
-        while let Some(task) = next_task(&node) {
+        instance.poison_records_notify.wait(LOOK_EVERY).await;
+        while let Some(task) = next_task(&instance) {
             // Whoever comes first does it, and tells the others by it.
-            let rank = node.rank(0) as u32;
+            let rank = instance.rank(0) as u32;
             compio::time::sleep(WRITE_AFTER * rank).await;
-            if !is_still_due(&node, &task) {
+            if !is_still_due(&instance, &task) {
                 continue;
             }
-            match carry_out(&node, &task).await {
+            match carry_out(&instance, &task).await {
                 Ok(()) => back_off.answered(),
                 Err(err) => {
                     let cause = err.to_string();
@@ -240,16 +252,16 @@
     }
 }
 
-fn next_task(node: &FleetNode) -> Option<Task> {
+fn next_task(instance: &FleetInstance) -> Option<Task> {
     let now = Instant::now();
-    let records = node.poison_records.borrow();
-    let condemned = node.poison.borrow().condemned(now);
+    let records = instance.poison_records.borrow();
+    let condemned = instance.poison.borrow().condemned(now);
     let unwritten =
         condemned.into_iter().find(|c| !records.0.contains_key(&c.digest));
     if let Some(unwritten) = unwritten {
         return Some(Task::Write(unwritten));
     }
-    let verdict = |digest| node.poison.borrow().verdict(digest, now);
+    let verdict = |digest| instance.poison.borrow().verdict(digest, now);
     let needless = records.0.iter().find(|(digest, known)| {
         (known.is_refuted || now >= known.over_at)
             && verdict(**digest).is_none()
@@ -257,31 +269,34 @@
     needless.map(|(digest, known)| Task::Delete(*digest, known.revision))
 }
 
-fn is_still_due(node: &FleetNode, task: &Task) -> bool {
+fn is_still_due(instance: &FleetInstance, task: &Task) -> bool {
     let digest = match task {
         Task::Write(condemned) => condemned.digest,
         Task::Delete(digest, _) => *digest,
     };
-    let is_known = node.poison_records.borrow().0.contains_key(&digest);
-    let verdict = node.poison.borrow().verdict(digest, Instant::now());
+    let is_known = instance.poison_records.borrow().0.contains_key(&digest);
+    let verdict = instance.poison.borrow().verdict(digest, Instant::now());
     match task {
         Task::Write(_) => !is_known && verdict.is_some(),
         Task::Delete(..) => is_known && verdict.is_none(),
     }
 }
 
-async fn carry_out(node: &FleetNode, task: &Task) -> Result<(), StoreError> {
+async fn carry_out(
+    instance: &FleetInstance,
+    task: &Task,
+) -> Result<(), StoreError> {
     match task {
-        Task::Write(condemned) => write(node, condemned).await,
+        Task::Write(condemned) => write(instance, condemned).await,
         Task::Delete(digest, revision) => {
             let name = digest.to_string();
             let deleted =
-                node.store.delete(POISON_KIND, &name, *revision).await;
+                instance.store.delete(POISON_KIND, &name, *revision).await;
             match deleted {
                 Err(StoreError::Missing | StoreError::Conflict(_)) => {}
                 deleted => deleted?,
             }
-            node.poison_records.borrow_mut().0.remove(digest);
+            instance.poison_records.borrow_mut().0.remove(digest);
             tracing::info!(event = "poison_record_deleted", %digest);
             Ok(())
         }
@@ -289,7 +304,7 @@
 }
 
 async fn write(
-    node: &FleetNode,
+    instance: &FleetInstance,
     condemned: &Condemned,
 ) -> Result<(), StoreError> {
     let Condemned { digest, ms_ago, endpoints } = condemned;
@@ -300,7 +315,8 @@
     let spec = serde_json::to_value(&record)
         .map_err(|err| StoreError::Unclear(err.to_string()))?;
     let name = digest.to_string();
-    let revision = match node.store.create(POISON_KIND, &name, &spec).await {
+    let revision = match instance.store.create(POISON_KIND, &name, &spec).await
+    {
         Ok(object) => object.revision,
         // Another instance has written it; until it is read, no list shows that it
         // is gone.
@@ -311,7 +327,7 @@
     };
     let over_at = Instant::now() + CONDEMNED_FOR + RECORD_MARGIN;
     let known = KnownRecord { revision, over_at, is_refuted: false };
-    node.poison_records.borrow_mut().0.insert(*digest, known);
+    instance.poison_records.borrow_mut().0.insert(*digest, known);
     tracing::info!(event = "poison_record_written", %digest, revision);
     Ok(())
 }
