--- a/crates/sedgewalld/src/fleet/daemon.rs
+++ b/crates/sedgewalld/src/fleet/daemon.rs
@@ -90,7 +90,7 @@
     let (stopping, stop) = stop_signal();
     let orders = Orders::new(instance.clone(), sender.clone());
     compio::runtime::spawn(log.clone().run()).detach();
-    start_to_follow(&instance);
+    start_watches(&instance);
     compio::runtime::spawn(notes::receive(
         instance.clone(),
         sender.clone(),
@@ -122,7 +122,7 @@
     Ok(())
 }
 
-fn start_to_follow(instance: &Rc<FleetInstance>) {
+fn start_watches(instance: &Rc<FleetInstance>) {
     list_watch::spawn(instance, Configuration(instance.clone()));
     list_watch::spawn(instance, Endpoints::new(instance));
     list_watch::spawn(instance, Versions(instance.clone()));
--- a/crates/sedgewalld/src/fleet/instance.rs
+++ b/crates/sedgewalld/src/fleet/instance.rs
@@ -487,7 +487,7 @@
     /// out may never be answered; what was listed since is known. Without that, the
     /// first answer of each kind made all others list again: 2,285 lists, three for
     /// each instance and kind, when all watches of 195 instances were cut once.
-    pub(crate) fn list_others_anew(&self, listed: &Rc<Notify>) {
+    pub(crate) fn relist_others(&self, listed: &Rc<Notify>) {
         let failed = self.store_contact.borrow().last_failure();
         let is_known = |notify: &Notify| {
             failed.is_some_and(|call| notify.was_cleared_since(call.noticed))
--- a/crates/sedgewalld/src/fleet/keys.rs
+++ b/crates/sedgewalld/src/fleet/keys.rs
@@ -87,7 +87,7 @@
 
 /// Returns how long the next watch of the configuration waits, if this instance is
 /// one of those that watch for all.
-pub(crate) fn own_watch(instance: &FleetInstance) -> Option<Duration> {
+pub(crate) fn watch_timeout(instance: &FleetInstance) -> Option<Duration> {
     let is_watching = instance.has_customers() && instance.rank(0) < WATCHERS;
     instance.keys.is_watching.set(is_watching);
     let wait = instance.keys.known.get().watch_timeout(Instant::now());
--- a/crates/sedgewalld/src/fleet/list_watch.rs
+++ b/crates/sedgewalld/src/fleet/list_watch.rs
@@ -34,21 +34,21 @@
 const PROBE_AGAIN: Duration = Duration::from_millis(500);
 
 /// Takes in the objects of one kind.
-pub(crate) trait Follower {
+pub(crate) trait ObjectHandler {
     const KIND: &'static str;
     const WATCH: Duration;
     /// How new the first list has to be. What the watch tells next follows on
     /// it, so a start is cheap where a second more does no harm.
-    const FIRST_LIST: Freshness = Freshness::SecondsOld;
+    const FIRST_LIST_FRESHNESS: Freshness = Freshness::SecondsOld;
     /// The pause before the next watch.
     fn pause(&self) -> Duration {
         Duration::ZERO
     }
     /// Notified when all is to be listed anew.
-    fn notify(&self) -> Rc<Notify>;
+    fn relist_notify(&self) -> Rc<Notify>;
     /// Whether its calls, and no other kind's, are tried soon while the store is
     /// out, at an instance that does not watch for the others.
-    const TRIES_FIRST: bool = false;
+    const RETRIES_EARLY: bool = false;
     /// Returns whether others were heard to know more than the last list and
     /// watch have shown; told once.
     fn take_behind(&self) -> bool {
@@ -56,87 +56,87 @@
     }
     /// Returns how new a watch has to be and how long it waits, if that does not
     /// go by our rank.
-    fn own_watch(&self) -> Option<(Freshness, Duration)> {
+    fn watch_override(&self) -> Option<(Freshness, Duration)> {
         None
     }
     /// Takes in that the store answered a call that was sent at a moment.
-    fn was_read(&self, _sent: Instant) {}
+    fn record_read(&self, _sent: Instant) {}
     /// Takes in that all changes before a moment are known.
     fn confirm(&self, _until: Instant) {}
     /// Takes in all objects.
-    fn list(&self, listing: Listing);
+    fn handle_list(&self, listing: Listing);
     /// Takes in one change.
-    fn change(&self, change: Change);
+    fn handle_change(&self, change: Change);
 }
 
 /// Starts to follow one kind.
-pub(crate) fn spawn<F: Follower + 'static>(
+pub(crate) fn spawn<F: ObjectHandler + 'static>(
     instance: &Rc<FleetInstance>,
-    follower: F,
+    handler: F,
 ) {
-    compio::runtime::spawn(run(instance.clone(), follower)).detach();
+    compio::runtime::spawn(run(instance.clone(), handler)).detach();
 }
 
 /// How far the following of one kind has come.
-struct Following<F> {
+struct ListWatch<F> {
     instance: Rc<FleetInstance>,
-    follower: F,
+    handler: F,
     /// Where the next watch goes on; without it, all is listed.
     since: Option<Revision>,
     /// How new the next list has to be, if that does not go by our rank.
-    list_freshness: Option<Freshness>,
+    list_freshness_override: Option<Freshness>,
     /// How new the last watch had to be.
     watch_freshness: Freshness,
     /// Whether the last call of this kind failed.
-    is_out: bool,
+    last_call_failed: bool,
     back_off: BackOff,
 }
 
-async fn run<F: Follower>(instance: Rc<FleetInstance>, follower: F) {
+async fn run<F: ObjectHandler>(instance: Rc<FleetInstance>, handler: F) {
     let in_force_within = instance.in_force_within();
-    let mut following = Following {
+    let mut state = ListWatch {
         instance,
-        follower,
+        handler,
         since: None,
-        list_freshness: Some(F::FIRST_LIST),
+        list_freshness_override: Some(F::FIRST_LIST_FRESHNESS),
         watch_freshness: Freshness::Newest,
-        is_out: false,
+        last_call_failed: false,
         back_off: BackOff::within(in_force_within),
     };
     loop {
-        following.go_on().await;
+        state.step().await;
     }
 }
 
-impl<F: Follower> Following<F> {
+impl<F: ObjectHandler> ListWatch<F> {
     /// Lists or watches once, and pauses as its outcome asks for.
-    async fn go_on(&mut self) {
+    async fn step(&mut self) {
         let sent = Instant::now();
         let done = match self.since {
             None => self.list().await.map(Some),
             Some(revision) => self.watch(revision).await,
         };
         match done {
-            Ok(Some(revision)) => self.reached(revision).await,
+            Ok(Some(revision)) => self.on_success(revision).await,
             // What was watched is to be listed anew.
             Ok(None) => self.since = None,
             Err(StoreError::HistoryGone) => {
                 tracing::warn!(event = "history_gone", kind = F::KIND);
                 self.since = None;
                 // What is seconds old may lie before the history that is left.
-                self.list_freshness = Some(Freshness::Newest);
+                self.list_freshness_override = Some(Freshness::Newest);
             }
-            Err(err) => self.failed(sent, &err).await,
+            Err(err) => self.on_failure(sent, &err).await,
         }
     }
 
     /// Lists all objects, which answers every notification until now.
     async fn list(&mut self) -> Result<Revision, StoreError> {
-        self.follower.notify().clear();
-        let freshness = self.next_list();
+        self.handler.relist_notify().clear();
+        let freshness = self.next_list_freshness();
         let sent = Instant::now();
         let listing = self.instance.store.list(F::KIND, freshness).await?;
-        self.list_freshness = None;
+        self.list_freshness_override = None;
         let revision = listing.revision;
         log_unreadable(F::KIND, &listing.unreadable);
         tracing::info!(
@@ -145,10 +145,10 @@
             objects = listing.objects.len(),
             revision,
         );
-        self.follower.list(listing);
-        self.follower.was_read(sent);
+        self.handler.handle_list(listing);
+        self.handler.record_read(sent);
         if freshness == Freshness::Newest {
-            self.follower.confirm(sent);
+            self.handler.confirm(sent);
         }
         Ok(revision)
     }
@@ -157,11 +157,13 @@
     /// of the price after an outage, and hear in notes if that was too old: 195
     /// instances that list four kinds with all that was acknowledged are 780 calls
     /// at once.
-    fn next_list(&self) -> Freshness {
-        match self.list_freshness {
+    fn next_list_freshness(&self) -> Freshness {
+        match self.list_freshness_override {
             Some(freshness) => freshness,
-            None if self.follower.take_behind() => Freshness::Newest,
-            None if self.follower.own_watch().is_some() => Freshness::Newest,
+            None if self.handler.take_behind() => Freshness::Newest,
+            None if self.handler.watch_override().is_some() => {
+                Freshness::Newest
+            }
             None => rank_freshness(&self.instance),
         }
     }
@@ -171,18 +173,21 @@
         &mut self,
         since: Revision,
     ) -> Result<Option<Revision>, StoreError> {
-        let (freshness, wait) = match self.follower.own_watch() {
+        let (freshness, wait) = match self.handler.watch_override() {
             Some(own) => own,
             None => {
                 let before = self.watch_freshness;
-                (freshness(&self.instance, before, F::KIND), F::WATCH)
+                (
+                    next_watch_freshness(&self.instance, before, F::KIND),
+                    F::WATCH,
+                )
             }
         };
         self.watch_freshness = freshness;
         let sent = Instant::now();
         let store = &self.instance.store;
         let watch = store.watch(F::KIND, since, wait, freshness);
-        let notify = self.follower.notify();
+        let notify = self.handler.relist_notify();
         let mut watch = pin!(watch.fuse());
         let mut notified = pin!(notified(&notify).fuse());
         let changes = select! {
@@ -193,27 +198,35 @@
         // A watch that ended without a change has waited at the store.
         let is_empty =
             changes.changes.is_empty() && changes.unreadable.is_empty();
-        let is_whole = is_empty && sent.elapsed() >= wait;
+        let has_timed_out = is_empty && sent.elapsed() >= wait;
         for change in changes.changes {
-            self.follower.change(change);
+            self.handler.handle_change(change);
         }
-        self.follower.was_read(if is_whole { sent + wait } else { sent });
+        self.handler.record_read(if has_timed_out {
+            sent + wait
+        } else {
+            sent
+        });
         if freshness == Freshness::Newest {
-            self.follower.confirm(if is_whole { sent + wait } else { sent });
+            self.handler.confirm(if has_timed_out {
+                sent + wait
+            } else {
+                sent
+            });
         }
         Ok(Some(changes.revision))
     }
 
     /// Goes on from a revision after the follower's pause.
-    async fn reached(&mut self, revision: Revision) {
+    async fn on_success(&mut self, revision: Revision) {
         self.instance.store_reached();
-        let notify = self.follower.notify();
-        if std::mem::take(&mut self.is_out) {
+        let notify = self.handler.relist_notify();
+        if std::mem::take(&mut self.last_call_failed) {
             tracing::info!(event = "store_regained", kind = F::KIND);
-            self.instance.list_others_anew(&notify);
+            self.instance.relist_others(&notify);
         }
         self.back_off.answered();
-        let pause = self.follower.pause();
+        let pause = self.handler.pause();
         let is_notified = !pause.is_zero() && notify.wait(pause).await;
         // After a long pause, what follows on the revision may be gone.
         let is_old = pause > QUIET_WATCH;
@@ -222,12 +235,12 @@
 
     /// Waits before the next call, or until another kind reaches the store: the
     /// first one that does notifies the others.
-    async fn failed(&mut self, sent: Instant, err: &StoreError) {
+    async fn on_failure(&mut self, sent: Instant, err: &StoreError) {
         self.instance.store_failed(sent, err);
         let cause = err.to_string();
-        if !std::mem::replace(&mut self.is_out, true) {
+        if !std::mem::replace(&mut self.last_call_failed, true) {
             tracing::warn!(event = "store_lost", kind = F::KIND, cause);
-            if !F::TRIES_FIRST {
+            if !F::RETRIES_EARLY {
                 // Its watch may wait on a channel that says nothing further.
                 self.instance.configuration_notify.notify();
             }
@@ -237,7 +250,7 @@
         let is_list = self.since.take().is_none();
         let calls = match rank_freshness(&self.instance) {
             Freshness::Newest => CallKind::Watcher,
-            Freshness::SecondsOld if F::TRIES_FIRST => CallKind::First,
+            Freshness::SecondsOld if F::RETRIES_EARLY => CallKind::First,
             Freshness::SecondsOld => CallKind::Notified,
         };
         let is_out = self.instance.store_contact.borrow().is_unreachable();
@@ -250,14 +263,14 @@
             next_in_ms = pause.as_millis() as u64,
             cause,
         );
-        self.wait_out(pause).await;
+        self.wait_for_retry(pause).await;
     }
 
     /// Waits for a time, or until another kind has reached the store. That
     /// others know more does not make the store answer us: 68 instances that
     /// the store turned away for 9 s tried each time they heard so, 1,100 calls.
-    async fn wait_out(&self, pause: Duration) {
-        let notify = self.follower.notify();
+    async fn wait_for_retry(&self, pause: Duration) {
+        let notify = self.handler.relist_notify();
         let until = Instant::now() + pause;
         loop {
             let left = until.saturating_duration_since(Instant::now());
@@ -279,7 +292,7 @@
 
 /// A few instances hear everything at once and tell the others, who watch for
 /// a tenth of the price and repair with it what notes lost.
-fn freshness(
+fn next_watch_freshness(
     instance: &FleetInstance,
     before: Freshness,
     kind: &str,
--- a/crates/sedgewalld/src/fleet/watch_configuration.rs
+++ b/crates/sedgewalld/src/fleet/watch_configuration.rs
@@ -9,7 +9,7 @@
 use super::{
     instance::{FleetInstance, Stage},
     keys,
-    list_watch::{Follower, QUIET_WATCH},
+    list_watch::{ObjectHandler, QUIET_WATCH},
     notify::Notify,
 };
 use sedgewall_fleet::route::RoutingConfiguration;
@@ -26,15 +26,15 @@
 /// Takes in named versions of weights.
 pub(crate) struct Versions(pub(crate) Rc<FleetInstance>);
 
-impl Follower for Configuration {
+impl ObjectHandler for Configuration {
     const KIND: &'static str = CONFIG_KIND;
     /// An older configuration must not be in force after a newer one.
-    const FIRST_LIST: Freshness = Freshness::Newest;
+    const FIRST_LIST_FRESHNESS: Freshness = Freshness::Newest;
     const WATCH: Duration = QUIET_WATCH;
     /// Without the newest one, requests are refused.
-    const TRIES_FIRST: bool = true;
+    const RETRIES_EARLY: bool = true;
 
-    fn notify(&self) -> Rc<Notify> {
+    fn relist_notify(&self) -> Rc<Notify> {
         self.0.configuration_notify.clone()
     }
 
@@ -44,12 +44,12 @@
 
     /// Where keys must stop in time, a few instances watch for the newest, and the
     /// others ask these.
-    fn own_watch(&self) -> Option<(Freshness, Duration)> {
-        let wait = keys::own_watch(&self.0)?;
+    fn watch_override(&self) -> Option<(Freshness, Duration)> {
+        let wait = keys::watch_timeout(&self.0)?;
         Some((Freshness::Newest, wait))
     }
 
-    fn was_read(&self, sent: Instant) {
+    fn record_read(&self, sent: Instant) {
         let read = &self.0.configuration_read;
         read.set(read.get().max(Some(sent)));
     }
@@ -60,22 +60,22 @@
         }
     }
 
-    fn list(&self, listing: Listing) {
+    fn handle_list(&self, listing: Listing) {
         for object in listing.objects {
-            self.take(&object);
+            self.apply(&object);
         }
     }
 
-    fn change(&self, change: Change) {
+    fn handle_change(&self, change: Change) {
         // A configuration that is gone stays in force.
         if !change.is_deleted {
-            self.take(&change.object);
+            self.apply(&change.object);
         }
     }
 }
 
 impl Configuration {
-    fn take(&self, object: &StoredObject) {
+    fn apply(&self, object: &StoredObject) {
         if object.name != CONFIG_NAME {
             return;
         }
@@ -137,11 +137,11 @@
     instance.wake_for_configuration();
 }
 
-impl Follower for Versions {
+impl ObjectHandler for Versions {
     const KIND: &'static str = VERSIONS_KIND;
     const WATCH: Duration = QUIET_WATCH;
 
-    fn notify(&self) -> Rc<Notify> {
+    fn relist_notify(&self) -> Rc<Notify> {
         self.0.versions_notify.clone()
     }
 
@@ -149,21 +149,21 @@
         self.0.is_versions_behind.take()
     }
 
-    fn list(&self, listing: Listing) {
+    fn handle_list(&self, listing: Listing) {
         for object in listing.objects {
-            self.take(&object);
+            self.apply(&object);
         }
     }
 
-    fn change(&self, change: Change) {
+    fn handle_change(&self, change: Change) {
         if !change.is_deleted {
-            self.take(&change.object);
+            self.apply(&change.object);
         }
     }
 }
 
 impl Versions {
-    fn take(&self, object: &StoredObject) {
+    fn apply(&self, object: &StoredObject) {
         match decode_version(&object.name, &object.spec) {
             Ok((key, version)) => self.0.name_version(&key, version),
             Err(err) => {
--- a/crates/sedgewalld/src/fleet/watch_endpoints.rs
+++ b/crates/sedgewalld/src/fleet/watch_endpoints.rs
@@ -20,7 +20,7 @@
 use sedgewall_state::id::EndpointId;
 
 use super::{
-    instance::FleetInstance, list_watch::Follower, notify::Notify, poison,
+    instance::FleetInstance, list_watch::ObjectHandler, notify::Notify, poison,
 };
 
 /// How long a watch of endpoints waits for a change. A channel that went dead
@@ -51,7 +51,7 @@
     lapsed: Rc<RefCell<HashMap<EndpointId, Revision>>>,
 }
 
-impl Follower for Endpoints {
+impl ObjectHandler for Endpoints {
     const KIND: &'static str = ENDPOINTS_KIND;
     const WATCH: Duration = ENDPOINTS_WATCH;
 
@@ -60,11 +60,11 @@
         ENDPOINTS_PAUSE.max(PAUSE_PER_INSTANCE * peers).min(LONGEST_PAUSE)
     }
 
-    fn notify(&self) -> Rc<Notify> {
+    fn relist_notify(&self) -> Rc<Notify> {
         self.instance.endpoints_notify.clone()
     }
 
-    fn list(&self, listing: Listing) {
+    fn handle_list(&self, listing: Listing) {
         let read: Vec<Endpoint> =
             listing.objects.iter().filter_map(decoded).collect();
         let listed: HashSet<&EndpointId> =
@@ -82,14 +82,14 @@
             self.entry_gone(id, listing.revision);
         }
         for endpoint in read {
-            self.take(endpoint);
+            self.apply(endpoint);
         }
         tell_departures(&self.instance);
         self.instance.wake_all();
         self.instance.notify_loader();
     }
 
-    fn change(&self, change: Change) {
+    fn handle_change(&self, change: Change) {
         let Change { object, is_deleted } = change;
         if is_deleted {
             self.entry_gone(&object.name, object.revision);
@@ -97,7 +97,7 @@
             return;
         }
         match decoded(&object) {
-            Some(endpoint) => self.take(endpoint),
+            Some(endpoint) => self.apply(endpoint),
             // It names no endpoint now, whatever it named before.
             None => self.entry_gone(&object.name, object.revision),
         }
@@ -112,7 +112,7 @@
     }
 
     /// Takes in an entry.
-    fn take(&self, endpoint: Endpoint) {
+    fn apply(&self, endpoint: Endpoint) {
         let mut view = self.instance.view.borrow_mut();
         // One that is there again belongs to the same life of its endpoint, but
         // what that holds is asked for anew.
--- a/crates/sedgewalld/src/fleet/watch_instances.rs
+++ b/crates/sedgewalld/src/fleet/watch_instances.rs
@@ -13,7 +13,7 @@
 
 use super::{
     instance::{FleetInstance, Peer},
-    list_watch::{Follower, QUIET_WATCH},
+    list_watch::{ObjectHandler, QUIET_WATCH},
     notify::Notify,
 };
 
@@ -44,7 +44,7 @@
 /// Takes in the entries of the other instances.
 pub(crate) struct Instances(pub(crate) Rc<FleetInstance>);
 
-impl Follower for Instances {
+impl ObjectHandler for Instances {
     const KIND: &'static str = INSTANCES_KIND;
     const WATCH: Duration = QUIET_WATCH;
 
@@ -52,11 +52,11 @@
         INSTANCES_PAUSE
     }
 
-    fn notify(&self) -> Rc<Notify> {
+    fn relist_notify(&self) -> Rc<Notify> {
         self.0.instances_notify.clone()
     }
 
-    fn list(&self, listing: Listing) {
+    fn handle_list(&self, listing: Listing) {
         let objects = listing.objects;
         let own = objects.iter().find(|object| object.name == *self.0.id());
         *self.0.own_entry.borrow_mut() = own.map(|object| object.spec.clone());
@@ -65,21 +65,21 @@
             |id: &String| objects.iter().any(|object| object.name == *id);
         self.0.peers.borrow_mut().retain(|id, _| is_listed(id));
         for object in objects {
-            self.take(&object);
+            self.apply(&object);
         }
     }
 
-    fn change(&self, change: Change) {
+    fn handle_change(&self, change: Change) {
         if change.is_deleted {
             self.0.peers.borrow_mut().remove(&change.object.name);
         } else {
-            self.take(&change.object);
+            self.apply(&change.object);
         }
     }
 }
 
 impl Instances {
-    fn take(&self, object: &StoredObject) {
+    fn apply(&self, object: &StoredObject) {
         if object.name == *self.0.id() {
             return;
         }
--- a/crates/sedgewalld/src/fleet/watch_poison.rs
+++ b/crates/sedgewalld/src/fleet/watch_poison.rs
@@ -26,7 +26,7 @@
 
 use super::{
     instance::FleetInstance,
-    list_watch::{FRESH_WATCHERS, Follower, QUIET_WATCH},
+    list_watch::{FRESH_WATCHERS, ObjectHandler, QUIET_WATCH},
     notify::Notify,
     poison,
 };
@@ -91,7 +91,7 @@
     is_first: Cell<bool>,
 }
 
-impl Follower for PoisonRequests {
+impl ObjectHandler for PoisonRequests {
     const KIND: &'static str = POISON_KIND;
     const WATCH: Duration = QUIET_WATCH;
 
@@ -105,11 +105,11 @@
         }
     }
 
-    fn notify(&self) -> Rc<Notify> {
+    fn relist_notify(&self) -> Rc<Notify> {
         self.instance.poison_notify.clone()
     }
 
-    fn list(&self, listing: Listing) {
+    fn handle_list(&self, listing: Listing) {
         let is_listed = |digest: &RequestDigest| {
             let name = digest.to_string();
             listing.objects.iter().any(|object| object.name == name)
@@ -129,13 +129,13 @@
             self.record_gone(digest);
         }
         for object in &listing.objects {
-            self.take(object);
+            self.apply(object);
         }
     }
 
-    fn change(&self, change: Change) {
+    fn handle_change(&self, change: Change) {
         if !change.is_deleted {
-            return self.take(&change.object);
+            return self.apply(&change.object);
         }
         if let Some(digest) = RequestDigest::parse(&change.object.name) {
             self.record_gone(digest);
@@ -151,7 +151,7 @@
         }
     }
 
-    fn take(&self, object: &StoredObject) {
+    fn apply(&self, object: &StoredObject) {
         let Some(digest) = RequestDigest::parse(&object.name) else {
             let name = &object.name;
             tracing::error!(event = "poison_record_unreadable", name);
