--- a/crates/sedgewalld/src/fleet/list_watch.rs
+++ b/crates/sedgewalld/src/fleet/list_watch.rs
@@ -19,7 +19,7 @@
 /// How long a watch waits, but for that of endpoints. Each call has a price, and what
 /// other instances know in a newer version is listed soon. It is well within the
 /// history that the store keeps: a watch that waits longer finds its revision gone.
-pub(crate) const QUIET_WATCH: Duration = Duration::from_secs(12);
+pub(crate) const DEFAULT_WATCH_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// Instances that watch with all that was acknowledged. Three may be cut off at
 /// once and one still tells all others.
@@ -27,16 +27,16 @@
 
 /// The longest time for the answer to a probe: the lease leaves 0.85 s from the
 /// first renewal that fails.
-const PROBE_TIME: Duration = Duration::from_millis(450);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(450);
 
 /// While a probe says that the store is out, and no other call has reached it,
 /// it is probed again after this long.
-const PROBE_AGAIN: Duration = Duration::from_millis(500);
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Takes in the objects of one kind.
 pub(crate) trait ObjectHandler {
     const KIND: &'static str;
-    const WATCH: Duration;
+    const WATCH_TIMEOUT: Duration;
     /// How new the first list has to be. What the watch tells next follows on
     /// it, so a start is cheap where a second more does no harm.
     const FIRST_LIST_FRESHNESS: Freshness = Freshness::SecondsOld;
@@ -179,7 +179,7 @@
                 let before = self.watch_freshness;
                 (
                     next_watch_freshness(&self.instance, before, F::KIND),
-                    F::WATCH,
+                    F::WATCH_TIMEOUT,
                 )
             }
         };
@@ -229,7 +229,7 @@
         let pause = self.handler.pause();
         let is_notified = !pause.is_zero() && notify.wait(pause).await;
         // After a long pause, what follows on the revision may be gone.
-        let is_old = pause > QUIET_WATCH;
+        let is_old = pause > DEFAULT_WATCH_TIMEOUT;
         self.since = (!is_notified && !is_old).then_some(revision);
     }
 
@@ -323,7 +323,7 @@
         loop {
             let sent = Instant::now();
             let probe = instance.store.probe(CONFIG_KIND, CONFIG_NAME);
-            let probed = compio::time::timeout(PROBE_TIME, probe)
+            let probed = compio::time::timeout(PROBE_TIMEOUT, probe)
                 .await
                 .unwrap_or(Err(StoreError::Unanswered));
             tracing::info!(event = "store_probed", is_out = probed.is_err());
@@ -332,7 +332,7 @@
                 break;
             };
             instance.store_failed(sent, &err);
-            compio::time::sleep(PROBE_AGAIN).await;
+            compio::time::sleep(PROBE_INTERVAL).await;
             if !instance.store_contact.borrow().is_unreachable() {
                 break;
             }
@@ -344,5 +344,5 @@
 
 /// Waits for a notify.
 async fn notified(notify: &Notify) {
-    while !notify.wait(QUIET_WATCH).await {}
+    while !notify.wait(DEFAULT_WATCH_TIMEOUT).await {}
 }
--- a/crates/sedgewalld/src/fleet/watch_configuration.rs
+++ b/crates/sedgewalld/src/fleet/watch_configuration.rs
@@ -9,7 +9,7 @@
 use super::{
     instance::{FleetInstance, Stage},
     keys,
-    list_watch::{ObjectHandler, QUIET_WATCH},
+    list_watch::{DEFAULT_WATCH_TIMEOUT, ObjectHandler},
     notify::Notify,
 };
 use sedgewall_fleet::route::RoutingConfiguration;
@@ -30,7 +30,7 @@
     const KIND: &'static str = CONFIG_KIND;
     /// An older configuration must not be in force after a newer one.
     const FIRST_LIST_FRESHNESS: Freshness = Freshness::Newest;
-    const WATCH: Duration = QUIET_WATCH;
+    const WATCH_TIMEOUT: Duration = DEFAULT_WATCH_TIMEOUT;
     /// Without the newest one, requests are refused.
     const RETRIES_EARLY: bool = true;
 
@@ -139,7 +139,7 @@
 
 impl ObjectHandler for Versions {
     const KIND: &'static str = VERSIONS_KIND;
-    const WATCH: Duration = QUIET_WATCH;
+    const WATCH_TIMEOUT: Duration = DEFAULT_WATCH_TIMEOUT;
 
     fn relist_notify(&self) -> Rc<Notify> {
         self.0.versions_notify.clone()
--- a/crates/sedgewalld/src/fleet/watch_endpoints.rs
+++ b/crates/sedgewalld/src/fleet/watch_endpoints.rs
@@ -25,7 +25,7 @@
 
 /// How long a watch of endpoints waits for a change. A channel that went dead
 /// without a word is noticed after this time; then all is listed anew.
-const ENDPOINTS_WATCH: Duration = Duration::from_secs(4);
+const ENDPOINTS_WATCH_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// The pause between two watches of endpoints, so that many changes come in
 /// one call. A leaving endpoint may get work for 2 s after the store has taken
@@ -37,11 +37,11 @@
 const PAUSE_PER_INSTANCE: Duration = Duration::from_millis(40);
 
 /// The longest pause between two watches of endpoints.
-const LONGEST_PAUSE: Duration = Duration::from_millis(2_500);
+const MAX_PAUSE: Duration = Duration::from_millis(2_500);
 
 /// An entry that is missing so soon after the store was regained may have lapsed
 /// while it was out: twice what a lapsed one takes to be back.
-const IN_DOUBT_FOR: Duration = Duration::from_secs(4);
+const LAPSE_DOUBT_WINDOW: Duration = Duration::from_secs(4);
 
 /// Takes in the entries of endpoints.
 pub(crate) struct Endpoints {
@@ -53,11 +53,11 @@
 
 impl ObjectHandler for Endpoints {
     const KIND: &'static str = ENDPOINTS_KIND;
-    const WATCH: Duration = ENDPOINTS_WATCH;
+    const WATCH_TIMEOUT: Duration = ENDPOINTS_WATCH_TIMEOUT;
 
     fn pause(&self) -> Duration {
         let peers = self.instance.peers.borrow().len() as u32;
-        ENDPOINTS_PAUSE.max(PAUSE_PER_INSTANCE * peers).min(LONGEST_PAUSE)
+        ENDPOINTS_PAUSE.max(PAUSE_PER_INSTANCE * peers).min(MAX_PAUSE)
     }
 
     fn relist_notify(&self) -> Rc<Notify> {
@@ -178,7 +178,7 @@
 fn take_out(instance: &FleetInstance, id: &EndpointId, revision: Revision) {
     let now = Instant::now();
     let contact = instance.store_contact.borrow();
-    let is_sure = !contact.was_unreachable_within(IN_DOUBT_FOR, now);
+    let is_sure = !contact.was_unreachable_within(LAPSE_DOUBT_WINDOW, now);
     tracing::info!(event = "endpoint_gone", endpoint = id, revision, is_sure);
     if is_sure {
         poison::endpoint_ended(instance, id);
--- a/crates/sedgewalld/src/fleet/watch_instances.rs
+++ b/crates/sedgewalld/src/fleet/watch_instances.rs
@@ -13,7 +13,7 @@
 
 use super::{
     instance::{FleetInstance, Peer},
-    list_watch::{ObjectHandler, QUIET_WATCH},
+    list_watch::{DEFAULT_WATCH_TIMEOUT, ObjectHandler},
     notify::Notify,
 };
 
@@ -25,10 +25,10 @@
 const INSTANCES_PAUSE: Duration = Duration::from_millis(1_500);
 
 /// How long an instance waits for the first list before it writes its entry.
-const FIRST_LIST_TIME: Duration = Duration::from_millis(400);
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How often it looks whether the list is there.
-const FIRST_LIST_LOOK: Duration = Duration::from_millis(20);
+const FIRST_LIST_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What an instance tells the others about itself.
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -46,7 +46,7 @@
 
 impl ObjectHandler for Instances {
     const KIND: &'static str = INSTANCES_KIND;
-    const WATCH: Duration = QUIET_WATCH;
+    const WATCH_TIMEOUT: Duration = DEFAULT_WATCH_TIMEOUT;
 
     fn pause(&self) -> Duration {
         INSTANCES_PAUSE
@@ -114,9 +114,9 @@
     let Ok(spec) = serde_json::to_value(&entry) else { return };
     // An instance that starts again at its address finds its entry in the first
     // list; the write would change nothing, and has the price of a call.
-    let until = Instant::now() + FIRST_LIST_TIME;
+    let until = Instant::now() + FIRST_LIST_TIMEOUT;
     while !instance.has_listed_instances.get() && Instant::now() < until {
-        compio::time::sleep(FIRST_LIST_LOOK).await;
+        compio::time::sleep(FIRST_LIST_POLL_INTERVAL).await;
     }
     if instance.own_entry.take().is_some_and(|known| known == spec) {
         return;
--- a/crates/sedgewalld/src/fleet/watch_poison.rs
+++ b/crates/sedgewalld/src/fleet/watch_poison.rs
@@ -26,7 +26,7 @@
 
 use super::{
     instance::FleetInstance,
-    list_watch::{FRESH_WATCHERS, ObjectHandler, QUIET_WATCH},
+    list_watch::{DEFAULT_WATCH_TIMEOUT, FRESH_WATCHERS, ObjectHandler},
     notify::Notify,
     poison,
 };
@@ -36,25 +36,25 @@
 
 /// What each instance that comes before this one adds to the time after which it
 /// writes what another one may write, so that one of them does.
-const WRITE_AFTER: Duration = Duration::from_millis(250);
+const WRITE_DELAY_PER_RANK: Duration = Duration::from_millis(250);
 
 /// How long an instance that does not watch for the others waits before it lists the
 /// records again. It hears of them in notes; a list repairs what notes lost. Where
 /// all watch, as they do for the configuration, calls to the store are 11 of 100 more
 /// with 79 instances.
-const OTHERS_LIST_EVERY: Duration = Duration::from_secs(60);
+const RELIST_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Until it has listed the others, each instance takes itself for the first. Those
 /// that start together find each other's entries 1.5 s later; 79 that all began with a
 /// watch of their own made 74 calls more.
-const FIRST_WATCH_AFTER: Duration = Duration::from_secs(2);
+const FIRST_WATCH_DELAY: Duration = Duration::from_secs(2);
 
 /// How often it is looked for records that are over.
-const LOOK_EVERY: Duration = Duration::from_secs(30);
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_secs(30);
 
 /// How long a record that is over stays beyond its time: clocks of instances differ
 /// by seconds.
-const RECORD_MARGIN: Duration = Duration::from_secs(60);
+const EXPIRY_MARGIN: Duration = Duration::from_secs(60);
 
 /// What stands in the store of one condemned request.
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -93,15 +93,15 @@
 
 impl ObjectHandler for PoisonRequests {
     const KIND: &'static str = POISON_KIND;
-    const WATCH: Duration = QUIET_WATCH;
+    const WATCH_TIMEOUT: Duration = DEFAULT_WATCH_TIMEOUT;
 
     fn pause(&self) -> Duration {
         if self.is_first.take() {
-            return FIRST_WATCH_AFTER;
+            return FIRST_WATCH_DELAY;
         }
         match is_watcher(&self.instance) {
             true => Duration::ZERO,
-            false => OTHERS_LIST_EVERY,
+            false => RELIST_INTERVAL,
         }
     }
 
@@ -173,7 +173,7 @@
         let taken_in = poison::take_in(&self.instance, &condemned, "store");
         let known = KnownRecord {
             revision: object.revision,
-            over_at: Instant::now() + left + RECORD_MARGIN,
+            over_at: Instant::now() + left + EXPIRY_MARGIN,
             is_refuted: taken_in == MergeOutcome::Refuted,
         };
         self.instance.poison_records.borrow_mut().0.insert(digest, known);
@@ -231,11 +231,11 @@
 pub(crate) async fn keep_records(instance: Rc<FleetInstance>) {
     let mut back_off = BackOff::default();
     loop {
-        instance.poison_records_notify.wait(LOOK_EVERY).await;
+        instance.poison_records_notify.wait(EXPIRY_CHECK_INTERVAL).await;
         while let Some(task) = next_task(&instance) {
             // Whoever comes first does it, and tells the others by it.
             let rank = instance.rank(0) as u32;
-            compio::time::sleep(WRITE_AFTER * rank).await;
+            compio::time::sleep(WRITE_DELAY_PER_RANK * rank).await;
             if !is_still_due(&instance, &task) {
                 continue;
             }
@@ -325,7 +325,7 @@
         }
         Err(err) => return Err(err),
     };
-    let over_at = Instant::now() + CONDEMNED_FOR + RECORD_MARGIN;
+    let over_at = Instant::now() + CONDEMNED_FOR + EXPIRY_MARGIN;
     let known = KnownRecord { revision, over_at, is_refuted: false };
     instance.poison_records.borrow_mut().0.insert(*digest, known);
     tracing::info!(event = "poison_record_written", %digest, revision);
