--- a/crates/sedgewalld/src/fleet/instance.rs
+++ b/crates/sedgewalld/src/fleet/instance.rs
@@ -192,7 +192,7 @@
     pub(crate) poison_records_notify: Notify,
     pub(crate) poison_notify: Rc<Notify>,
     /// Whether this instance watches them for the others.
-    pub(crate) watches_poison: Cell<bool>,
+    pub(crate) is_poison_watcher: Cell<bool>,
     /// Endpoints at which a run broke off, while it is looked at whether they are
     /// still there.
     pub(crate) looked_at: RefCell<BTreeSet<EndpointId>>,
@@ -294,7 +294,7 @@
             poison_records: RefCell::default(),
             poison_records_notify: Notify::default(),
             poison_notify: Rc::default(),
-            watches_poison: Cell::new(true),
+            is_poison_watcher: Cell::new(true),
             looked_at: RefCell::default(),
             peer_pool: EndpointPool::new(),
             open: Cell::new(0),
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -395,7 +395,7 @@
             instance.forget_saturated(now);
             instance.catch_up.borrow_mut().forget(now);
             instance.poison.borrow_mut().forget(now);
-            watch_poison::note_rank(&instance);
+            watch_poison::update_watcher_role(&instance);
         }
     }
 }
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -126,7 +126,7 @@
     let request = &call.facts.request_id;
     tracing::info!(event = "poison_cleared", %digest, request);
     tell_cleared(instance, digest);
-    watch_poison::refute(instance, digest);
+    watch_poison::mark_refuted(instance, digest);
 }
 
 /// Looks whether an endpoint is still there, once at a time for each.
@@ -243,7 +243,7 @@
         );
     }
     if !condemned.is_empty() {
-        watch_poison::notify(instance);
+        watch_poison::wake_record_keeper(instance);
     }
 }
 
--- a/crates/sedgewalld/src/fleet/watch_endpoints.rs
+++ b/crates/sedgewalld/src/fleet/watch_endpoints.rs
@@ -79,7 +79,7 @@
             .map(|state| state.id().clone())
             .collect();
         for id in known.iter().filter(|id| !listed.contains(id)) {
-            self.entry_gone(id, listing.revision);
+            self.entry_missing(id, listing.revision);
         }
         for endpoint in read {
             self.apply(endpoint);
@@ -92,14 +92,14 @@
     fn handle_change(&self, change: Change) {
         let Change { object, is_deleted } = change;
         if is_deleted {
-            self.entry_gone(&object.name, object.revision);
+            self.entry_missing(&object.name, object.revision);
             tell_departures(&self.instance);
             return;
         }
         match decoded(&object) {
             Some(endpoint) => self.apply(endpoint),
             // It names no endpoint now, whatever it named before.
-            None => self.entry_gone(&object.name, object.revision),
+            None => self.entry_missing(&object.name, object.revision),
         }
         tell_departures(&self.instance);
         self.instance.wake_all();
@@ -138,12 +138,12 @@
     /// Takes an endpoint out whose entry was missing at a revision of the store.
     /// Just after an outage it may have lapsed meanwhile, and is waited for: a
     /// live endpoint writes it again.
-    fn entry_gone(&self, id: &EndpointId, revision: Revision) {
+    fn entry_missing(&self, id: &EndpointId, revision: Revision) {
         let now = Instant::now();
         let contact = self.instance.store_contact.borrow();
         let left = contact.missing_entry_grace(now);
         if left.is_zero() {
-            take_out(&self.instance, id, revision);
+            remove_endpoint(&self.instance, id, revision);
             return;
         }
         if self.lapsed.borrow().contains_key(id) {
@@ -168,14 +168,18 @@
                 return;
             }
             lapsed.borrow_mut().remove(&id);
-            take_out(&instance, &id, revision);
+            remove_endpoint(&instance, &id, revision);
             tell_departures(&instance);
         })
         .detach();
     }
 }
 
-fn take_out(instance: &FleetInstance, id: &EndpointId, revision: Revision) {
+fn remove_endpoint(
+    instance: &FleetInstance,
+    id: &EndpointId,
+    revision: Revision,
+) {
     let now = Instant::now();
     let contact = instance.store_contact.borrow();
     let is_sure = !contact.was_unreachable_within(LAPSE_DOUBT_WINDOW, now);
--- a/crates/sedgewalld/src/fleet/watch_instances.rs
+++ b/crates/sedgewalld/src/fleet/watch_instances.rs
@@ -105,7 +105,7 @@
 }
 
 /// Writes our own entry, until the store has it.
-pub(crate) async fn announce(instance: Rc<FleetInstance>) {
+pub(crate) async fn register(instance: Rc<FleetInstance>) {
     let entry = InstanceEntry {
         notes_address: instance.settings.peer_listen,
         zone: instance.settings.zone.clone(),
--- a/crates/sedgewalld/src/fleet/watch_poison.rs
+++ b/crates/sedgewalld/src/fleet/watch_poison.rs
@@ -73,13 +73,13 @@
 struct KnownRecord {
     revision: Revision,
     /// When it is over.
-    over_at: Instant,
+    expires_at: Instant,
     /// Whether a run of the request has ended well since.
     is_refuted: bool,
 }
 
 /// What is to be done in the store.
-enum Task {
+enum RecordChange {
     Write(Condemned),
     Delete(RequestDigest, Revision),
 }
@@ -173,11 +173,11 @@
         let taken_in = poison::take_in(&self.instance, &condemned, "store");
         let known = KnownRecord {
             revision: object.revision,
-            over_at: Instant::now() + left + EXPIRY_MARGIN,
+            expires_at: Instant::now() + left + EXPIRY_MARGIN,
             is_refuted: taken_in == MergeOutcome::Refuted,
         };
         self.instance.poison_records.borrow_mut().0.insert(digest, known);
-        notify(&self.instance);
+        wake_record_keeper(&self.instance);
     }
 
     /// Lets a request go whose record was deleted: it is over, or an operator says
@@ -204,26 +204,26 @@
 
 /// Begins to watch the records if that has become this instance's part: those before
 /// it have left, or it hears them no longer.
-pub(crate) fn note_rank(instance: &FleetInstance) {
+pub(crate) fn update_watcher_role(instance: &FleetInstance) {
     let is_watcher = is_watcher(instance);
-    if is_watcher && !instance.watches_poison.replace(is_watcher) {
+    if is_watcher && !instance.is_poison_watcher.replace(is_watcher) {
         instance.poison_notify.notify();
     }
-    instance.watches_poison.set(is_watcher);
+    instance.is_poison_watcher.set(is_watcher);
 }
 
 /// Notes that a run of a request ended well: its record is to go.
-pub(crate) fn refute(instance: &FleetInstance, digest: RequestDigest) {
+pub(crate) fn mark_refuted(instance: &FleetInstance, digest: RequestDigest) {
     if let Some(known) =
         instance.poison_records.borrow_mut().0.get_mut(&digest)
     {
         known.is_refuted = true;
     }
-    notify(instance);
+    wake_record_keeper(instance);
 }
 
 /// Wakes the part that keeps the records.
-pub(crate) fn notify(instance: &FleetInstance) {
+pub(crate) fn wake_record_keeper(instance: &FleetInstance) {
     instance.poison_records_notify.notify();
 }
 
@@ -232,14 +232,14 @@
     let mut back_off = BackOff::default();
     loop {
         instance.poison_records_notify.wait(EXPIRY_CHECK_INTERVAL).await;
-        while let Some(task) = next_task(&instance) {
+        while let Some(pending) = next_change(&instance) {
             // Whoever comes first does it, and tells the others by it.
             let rank = instance.rank(0) as u32;
             compio::time::sleep(WRITE_DELAY_PER_RANK * rank).await;
-            if !is_still_due(&instance, &task) {
+            if !is_still_due(&instance, &pending) {
                 continue;
             }
-            match carry_out(&instance, &task).await {
+            match make_change(&instance, &pending).await {
                 Ok(()) => back_off.answered(),
                 Err(err) => {
                     let cause = err.to_string();
@@ -252,43 +252,44 @@
     }
 }
 
-fn next_task(instance: &FleetInstance) -> Option<Task> {
+fn next_change(instance: &FleetInstance) -> Option<RecordChange> {
     let now = Instant::now();
     let records = instance.poison_records.borrow();
     let condemned = instance.poison.borrow().condemned(now);
     let unwritten =
         condemned.into_iter().find(|c| !records.0.contains_key(&c.digest));
     if let Some(unwritten) = unwritten {
-        return Some(Task::Write(unwritten));
+        return Some(RecordChange::Write(unwritten));
     }
     let verdict = |digest| instance.poison.borrow().verdict(digest, now);
     let needless = records.0.iter().find(|(digest, known)| {
-        (known.is_refuted || now >= known.over_at)
+        (known.is_refuted || now >= known.expires_at)
             && verdict(**digest).is_none()
     });
-    needless.map(|(digest, known)| Task::Delete(*digest, known.revision))
+    needless
+        .map(|(digest, known)| RecordChange::Delete(*digest, known.revision))
 }
 
-fn is_still_due(instance: &FleetInstance, task: &Task) -> bool {
-    let digest = match task {
-        Task::Write(condemned) => condemned.digest,
-        Task::Delete(digest, _) => *digest,
+fn is_still_due(instance: &FleetInstance, pending: &RecordChange) -> bool {
+    let digest = match pending {
+        RecordChange::Write(condemned) => condemned.digest,
+        RecordChange::Delete(digest, _) => *digest,
     };
     let is_known = instance.poison_records.borrow().0.contains_key(&digest);
     let verdict = instance.poison.borrow().verdict(digest, Instant::now());
-    match task {
-        Task::Write(_) => !is_known && verdict.is_some(),
-        Task::Delete(..) => is_known && verdict.is_none(),
+    match pending {
+        RecordChange::Write(_) => !is_known && verdict.is_some(),
+        RecordChange::Delete(..) => is_known && verdict.is_none(),
     }
 }
 
-async fn carry_out(
+async fn make_change(
     instance: &FleetInstance,
-    task: &Task,
+    pending: &RecordChange,
 ) -> Result<(), StoreError> {
-    match task {
-        Task::Write(condemned) => write(instance, condemned).await,
-        Task::Delete(digest, revision) => {
+    match pending {
+        RecordChange::Write(condemned) => write(instance, condemned).await,
+        RecordChange::Delete(digest, revision) => {
             let name = digest.to_string();
             let deleted =
                 instance.store.delete(POISON_KIND, &name, *revision).await;
@@ -325,8 +326,8 @@
         }
         Err(err) => return Err(err),
     };
-    let over_at = Instant::now() + CONDEMNED_FOR + EXPIRY_MARGIN;
-    let known = KnownRecord { revision, over_at, is_refuted: false };
+    let expires_at = Instant::now() + CONDEMNED_FOR + EXPIRY_MARGIN;
+    let known = KnownRecord { revision, expires_at, is_refuted: false };
     instance.poison_records.borrow_mut().0.insert(*digest, known);
     tracing::info!(event = "poison_record_written", %digest, revision);
     Ok(())
