--- a/crates/sedgewalld/src/fleet/announcements.rs
+++ b/crates/sedgewalld/src/fleet/announcements.rs
@@ -125,7 +125,7 @@
         .increment(1);
     let endpoint = &answered.endpoint;
     tracing::info!(event = "departure_announced", endpoint, request);
-    watch_endpoints::tell_departures(instance);
+    watch_endpoints::broadcast_departures(instance);
     instance.wake_all();
     instance.notify_loader();
 }
--- a/crates/sedgewalld/src/fleet/daemon.rs
+++ b/crates/sedgewalld/src/fleet/daemon.rs
@@ -102,7 +102,8 @@
         .detach();
     compio::runtime::spawn(keys::stay_sure(instance.clone(), sender.clone()))
         .detach();
-    compio::runtime::spawn(notes::tell(instance.clone(), sender)).detach();
+    compio::runtime::spawn(notes::run_sender(instance.clone(), sender))
+        .detach();
     compio::runtime::spawn(lease::run(instance.clone())).detach();
     compio::runtime::spawn(leader::run(instance.clone(), orders)).detach();
     compio::runtime::spawn(serve_callers(instance.clone(), callers, stop))
--- a/crates/sedgewalld/src/fleet/in_flight.rs
+++ b/crates/sedgewalld/src/fleet/in_flight.rs
@@ -41,11 +41,11 @@
         }
         drop(view);
         if reads_for >= LARGE_PROMPT {
-            instance.has_untold_work.set(true);
+            instance.has_unreported_work.set(true);
         }
         if key.is_some() {
             // The holder must hear of the adapter before it removes it.
-            instance.has_untold_sends.set(true);
+            instance.has_unreported_sends.set(true);
             instance.notify_notes();
         }
         UnderWay {
--- a/crates/sedgewalld/src/fleet/instance.rs
+++ b/crates/sedgewalld/src/fleet/instance.rs
@@ -206,9 +206,9 @@
     pub(super) catch_up_notify: Notify,
     notes_notify: Notify,
     /// Whether a large prompt was sent that the others have not heard of.
-    pub(crate) has_untold_work: Cell<bool>,
+    pub(crate) has_unreported_work: Cell<bool>,
     /// Whether requests were sent to engines of which the holder has not heard.
-    pub(crate) has_untold_sends: Cell<bool>,
+    pub(crate) has_unreported_sends: Cell<bool>,
     /// Ring when what was watched must be listed anew.
     pub(crate) configuration_notify: Rc<Notify>,
     pub(crate) versions_notify: Rc<Notify>,
@@ -226,9 +226,9 @@
     /// The renewal that another instance was asked for, by its number.
     pub(crate) renewal: RefCell<Option<(u64, oneshot::Sender<WriteAnswer>)>>,
     /// Notes that wait to go to one instance each.
-    pub(crate) letters: RefCell<Vec<(InstanceId, Note)>>,
+    pub(crate) unicast_queue: RefCell<Vec<(InstanceId, Note)>>,
     /// Notes that wait to go to all others.
-    pub(crate) outbox: RefCell<Vec<Note>>,
+    pub(crate) broadcast_queue: RefCell<Vec<Note>>,
     /// Who waits for an adapter, at the holder of the lease.
     pub(crate) askers: RefCell<HashMap<AdapterKey, BTreeSet<InstanceId>>>,
 }
@@ -302,8 +302,8 @@
             loader_notify: Notify::default(),
             catch_up_notify: Notify::default(),
             notes_notify: Notify::default(),
-            has_untold_work: Cell::new(false),
-            has_untold_sends: Cell::new(false),
+            has_unreported_work: Cell::new(false),
+            has_unreported_sends: Cell::new(false),
             configuration_notify: Rc::default(),
             versions_notify: Rc::default(),
             is_configuration_behind: Cell::new(false),
@@ -314,8 +314,8 @@
             behind_since: Cell::new(None),
             work: Work::default(),
             renewal: RefCell::default(),
-            letters: RefCell::default(),
-            outbox: RefCell::default(),
+            unicast_queue: RefCell::default(),
+            broadcast_queue: RefCell::default(),
             askers: RefCell::default(),
         })
     }
--- a/crates/sedgewalld/src/fleet/leader.rs
+++ b/crates/sedgewalld/src/fleet/leader.rs
@@ -22,17 +22,17 @@
 const PAUSE_FACTOR: u32 = 8;
 
 /// How often demand that has faded is forgotten.
-const FORGET_EVERY: Duration = Duration::from_secs(1);
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Decides and gives orders, for ever.
 pub(crate) async fn run(instance: Rc<FleetInstance>, orders: Orders) {
-    let mut last_forgotten = Instant::now();
+    let mut last_cleanup = Instant::now();
     let mut epoch = None;
     loop {
         instance.loader_notified(LOOK_EVERY).await;
         let now = Instant::now();
-        if now - last_forgotten >= FORGET_EVERY {
-            last_forgotten = now;
+        if now - last_cleanup >= CLEANUP_INTERVAL {
+            last_cleanup = now;
             instance.demand.borrow_mut().forget(now);
             instance.load_times.borrow_mut().forget(now);
             orders.forget_gone();
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -364,7 +364,7 @@
     }
     // All see whether the store answers them: while it answers nobody, nobody
     // can take the lease.
-    instance.outbox.borrow_mut().push(Note::ProbeStore);
+    instance.broadcast_queue.borrow_mut().push(Note::ProbeStore);
     instance.notify_notes();
     compio::time::sleep(FAILED_PAUSE).await;
     let renewal_sent = Some(first_sent);
--- a/crates/sedgewalld/src/fleet/lease_store.rs
+++ b/crates/sedgewalld/src/fleet/lease_store.rs
@@ -197,7 +197,7 @@
     };
     for peer in peers {
         let note = Note::RenewalRequest(request.clone());
-        instance.letters.borrow_mut().push((peer.clone(), note));
+        instance.unicast_queue.borrow_mut().push((peer.clone(), note));
     }
     instance.notify_notes();
     match compio::time::timeout(PEER_TIME, rx).await {
--- a/crates/sedgewalld/src/fleet/note_sender.rs
+++ b/crates/sedgewalld/src/fleet/note_sender.rs
@@ -22,13 +22,13 @@
 use super::instance::FleetInstance;
 
 /// The longest datagram that IPv4 carries, less some room for its head.
-pub(crate) const LARGEST_NOTE: usize = 60_000;
+pub(crate) const MAX_NOTE_BYTES: usize = 60_000;
 
 /// Sends notes.
 pub(crate) struct NoteSender {
     socket: UdpSocket,
     /// Counts notes that went through relays, to choose others for the next.
-    relayed: Cell<usize>,
+    relay_rotation: Cell<usize>,
 }
 
 impl NoteSender {
@@ -66,33 +66,34 @@
             }
             return;
         }
-        let turn = self.next_turn();
+        let rotation = self.next_rotation();
         let (now, view) = (Instant::now(), instance.view.borrow());
         let zones = peers.iter().map(|(id, peer)| (id, &peer.zone));
         let own = &instance.settings.zone;
         for id in
-            zone_relays(zones, own, |id| view.is_live_peer(id, now), turn)
+            zone_relays(zones, own, |id| view.is_live_peer(id, now), rotation)
         {
             let for_zone = Note::ZoneRelay(note.clone().into());
             self.send_to(peers[id].address, &for_zone);
         }
         drop(view);
-        self.spread_in_zone(instance, note);
+        self.broadcast_in_zone(instance, note);
     }
 
     /// Sends a note to one instance of each group of our zone.
-    pub(crate) fn spread_in_zone(
+    pub(crate) fn broadcast_in_zone(
         &self,
         instance: &FleetInstance,
         note: &Note,
     ) {
         let peers = instance.peers.borrow();
-        let turn = self.next_turn();
+        let rotation = self.next_rotation();
         let (now, view) = (Instant::now(), instance.view.borrow());
         let own = &instance.settings.zone;
         let zones = peers.iter().map(|(id, peer)| (id, &peer.zone));
         let zones = zones.filter(|(_, zone)| *zone == own);
-        for (id, group) in relays(zones, |id| view.is_live_peer(id, now), turn)
+        for (id, group) in
+            relays(zones, |id| view.is_live_peer(id, now), rotation)
         {
             let Group { index, count } = group;
             let relayed =
@@ -102,14 +103,14 @@
     }
 
     /// Returns the number by which relays are chosen; each note has another one.
-    fn next_turn(&self) -> usize {
-        let turn = self.relayed.get();
-        self.relayed.set(turn.wrapping_add(1));
-        turn
+    fn next_rotation(&self) -> usize {
+        let rotation = self.relay_rotation.get();
+        self.relay_rotation.set(rotation.wrapping_add(1));
+        rotation
     }
 
     /// Passes a note on to the rest of its group.
-    pub(crate) fn pass_on(
+    pub(crate) fn forward_to_group(
         &self,
         instance: &FleetInstance,
         relayed: &GroupRelay,
@@ -132,7 +133,7 @@
 
 fn encode(note: &Note) -> Option<Vec<u8>> {
     match rmp_serde::to_vec(note) {
-        Ok(bytes) if bytes.len() <= LARGEST_NOTE => Some(bytes),
+        Ok(bytes) if bytes.len() <= MAX_NOTE_BYTES => Some(bytes),
         Ok(bytes) => {
             let len = bytes.len();
             tracing::error!(event = "note_too_large", len);
@@ -153,6 +154,6 @@
     socket.set_nonblocking(true)?;
     let sender = socket.try_clone()?;
     let receiver = compio::net::UdpSocket::from_std(socket)?;
-    let sender = NoteSender { socket: sender, relayed: Cell::new(0) };
+    let sender = NoteSender { socket: sender, relay_rotation: Cell::new(0) };
     Ok((Rc::new(sender), receiver))
 }
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -23,26 +23,26 @@
     announcements,
     instance::{FleetInstance, SeenArrival, Stage},
     keys, lease_store, list_watch,
-    note_sender::{LARGEST_NOTE, NoteSender},
+    note_sender::{MAX_NOTE_BYTES, NoteSender},
     poison, watch_poison,
 };
 
 /// Where there are many, each so many-th note goes to all and not to the holder
 /// alone, so that each knows who is there.
-const ALL_HEAR_EACH: u64 = 8;
+const BROADCAST_EVERY: u64 = 8;
 
 /// What others know in a newer version is listed after this long, if our own
 /// watch has not brought it, and again after this long.
-const BEHIND_FOR: Duration = Duration::from_millis(500);
+const RELIST_DELAY: Duration = Duration::from_millis(500);
 
 /// A newer version that was heard of this long ago was another one.
-const BEHIND_HOLDS: Duration = Duration::from_millis(2_000);
+const BEHIND_VALID_FOR: Duration = Duration::from_millis(2_000);
 
 /// Notes in one datagram at most, so that it fits one packet.
 const BATCH_LEN: usize = 16;
 
 /// How often peers that fell silent are forgotten.
-const FORGET_EVERY: Duration = Duration::from_secs(1);
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Receives notes for ever.
 pub(crate) async fn receive(
@@ -50,7 +50,7 @@
     sender: Rc<NoteSender>,
     socket: compio::net::UdpSocket,
 ) {
-    let mut buf = Vec::with_capacity(LARGEST_NOTE);
+    let mut buf = Vec::with_capacity(MAX_NOTE_BYTES);
     loop {
         buf.clear();
         let BufResult(received, back) = socket.recv_from(buf).await;
@@ -138,11 +138,11 @@
             }
         }
         Note::ZoneRelay(note) => {
-            sender.spread_in_zone(instance, &note);
+            sender.broadcast_in_zone(instance, &note);
             hear(instance, sender, *note);
         }
         Note::GroupRelay(relayed) => {
-            sender.pass_on(instance, &relayed);
+            sender.forward_to_group(instance, &relayed);
             hear(instance, sender, *relayed.note);
         }
         // Whoever gives orders knows better than a note from before.
@@ -195,10 +195,10 @@
         return;
     }
     let since = instance.behind_since.get().unwrap_or(now);
-    if now - since > BEHIND_HOLDS {
+    if now - since > BEHIND_VALID_FOR {
         // Heard of long ago; our watch has brought that one.
         instance.behind_since.set(Some(now));
-    } else if now - since < BEHIND_FOR {
+    } else if now - since < RELIST_DELAY {
         instance.behind_since.set(Some(since));
     } else {
         instance.behind_since.set(Some(now));
@@ -260,7 +260,7 @@
         return;
     }
     if asked.from != *instance.id() {
-        answer_asker(instance, sender, asked, now);
+        send_known_placements(instance, sender, asked, now);
     }
     instance.notify_loader();
 }
@@ -313,13 +313,13 @@
     tracing::warn!(event = "endpoint_suspect", endpoint, by, for_ms);
     instance.view.borrow_mut().mark_suspect(endpoint, time, now);
     let note = Note::Suspect { endpoint: endpoint.clone(), for_ms };
-    instance.outbox.borrow_mut().push(note);
+    instance.broadcast_queue.borrow_mut().push(note);
     instance.notify_notes();
 }
 
 /// Tells an instance at once where what it asks for already is; the rest it
 /// hears when it is placed.
-fn answer_asker(
+fn send_known_placements(
     instance: &FleetInstance,
     sender: &NoteSender,
     asked: &DemandReport,
@@ -344,10 +344,13 @@
 }
 
 /// Sends what this instance has to say, for ever.
-pub(crate) async fn tell(instance: Rc<FleetInstance>, sender: Rc<NoteSender>) {
-    let mut sequence = start_sequence();
+pub(crate) async fn run_sender(
+    instance: Rc<FleetInstance>,
+    sender: Rc<NoteSender>,
+) {
+    let mut sequence = initial_sequence();
     let mut schedule = NoteSchedule::default();
-    let mut next_forget = Instant::now();
+    let mut next_cleanup = Instant::now();
     let mut suspensions = SuspendDetector::start();
     loop {
         if let Some(time) = suspensions.check() {
@@ -357,34 +360,34 @@
         let now = Instant::now();
         let wait = schedule.wait(
             pending(&instance),
-            surroundings(&instance, now),
+            topology_at(&instance, now),
             now,
         );
         instance.notes_notified(wait).await;
         let now = Instant::now();
-        let around = surroundings(&instance, now);
-        for (peer, note) in instance.letters.take() {
+        let topology = topology_at(&instance, now);
+        for (peer, note) in instance.unicast_queue.take() {
             sender.send_to_peer(&instance, &peer, &note);
         }
-        let due = schedule.take(pending(&instance), around, now);
+        let due = schedule.take(pending(&instance), topology, now);
         if due.status {
             instance.store_contact.borrow_mut().take_change();
             sequence += 1;
-            tell_status(&instance, &sender, sequence, around);
+            send_status(&instance, &sender, sequence, topology);
         }
         if due.interim_work {
-            tell_work_soon(&instance, &sender, &mut sequence, around);
+            send_interim_status(&instance, &sender, &mut sequence, topology);
         }
         if due.batch {
-            for notes in instance.outbox.take().chunks(BATCH_LEN) {
+            for notes in instance.broadcast_queue.take().chunks(BATCH_LEN) {
                 sender.broadcast(&instance, &Note::Batch(notes.to_vec()));
             }
         }
         if due.demand {
-            tell_asked(&instance, &sender);
+            send_demand_report(&instance, &sender);
         }
-        if now >= next_forget {
-            next_forget = now + FORGET_EVERY;
+        if now >= next_cleanup {
+            next_cleanup = now + CLEANUP_INTERVAL;
             instance.forget_heard(now);
             instance.view.borrow_mut().remove_silent_peers(now);
             instance.view.borrow_mut().forget_departures(now);
@@ -403,16 +406,16 @@
 fn pending(instance: &FleetInstance) -> Pending {
     Pending {
         has_store_change: instance.store_contact.borrow().has_change(),
-        has_large_prompt: instance.has_untold_work.get(),
-        has_batch: !instance.outbox.borrow().is_empty(),
+        has_large_prompt: instance.has_unreported_work.get(),
+        has_batch: !instance.broadcast_queue.borrow().is_empty(),
         has_waiting: !instance.waiting.borrow().is_empty()
             || !instance.unreachable.borrow().is_empty()
             || !instance.arrivals.borrow().is_empty(),
-        has_sent: instance.has_untold_sends.get(),
+        has_sent: instance.has_unreported_sends.get(),
     }
 }
 
-fn surroundings(instance: &FleetInstance, now: Instant) -> Topology {
+fn topology_at(instance: &FleetInstance, now: Instant) -> Topology {
     let role = match (instance.current_lease(now), instance.live_leader(now)) {
         (Some(_), _) => Role::Holder,
         (None, Some(_)) => Role::Follower,
@@ -422,7 +425,7 @@
 }
 
 /// A restart begins above what its last life can have reached.
-fn start_sequence() -> u64 {
+fn initial_sequence() -> u64 {
     let since = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap_or_default();
@@ -432,47 +435,47 @@
 /// Tells between two regular notes what was sent since the last one. Until
 /// it is heard others send to the same engines, and the holder of the lease may
 /// remove an adapter that is in use.
-fn tell_work_soon(
+fn send_interim_status(
     instance: &FleetInstance,
     sender: &NoteSender,
     sequence: &mut u64,
-    around: Topology,
+    topology: Topology,
 ) {
-    if around.uses_relays() && around.role == Role::Holder {
+    if topology.uses_relays() && topology.role == Role::Holder {
         // What the holder sends itself is in the sums that it tells anyway.
-        instance.has_untold_work.set(false);
+        instance.has_unreported_work.set(false);
         return;
     }
-    if !around.uses_relays() {
+    if !topology.uses_relays() {
         *sequence += 1;
-        return tell_status(instance, sender, *sequence, around);
+        return send_status(instance, sender, *sequence, topology);
     }
     let Some(holder) = instance.live_leader(Instant::now()) else { return };
-    *sequence += ALL_HEAR_EACH;
-    let status = status(instance, *sequence, around);
+    *sequence += BROADCAST_EVERY;
+    let status = status(instance, *sequence, topology);
     let note = Note::Status(status);
     sender.send_to_peer(instance, &holder.instance, &note);
 }
 
-fn tell_status(
+fn send_status(
     instance: &FleetInstance,
     sender: &NoteSender,
     sequence: u64,
-    around: Topology,
+    topology: Topology,
 ) {
-    let mut status = status(instance, sequence, around);
+    let mut status = status(instance, sequence, topology);
     let holder = instance
         .live_leader(Instant::now())
-        .filter(|_| around.uses_relays() && status.leads.is_none());
+        .filter(|_| topology.uses_relays() && status.leads.is_none());
     if let Some(holder) = holder {
         // The holder alone needs to know of adapters in use. Of two notes with
         // one number it keeps the first.
         let note = Note::Status(status.clone());
         sender.send_to_peer(instance, &holder.instance, &note);
-        if !sequence.is_multiple_of(ALL_HEAR_EACH) {
+        if !sequence.is_multiple_of(BROADCAST_EVERY) {
             return;
         }
-        status.next_in_ms *= ALL_HEAR_EACH;
+        status.next_in_ms *= BROADCAST_EVERY;
         for (_, work) in &mut status.work {
             *work = work.without_adapters();
         }
@@ -484,7 +487,7 @@
 fn status(
     instance: &FleetInstance,
     sequence: u64,
-    around: Topology,
+    topology: Topology,
 ) -> Status {
     let now = Instant::now();
     let leads = instance.current_lease(now).map(|held| LeaderLease {
@@ -492,8 +495,8 @@
         renewal: held.renewal,
         left_ms: held.left(now).as_millis() as u64 + 1,
     });
-    let is_total = around.uses_relays() && leads.is_some();
-    instance.has_untold_work.set(false);
+    let is_total = topology.uses_relays() && leads.is_some();
+    instance.has_unreported_work.set(false);
     let Totals { work, is_part } = match is_total {
         true => instance.view.borrow_mut().publish_totals(),
         false => {
@@ -510,7 +513,7 @@
     Status {
         from: instance.id().clone(),
         sequence,
-        next_in_ms: around.status_pause().as_millis() as u64,
+        next_in_ms: topology.status_pause().as_millis() as u64,
         leads,
         configuration: instance.configuration_version().unwrap_or(0),
         versions,
@@ -533,8 +536,8 @@
     LoadObservationReport { endpoint, key, is_there, ago_ms }
 }
 
-fn tell_asked(instance: &FleetInstance, sender: &NoteSender) {
-    instance.has_untold_sends.set(false);
+fn send_demand_report(instance: &FleetInstance, sender: &NoteSender) {
+    instance.has_unreported_sends.set(false);
     let counts: Vec<_> = instance.asked.borrow_mut().drain().collect();
     let waiting: Vec<_> = instance.waiting.borrow_mut().drain().collect();
     let unreachable: Vec<_> =
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -211,7 +211,7 @@
         if let Task::Unload(key) = &order.task {
             let (endpoint, key) = (order.endpoint.clone(), key.clone());
             let removed = Removed { epoch, endpoint, key, born };
-            self.tell_all(Note::Removed(removed));
+            self.broadcast(Note::Removed(removed));
         }
         let instance = self.instance.id().clone();
         let holder = Holder { instance, epoch };
@@ -260,11 +260,11 @@
         match answer {
             OrderAnswer::Done => {
                 self.note_there(order);
-                self.tell_placed(epoch, order, false);
+                self.broadcast_placement(epoch, order, false);
             }
             OrderAnswer::Accepted => {
                 self.note_taken(order);
-                self.tell_placed(epoch, order, order.is_cold);
+                self.broadcast_placement(epoch, order, order.is_cold);
             }
             OrderAnswer::Rests(rest) => {
                 self.hear_rest(&order.endpoint, rest);
@@ -304,7 +304,7 @@
         view.mark_present(&order.endpoint, key, Instant::now());
     }
 
-    fn tell_placed(&self, epoch: Epoch, order: &Order, is_cold: bool) {
+    fn broadcast_placement(&self, epoch: Epoch, order: &Order, is_cold: bool) {
         let Task::Load(key, version) = &order.task else { return };
         let now = Instant::now();
         let mut view = self.instance.view.borrow_mut();
@@ -326,12 +326,12 @@
             let note = Note::Placed(placed.clone());
             self.sender.send_to_peer(&self.instance, &peer, &note);
         }
-        self.tell_all(Note::Placed(placed));
+        self.broadcast(Note::Placed(placed));
         self.instance.wake(key);
     }
 
-    fn tell_all(&self, note: Note) {
-        self.instance.outbox.borrow_mut().push(note);
+    fn broadcast(&self, note: Note) {
+        self.instance.broadcast_queue.borrow_mut().push(note);
         self.instance.notify_notes();
     }
 }
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -109,7 +109,7 @@
     let crash =
         poison.record_lost_run(&life, call.digest(), sent.at, loss, now);
     drop(poison);
-    tell(instance, crash);
+    publish(instance, crash);
 }
 
 /// Notes that a run of a request ended well: it is none that ends endpoints.
@@ -125,7 +125,7 @@
     }
     let request = &call.facts.request_id;
     tracing::info!(event = "poison_cleared", %digest, request);
-    tell_cleared(instance, digest);
+    broadcast_clearance(instance, digest);
     watch_poison::mark_refuted(instance, digest);
 }
 
@@ -172,14 +172,14 @@
 fn life_ended(instance: &FleetInstance, life: &EndpointIncarnation) {
     let now = Instant::now();
     let crash = instance.poison.borrow_mut().endpoint_ended(life, now);
-    tell(instance, crash);
+    publish(instance, crash);
 }
 
 /// Hears which runs of another instance ended with an endpoint.
 pub(crate) fn hear(instance: &FleetInstance, crash: &Crash) {
     let ours =
         instance.poison.borrow_mut().record_crash(crash, Instant::now());
-    tell(instance, ours);
+    publish(instance, ours);
 }
 
 /// Hears that a run of a request ended well elsewhere.
@@ -208,14 +208,14 @@
             from,
         ),
         MergeOutcome::AlreadyKnown => {}
-        MergeOutcome::Refuted => tell_cleared(instance, digest),
+        MergeOutcome::Refuted => broadcast_clearance(instance, digest),
     }
     taken_in
 }
 
 /// Tells all others which of our runs ended with an endpoint, and says what all of
 /// them condemn together.
-fn tell(instance: &FleetInstance, crash: Option<Crash>) {
+fn publish(instance: &FleetInstance, crash: Option<Crash>) {
     if let Some(crash) = crash {
         metrics::counter!("sedgewall_endpoint_crashes_total").increment(1);
         let named = crash.runs.iter().take(NAMED_RUNS);
@@ -227,7 +227,7 @@
             runs = crash.runs.len(),
             digests = digests.join(" "),
         );
-        instance.outbox.borrow_mut().push(Note::Crashed(crash));
+        instance.broadcast_queue.borrow_mut().push(Note::Crashed(crash));
         instance.notify_notes();
     }
     let condemned = instance.poison.borrow_mut().take_newly_condemned();
@@ -247,8 +247,8 @@
     }
 }
 
-fn tell_cleared(instance: &FleetInstance, digest: RequestDigest) {
-    instance.outbox.borrow_mut().push(Note::Cleared(digest));
+fn broadcast_clearance(instance: &FleetInstance, digest: RequestDigest) {
+    instance.broadcast_queue.borrow_mut().push(Note::Cleared(digest));
     instance.notify_notes();
 }
 
--- a/crates/sedgewalld/src/fleet/watch_endpoints.rs
+++ b/crates/sedgewalld/src/fleet/watch_endpoints.rs
@@ -84,7 +84,7 @@
         for endpoint in read {
             self.apply(endpoint);
         }
-        tell_departures(&self.instance);
+        broadcast_departures(&self.instance);
         self.instance.wake_all();
         self.instance.notify_loader();
     }
@@ -93,7 +93,7 @@
         let Change { object, is_deleted } = change;
         if is_deleted {
             self.entry_missing(&object.name, object.revision);
-            tell_departures(&self.instance);
+            broadcast_departures(&self.instance);
             return;
         }
         match decoded(&object) {
@@ -101,7 +101,7 @@
             // It names no endpoint now, whatever it named before.
             None => self.entry_missing(&object.name, object.revision),
         }
-        tell_departures(&self.instance);
+        broadcast_departures(&self.instance);
         self.instance.wake_all();
     }
 }
@@ -169,7 +169,7 @@
             }
             lapsed.borrow_mut().remove(&id);
             remove_endpoint(&instance, &id, revision);
-            tell_departures(&instance);
+            broadcast_departures(&instance);
         })
         .detach();
     }
@@ -192,13 +192,13 @@
 
 /// Tells all others of endpoints that we saw leave: their watches may be late,
 /// or their way to the store cut.
-pub(crate) fn tell_departures(instance: &FleetInstance) {
+pub(crate) fn broadcast_departures(instance: &FleetInstance) {
     let untold = instance.view.borrow_mut().take_unsent_departures();
     if untold.is_empty() {
         return;
     }
     instance
-        .outbox
+        .broadcast_queue
         .borrow_mut()
         .extend(untold.into_iter().map(Note::Departed));
     instance.notify_notes();
