--- a/crates/sedgewalld/src/fleet/announcements.rs
+++ b/crates/sedgewalld/src/fleet/announcements.rs
@@ -27,7 +27,7 @@
 const UNREADABLE_LOGGED_EVERY: Duration = Duration::from_secs(1);
 
 /// Takes in what the head of an answer announces of its endpoint.
-pub(crate) fn hear_answer(
+pub(crate) fn apply_response(
     instance: &FleetInstance,
     call: &CallerRequest,
     answered: &AnsweredRequest,
@@ -41,12 +41,17 @@
     log_unreadable(instance, answered, facts);
     match facts.announcement.cooldown {
         Some(rest) => {
-            hear_rest(instance, answered, rest, &call.facts.request_id);
+            apply_cooldown(instance, answered, rest, &call.facts.request_id);
         }
-        None => hear_no_rest(instance, answered),
+        None => end_cooldown(instance, answered),
     }
     if facts.announcement.is_leaving {
-        hear_departure(instance, answered, &call.facts.request_id, now);
+        apply_announced_departure(
+            instance,
+            answered,
+            &call.facts.request_id,
+            now,
+        );
     }
     let limit = facts.announcement.limit;
     let is_named = limit.per_s().is_some();
@@ -63,7 +68,7 @@
 }
 
 /// Takes in that an endpoint asks for rest.
-pub(crate) fn hear_rest(
+pub(crate) fn apply_cooldown(
     instance: &FleetInstance,
     answered: &AnsweredRequest,
     rest: Duration,
@@ -84,7 +89,7 @@
 }
 
 /// Takes in that an endpoint answered without a wish for rest.
-fn hear_no_rest(instance: &FleetInstance, answered: &AnsweredRequest) {
+fn end_cooldown(instance: &FleetInstance, answered: &AnsweredRequest) {
     if !instance.view.borrow_mut().record_answer(answered) {
         return;
     }
@@ -112,7 +117,7 @@
 }
 
 /// Takes in that an endpoint leaves, and tells all others.
-fn hear_departure(
+fn apply_announced_departure(
     instance: &FleetInstance,
     answered: &AnsweredRequest,
     request: &str,
@@ -131,7 +136,7 @@
 }
 
 /// Takes in what another instance reports of limits.
-pub(crate) fn hear_reports(
+pub(crate) fn apply_limit_reports(
     instance: &FleetInstance,
     status: &Status,
     now: Instant,
--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -201,7 +201,7 @@
         Ok(Ok(answer)) => {
             let status = answer.status;
             let facts = AnswerFacts::read(status, &answer.headers);
-            announcements::hear_answer(
+            announcements::apply_response(
                 instance, call, &answered, status, &facts,
             );
             judge(call, answer, facts, limits.is_last)
--- a/crates/sedgewalld/src/fleet/catch_up.rs
+++ b/crates/sedgewalld/src/fleet/catch_up.rs
@@ -93,7 +93,7 @@
     let took_ms = began.elapsed().as_millis() as u64;
     match answer {
         Ok((missed, bytes)) => {
-            let is_news = take_in(instance, missed);
+            let is_news = apply_missed(instance, missed);
             let read = &instance.configuration_read;
             read.set(read.get().max(Some(began)));
             tracing::info!(
@@ -155,7 +155,7 @@
 }
 
 /// Takes in what another instance has; returns whether any of it is news.
-fn take_in(instance: &FleetInstance, missed: StateDelta) -> bool {
+fn apply_missed(instance: &FleetInstance, missed: StateDelta) -> bool {
     let before = instance.knowledge();
     let now = Instant::now();
     if let Some(routing) = missed.deployment {
@@ -165,10 +165,10 @@
         instance.name_version(key, *version);
     }
     for departure in &missed.departures {
-        notes::hear_departure(instance, departure, now);
+        notes::apply_departure(instance, departure, now);
     }
     for condemned in &missed.condemned {
-        poison::take_in(instance, condemned, "instance");
+        poison::merge_condemned(instance, condemned, "instance");
     }
     instance.knowledge().has_more_than(before)
 }
--- a/crates/sedgewalld/src/fleet/instance.rs
+++ b/crates/sedgewalld/src/fleet/instance.rs
@@ -36,7 +36,8 @@
 use sedgewall_transport::EndpointPool;
 
 use super::{
-    keys::Keys, notify::Notify, peers::HeardAt, watch_poison::PoisonRecords,
+    keys::Keys, notify::Notify, peers::ObservedAddress,
+    watch_poison::PoisonRecords,
 };
 
 /// Notes of the holder that may be lost in a row before it is missed.
@@ -105,11 +106,11 @@
 
 /// Counts of work since the start.
 #[derive(Debug, Default)]
-pub(crate) struct Work {
+pub(crate) struct NoteCounters {
     /// Notes that were heard.
-    pub(crate) notes_heard: Cell<u64>,
+    pub(crate) notes_received: Cell<u64>,
     /// Notes of what requests wait for that were heard.
-    pub(crate) asked_heard: Cell<u64>,
+    pub(crate) asked_received: Cell<u64>,
 }
 
 impl HeldLease {
@@ -173,7 +174,8 @@
     /// Where instances were heard from whose entries are not known here: an
     /// instance that loses the store before it has listed them catches up from
     /// these.
-    pub(super) heard_at: RefCell<HashMap<InstanceId, HeardAt>>,
+    pub(super) observed_addresses:
+        RefCell<HashMap<InstanceId, ObservedAddress>>,
     /// Our own entry, as it was listed.
     pub(crate) own_entry: RefCell<Option<serde_json::Value>>,
     /// Whether the entries of instances were listed once.
@@ -222,7 +224,7 @@
     /// Since when others are heard to know more than we do.
     pub(crate) behind_since: Cell<Option<Instant>>,
     /// What this instance has done, for the log.
-    pub(crate) work: Work,
+    pub(crate) counters: NoteCounters,
     /// The renewal that another instance was asked for, by its number.
     pub(crate) renewal: RefCell<Option<(u64, oneshot::Sender<WriteAnswer>)>>,
     /// Notes that wait to go to one instance each.
@@ -279,7 +281,7 @@
             asked_at: RefCell::default(),
             budget: RefCell::new(budget),
             peers: RefCell::default(),
-            heard_at: RefCell::default(),
+            observed_addresses: RefCell::default(),
             own_entry: RefCell::default(),
             has_listed_instances: Cell::new(false),
             leader: RefCell::default(),
@@ -312,7 +314,7 @@
             instances_notify: Rc::default(),
             endpoints_notify: Rc::default(),
             behind_since: Cell::new(None),
-            work: Work::default(),
+            counters: NoteCounters::default(),
             renewal: RefCell::default(),
             unicast_queue: RefCell::default(),
             broadcast_queue: RefCell::default(),
@@ -377,7 +379,7 @@
     }
 
     /// Notes who gives orders; an older epoch than the known one is ignored.
-    pub(crate) fn hear_leader(
+    pub(crate) fn record_leader(
         &self,
         instance: &str,
         lead: LeaderLease,
--- a/crates/sedgewalld/src/fleet/keys.rs
+++ b/crates/sedgewalld/src/fleet/keys.rs
@@ -158,7 +158,7 @@
 ) {
     let Some(whom) = whom else { return read_anew(instance, now) };
     let told = StateSummary { configuration, ..instance.knowledge() };
-    notes::hear_knowledge(instance, whom, told, now);
+    notes::record_state_summary(instance, whom, told, now);
     instance.notify_catch_up();
 }
 
@@ -182,7 +182,7 @@
 }
 
 /// Hears an answer. Where a newer version is in force there, that is asked for first.
-pub(crate) fn hear(
+pub(crate) fn apply_answer(
     instance: &FleetInstance,
     number: u64,
     age_ms: u64,
--- a/crates/sedgewalld/src/fleet/leader.rs
+++ b/crates/sedgewalld/src/fleet/leader.rs
@@ -122,8 +122,8 @@
             loads_at_once = pace.concurrency,
             loads_on_way = on_way,
             load_answers = times.observations(),
-            notes_heard = instance.work.notes_heard.get(),
-            asked_heard = instance.work.asked_heard.get(),
+            notes_heard = instance.counters.notes_received.get(),
+            asked_heard = instance.counters.asked_received.get(),
             cpu_ms = process::cpu_ms(),
         );
     }
--- a/crates/sedgewalld/src/fleet/lease_store.rs
+++ b/crates/sedgewalld/src/fleet/lease_store.rs
@@ -207,7 +207,7 @@
 }
 
 /// Renews the lease for its holder, which cannot reach the store.
-pub(super) async fn renew_for(
+pub(super) async fn renew_for_holder(
     instance: &FleetInstance,
     sender: &NoteSender,
     request: RenewalRequest,
@@ -237,24 +237,27 @@
 ///
 /// What it knows of endpoints and versions counts in any case: a holder that saw
 /// none of 18 new engines for 7 s left 500 adapters waiting for the others' places.
-pub(super) fn hear_answer(instance: &FleetInstance, heard: RenewalAnswer) {
+pub(super) fn apply_renewal_answer(
+    instance: &FleetInstance,
+    received: RenewalAnswer,
+) {
     let now = Instant::now();
     let mut view = instance.view.borrow_mut();
-    view.apply_entries(heard.endpoints, now);
+    view.apply_entries(received.endpoints, now);
     drop(view);
-    for (key, version) in &heard.versions {
+    for (key, version) in &received.versions {
         instance.name_version(key, *version);
     }
     instance.notify_loader();
-    if heard.answer == WriteAnswer::Unclear {
+    if received.answer == WriteAnswer::Unclear {
         // Another one that was asked may know more.
         return;
     }
     let mut waiting = instance.renewal.borrow_mut();
-    if waiting.as_ref().is_some_and(|(number, _)| *number == heard.number)
+    if waiting.as_ref().is_some_and(|(number, _)| *number == received.number)
         && let Some((_, tx)) = waiting.take()
     {
         // The renewal may have waited for long enough.
-        let _ = tx.send(heard.answer);
+        let _ = tx.send(received.answer);
     }
 }
--- a/crates/sedgewalld/src/fleet/note_sender.rs
+++ b/crates/sedgewalld/src/fleet/note_sender.rs
@@ -57,7 +57,7 @@
         if peers.len() <= MAX_DIRECT_PEERS {
             let Some(bytes) = encode(note) else { return };
             if peers.is_empty() {
-                for address in instance.heard_addresses() {
+                for address in instance.unlisted_addresses() {
                     self.send(address, &bytes);
                 }
             }
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -61,9 +61,9 @@
                     // One that a relay passed on comes from the relay, which
                     // answers as well.
                     if let Note::Status(status) = &note {
-                        instance.heard_from(&status.from, from);
+                        instance.record_address(&status.from, from);
                     }
-                    hear(&instance, &sender, note);
+                    handle(&instance, &sender, note);
                 }
                 Err(err) => {
                     tracing::warn!(event = "note_unreadable", cause = %err);
@@ -78,23 +78,26 @@
     }
 }
 
-fn hear(instance: &Rc<FleetInstance>, sender: &Rc<NoteSender>, note: Note) {
+fn handle(instance: &Rc<FleetInstance>, sender: &Rc<NoteSender>, note: Note) {
     let now = Instant::now();
-    instance.work.notes_heard.set(instance.work.notes_heard.get() + 1);
+    instance
+        .counters
+        .notes_received
+        .set(instance.counters.notes_received.get() + 1);
     match note {
         // A relay passes our own note on to us as well.
         Note::Status(status) if status.from == *instance.id() => {}
         Note::Status(status) => {
             if let Some(lead) = status.leads {
                 let next_in = Duration::from_millis(status.next_in_ms);
-                instance.hear_leader(&status.from, lead, next_in);
+                instance.record_leader(&status.from, lead, next_in);
             }
-            hear_newer(instance, &status, now);
+            check_for_newer_state(instance, &status, now);
             for departure in &status.departures {
-                hear_departure(instance, departure, now);
+                apply_departure(instance, departure, now);
             }
             for crash in &status.crashes {
-                poison::hear(instance, crash);
+                poison::apply_crash(instance, crash);
             }
             instance.store_reports.borrow_mut().record(
                 &status.from,
@@ -102,23 +105,26 @@
                 status.is_leaving,
                 now,
             );
-            hear_customers(instance, &status, now);
-            announcements::hear_reports(instance, &status, now);
+            record_customer_demand(instance, &status, now);
+            announcements::apply_limit_reports(instance, &status, now);
             instance.view.borrow_mut().apply_status(status, now);
         }
-        Note::Departed(departure) => hear_departure(instance, &departure, now),
-        Note::Crashed(crash) => poison::hear(instance, &crash),
-        Note::Cleared(digest) => poison::hear_cleared(instance, digest),
+        Note::Departed(departure) => {
+            apply_departure(instance, &departure, now)
+        }
+        Note::Crashed(crash) => poison::apply_crash(instance, &crash),
+        Note::Cleared(digest) => poison::apply_clearance(instance, digest),
         Note::ProbeStore => list_watch::probe_store(instance),
         Note::RenewalRequest(request) => {
             let (instance, sender) = (instance.clone(), sender.clone());
             compio::runtime::spawn(async move {
-                lease_store::renew_for(&instance, &sender, request).await;
+                lease_store::renew_for_holder(&instance, &sender, request)
+                    .await;
             })
             .detach();
         }
         Note::RenewalAnswer(answer) => {
-            lease_store::hear_answer(instance, answer)
+            lease_store::apply_renewal_answer(instance, answer)
         }
         Note::Suspect { endpoint, for_ms } => {
             let time = Duration::from_millis(for_ms);
@@ -129,21 +135,23 @@
             keys::answer(instance, sender, &from, number);
         }
         Note::FreshnessAnswer { number, age_ms, configuration } => {
-            keys::hear(instance, number, age_ms, configuration);
+            keys::apply_answer(instance, number, age_ms, configuration);
+        }
+        Note::DemandReport(asked) => {
+            apply_demand_report(instance, sender, &asked, now)
         }
-        Note::DemandReport(asked) => hear_asked(instance, sender, &asked, now),
         Note::Batch(notes) => {
             for note in notes {
-                hear(instance, sender, note);
+                handle(instance, sender, note);
             }
         }
         Note::ZoneRelay(note) => {
             sender.broadcast_in_zone(instance, &note);
-            hear(instance, sender, *note);
+            handle(instance, sender, *note);
         }
         Note::GroupRelay(relayed) => {
             sender.forward_to_group(instance, &relayed);
-            hear(instance, sender, *relayed.note);
+            handle(instance, sender, *relayed.note);
         }
         // Whoever gives orders knows better than a note from before.
         Note::Placed(_) | Note::Removed(_)
@@ -159,7 +167,7 @@
 }
 
 /// Hears that an endpoint has left, so that none of our requests goes there.
-pub(crate) fn hear_departure(
+pub(crate) fn apply_departure(
     instance: &FleetInstance,
     departure: &Departure,
     now: Instant,
@@ -179,10 +187,14 @@
 
 /// Lists anew what another instance knows in a newer version for a while: a
 /// watch of ours may be on a channel that says nothing further.
-fn hear_newer(instance: &FleetInstance, status: &Status, now: Instant) {
+fn check_for_newer_state(
+    instance: &FleetInstance,
+    status: &Status,
+    now: Instant,
+) {
     let Status { configuration, versions, condemned, .. } = *status;
     let told = StateSummary { configuration, versions, condemned };
-    hear_knowledge(instance, &status.from, told, now);
+    record_state_summary(instance, &status.from, told, now);
     let own = instance.knowledge();
     if !told.has_more_than(own) {
         return;
@@ -221,7 +233,7 @@
 }
 
 /// Takes in how much another instance has of what the operator changes.
-pub(crate) fn hear_knowledge(
+pub(crate) fn record_state_summary(
     instance: &FleetInstance,
     from: &InstanceId,
     told: StateSummary,
@@ -233,13 +245,16 @@
     instance.catch_up.borrow_mut().record_peer(from, told, is_own_zone, now);
 }
 
-fn hear_asked(
+fn apply_demand_report(
     instance: &FleetInstance,
     sender: &NoteSender,
     asked: &DemandReport,
     now: Instant,
 ) {
-    instance.work.asked_heard.set(instance.work.asked_heard.get() + 1);
+    instance
+        .counters
+        .asked_received
+        .set(instance.counters.asked_received.get() + 1);
     let mut demand = instance.demand.borrow_mut();
     for (key, count) in &asked.counts {
         demand.add(key, *count, &asked.zone, now);
@@ -249,9 +264,9 @@
     }
     drop(demand);
     for endpoint in &asked.unreachable {
-        hear_unreachable(instance, endpoint, asked, now);
+        record_unreachable(instance, endpoint, asked, now);
     }
-    hear_arrivals(instance, &asked.arrivals, now);
+    apply_load_observations(instance, &asked.arrivals, now);
     for (endpoint, for_ms) in &asked.saturated {
         let time = Duration::from_millis(*for_ms);
         instance.view.borrow_mut().mark_saturated(endpoint, time, now);
@@ -266,7 +281,11 @@
 }
 
 /// Takes in what customers ask of another instance, or of all.
-fn hear_customers(instance: &FleetInstance, status: &Status, now: Instant) {
+fn record_customer_demand(
+    instance: &FleetInstance,
+    status: &Status,
+    now: Instant,
+) {
     let until = now + status.valid_for();
     let asked = status.asked_by_customers.clone();
     let mut shares = instance.shares.borrow_mut();
@@ -276,7 +295,7 @@
     }
 }
 
-fn hear_arrivals(
+fn apply_load_observations(
     instance: &FleetInstance,
     arrivals: &[LoadObservationReport],
     now: Instant,
@@ -298,7 +317,7 @@
 
 /// What two instances cannot reach is left out by all, and what it holds is
 /// brought elsewhere.
-fn hear_unreachable(
+fn record_unreachable(
     instance: &FleetInstance,
     endpoint: &EndpointId,
     asked: &DemandReport,
@@ -388,7 +407,7 @@
         }
         if now >= next_cleanup {
             next_cleanup = now + CLEANUP_INTERVAL;
-            instance.forget_heard(now);
+            instance.drop_stale_addresses(now);
             instance.view.borrow_mut().remove_silent_peers(now);
             instance.view.borrow_mut().forget_departures(now);
             instance.suspicions.borrow_mut().forget(now);
@@ -568,7 +587,7 @@
         saturated,
     };
     if instance.held.get().is_some() {
-        hear_asked(instance, sender, &asked, Instant::now());
+        apply_demand_report(instance, sender, &asked, Instant::now());
         return;
     }
     let Some(leader) = instance.live_leader(Instant::now()) else { return };
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -112,8 +112,8 @@
                 continue;
             }
             for order in batch {
-                let may_send =
-                    self.may_order(epoch) && !self.is_resting(&order.endpoint);
+                let may_send = self.may_order(epoch)
+                    && !self.is_cooling_down(&order.endpoint);
                 let count = taken.count.filter(|_| may_send);
                 let Some(count) = count else {
                     taken.count = None;
@@ -142,7 +142,7 @@
 
     /// Asks an engine what it holds, once its report shows our last order.
     async fn sync(&self, order: &Order, taken: &mut OrdersTaken) {
-        if self.is_resting(&order.endpoint) {
+        if self.is_cooling_down(&order.endpoint) {
             return;
         }
         let since = taken.last_sent.map_or(Duration::MAX, |at| at.elapsed());
@@ -171,7 +171,7 @@
             }
             Err(err) => {
                 if let ReportError::Rests(rest) = err {
-                    self.hear_rest(&order.endpoint, rest);
+                    self.apply_cooldown(&order.endpoint, rest);
                 }
                 let (endpoint, cause) = (&order.endpoint, err.to_string());
                 tracing::warn!(event = "report_failed", endpoint, cause);
@@ -179,17 +179,22 @@
         }
     }
 
-    fn is_resting(&self, endpoint: &EndpointId) -> bool {
+    fn is_cooling_down(&self, endpoint: &EndpointId) -> bool {
         self.instance.view.borrow().is_cooling_down(endpoint, Instant::now())
     }
 
-    fn hear_rest(&self, endpoint: &EndpointId, rest: Duration) {
+    fn apply_cooldown(&self, endpoint: &EndpointId, rest: Duration) {
         let answered = AnsweredRequest {
             endpoint: endpoint.clone(),
             born: self.instance.view.borrow().incarnation(endpoint),
             sent: Instant::now(),
         };
-        announcements::hear_rest(&self.instance, &answered, rest, "order");
+        announcements::apply_cooldown(
+            &self.instance,
+            &answered,
+            rest,
+            "order",
+        );
     }
 
     fn may_order(&self, epoch: Epoch) -> bool {
@@ -267,7 +272,7 @@
                 self.broadcast_placement(epoch, order, order.is_cold);
             }
             OrderAnswer::Rests(rest) => {
-                self.hear_rest(&order.endpoint, rest);
+                self.apply_cooldown(&order.endpoint, rest);
                 self.forget_load(order);
             }
             OrderAnswer::Refused(_) | OrderAnswer::Unclear(_) => {
--- a/crates/sedgewalld/src/fleet/peers.rs
+++ b/crates/sedgewalld/src/fleet/peers.rs
@@ -17,33 +17,34 @@
 
 /// An address from which nothing was heard for this long is forgotten: among
 /// many, an instance tells all others every 2.4 s.
-const HEARD_AT_HOLDS: Duration = Duration::from_secs(5);
+const ADDRESS_TTL: Duration = Duration::from_secs(5);
 
 /// Where an instance without a known entry was heard from.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct HeardAt {
+pub(super) struct ObservedAddress {
     address: SocketAddr,
     at: Instant,
 }
 
 impl FleetInstance {
     /// Notes where an instance's own note came from.
-    pub(crate) fn heard_from(&self, id: &InstanceId, address: SocketAddr) {
+    pub(crate) fn record_address(&self, id: &InstanceId, address: SocketAddr) {
         if self.peers.borrow().contains_key(id) || id == self.id() {
             return;
         }
-        let heard = HeardAt { address, at: Instant::now() };
-        let known = self.heard_at.borrow_mut().insert(id.clone(), heard);
+        let heard = ObservedAddress { address, at: Instant::now() };
+        let known =
+            self.observed_addresses.borrow_mut().insert(id.clone(), heard);
         if known.is_none() {
             tracing::info!(event = "unlisted_heard", from = id, %address);
         }
     }
 
     /// Forgets the addresses of instances that are listed now or silent.
-    pub(crate) fn forget_heard(&self, now: Instant) {
+    pub(crate) fn drop_stale_addresses(&self, now: Instant) {
         let peers = self.peers.borrow();
-        self.heard_at.borrow_mut().retain(|id, heard| {
-            !peers.contains_key(id) && now - heard.at < HEARD_AT_HOLDS
+        self.observed_addresses.borrow_mut().retain(|id, heard| {
+            !peers.contains_key(id) && now - heard.at < ADDRESS_TTL
         });
     }
 
@@ -51,13 +52,18 @@
     /// is not known, where it was heard from.
     pub(crate) fn address_of(&self, id: &InstanceId) -> Option<SocketAddr> {
         let listed = self.peers.borrow().get(id).map(|peer| peer.address);
-        let heard = || self.heard_at.borrow().get(id).map(|h| h.address);
+        let heard =
+            || self.observed_addresses.borrow().get(id).map(|h| h.address);
         listed.or_else(heard)
     }
 
     /// Returns where a note to all goes while no other instance is listed.
-    pub(crate) fn heard_addresses(&self) -> Vec<SocketAddr> {
-        self.heard_at.borrow().values().map(|heard| heard.address).collect()
+    pub(crate) fn unlisted_addresses(&self) -> Vec<SocketAddr> {
+        self.observed_addresses
+            .borrow()
+            .values()
+            .map(|heard| heard.address)
+            .collect()
     }
 
     /// Returns how many instances share what all may do together. One more is
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -176,21 +176,24 @@
 }
 
 /// Hears which runs of another instance ended with an endpoint.
-pub(crate) fn hear(instance: &FleetInstance, crash: &Crash) {
+pub(crate) fn apply_crash(instance: &FleetInstance, crash: &Crash) {
     let ours =
         instance.poison.borrow_mut().record_crash(crash, Instant::now());
     publish(instance, ours);
 }
 
 /// Hears that a run of a request ended well elsewhere.
-pub(crate) fn hear_cleared(instance: &FleetInstance, digest: RequestDigest) {
+pub(crate) fn apply_clearance(
+    instance: &FleetInstance,
+    digest: RequestDigest,
+) {
     if instance.poison.borrow_mut().clear(digest, Instant::now()) {
         tracing::info!(event = "poison_clearance_heard", %digest);
     }
 }
 
 /// Takes in a request that was condemned elsewhere; one line if that is news.
-pub(crate) fn take_in(
+pub(crate) fn merge_condemned(
     instance: &FleetInstance,
     condemned: &Condemned,
     from: &str,
--- a/crates/sedgewalld/src/fleet/watch_poison.rs
+++ b/crates/sedgewalld/src/fleet/watch_poison.rs
@@ -170,7 +170,8 @@
         let left = CONDEMNED_FOR.saturating_sub(ago);
         let endpoints = record.endpoints;
         let condemned = Condemned { digest, ms_ago, endpoints };
-        let taken_in = poison::take_in(&self.instance, &condemned, "store");
+        let taken_in =
+            poison::merge_condemned(&self.instance, &condemned, "store");
         let known = KnownRecord {
             revision: object.revision,
             expires_at: Instant::now() + left + EXPIRY_MARGIN,
