--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -224,8 +224,8 @@
         let mut view = instance.view.borrow_mut();
         view.observe_first_event(&call.service, tokens, began.elapsed());
     }
-    note_arrival(instance, call, target, &ended, began);
-    note(instance, call, target, &ended);
+    record_load_observation(instance, call, target, &ended, began);
+    record_outcome(instance, call, target, &ended);
     ended.map(|answer| GoodAnswer { answer, under_way })
 }
 
@@ -286,7 +286,7 @@
 
 /// Notes what a send to an adapter on its way showed: it was there when the
 /// request came, or not.
-fn note_arrival(
+fn record_load_observation(
     instance: &FleetInstance,
     call: &CallerRequest,
     target: &Target,
@@ -311,7 +311,7 @@
     instance.notify_notes();
 }
 
-fn note(
+fn record_outcome(
     instance: &FleetInstance,
     call: &CallerRequest,
     target: &Target,
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -389,9 +389,9 @@
                 (Reason::AdapterAbsent, obstacle, ready_in)
             }
             Choice::Absent => {
-                let resting = call
-                    .key()
-                    .and_then(|key| instance.note_resting_holders(key, now));
+                let resting = call.key().and_then(|key| {
+                    instance.mark_holders_cooling_down(key, now)
+                });
                 let limited_for = limited_for.or(resting);
                 ask_for(instance, call);
                 let load_time = instance.view.borrow().load_time();
--- a/crates/sedgewalld/src/fleet/daemon.rs
+++ b/crates/sedgewalld/src/fleet/daemon.rs
@@ -206,14 +206,14 @@
             responses::text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
         }
         "/metrics" => {
-            note_gauges(instance);
+            update_gauges(instance);
             responses::text(StatusCode::OK, metrics.render())
         }
         _ => responses::text(StatusCode::NOT_FOUND, "no such path\n"),
     }
 }
 
-fn note_gauges(instance: &FleetInstance) {
+fn update_gauges(instance: &FleetInstance) {
     metrics::gauge!("sedgewall_requests_open").set(instance.open.get() as f64);
     let resident = process::resident_bytes();
     metrics::gauge!("sedgewall_resident_bytes").set(resident as f64);
--- a/crates/sedgewalld/src/fleet/instance.rs
+++ b/crates/sedgewalld/src/fleet/instance.rs
@@ -354,14 +354,18 @@
     }
 
     /// Notes that the store answered; others hear at once what changed.
-    pub(crate) fn store_reached(&self) {
+    pub(crate) fn record_store_success(&self) {
         if self.store_contact.borrow_mut().record_success(Instant::now()) {
             self.notify_notes();
         }
     }
 
     /// Notes that a call to the store failed; others hear at once what changed.
-    pub(crate) fn store_failed(&self, sent: Instant, err: &StoreError) {
+    pub(crate) fn record_store_failure(
+        &self,
+        sent: Instant,
+        err: &StoreError,
+    ) {
         let failure = CallFailure {
             sent,
             noticed: Instant::now(),
--- a/crates/sedgewalld/src/fleet/lease_store.rs
+++ b/crates/sedgewalld/src/fleet/lease_store.rs
@@ -51,8 +51,8 @@
     let read = instance.store.get(LEASES_KIND, ORDERS_LEASE).await;
     // The holder counts on our word: who can read the record can take it.
     match &read {
-        Ok(_) => instance.store_reached(),
-        Err(err) => instance.store_failed(sent, err),
+        Ok(_) => instance.record_store_success(),
+        Err(err) => instance.record_store_failure(sent, err),
     }
     Ok(read?.and_then(|object| decode(&object)))
 }
@@ -142,10 +142,10 @@
     let answer = written.unwrap_or(WriteAnswer::Unclear);
     match answer {
         WriteAnswer::Unclear => {
-            instance.store_failed(sent, &StoreError::Unanswered);
+            instance.record_store_failure(sent, &StoreError::Unanswered);
         }
         WriteAnswer::Done(_) | WriteAnswer::Conflict => {
-            instance.store_reached()
+            instance.record_store_success()
         }
     }
     answer
--- a/crates/sedgewalld/src/fleet/list_watch.rs
+++ b/crates/sedgewalld/src/fleet/list_watch.rs
@@ -219,7 +219,7 @@
 
     /// Goes on from a revision after the follower's pause.
     async fn on_success(&mut self, revision: Revision) {
-        self.instance.store_reached();
+        self.instance.record_store_success();
         let notify = self.handler.relist_notify();
         if std::mem::take(&mut self.last_call_failed) {
             tracing::info!(event = "store_regained", kind = F::KIND);
@@ -236,7 +236,7 @@
     /// Waits before the next call, or until another kind reaches the store: the
     /// first one that does notifies the others.
     async fn on_failure(&mut self, sent: Instant, err: &StoreError) {
-        self.instance.store_failed(sent, err);
+        self.instance.record_store_failure(sent, err);
         let cause = err.to_string();
         if !std::mem::replace(&mut self.last_call_failed, true) {
             tracing::warn!(event = "store_lost", kind = F::KIND, cause);
@@ -328,10 +328,10 @@
                 .unwrap_or(Err(StoreError::Unanswered));
             tracing::info!(event = "store_probed", is_out = probed.is_err());
             let Err(err) = probed else {
-                instance.store_reached();
+                instance.record_store_success();
                 break;
             };
-            instance.store_failed(sent, &err);
+            instance.record_store_failure(sent, &err);
             compio::time::sleep(PROBE_INTERVAL).await;
             if !instance.store_contact.borrow().is_unreachable() {
                 break;
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -264,11 +264,11 @@
         };
         match answer {
             OrderAnswer::Done => {
-                self.note_there(order);
+                self.record_already_loaded(order);
                 self.broadcast_placement(epoch, order, false);
             }
             OrderAnswer::Accepted => {
-                self.note_taken(order);
+                self.record_load_accepted(order);
                 self.broadcast_placement(epoch, order, order.is_cold);
             }
             OrderAnswer::Rests(rest) => {
@@ -294,7 +294,7 @@
     }
 
     /// Notes that an engine has begun a load.
-    fn note_taken(&self, order: &Order) {
+    fn record_load_accepted(&self, order: &Order) {
         let Task::Load(key, _) = &order.task else { return };
         let mut times = self.instance.load_times.borrow_mut();
         times.order_accepted(&order.endpoint, key, Instant::now());
@@ -302,7 +302,7 @@
 
     /// Notes that an engine held the adapter already: nothing is loaded, so that
     /// says nothing of what a load takes.
-    fn note_there(&self, order: &Order) {
+    fn record_already_loaded(&self, order: &Order) {
         let Task::Load(key, _) = &order.task else { return };
         self.forget_load(order);
         let mut view = self.instance.view.borrow_mut();
--- a/crates/sedgewalld/src/fleet/permits.rs
+++ b/crates/sedgewalld/src/fleet/permits.rs
@@ -94,7 +94,7 @@
 
     /// Notes which endpoints that hold an adapter rest, and so need another one beside
     /// them; returns when the first of them takes requests again.
-    pub(crate) fn note_resting_holders(
+    pub(crate) fn mark_holders_cooling_down(
         &self,
         key: &AdapterKey,
         now: Instant,
--- a/crates/sedgewalld/src/fleet/relay.rs
+++ b/crates/sedgewalld/src/fleet/relay.rs
@@ -95,7 +95,7 @@
         loop {
             match self.read().await {
                 Ok(Some(bytes)) => {
-                    self.note_pause();
+                    self.record_pause();
                     let whole = match &mut self.cutter {
                         Some(cutter) => cutter.push(&bytes).into(),
                         None => bytes,
@@ -107,7 +107,7 @@
                 }
                 Ok(None) => return self.finish(),
                 Err(stopped) => {
-                    self.note_lost(&stopped);
+                    self.record_lost_run(&stopped);
                     if !self.resume(&stopped).await {
                         return Some(Err(self.give_up(&stopped)));
                     }
@@ -116,7 +116,7 @@
         }
     }
 
-    fn note_pause(&mut self) {
+    fn record_pause(&mut self) {
         let now = Instant::now();
         let pause = now - std::mem::replace(&mut self.last_bytes, now);
         self.longest_pause = self.longest_pause.max(pause);
@@ -165,7 +165,7 @@
         }
         self.progress.runs += 1;
         self.progress.tried.push(self.target.id.clone());
-        self.note_failure();
+        self.record_failure();
         if self.progress.runs >= self.call.route.max_attempts {
             return false;
         }
@@ -197,7 +197,7 @@
     }
 
     /// Notes the run's end, which may be that of its engine.
-    fn note_lost(&self, stopped: &Stopped) {
+    fn record_lost_run(&self, stopped: &Stopped) {
         let (instance, call) = (&self.instance, &self.call);
         match stopped {
             Stopped::Broken(err) => {
@@ -210,7 +210,7 @@
         }
     }
 
-    fn note_failure(&self) {
+    fn record_failure(&self) {
         let mut view = self.instance.view.borrow_mut();
         if let Some(state) = view.get_mut(&self.target.id) {
             state.health.failed(Instant::now());
@@ -220,7 +220,7 @@
     fn give_up(&mut self, stopped: &Stopped) -> io::Error {
         self.is_over = true;
         if self.cutter.is_none() && !matches!(stopped, Stopped::TimeOver) {
-            self.note_failure();
+            self.record_failure();
         }
         let cause = match stopped {
             Stopped::Broken(err) => err.to_string(),
