--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -22,7 +22,7 @@
 
 use super::{
     instance::{FleetInstance, HeldLease, Stage},
-    lease_store::{self, Way},
+    lease_store::{self, RenewalPath},
 };
 
 /// How long the lease holds after its last renewal. A slow store answers in
@@ -34,52 +34,52 @@
 
 /// What a challenger waits beyond the time to live: steady clocks agree to
 /// within a few per cent, and an order travels for some milliseconds.
-const MARGIN: Duration = Duration::from_millis(250);
+const CHALLENGE_MARGIN: Duration = Duration::from_millis(250);
 
 /// What a new holder waits beyond the turn between two holders.
 const TURN_MARGIN: Duration = Duration::from_millis(200);
 
 /// How often the first in rank looks at the record when it hears no holder.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What each rank waits longer, before its first look and between two: the
 /// first ones take the lease, and calls to the store have a price.
-const RANK_WAITS: Duration = Duration::from_millis(120);
+const DELAY_PER_RANK: Duration = Duration::from_millis(120);
 
 /// What the smallest instance waits before it takes a lease that nobody ever
 /// held. All start within some 300 ms.
-const SMALLEST_WAITS: Duration = Duration::from_millis(2_000);
+const SMALLEST_INSTANCE_DELAY: Duration = Duration::from_millis(2_000);
 
 /// The longest that an instance waits for the first list of the others; without
 /// the store it could not take the lease either.
-const PEERS_TIME: Duration = Duration::from_secs(2);
+const PEERS_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What an instance waits at the system's first start, in which all write their
 /// entries: these are watched every 1.5 s.
-const FIRST_START: Duration = Duration::from_millis(2_500);
+const FIRST_START_DELAY: Duration = Duration::from_millis(2_500);
 
 /// The longest that an instance waits for those of a higher rank.
-const LONGEST_RANK_WAIT: Duration = Duration::from_secs(5);
+const MAX_RANK_DELAY: Duration = Duration::from_secs(5);
 
 /// How often the holder looks whether a renewal is due.
 const TICK: Duration = Duration::from_millis(50);
 
 /// What a word of ours that the store is out takes to reach the holder.
-const WORD_TRAVELS: Duration = Duration::from_millis(200);
+const REPORT_DELAY: Duration = Duration::from_millis(200);
 
 /// What the holder waits after a renewal failed: two more fit into the time to
 /// live, and calls that fail have a price too.
-const FAILED_PAUSE: Duration = Duration::from_millis(200);
+const RENEWAL_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// What is left of a planned stop when the holder gives the lease up: the
 /// store may take 0.3 s to answer, and the stop ends 0.7 s before its time.
 /// Nobody orders for the turn after it, so it is given up as late as it may be.
-const HAND_OVER: Duration = Duration::from_millis(1_800);
+const RELEASE_MARGIN: Duration = Duration::from_millis(1_800);
 
 /// How long others may renew the lease for a holder that cannot reach the store.
 /// It hears of endpoints that left, but not of new ones and new versions; giving
 /// the lease up stops all loads for some 4 s.
-const LONGEST_CUT: Duration = Duration::from_secs(15);
+const MAX_PEER_RENEWAL_TIME: Duration = Duration::from_secs(15);
 
 /// Takes the lease when nobody holds it, and keeps it, for ever.
 pub(crate) async fn run(instance: Rc<FleetInstance>) {
@@ -89,16 +89,16 @@
     wait_for_peers(&instance).await;
     let mut watching = new_lease();
     loop {
-        compio::time::sleep(LOOK_EVERY).await;
+        compio::time::sleep(POLL_INTERVAL).await;
         if !may_challenge(&instance) {
             continue;
         }
-        compio::time::sleep(rank_wait(&instance)).await;
+        compio::time::sleep(rank_delay(&instance)).await;
         if !may_challenge(&instance) {
             continue;
         }
         if let Some(taken) = take(&instance, watching).await {
-            let kept = begin(&instance, taken, &mut turns);
+            let kept = begin_holding(&instance, taken, &mut turns);
             keep(&instance, kept).await;
         }
         watching = new_lease();
@@ -110,13 +110,14 @@
 /// them read the record two or three times each, at the full price.
 async fn wait_for_peers(instance: &FleetInstance) {
     let began = Instant::now();
-    while !instance.has_listed_instances.get() && began.elapsed() < PEERS_TIME
+    while !instance.has_listed_instances.get()
+        && began.elapsed() < PEERS_TIMEOUT
     {
-        compio::time::sleep(LOOK_EVERY).await;
+        compio::time::sleep(POLL_INTERVAL).await;
     }
     if !instance.fleet.has_run_before {
         // The others' entries are just being written.
-        compio::time::sleep(FIRST_START).await;
+        compio::time::sleep(FIRST_START_DELAY).await;
     }
 }
 
@@ -127,24 +128,24 @@
 }
 
 /// Returns what this instance waits for those of a higher rank.
-fn rank_wait(instance: &FleetInstance) -> Duration {
+fn rank_delay(instance: &FleetInstance) -> Duration {
     let leader = instance.leader.borrow();
     let epoch = leader.as_ref().map_or(0, |leader| leader.epoch);
     let rank = u32::try_from(instance.rank(epoch)).unwrap_or(u32::MAX);
-    RANK_WAITS.saturating_mul(rank).min(LONGEST_RANK_WAIT)
+    DELAY_PER_RANK.saturating_mul(rank).min(MAX_RANK_DELAY)
 }
 
 fn new_lease() -> Lease<Watching> {
     let times = LeaseTimes {
         time_to_live: TIME_TO_LIVE,
         renew_every: RENEW_EVERY,
-        margin: MARGIN,
+        margin: CHALLENGE_MARGIN,
     };
     Lease::new(lease_store::ORDERS_LEASE.to_owned(), times)
 }
 
 /// A lease that was just taken.
-struct Taken {
+struct TakenLease {
     lease: Lease<Held>,
     /// The record that stood there before.
     before: Option<LeaseRecord>,
@@ -159,11 +160,11 @@
 async fn take(
     instance: &FleetInstance,
     mut watching: Lease<Watching>,
-) -> Option<Taken> {
+) -> Option<TakenLease> {
     // Whoever holds the lease decides for all engines: a large instance takes
     // it first. Where somebody held it before, every moment counts more.
-    let handicap =
-        SMALLEST_WAITS.mul_f64(1.0 - instance.fleet.cpu_share.min(1.0));
+    let size_delay = SMALLEST_INSTANCE_DELAY
+        .mul_f64(1.0 - instance.fleet.cpu_share.min(1.0));
     let mut has_waited = false;
     loop {
         if !may_challenge(instance) {
@@ -171,7 +172,7 @@
         }
         let stored = lease_store::read(instance).await.ok()?;
         if stored.is_none() && !std::mem::replace(&mut has_waited, true) {
-            compio::time::sleep(handicap).await;
+            compio::time::sleep(size_delay).await;
             continue;
         }
         let now = Instant::now();
@@ -184,9 +185,9 @@
             let ended = ended_by(instance, &watching, now);
             let acquiring = watching.acquire(&candidate(instance), now);
             let lease = acquire(instance, acquiring).await?;
-            return Some(Taken { lease, before, ended, sent: now });
+            return Some(TakenLease { lease, before, ended, sent: now });
         }
-        compio::time::sleep(LOOK_EVERY + rank_wait(instance)).await;
+        compio::time::sleep(POLL_INTERVAL + rank_delay(instance)).await;
     }
 }
 
@@ -207,7 +208,7 @@
     // what it said before that has not ended its lease. Waiting for the record
     // alone, for 30 s after an outage, let 2 s more pass without orders.
     let contact = instance.store_contact.borrow();
-    let noted = match contact.reported_outage(REPORT_VALID_FOR + WORD_TRAVELS)
+    let noted = match contact.reported_outage(REPORT_VALID_FOR + REPORT_DELAY)
     {
         ReportedOutage::Never => noted,
         ReportedOutage::Until(end) => noted.map(|noted| NotedLease {
@@ -238,7 +239,7 @@
 }
 
 /// A lease that we keep.
-struct Kept {
+struct KeptLease {
     lease: Lease<Held>,
     /// When the last renewal was sent that the store answered.
     renewed: Instant,
@@ -247,11 +248,11 @@
     /// When the renewal was first sent that the store has yet to answer.
     renewal_sent: Option<Instant>,
     /// Since when others renew it for us.
-    cut_since: Option<Instant>,
+    renewed_by_peers_since: Option<Instant>,
 }
 
 /// Renews the lease until it is lost or this instance leaves.
-async fn keep(instance: &FleetInstance, mut kept: Kept) {
+async fn keep(instance: &FleetInstance, mut kept: KeptLease) {
     loop {
         let now = Instant::now();
         if now >= kept.order_from {
@@ -275,9 +276,10 @@
             // The others must hear of it before they can ask for anything.
             instance.notify_notes();
         }
-        let is_cut_long =
-            kept.cut_since.is_some_and(|since| now - since >= LONGEST_CUT);
-        if is_cut_long || must_hand_over(instance, now) {
+        let is_peer_renewal_over = kept
+            .renewed_by_peers_since
+            .is_some_and(|since| now - since >= MAX_PEER_RENEWAL_TIME);
+        if is_peer_renewal_over || must_release(instance, now) {
             return release(instance, &kept.lease).await;
         }
         if !kept.lease.is_renewal_due(now) {
@@ -296,13 +298,17 @@
 /// Returns whether this instance stops so soon that another must take the
 /// lease. Nobody gives orders for a turn after that, so it is done once and late:
 /// instances that stop one after the other would pass it on each time.
-fn must_hand_over(instance: &FleetInstance, now: Instant) -> bool {
+fn must_release(instance: &FleetInstance, now: Instant) -> bool {
     let Some(since) = instance.leaving_since.get() else { return false };
     let grace = Duration::from_secs_f64(instance.fleet.grace_s);
-    now - since >= grace.saturating_sub(HAND_OVER)
+    now - since >= grace.saturating_sub(RELEASE_MARGIN)
 }
 
-fn begin(instance: &FleetInstance, taken: Taken, turns: &mut Turns) -> Kept {
+fn begin_holding(
+    instance: &FleetInstance,
+    taken: TakenLease,
+    turns: &mut Turns,
+) -> KeptLease {
     let now = Instant::now();
     let takeover = Takeover {
         taken: taken.lease.record(),
@@ -318,12 +324,12 @@
         orders_in_ms =
             order_from.saturating_duration_since(now).as_millis() as u64,
     );
-    Kept {
+    KeptLease {
         lease: taken.lease,
         renewed: taken.sent,
         order_from,
         renewal_sent: None,
-        cut_since: None,
+        renewed_by_peers_since: None,
     }
 }
 
@@ -337,38 +343,53 @@
 /// Renews the lease once, our own way or through another instance. A renewal
 /// without an answer is sent again as it is, and counts from the first time: the
 /// store may have taken that one. Returns nothing if somebody else has the lease.
-async fn renew(instance: &FleetInstance, kept: Kept) -> Option<Kept> {
-    let Kept { lease, renewed, order_from, renewal_sent, cut_since } = kept;
+async fn renew(
+    instance: &FleetInstance,
+    kept: KeptLease,
+) -> Option<KeptLease> {
+    let KeptLease {
+        lease,
+        renewed,
+        order_from,
+        renewal_sent,
+        renewed_by_peers_since,
+    } = kept;
     let renewal = lease.renewal();
     let first_sent = renewal_sent.unwrap_or_else(Instant::now);
-    let (answer, way) = lease_store::renew(instance, &renewal).await;
+    let (answer, path) = lease_store::renew(instance, &renewal).await;
     let Renewed::Held(lease) =
         lease.renewed(renewal, answer, first_sent, Instant::now())
     else {
         return None;
     };
     if matches!(answer, WriteAnswer::Done(_)) {
-        let cut_since = match way {
-            Way::Own => None,
-            Way::Peer => cut_since.or(Some(first_sent)),
+        let renewed_by_peers_since = match path {
+            RenewalPath::Direct => None,
+            RenewalPath::Peer => renewed_by_peers_since.or(Some(first_sent)),
         };
         let renewed = first_sent;
         let renewal_sent = None;
-        return Some(Kept {
+        return Some(KeptLease {
             lease,
             renewed,
             order_from,
             renewal_sent,
-            cut_since,
+            renewed_by_peers_since,
         });
     }
     // All see whether the store answers them: while it answers nobody, nobody
     // can take the lease.
     instance.broadcast_queue.borrow_mut().push(Note::ProbeStore);
     instance.notify_notes();
-    compio::time::sleep(FAILED_PAUSE).await;
+    compio::time::sleep(RENEWAL_RETRY_PAUSE).await;
     let renewal_sent = Some(first_sent);
-    Some(Kept { lease, renewed, order_from, renewal_sent, cut_since })
+    Some(KeptLease {
+        lease,
+        renewed,
+        order_from,
+        renewal_sent,
+        renewed_by_peers_since,
+    })
 }
 
 fn candidate(instance: &FleetInstance) -> Candidate {
--- a/crates/sedgewalld/src/fleet/lease_store.rs
+++ b/crates/sedgewalld/src/fleet/lease_store.rs
@@ -30,18 +30,18 @@
 
 /// How long a renewal of our own may take before others are asked. A slow store
 /// answers in some 300 ms; two others fit into what the lease leaves after it.
-const OWN_TIME: Duration = Duration::from_millis(350);
+const DIRECT_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// How long another instance may take: two ways between instances and one call
 /// to the store, 10 ms where both work.
-const PEER_TIME: Duration = Duration::from_millis(200);
+const PEER_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Instances that are asked for one renewal at once. Of 79 of which 28 were cut off
 /// without a word, one of three answers in 95 of 100 rounds.
-const PEERS_ASKED: usize = 3;
+const PEERS_PER_ROUND: usize = 3;
 
 /// Rounds of asking others, which the lease leaves time for.
-const ROUNDS: usize = 2;
+const PEER_ROUNDS: usize = 2;
 
 /// Reads the record.
 pub(super) async fn read(
@@ -101,8 +101,8 @@
 
 /// How a write of the holder's reached the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Way {
-    Own,
+pub(super) enum RenewalPath {
+    Direct,
     Peer,
 }
 
@@ -112,33 +112,38 @@
 pub(super) async fn renew(
     instance: &FleetInstance,
     renewal: &LeaseWrite,
-) -> (WriteAnswer, Way) {
+) -> (WriteAnswer, RenewalPath) {
     if !instance.store_contact.borrow().is_unreachable() {
-        let answer = renew_own_way(instance, renewal).await;
+        let answer = renew_directly(instance, renewal).await;
         if answer != WriteAnswer::Unclear {
-            return (answer, Way::Own);
+            return (answer, RenewalPath::Direct);
         }
-        return (renew_through_peers(instance, renewal).await, Way::Peer);
+        return (
+            renew_through_peers(instance, renewal).await,
+            RenewalPath::Peer,
+        );
     }
-    let own = pin!(renew_own_way(instance, renewal));
+    let own = pin!(renew_directly(instance, renewal));
     let peers = pin!(renew_through_peers(instance, renewal));
     match future::select(own, peers).await {
         Either::Left((WriteAnswer::Unclear, peers)) => {
-            (peers.await, Way::Peer)
+            (peers.await, RenewalPath::Peer)
+        }
+        Either::Right((WriteAnswer::Unclear, own)) => {
+            (own.await, RenewalPath::Direct)
         }
-        Either::Right((WriteAnswer::Unclear, own)) => (own.await, Way::Own),
-        Either::Left((answer, _)) => (answer, Way::Own),
-        Either::Right((answer, _)) => (answer, Way::Peer),
+        Either::Left((answer, _)) => (answer, RenewalPath::Direct),
+        Either::Right((answer, _)) => (answer, RenewalPath::Peer),
     }
 }
 
-async fn renew_own_way(
+async fn renew_directly(
     instance: &FleetInstance,
     renewal: &LeaseWrite,
 ) -> WriteAnswer {
     let sent = Instant::now();
     let written =
-        compio::time::timeout(OWN_TIME, write(instance, renewal)).await;
+        compio::time::timeout(DIRECT_TIMEOUT, write(instance, renewal)).await;
     let answer = written.unwrap_or(WriteAnswer::Unclear);
     match answer {
         WriteAnswer::Unclear => {
@@ -163,7 +168,7 @@
         .cloned()
         .collect();
     peers.shuffle(&mut rand::rng());
-    for asked in peers.chunks(PEERS_ASKED).take(ROUNDS) {
+    for asked in peers.chunks(PEERS_PER_ROUND).take(PEER_ROUNDS) {
         let answer = renew_through(instance, asked, renewal).await;
         tracing::info!(
             event = "lease_renewed_through",
@@ -200,7 +205,7 @@
         instance.unicast_queue.borrow_mut().push((peer.clone(), note));
     }
     instance.notify_notes();
-    match compio::time::timeout(PEER_TIME, rx).await {
+    match compio::time::timeout(PEER_TIMEOUT, rx).await {
         Ok(Ok(answer)) => answer,
         Ok(Err(_)) | Err(_) => WriteAnswer::Unclear,
     }
