--- a/crates/sedgewalld/src/fleet/admit.rs
+++ b/crates/sedgewalld/src/fleet/admit.rs
@@ -80,7 +80,7 @@
     let Some(credential) = credential else {
         return if route.is_public { Ok(None) } else { Err(Reason::NoKey) };
     };
-    if !instance.keys.are_sure() {
+    if !instance.keys.are_fresh() {
         return Err(Reason::KeysUnsure);
     }
     let known = customers.find_by_key(credential).cloned();
--- a/crates/sedgewalld/src/fleet/daemon.rs
+++ b/crates/sedgewalld/src/fleet/daemon.rs
@@ -100,7 +100,7 @@
     compio::runtime::spawn(catch_up::run(instance.clone())).detach();
     compio::runtime::spawn(catch_up::answer_others(instance.clone(), others))
         .detach();
-    compio::runtime::spawn(keys::stay_sure(instance.clone(), sender.clone()))
+    compio::runtime::spawn(keys::keep_fresh(instance.clone(), sender.clone()))
         .detach();
     compio::runtime::spawn(notes::run_sender(instance.clone(), sender))
         .detach();
--- a/crates/sedgewalld/src/fleet/instance.rs
+++ b/crates/sedgewalld/src/fleet/instance.rs
@@ -334,8 +334,8 @@
     /// Returns whether requests may come here: those that need a key could not be
     /// served where keys that were taken away are not known.
     pub(crate) fn takes_requests(&self) -> bool {
-        let is_sure = !self.has_customers() || self.keys.are_sure();
-        self.stage.get() == Stage::Ready && is_sure
+        let is_fresh = !self.has_customers() || self.keys.are_fresh();
+        self.stage.get() == Stage::Ready && is_fresh
     }
 
     /// Returns our lease on orders, while it is sure to be ours: until it ends,
--- a/crates/sedgewalld/src/fleet/keys.rs
+++ b/crates/sedgewalld/src/fleet/keys.rs
@@ -29,22 +29,22 @@
 const WATCHERS: usize = 4;
 
 /// How often an instance that asks nobody looks whether it has to.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// While the store is asked, it is not asked again.
-const READ_AGAIN: Duration = Duration::from_millis(600);
+const READ_INTERVAL: Duration = Duration::from_millis(600);
 
 /// What an instance knows of the keys in force.
 pub(crate) struct Keys {
     known: Cell<KeyFreshness>,
     asking: RefCell<FreshnessPoll>,
     /// Whom the last question went to.
-    asked: RefCell<Option<InstanceId>>,
+    last_asked: RefCell<Option<InstanceId>>,
     /// Whether this instance watches for all.
     is_watching: Cell<bool>,
     read_at: Cell<Option<Instant>>,
     /// Whether it was logged that it is not sure.
-    has_told_unsure: Cell<bool>,
+    has_logged_stale: Cell<bool>,
 }
 
 impl Keys {
@@ -52,10 +52,10 @@
         Keys {
             known: Cell::new(KeyFreshness::new(within)),
             asking: RefCell::default(),
-            asked: RefCell::default(),
+            last_asked: RefCell::default(),
             is_watching: Cell::new(false),
             read_at: Cell::new(None),
-            has_told_unsure: Cell::new(false),
+            has_logged_stale: Cell::new(false),
         }
     }
 
@@ -64,24 +64,24 @@
         let mut known = self.known.get();
         known.confirm(until);
         self.known.set(known);
-        let is_sure = known.is_fresh(Instant::now());
-        if is_sure && self.has_told_unsure.replace(false) {
+        let is_fresh = known.is_fresh(Instant::now());
+        if is_fresh && self.has_logged_stale.replace(false) {
             tracing::info!(event = "keys_sure");
         }
     }
 
     /// Returns whether it is sure which keys are in force; one line when that is
     /// no longer so.
-    pub(crate) fn are_sure(&self) -> bool {
+    pub(crate) fn are_fresh(&self) -> bool {
         let known = self.known.get();
         let now = Instant::now();
-        let is_sure = known.is_fresh(now);
-        if !is_sure && !self.has_told_unsure.replace(true) {
+        let is_fresh = known.is_fresh(now);
+        if !is_fresh && !self.has_logged_stale.replace(true) {
             let known_ms_ago =
                 known.age(now).map(|age| age.as_millis() as u64);
             tracing::warn!(event = "keys_unsure", known_ms_ago);
         }
-        is_sure
+        is_fresh
     }
 }
 
@@ -95,26 +95,26 @@
 }
 
 /// Asks those that watch, and the store where that is not enough, for ever.
-pub(crate) async fn stay_sure(
+pub(crate) async fn keep_fresh(
     instance: Rc<FleetInstance>,
     sender: Rc<NoteSender>,
 ) {
     loop {
-        let pause = ask_in(&instance).unwrap_or(LOOK_EVERY);
+        let pause = next_question_in(&instance).unwrap_or(CHECK_INTERVAL);
         compio::time::sleep(pause).await;
-        if ask_in(&instance) != Some(Duration::ZERO) {
+        if next_question_in(&instance) != Some(Duration::ZERO) {
             continue;
         }
         let now = Instant::now();
         if instance.keys.known.get().is_read_due(now) {
-            read_anew(&instance, now);
+            reread(&instance, now);
         }
         ask(&instance, &sender, now);
     }
 }
 
 /// Returns when to ask, if this instance does.
-fn ask_in(instance: &FleetInstance) -> Option<Duration> {
+fn next_question_in(instance: &FleetInstance) -> Option<Duration> {
     let asks = instance.has_customers() && !instance.keys.is_watching.get();
     let asking = instance.keys.asking.borrow();
     let due = instance.keys.known.get().next_poll_in(&asking, Instant::now());
@@ -122,9 +122,9 @@
 }
 
 /// Makes the configuration be listed with all that was acknowledged.
-fn read_anew(instance: &FleetInstance, now: Instant) {
+fn reread(instance: &FleetInstance, now: Instant) {
     let keys = &instance.keys;
-    if keys.read_at.get().is_some_and(|at| now < at + READ_AGAIN) {
+    if keys.read_at.get().is_some_and(|at| now < at + READ_INTERVAL) {
         return;
     }
     keys.read_at.set(Some(now));
@@ -136,29 +136,29 @@
     let watchers = instance.largest_peers(WATCHERS);
     let mut asking = instance.keys.asking.borrow_mut();
     let number = asking.start(now);
-    let Some(whom) = watchers.get(asking.next_target(watchers.len())) else {
+    let Some(peer) = watchers.get(asking.next_target(watchers.len())) else {
         return;
     };
     let from = instance.id().clone();
-    *instance.keys.asked.borrow_mut() = Some(whom.clone());
+    *instance.keys.last_asked.borrow_mut() = Some(peer.clone());
     sender.send_to_peer(
         instance,
-        whom,
+        peer,
         &Note::FreshnessQuery { from, number },
     );
 }
 
 /// Gets a newer configuration from an instance that has it; the next question says
 /// whether that is the newest. From the store it is read once what is known is old.
-fn behind(
+fn fetch_newer(
     instance: &FleetInstance,
-    whom: Option<&InstanceId>,
+    peer: Option<&InstanceId>,
     configuration: ConfigurationVersion,
     now: Instant,
 ) {
-    let Some(whom) = whom else { return read_anew(instance, now) };
+    let Some(peer) = peer else { return reread(instance, now) };
     let told = StateSummary { configuration, ..instance.knowledge() };
-    notes::record_state_summary(instance, whom, told, now);
+    notes::record_state_summary(instance, peer, told, now);
     instance.notify_catch_up();
 }
 
@@ -191,8 +191,8 @@
     let now = Instant::now();
     let known = instance.configuration_version().unwrap_or(0);
     if configuration > known {
-        let whom = instance.keys.asked.borrow().clone();
-        return behind(instance, whom.as_ref(), configuration, now);
+        let peer = instance.keys.last_asked.borrow().clone();
+        return fetch_newer(instance, peer.as_ref(), configuration, now);
     }
     let age = Duration::from_millis(age_ms);
     let until = instance.keys.asking.borrow_mut().record_answer(number, age);
