--- a/crates/sedgewalld/src/fleet/admit.rs
+++ b/crates/sedgewalld/src/fleet/admit.rs
@@ -47,7 +47,7 @@
         Err(reason) if is_doubtful(reason) => {}
         decided => return decided,
     }
-    instance.newer_configuration(NEWER_WAIT).await;
+    instance.await_newer_configuration(NEWER_WAIT).await;
     admit(instance, asked).map_err(|reason| match is_doubtful(reason) {
         true => Reason::ConfigurationBehind,
         false => reason,
@@ -60,7 +60,7 @@
     let route = route.ok_or(Reason::NoRoute)?.clone();
     let credential = asked.credential.as_ref();
     let customer = admit_key(instance, &routing, &route, credential)?;
-    let decided_by = instance.decides();
+    let decided_by = instance.configuration_status();
     Ok(Admitted { routing, route, customer, decided_by })
 }
 
--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -36,7 +36,7 @@
 
 /// The longest time for a connection to an endpoint. Within a region a
 /// connection takes milliseconds; a lost packet costs a second.
-const CONNECT_TIME: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// What a request is, once it was read.
 pub(crate) struct CallerRequest {
@@ -196,7 +196,7 @@
         sent: began,
     };
     instance.view.borrow_mut().record_sent(&target.id, began);
-    let sending = instance.pool.send(target.address, request, CONNECT_TIME);
+    let sending = instance.pool.send(target.address, request, CONNECT_TIMEOUT);
     let ended = match compio::time::timeout(limits.within, sending).await {
         Ok(Ok(answer)) => {
             let status = answer.status;
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -148,7 +148,7 @@
         request_id: request_id.clone(),
         path: path.clone(),
         customer: None,
-        decided_by: instance.decides(),
+        decided_by: instance.configuration_status(),
     };
     let asked = Asked {
         host: host_of(&head),
--- a/crates/sedgewalld/src/fleet/catch_up.rs
+++ b/crates/sedgewalld/src/fleet/catch_up.rs
@@ -28,26 +28,26 @@
 
 /// Instances that are answered at once; the next one asks another. With 300 that are
 /// behind, the link of one would carry some megabytes else.
-const ANSWERED_AT_ONCE: usize = 8;
+const MAX_SERVED_AT_ONCE: usize = 8;
 
 /// The longest time for a connection to another instance, which takes milliseconds.
-const CONNECT_TIME: Duration = Duration::from_millis(200);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// The longest time for an answer. 100 kB take 80 ms at 10 Mbit/s.
-const ANSWER_TIME: Duration = Duration::from_millis(800);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// The longest time for a question to come in.
-const QUESTION_TIME: Duration = Duration::from_millis(500);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The longest question, in bytes: two numbers.
-const QUESTION_BYTES: usize = 256;
+const MAX_REQUEST_BYTES: usize = 256;
 
 /// How long an instance that misses nothing waits to be notified.
-const REST: Duration = Duration::from_secs(60);
+const IDLE_WAIT: Duration = Duration::from_secs(60);
 
 /// Error of asking another instance.
 #[derive(Debug, displaydoc::Display)]
-enum AskError {
+enum FetchError {
     /// it has no entry, and was not heard directly
     Unknown,
     /// no answer in time
@@ -65,13 +65,13 @@
     loop {
         let own = instance.knowledge();
         match next_step(&instance, own) {
-            Step::Idle => instance.catch_up_notified(REST).await,
+            Step::Idle => instance.catch_up_notified(IDLE_WAIT).await,
             Step::Wait(until) => {
                 let now = Instant::now();
                 let pause = until.saturating_duration_since(now);
                 instance.catch_up_notified(pause).await;
             }
-            Step::Fetch(whom) => ask_one(&instance, &whom, own).await,
+            Step::Fetch(peer) => fetch_from(&instance, &peer, own).await,
         }
     }
 }
@@ -82,14 +82,15 @@
     catch_up.step(own, others, rand::random(), Instant::now())
 }
 
-async fn ask_one(
+async fn fetch_from(
     instance: &FleetInstance,
-    whom: &InstanceId,
+    peer: &InstanceId,
     own: StateSummary,
 ) {
     let began = Instant::now();
-    let asked = compio::time::timeout(ANSWER_TIME, ask(instance, whom, own));
-    let answer = asked.await.unwrap_or(Err(AskError::Unanswered));
+    let asked =
+        compio::time::timeout(RESPONSE_TIMEOUT, fetch(instance, peer, own));
+    let answer = asked.await.unwrap_or(Err(FetchError::Unanswered));
     let took_ms = began.elapsed().as_millis() as u64;
     match answer {
         Ok((missed, bytes)) => {
@@ -98,7 +99,7 @@
             read.set(read.get().max(Some(began)));
             tracing::info!(
                 event = "caught_up",
-                from = whom,
+                from = peer,
                 had = own.configuration,
                 configuration = instance.configuration_version(),
                 is_news,
@@ -113,39 +114,40 @@
             let cause = err.to_string();
             tracing::info!(
                 event = "not_caught_up",
-                from = whom,
+                from = peer,
                 cause,
                 took_ms
             );
         }
     }
     let mut catch_up = instance.catch_up.borrow_mut();
-    catch_up.fetch_failed(whom, Instant::now());
+    catch_up.fetch_failed(peer, Instant::now());
 }
 
-async fn ask(
+async fn fetch(
     instance: &FleetInstance,
-    whom: &InstanceId,
+    peer: &InstanceId,
     own: StateSummary,
-) -> Result<(StateDelta, usize), AskError> {
-    let address = instance.address_of(whom).ok_or(AskError::Unknown)?;
-    let request = question(address, own)?;
-    let sent = instance.peer_pool.send(address, request, CONNECT_TIME).await;
-    let answer = sent.map_err(AskError::Unreachable)?;
+) -> Result<(StateDelta, usize), FetchError> {
+    let address = instance.address_of(peer).ok_or(FetchError::Unknown)?;
+    let request = fetch_request(address, own)?;
+    let sent =
+        instance.peer_pool.send(address, request, CONNECT_TIMEOUT).await;
+    let answer = sent.map_err(FetchError::Unreachable)?;
     if answer.status != StatusCode::OK {
-        return Err(AskError::Refused(answer.status));
+        return Err(FetchError::Refused(answer.status));
     }
-    let body = answer.whole().await.map_err(AskError::Unreachable)?;
+    let body = answer.whole().await.map_err(FetchError::Unreachable)?;
     let missed = rmp_serde::from_slice(&body)
-        .map_err(|err| AskError::Unreadable(err.to_string()))?;
+        .map_err(|err| FetchError::Unreadable(err.to_string()))?;
     Ok((missed, body.len()))
 }
 
-fn question(
+fn fetch_request(
     address: SocketAddr,
     own: StateSummary,
-) -> Result<Request<http_body_util::Full<Bytes>>, AskError> {
-    let unreadable = |cause: String| AskError::Unreadable(cause);
+) -> Result<Request<http_body_util::Full<Bytes>>, FetchError> {
+    let unreadable = |cause: String| FetchError::Unreadable(cause);
     let body = rmp_serde::to_vec(&own);
     let body = body.map_err(|err| unreadable(err.to_string()))?;
     Request::post(MISSED_PATH)
@@ -174,13 +176,13 @@
 }
 
 /// Answers other instances, for ever.
-pub(crate) async fn answer_others(
+pub(crate) async fn serve_peers(
     instance: Rc<FleetInstance>,
     listener: TcpListener,
 ) {
     let limits = ServerLimits {
-        connections: ANSWERED_AT_ONCE,
-        header_time: QUESTION_TIME,
+        connections: MAX_SERVED_AT_ONCE,
+        header_time: REQUEST_TIMEOUT,
     };
     let handler: Handler =
         Rc::new(move |request| Box::pin(answer(instance.clone(), request)));
@@ -200,12 +202,12 @@
     if head.uri.path() != MISSED_PATH {
         return status(StatusCode::NOT_FOUND);
     }
-    let question = read_body(body, QUESTION_BYTES, QUESTION_TIME).await;
+    let question = read_body(body, MAX_REQUEST_BYTES, REQUEST_TIMEOUT).await;
     let known = match question.map(|bytes| rmp_serde::from_slice(&bytes)) {
         Ok(Ok(known)) => known,
         Ok(Err(_)) | Err(_) => return status(StatusCode::BAD_REQUEST),
     };
-    match rmp_serde::to_vec(&missed_by(&instance, known)) {
+    match rmp_serde::to_vec(&missing_for(&instance, known)) {
         Ok(body) => {
             let mut response = Response::new(LocalBody::whole(body));
             // One question a connection, so that those that rest take no place.
@@ -221,7 +223,7 @@
 }
 
 /// Returns what an instance misses that knows so much.
-fn missed_by(instance: &FleetInstance, known: StateSummary) -> StateDelta {
+fn missing_for(instance: &FleetInstance, known: StateSummary) -> StateDelta {
     let newer = |version| version > known.configuration;
     let routing = instance.routing().filter(|d| newer(d.version));
     let condemned = instance.poison.borrow().condemned(Instant::now());
--- a/crates/sedgewalld/src/fleet/daemon.rs
+++ b/crates/sedgewalld/src/fleet/daemon.rs
@@ -98,7 +98,7 @@
     ))
     .detach();
     compio::runtime::spawn(catch_up::run(instance.clone())).detach();
-    compio::runtime::spawn(catch_up::answer_others(instance.clone(), others))
+    compio::runtime::spawn(catch_up::serve_peers(instance.clone(), others))
         .detach();
     compio::runtime::spawn(keys::keep_fresh(instance.clone(), sender.clone()))
         .detach();
--- a/crates/sedgewalld/src/fleet/knowledge.rs
+++ b/crates/sedgewalld/src/fleet/knowledge.rs
@@ -33,7 +33,7 @@
     }
 
     /// Returns by which configuration a request is decided that comes now.
-    pub(crate) fn decides(&self) -> ConfigurationStatus {
+    pub(crate) fn configuration_status(&self) -> ConfigurationStatus {
         let now = Instant::now();
         let version = self.configuration_version();
         let read = self.configuration_read.get();
@@ -78,7 +78,7 @@
     }
 
     /// Asks others at once for a newer configuration, and waits for it, for a time.
-    pub(crate) async fn newer_configuration(&self, within: Duration) {
+    pub(crate) async fn await_newer_configuration(&self, within: Duration) {
         let (tx, rx) = oneshot::channel();
         self.configuration_waiters.borrow_mut().push(tx);
         self.catch_up.borrow_mut().fetch_now(Instant::now());
@@ -88,7 +88,7 @@
     }
 
     /// Wakes the requests that wait for a newer configuration.
-    pub(crate) fn wake_for_configuration(&self) {
+    pub(crate) fn wake_configuration_waiters(&self) {
         for tx in self.configuration_waiters.take() {
             // Its request may be gone.
             let _ = tx.send(());
--- a/crates/sedgewalld/src/fleet/watch_configuration.rs
+++ b/crates/sedgewalld/src/fleet/watch_configuration.rs
@@ -134,7 +134,7 @@
         instance.stage.set(Stage::Ready);
     }
     instance.wake_all();
-    instance.wake_for_configuration();
+    instance.wake_configuration_waiters();
 }
 
 impl ObjectHandler for Versions {
