--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -30,7 +30,7 @@
 use super::{
     announcements,
     in_flight::UnderWay,
-    instance::{FleetInstance, SeenArrival},
+    instance::{FleetInstance, ObservedLoad},
     poison,
 };
 
@@ -302,7 +302,7 @@
     if !instance.view.borrow_mut().confirm_load(&target.id, key, is_there) {
         return;
     }
-    instance.arrivals.borrow_mut().push(SeenArrival {
+    instance.observed_loads.borrow_mut().push(ObservedLoad {
         endpoint: target.id.clone(),
         key: key.clone(),
         is_there,
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -173,7 +173,7 @@
     })?;
     let patience = facts.patience.unwrap_or(PATIENCE_UNSTATED);
     let end = arrived + patience.min(route.timeout) - ANSWER_MARGIN;
-    let longest = instance.longest_patience(&route.name, patience);
+    let longest = instance.longest_time_limit(&route.name, patience);
     let is_later_try = patience < longest.mul_f64(LATER_TRY_PART);
     let service = route
         .pick_service(draw_of(&facts.request_id))
@@ -235,7 +235,11 @@
 ) -> Response<LocalBody> {
     instance.budget.borrow_mut().count_request(&call.service, call.arrived);
     if let Some(key) = call.key() {
-        *instance.asked.borrow_mut().entry(key.clone()).or_default() += 1;
+        *instance
+            .requested_adapters
+            .borrow_mut()
+            .entry(key.clone())
+            .or_default() += 1;
     }
     let mut progress = Progress {
         tried: Vec::new(),
@@ -393,7 +397,7 @@
                     instance.mark_holders_cooling_down(key, now)
                 });
                 let limited_for = limited_for.or(resting);
-                ask_for(instance, call);
+                request_adapter(instance, call);
                 let load_time = instance.view.borrow().load_time();
                 let obstacle = WaitReason::AdapterNotLoaded { load_time };
                 match limited_for {
@@ -405,12 +409,12 @@
                 }
             }
             Choice::Full => {
-                ask_for(instance, call);
+                request_adapter(instance, call);
                 (Reason::Full, WaitReason::NoCapacity, look_again)
             }
             Choice::Busy(ready_in) => {
                 if ready_in.is_none() {
-                    ask_for(instance, call);
+                    request_adapter(instance, call);
                 }
                 let left = patient_until - now;
                 sleep_or_hear(
@@ -495,15 +499,15 @@
 ) {
     let pause = time + Duration::from_millis(1);
     match call.key() {
-        Some(key) => instance.wait_for(key, pause).await,
+        Some(key) => instance.wait_for_adapter(key, pause).await,
         None => compio::time::sleep(pause).await,
     }
 }
 
 /// Asks the holder of the lease for an adapter.
-fn ask_for(instance: &FleetInstance, call: &CallerRequest) {
+fn request_adapter(instance: &FleetInstance, call: &CallerRequest) {
     if let Some(key) = call.key() {
-        instance.ask_for(key, call.rank());
+        instance.request_adapter(key, call.rank());
     }
 }
 
--- a/crates/sedgewalld/src/fleet/instance.rs
+++ b/crates/sedgewalld/src/fleet/instance.rs
@@ -41,13 +41,13 @@
 };
 
 /// Notes of the holder that may be lost in a row before it is missed.
-const LEADER_LOSSES: u32 = 4;
+const MAX_LOST_LEADER_NOTES: u32 = 4;
 
 /// The holder is asked for the same adapter again after this long.
-const ASK_AGAIN: Duration = Duration::from_millis(200);
+const ADAPTER_REQUEST_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Adapters that were asked for, beyond which old ones are forgotten.
-const ASKED_KEPT: usize = 512;
+const MAX_REMEMBERED_REQUESTS: usize = 512;
 
 /// Where an instance is in its life.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -74,7 +74,7 @@
 
 /// The instance that gives orders.
 #[derive(Clone, Debug)]
-pub(crate) struct LeaderSeen {
+pub(crate) struct KnownLeader {
     pub(crate) instance: InstanceId,
     pub(crate) epoch: Epoch,
     /// What it said of its lease.
@@ -96,7 +96,7 @@
 
 /// What a request showed of an adapter on its way.
 #[derive(Clone, Debug)]
-pub(crate) struct SeenArrival {
+pub(crate) struct ObservedLoad {
     pub(crate) endpoint: EndpointId,
     pub(crate) key: AdapterKey,
     pub(crate) is_there: bool,
@@ -145,9 +145,9 @@
     /// What was seen of loads from the weight store, while we had the lease.
     pub(crate) load_times: RefCell<LoadTimes>,
     /// What our requests saw of adapters on their way, for the holder to hear.
-    pub(crate) arrivals: RefCell<Vec<SeenArrival>>,
-    pub(crate) asked: RefCell<HashMap<AdapterKey, u32>>,
-    pub(crate) waiting: RefCell<HashMap<AdapterKey, u8>>,
+    pub(crate) observed_loads: RefCell<Vec<ObservedLoad>>,
+    pub(crate) requested_adapters: RefCell<HashMap<AdapterKey, u32>>,
+    pub(crate) awaited_adapters: RefCell<HashMap<AdapterKey, u8>>,
     /// Our part of what customers may use.
     pub(crate) shares: RefCell<RateLimiter>,
     /// Whether keys that were taken away are sure to be known.
@@ -165,9 +165,9 @@
     /// What the holder heard of such.
     pub(crate) suspicions: RefCell<Suspicions>,
     /// The longest time that a caller gave, by route.
-    patience: RefCell<HashMap<String, Duration>>,
+    longest_time_limits: RefCell<HashMap<String, Duration>>,
     /// When the holder was last asked for an adapter.
-    asked_at: RefCell<HashMap<AdapterKey, Instant>>,
+    last_requested: RefCell<HashMap<AdapterKey, Instant>>,
     pub(crate) budget: RefCell<RetryBudget>,
     /// The other instances and where their notes go.
     pub(crate) peers: RefCell<BTreeMap<InstanceId, Peer>>,
@@ -180,7 +180,7 @@
     pub(crate) own_entry: RefCell<Option<serde_json::Value>>,
     /// Whether the entries of instances were listed once.
     pub(crate) has_listed_instances: Cell<bool>,
-    pub(crate) leader: RefCell<Option<LeaderSeen>>,
+    pub(crate) leader: RefCell<Option<KnownLeader>>,
     /// Our own lease on orders, if we have it.
     pub(crate) held: Cell<Option<HeldLease>>,
     pub(crate) pool: EndpointPool,
@@ -203,7 +203,7 @@
     pub(crate) store: Store,
     /// Requests that were read and are not answered to the end.
     pub(crate) open: Cell<usize>,
-    waiters: RefCell<HashMap<AdapterKey, Vec<oneshot::Sender<()>>>>,
+    adapter_waiters: RefCell<HashMap<AdapterKey, Vec<oneshot::Sender<()>>>>,
     loader_notify: Notify,
     pub(super) catch_up_notify: Notify,
     notes_notify: Notify,
@@ -232,7 +232,8 @@
     /// Notes that wait to go to all others.
     pub(crate) broadcast_queue: RefCell<Vec<Note>>,
     /// Who waits for an adapter, at the holder of the lease.
-    pub(crate) askers: RefCell<HashMap<AdapterKey, BTreeSet<InstanceId>>>,
+    pub(crate) awaiting_instances:
+        RefCell<HashMap<AdapterKey, BTreeSet<InstanceId>>>,
 }
 
 impl FleetInstance {
@@ -266,9 +267,9 @@
             view: RefCell::new(view),
             demand: RefCell::default(),
             load_times: RefCell::default(),
-            arrivals: RefCell::default(),
-            asked: RefCell::default(),
-            waiting: RefCell::default(),
+            observed_loads: RefCell::default(),
+            requested_adapters: RefCell::default(),
+            awaited_adapters: RefCell::default(),
             shares: RefCell::default(),
             keys: Keys::new(revoke_within),
             store_contact: RefCell::default(),
@@ -277,8 +278,8 @@
             unreadable_logged: Cell::default(),
             unreachable: RefCell::default(),
             suspicions: RefCell::default(),
-            patience: RefCell::default(),
-            asked_at: RefCell::default(),
+            longest_time_limits: RefCell::default(),
+            last_requested: RefCell::default(),
             budget: RefCell::new(budget),
             peers: RefCell::default(),
             observed_addresses: RefCell::default(),
@@ -300,7 +301,7 @@
             looked_at: RefCell::default(),
             peer_pool: EndpointPool::new(),
             open: Cell::new(0),
-            waiters: RefCell::default(),
+            adapter_waiters: RefCell::default(),
             loader_notify: Notify::default(),
             catch_up_notify: Notify::default(),
             notes_notify: Notify::default(),
@@ -318,7 +319,7 @@
             renewal: RefCell::default(),
             unicast_queue: RefCell::default(),
             broadcast_queue: RefCell::default(),
-            askers: RefCell::default(),
+            awaiting_instances: RefCell::default(),
         })
     }
 
@@ -377,7 +378,7 @@
     }
 
     /// Returns the instance that gives orders, if it was heard lately.
-    pub(crate) fn live_leader(&self, now: Instant) -> Option<LeaderSeen> {
+    pub(crate) fn live_leader(&self, now: Instant) -> Option<KnownLeader> {
         let leader = self.leader.borrow().clone()?;
         (now < leader.holds_until).then_some(leader)
     }
@@ -400,13 +401,13 @@
             tracing::info!(event = "leader_heard", instance, epoch);
         }
         let instance = instance.to_owned();
-        let holds_until = now + next_in * LEADER_LOSSES;
+        let holds_until = now + next_in * MAX_LOST_LEADER_NOTES;
         let noted = NotedLease {
             epoch,
             renewal: lead.renewal,
             ends_by: now + Duration::from_millis(lead.left_ms),
         };
-        *leader = Some(LeaderSeen { instance, epoch, noted, holds_until });
+        *leader = Some(KnownLeader { instance, epoch, noted, holds_until });
         drop(leader);
         if is_new {
             // It knows nothing of us yet, and our pace is that of a time
@@ -422,41 +423,43 @@
 
     /// Returns the longest time that a caller gave on a route, this one's
     /// included. First tries have the whole of it, later ones what is left.
-    pub(crate) fn longest_patience(
+    pub(crate) fn longest_time_limit(
         &self,
         route: &str,
-        patience: Duration,
+        time_limit: Duration,
     ) -> Duration {
-        let mut longest = self.patience.borrow_mut();
+        let mut longest = self.longest_time_limits.borrow_mut();
         let Some(known) = longest.get_mut(route) else {
-            longest.insert(route.to_owned(), patience);
-            return patience;
+            longest.insert(route.to_owned(), time_limit);
+            return time_limit;
         };
-        *known = patience.max(*known);
+        *known = time_limit.max(*known);
         *known
     }
 
     /// Forgets the patience of routes, which a new configuration may change.
-    pub(crate) fn forget_patience(&self) {
-        self.patience.borrow_mut().clear();
+    pub(crate) fn clear_time_limits(&self) {
+        self.longest_time_limits.borrow_mut().clear();
     }
 
     /// Asks the holder of the lease for an adapter that a request of this rank
     /// waits for. Many requests ask once in a while: the holder remembers, and
     /// a lost note is repaired by the next.
-    pub(crate) fn ask_for(&self, key: &AdapterKey, rank: u8) {
+    pub(crate) fn request_adapter(&self, key: &AdapterKey, rank: u8) {
         let now = Instant::now();
-        let mut asked_at = self.asked_at.borrow_mut();
-        let is_known =
-            asked_at.get(key).is_some_and(|at| now - *at < ASK_AGAIN);
+        let mut last_requested = self.last_requested.borrow_mut();
+        let is_known = last_requested
+            .get(key)
+            .is_some_and(|at| now - *at < ADAPTER_REQUEST_INTERVAL);
         if is_known {
             return;
         }
-        if asked_at.len() > ASKED_KEPT {
-            asked_at.retain(|_, at| now - *at < ASK_AGAIN);
+        if last_requested.len() > MAX_REMEMBERED_REQUESTS {
+            last_requested
+                .retain(|_, at| now - *at < ADAPTER_REQUEST_INTERVAL);
         }
-        asked_at.insert(key.clone(), now);
-        let mut waiting = self.waiting.borrow_mut();
+        last_requested.insert(key.clone(), now);
+        let mut waiting = self.awaited_adapters.borrow_mut();
         let known = waiting.entry(key.clone()).or_insert(rank);
         *known = rank.min(*known);
         drop(waiting);
@@ -464,16 +467,24 @@
     }
 
     /// Waits until something is heard of an adapter, or for a time.
-    pub(crate) async fn wait_for(&self, key: &AdapterKey, within: Duration) {
+    pub(crate) async fn wait_for_adapter(
+        &self,
+        key: &AdapterKey,
+        within: Duration,
+    ) {
         let (tx, rx) = oneshot::channel();
-        self.waiters.borrow_mut().entry(key.clone()).or_default().push(tx);
+        self.adapter_waiters
+            .borrow_mut()
+            .entry(key.clone())
+            .or_default()
+            .push(tx);
         // Either way the request looks again.
         let _ = compio::time::timeout(within, rx).await;
     }
 
     /// Wakes the requests that wait for an adapter.
     pub(crate) fn wake(&self, key: &AdapterKey) {
-        let waiting = self.waiters.borrow_mut().remove(key);
+        let waiting = self.adapter_waiters.borrow_mut().remove(key);
         for tx in waiting.into_iter().flatten() {
             // Its request may be gone.
             let _ = tx.send(());
@@ -482,7 +493,8 @@
 
     /// Wakes the requests whose adapters the table now shows.
     pub(crate) fn wake_all(&self) {
-        let waiting: Vec<_> = self.waiters.borrow_mut().drain().collect();
+        let waiting: Vec<_> =
+            self.adapter_waiters.borrow_mut().drain().collect();
         for tx in waiting.into_iter().flat_map(|(_, waiters)| waiters) {
             let _ = tx.send(());
         }
--- a/crates/sedgewalld/src/fleet/leader.rs
+++ b/crates/sedgewalld/src/fleet/leader.rs
@@ -11,11 +11,11 @@
 use crate::process;
 
 /// How often the holder looks at demand when nothing waits.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const PLAN_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The least pause between two looks, so that many requests that wait are
 /// looked at together.
-const LOOK_PAUSE: Duration = Duration::from_millis(10);
+const MIN_PLAN_PAUSE: Duration = Duration::from_millis(10);
 
 /// The pause after a look, as a multiple of what the look took: decisions use
 /// a ninth of the processor at most.
@@ -29,14 +29,14 @@
     let mut last_cleanup = Instant::now();
     let mut epoch = None;
     loop {
-        instance.loader_notified(LOOK_EVERY).await;
+        instance.loader_notified(PLAN_INTERVAL).await;
         let now = Instant::now();
         if now - last_cleanup >= CLEANUP_INTERVAL {
             last_cleanup = now;
             instance.demand.borrow_mut().forget(now);
             instance.load_times.borrow_mut().forget(now);
             orders.forget_gone();
-            forget_askers(&instance, now);
+            drop_unneeded_requests(&instance, now);
             log_state(&instance, &orders, now);
         }
         let Some(held) = instance.current_lease(now) else {
@@ -70,16 +70,16 @@
             None => continue,
         };
         orders.give(held.epoch, planned);
-        let pause = LOOK_PAUSE.max(now.elapsed() * PAUSE_FACTOR);
+        let pause = MIN_PLAN_PAUSE.max(now.elapsed() * PAUSE_FACTOR);
         compio::time::sleep(pause).await;
     }
 }
 
 /// Forgets who asked for what nobody waits for any more.
-fn forget_askers(instance: &FleetInstance, now: Instant) {
+fn drop_unneeded_requests(instance: &FleetInstance, now: Instant) {
     let demand = instance.demand.borrow();
     instance
-        .askers
+        .awaiting_instances
         .borrow_mut()
         .retain(|key, _| demand.get(key).is_some_and(|d| d.has_waiting(now)));
 }
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -21,7 +21,7 @@
 
 use super::{
     announcements,
-    instance::{FleetInstance, SeenArrival, Stage},
+    instance::{FleetInstance, ObservedLoad, Stage},
     keys, lease_store, list_watch,
     note_sender::{MAX_NOTE_BYTES, NoteSender},
     poison, watch_poison,
@@ -346,7 +346,7 @@
 ) {
     let Some(held) = instance.current_lease(now) else { return };
     let mut known = Vec::new();
-    let mut askers = instance.askers.borrow_mut();
+    let mut askers = instance.awaiting_instances.borrow_mut();
     for (key, _) in &asked.waiting {
         let places =
             instance.view.borrow().placement_notes(key, held.epoch, now);
@@ -427,9 +427,9 @@
         has_store_change: instance.store_contact.borrow().has_change(),
         has_large_prompt: instance.has_unreported_work.get(),
         has_batch: !instance.broadcast_queue.borrow().is_empty(),
-        has_waiting: !instance.waiting.borrow().is_empty()
+        has_waiting: !instance.awaited_adapters.borrow().is_empty()
             || !instance.unreachable.borrow().is_empty()
-            || !instance.arrivals.borrow().is_empty(),
+            || !instance.observed_loads.borrow().is_empty(),
         has_sent: instance.has_unreported_sends.get(),
     }
 }
@@ -549,20 +549,22 @@
     }
 }
 
-fn arrived(seen: SeenArrival) -> LoadObservationReport {
-    let SeenArrival { endpoint, key, is_there, sent } = seen;
+fn arrived(seen: ObservedLoad) -> LoadObservationReport {
+    let ObservedLoad { endpoint, key, is_there, sent } = seen;
     let ago_ms = sent.elapsed().as_millis() as u64;
     LoadObservationReport { endpoint, key, is_there, ago_ms }
 }
 
 fn send_demand_report(instance: &FleetInstance, sender: &NoteSender) {
     instance.has_unreported_sends.set(false);
-    let counts: Vec<_> = instance.asked.borrow_mut().drain().collect();
-    let waiting: Vec<_> = instance.waiting.borrow_mut().drain().collect();
+    let counts: Vec<_> =
+        instance.requested_adapters.borrow_mut().drain().collect();
+    let waiting: Vec<_> =
+        instance.awaited_adapters.borrow_mut().drain().collect();
     let unreachable: Vec<_> =
         instance.unreachable.take().into_iter().collect();
     let arrivals: Vec<_> =
-        instance.arrivals.take().into_iter().map(arrived).collect();
+        instance.observed_loads.take().into_iter().map(arrived).collect();
     if counts.is_empty()
         && waiting.is_empty()
         && unreachable.is_empty()
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -326,7 +326,7 @@
             is_cold,
             born,
         };
-        let askers = self.instance.askers.borrow_mut().remove(key);
+        let askers = self.instance.awaiting_instances.borrow_mut().remove(key);
         for peer in askers.into_iter().flatten() {
             let note = Note::Placed(placed.clone());
             self.sender.send_to_peer(&self.instance, &peer, &note);
--- a/crates/sedgewalld/src/fleet/watch_configuration.rs
+++ b/crates/sedgewalld/src/fleet/watch_configuration.rs
@@ -129,7 +129,7 @@
         from = source.name(),
     );
     *instance.routing.borrow_mut() = Some(Rc::new(routing));
-    instance.forget_patience();
+    instance.clear_time_limits();
     if instance.stage.get() == Stage::Starting {
         instance.stage.set(Stage::Ready);
     }
