--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -29,7 +29,7 @@
 
 use super::{
     announcements,
-    in_flight::UnderWay,
+    in_flight::InFlightGuard,
     instance::{FleetInstance, ObservedLoad},
     poison,
 };
@@ -120,7 +120,7 @@
 /// An endpoint's answer that may be passed on.
 pub(crate) struct GoodAnswer {
     pub(crate) answer: PooledAnswer,
-    pub(crate) under_way: UnderWay,
+    pub(crate) in_flight_guard: InFlightGuard,
 }
 
 impl CallerRequest {
@@ -186,8 +186,8 @@
     limits: SendLimits,
 ) -> Result<GoodAnswer, AttemptError> {
     let prompt_tokens = call.facts.prompt_tokens;
-    let mut under_way =
-        UnderWay::begin(instance, &target.id, call.key(), prompt_tokens);
+    let mut in_flight_guard =
+        InFlightGuard::begin(instance, &target.id, call.key(), prompt_tokens);
     let request = build(call, target, last_event);
     let began = Instant::now();
     let answered = AnsweredRequest {
@@ -218,7 +218,7 @@
             Err(AttemptError::TimedOut)
         }
     };
-    under_way.answer_begins();
+    in_flight_guard.response_started();
     if ended.is_ok() && call.key().is_some() {
         let tokens = target.unread_tokens + prompt_tokens;
         let mut view = instance.view.borrow_mut();
@@ -226,7 +226,7 @@
     }
     record_load_observation(instance, call, target, &ended, began);
     record_outcome(instance, call, target, &ended);
-    ended.map(|answer| GoodAnswer { answer, under_way })
+    ended.map(|answer| GoodAnswer { answer, in_flight_guard })
 }
 
 fn build(
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -36,7 +36,7 @@
     attempt::{
         self, AttemptError, CallerRequest, GoodAnswer, SendLimits, SentTo,
     },
-    in_flight::OpenRequest,
+    in_flight::OpenRequestGuard,
     instance::{FleetInstance, Stage},
     permits::{Permits, PermittedChoice},
     poison,
@@ -81,7 +81,7 @@
     instance: Rc<FleetInstance>,
     request: Request<Incoming>,
 ) -> Response<LocalBody> {
-    let open = OpenRequest::begin(&instance);
+    let open = OpenRequestGuard::begin(&instance);
     let arrived = Instant::now();
     let mut response = match read(&instance, request, arrived).await {
         Ok(call) => serve(&instance, Rc::new(call), open).await,
@@ -231,7 +231,7 @@
 async fn serve(
     instance: &Rc<FleetInstance>,
     call: Rc<CallerRequest>,
-    open: OpenRequest,
+    open: OpenRequestGuard,
 ) -> Response<LocalBody> {
     instance.budget.borrow_mut().count_request(&call.service, call.arrived);
     if let Some(key) = call.key() {
@@ -249,7 +249,8 @@
         engine: Duration::ZERO,
         gone_in: None,
     };
-    let mut watch = request_log::Unanswered::begin(instance, call.clone());
+    let mut watch =
+        request_log::UnansweredGuard::begin(instance, call.clone());
     let last_event = call.facts.last_event.clone();
     let found = obtain(instance, &call, &mut progress, last_event.as_deref());
     let response = match found.await {
@@ -517,7 +518,7 @@
     progress: Progress,
     good: GoodAnswer,
     target: Target,
-    open: OpenRequest,
+    open: OpenRequestGuard,
 ) -> Response<LocalBody> {
     let status = good.answer.status;
     let headers = to_caller(&good.answer.headers);
--- a/crates/sedgewalld/src/fleet/daemon.rs
+++ b/crates/sedgewalld/src/fleet/daemon.rs
@@ -214,7 +214,8 @@
 }
 
 fn update_gauges(instance: &FleetInstance) {
-    metrics::gauge!("sedgewall_requests_open").set(instance.open.get() as f64);
+    metrics::gauge!("sedgewall_requests_open")
+        .set(instance.open_requests.get() as f64);
     let resident = process::resident_bytes();
     metrics::gauge!("sedgewall_resident_bytes").set(resident as f64);
     let cpu_s = process::cpu_ms() as f64 / 1_000.0;
@@ -246,7 +247,7 @@
     stopping: futures_channel::oneshot::Sender<()>,
 ) {
     let began = Instant::now();
-    tracing::info!(event = "stop", open = instance.open.get());
+    tracing::info!(event = "stop", open = instance.open_requests.get());
     instance.stage.set(Stage::Leaving);
     instance.leaving_since.set(Some(began));
     compio::time::sleep(BALANCER_GRACE).await;
@@ -254,7 +255,7 @@
     let grace = Duration::from_secs_f64(instance.fleet.grace_s);
     let end = began + grace.saturating_sub(STOP_MARGIN);
     let has_duties =
-        || instance.open.get() > 0 || instance.held.get().is_some();
+        || instance.open_requests.get() > 0 || instance.held.get().is_some();
     while has_duties() && Instant::now() < end {
         compio::time::sleep(DRAIN_LOOK).await;
     }
@@ -262,7 +263,7 @@
     compio::time::sleep(DRAIN_LOOK).await;
     tracing::info!(
         event = "stopped",
-        cut_off = instance.open.get(),
+        cut_off = instance.open_requests.get(),
         took_ms = began.elapsed().as_millis() as u64,
     );
 }
--- a/crates/sedgewalld/src/fleet/in_flight.rs
+++ b/crates/sedgewalld/src/fleet/in_flight.rs
@@ -14,7 +14,7 @@
 const LARGE_PROMPT: Duration = Duration::from_millis(50);
 
 /// A request under way at an endpoint; dropping it counts it out.
-pub(crate) struct UnderWay {
+pub(crate) struct InFlightGuard {
     instance: Rc<FleetInstance>,
     endpoint: EndpointId,
     key: Option<AdapterKey>,
@@ -25,13 +25,13 @@
     load: f64,
 }
 
-impl UnderWay {
+impl InFlightGuard {
     pub(crate) fn begin(
         instance: &Rc<FleetInstance>,
         endpoint: &EndpointId,
         key: Option<&AdapterKey>,
         prompt_tokens: u64,
-    ) -> UnderWay {
+    ) -> InFlightGuard {
         let mut view = instance.view.borrow_mut();
         let reads_for = view.prefill_time(endpoint, prompt_tokens);
         let mut load = 0.0;
@@ -48,7 +48,7 @@
             instance.has_unreported_sends.set(true);
             instance.notify_notes();
         }
-        UnderWay {
+        InFlightGuard {
             instance: instance.clone(),
             endpoint: endpoint.clone(),
             key: key.cloned(),
@@ -59,7 +59,7 @@
     }
 
     /// Notes that the answer has begun, so the prompt was read.
-    pub(crate) fn answer_begins(&mut self) {
+    pub(crate) fn response_started(&mut self) {
         let read_tokens = std::mem::take(&mut self.unread_tokens);
         let mut view = self.instance.view.borrow_mut();
         if let Some(state) = view.get_mut(&self.endpoint) {
@@ -68,9 +68,9 @@
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.answer_begins();
+        self.response_started();
         let mut view = self.instance.view.borrow_mut();
         if let Some(state) = view.get_mut(&self.endpoint) {
             state.own_work.end(self.key.as_ref());
@@ -83,17 +83,17 @@
 }
 
 /// A request that was read; dropping it counts it out.
-pub(crate) struct OpenRequest(Rc<FleetInstance>);
+pub(crate) struct OpenRequestGuard(Rc<FleetInstance>);
 
-impl OpenRequest {
-    pub(crate) fn begin(instance: &Rc<FleetInstance>) -> OpenRequest {
-        instance.open.set(instance.open.get() + 1);
-        OpenRequest(instance.clone())
+impl OpenRequestGuard {
+    pub(crate) fn begin(instance: &Rc<FleetInstance>) -> OpenRequestGuard {
+        instance.open_requests.set(instance.open_requests.get() + 1);
+        OpenRequestGuard(instance.clone())
     }
 }
 
-impl Drop for OpenRequest {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
-        self.0.open.set(self.0.open.get() - 1);
+        self.0.open_requests.set(self.0.open_requests.get() - 1);
     }
 }
--- a/crates/sedgewalld/src/fleet/instance.rs
+++ b/crates/sedgewalld/src/fleet/instance.rs
@@ -202,7 +202,7 @@
     pub(crate) peer_pool: EndpointPool,
     pub(crate) store: Store,
     /// Requests that were read and are not answered to the end.
-    pub(crate) open: Cell<usize>,
+    pub(crate) open_requests: Cell<usize>,
     adapter_waiters: RefCell<HashMap<AdapterKey, Vec<oneshot::Sender<()>>>>,
     loader_notify: Notify,
     pub(super) catch_up_notify: Notify,
@@ -300,7 +300,7 @@
             is_poison_watcher: Cell::new(true),
             looked_at: RefCell::default(),
             peer_pool: EndpointPool::new(),
-            open: Cell::new(0),
+            open_requests: Cell::new(0),
             adapter_waiters: RefCell::default(),
             loader_notify: Notify::default(),
             catch_up_notify: Notify::default(),
--- a/crates/sedgewalld/src/fleet/relay.rs
+++ b/crates/sedgewalld/src/fleet/relay.rs
@@ -15,7 +15,7 @@
 use super::{
     attempt::{CallerRequest, GoodAnswer},
     caller::{self, Progress},
-    in_flight::{OpenRequest, UnderWay},
+    in_flight::{InFlightGuard, OpenRequestGuard},
     instance::FleetInstance,
     poison, request_log,
 };
@@ -35,8 +35,8 @@
     progress: Progress,
     target: Target,
     body: PooledBody,
-    _under_way: UnderWay,
-    _open: OpenRequest,
+    _in_flight_guard: InFlightGuard,
+    _open: OpenRequestGuard,
     cutter: Option<EventFramer>,
     head: Duration,
     bytes: usize,
@@ -60,7 +60,7 @@
     progress: Progress,
     good: GoodAnswer,
     target: Target,
-    open: OpenRequest,
+    open: OpenRequestGuard,
 ) -> LocalBody {
     let cutter = call
         .route
@@ -73,7 +73,7 @@
         progress,
         target,
         body: good.answer.body,
-        _under_way: good.under_way,
+        _in_flight_guard: good.in_flight_guard,
         _open: open,
         cutter,
         bytes: 0,
@@ -191,7 +191,7 @@
             after_event = last_event,
         );
         self.body = good.answer.body;
-        self._under_way = good.under_way;
+        self._in_flight_guard = good.in_flight_guard;
         self.target = target;
         true
     }
--- a/crates/sedgewalld/src/fleet/request_log.rs
+++ b/crates/sedgewalld/src/fleet/request_log.rs
@@ -14,18 +14,22 @@
 
 /// Watches over a request until it has an answer: a caller that leaves ends the
 /// work on it without another word.
-pub(crate) struct Unanswered {
+pub(crate) struct UnansweredGuard {
     instance: Rc<FleetInstance>,
     call: Rc<CallerRequest>,
     is_answered: bool,
 }
 
-impl Unanswered {
+impl UnansweredGuard {
     pub(crate) fn begin(
         instance: &Rc<FleetInstance>,
         call: Rc<CallerRequest>,
-    ) -> Unanswered {
-        Unanswered { instance: instance.clone(), call, is_answered: false }
+    ) -> UnansweredGuard {
+        UnansweredGuard {
+            instance: instance.clone(),
+            call,
+            is_answered: false,
+        }
     }
 
     pub(crate) fn answered(&mut self) {
@@ -33,7 +37,7 @@
     }
 }
 
-impl Drop for Unanswered {
+impl Drop for UnansweredGuard {
     fn drop(&mut self) {
         if !self.is_answered {
             left(&self.call, 0);
