--- a/crates/sedgewalld/src/fleet/admit.rs
+++ b/crates/sedgewalld/src/fleet/admit.rs
@@ -16,10 +16,10 @@
 
 /// How long a request that the configuration refuses waits for a newer one that was
 /// heard of: two questions to other instances.
-const NEWER_WAIT: Duration = Duration::from_millis(250);
+const NEWER_CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// What the configuration decides a request by.
-pub(super) struct Asked {
+pub(super) struct AdmissionQuery {
     pub(super) host: String,
     pub(super) path: String,
     pub(super) credential: Option<KeyDigest>,
@@ -38,27 +38,30 @@
 /// that the newer one may not hold to is for now: callers do not come back after 404.
 pub(super) async fn admit_by_newest(
     instance: &FleetInstance,
-    asked: &Asked,
+    query: &AdmissionQuery,
 ) -> Result<Admitted, Reason> {
-    let is_doubtful = |reason: Reason| {
-        reason.is_of_configuration() && instance.is_configuration_behind()
+    let may_be_outdated = |reason: Reason| {
+        reason.depends_on_configuration() && instance.is_configuration_behind()
     };
-    match admit(instance, asked) {
-        Err(reason) if is_doubtful(reason) => {}
+    match admit(instance, query) {
+        Err(reason) if may_be_outdated(reason) => {}
         decided => return decided,
     }
-    instance.await_newer_configuration(NEWER_WAIT).await;
-    admit(instance, asked).map_err(|reason| match is_doubtful(reason) {
+    instance.await_newer_configuration(NEWER_CONFIGURATION_TIMEOUT).await;
+    admit(instance, query).map_err(|reason| match may_be_outdated(reason) {
         true => Reason::ConfigurationBehind,
         false => reason,
     })
 }
 
-fn admit(instance: &FleetInstance, asked: &Asked) -> Result<Admitted, Reason> {
+fn admit(
+    instance: &FleetInstance,
+    query: &AdmissionQuery,
+) -> Result<Admitted, Reason> {
     let routing = instance.routing().ok_or(Reason::NoConfiguration)?;
-    let route = routing.route(&asked.host, &asked.path);
+    let route = routing.route(&query.host, &query.path);
     let route = route.ok_or(Reason::NoRoute)?.clone();
-    let credential = asked.credential.as_ref();
+    let credential = query.credential.as_ref();
     let customer = admit_key(instance, &routing, &route, credential)?;
     let decided_by = instance.configuration_status();
     Ok(Admitted { routing, route, customer, decided_by })
@@ -88,7 +91,7 @@
 }
 
 /// Takes what a request counts of its customer's allowance.
-pub(super) fn take_allowance(
+pub(super) fn charge_allowance(
     instance: &FleetInstance,
     customer: &Customer,
     tokens: u64,
@@ -102,7 +105,7 @@
 }
 
 /// Gives back what a request took of its customer's allowance and did not use.
-pub(super) fn give_back_allowance(
+pub(super) fn refund_allowance(
     instance: &FleetInstance,
     call: &CallerRequest,
 ) {
--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -52,7 +52,7 @@
     pub(crate) is_engine: bool,
     pub(crate) arrived: Instant,
     /// When it must have its final answer.
-    pub(crate) end: Instant,
+    pub(crate) deadline: Instant,
     /// Whether its caller has tried before, as its time tells.
     pub(crate) is_later_try: bool,
     /// Whose it is.
@@ -126,7 +126,7 @@
 impl CallerRequest {
     /// Returns what is left of the request's time.
     pub(crate) fn left(&self) -> Duration {
-        self.end.saturating_duration_since(Instant::now())
+        self.deadline.saturating_duration_since(Instant::now())
     }
 
     /// Returns the model or adapter, if an engine serves the request.
@@ -204,7 +204,7 @@
             announcements::apply_response(
                 instance, call, &answered, status, &facts,
             );
-            judge(call, answer, facts, limits.is_last)
+            classify(call, answer, facts, limits.is_last)
         }
         Ok(Err(SendError::NotSent(cause))) => {
             Err(AttemptError::Unreachable(cause))
@@ -251,7 +251,7 @@
 
 /// Tells answers that may be passed on from those that say or mean that
 /// something went wrong.
-fn judge(
+fn classify(
     call: &CallerRequest,
     mut answer: PooledAnswer,
     facts: AnswerFacts,
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -31,7 +31,8 @@
 
 use super::{
     admit::{
-        Admitted, Asked, admit_by_newest, give_back_allowance, take_allowance,
+        AdmissionQuery, Admitted, admit_by_newest, charge_allowance,
+        refund_allowance,
     },
     attempt::{
         self, AttemptError, CallerRequest, GoodAnswer, SendLimits, SentTo,
@@ -45,10 +46,10 @@
 };
 
 /// How long a body may take to come in.
-const BODY_TIME: Duration = Duration::from_secs(10);
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The time of a request that states none.
-const PATIENCE_UNSTATED: Duration = Duration::from_secs(10);
+const DEFAULT_TIME_LIMIT: Duration = Duration::from_secs(10);
 
 /// An answer of ours must leave this long before the caller's time is over.
 const ANSWER_MARGIN: Duration = Duration::from_millis(20);
@@ -56,25 +57,25 @@
 /// How long a request that would come late everywhere waits for its adapter to
 /// be loaded where it begins sooner. From the weight store that takes 0.25 s.
 /// The rest is for the order.
-const COPY_WAIT: Duration = Duration::from_millis(330);
+const LOAD_WAIT: Duration = Duration::from_millis(330);
 
 /// How often a request looks again for a place at full endpoints.
-const LOOK_AGAIN: Duration = Duration::from_millis(15);
+const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(15);
 
 /// The same for a try that waits long: many may wait on a small instance.
-const LOOK_AGAIN_LONG: Duration = Duration::from_millis(60);
+const LATER_TRY_POLL_INTERVAL: Duration = Duration::from_millis(60);
 
 /// A try whose time is below this part of the longest on its route is not its
 /// caller's first. Refused again it is lost, so it waits as long as an answer
 /// can still come, be it late.
-const LATER_TRY_PART: f64 = 0.9;
+const LATER_TRY_FRACTION: f64 = 0.9;
 
 /// A repeatable request without an answer goes to another endpoint after this
 /// many times its target latency.
-const PATIENCE_TARGETS: f64 = 2.5;
+const ATTEMPT_TIMEOUT_TARGETS: f64 = 2.5;
 
 /// Sends of one request at most, those that were turned away included.
-const MOST_SENDS: u32 = 6;
+const MAX_SENDS: u32 = 6;
 
 /// Answers one request.
 pub(crate) async fn answer(
@@ -85,7 +86,7 @@
     let arrived = Instant::now();
     let mut response = match read(&instance, request, arrived).await {
         Ok(call) => serve(&instance, Rc::new(call), open).await,
-        Err(refused) => refuse_unread(refused, arrived),
+        Err(refused) => refuse_early(refused, arrived),
     };
     if instance.stage.get() == Stage::Leaving {
         let close = header::HeaderValue::from_static("close");
@@ -95,7 +96,7 @@
 }
 
 /// A request that was refused before it was routed.
-struct Unread {
+struct EarlyRefusal {
     reason: Reason,
     request_id: String,
     path: String,
@@ -103,7 +104,10 @@
     decided_by: ConfigurationStatus,
 }
 
-fn refuse_unread(refused: Unread, arrived: Instant) -> Response<LocalBody> {
+fn refuse_early(
+    refused: EarlyRefusal,
+    arrived: Instant,
+) -> Response<LocalBody> {
     let denied = match refused.reason {
         Reason::OverAllowance(denied) => Some(denied),
         _ => None,
@@ -128,8 +132,8 @@
         total_age_ms = denied.and_then(|d| d.total_age).map(ms),
         back_in_ms = denied.map(|denied| ms(denied.retry_in)),
     );
-    let draw = draw_of(&refused.request_id);
-    let after = retry_delay(PATIENCE_UNSTATED, None, draw);
+    let draw = hash_fraction(&refused.request_id);
+    let after = retry_delay(DEFAULT_TIME_LIMIT, None, draw);
     refusal::answer(refused.reason, after)
 }
 
@@ -137,46 +141,46 @@
     instance: &FleetInstance,
     request: Request<Incoming>,
     arrived: Instant,
-) -> Result<CallerRequest, Unread> {
+) -> Result<CallerRequest, EarlyRefusal> {
     let (mut head, body) = request.into_parts();
     let facts = CallFacts::take(&mut head.headers);
     let path = head.uri.path().to_owned();
     let request_id =
         facts.as_ref().map_or(String::new(), |f| f.request_id.clone());
-    let refuse = |reason| Unread {
+    let refuse = |reason| EarlyRefusal {
         reason,
         request_id: request_id.clone(),
         path: path.clone(),
         customer: None,
         decided_by: instance.configuration_status(),
     };
-    let asked = Asked {
+    let query = AdmissionQuery {
         host: host_of(&head),
         path: path.clone(),
         credential: facts.as_ref().and_then(|f| f.credential),
     };
-    let admitted = admit_by_newest(instance, &asked).await.map_err(&refuse)?;
+    let admitted = admit_by_newest(instance, &query).await.map_err(&refuse)?;
     let Admitted { routing, route, customer, decided_by } = admitted;
     let facts = facts.ok_or_else(|| refuse(Reason::NoRequestId))?;
     let tokens = facts.prompt_tokens + facts.answer_tokens;
     if let Some(customer) = &customer {
-        take_allowance(instance, customer, tokens).map_err(|reason| {
-            Unread { customer: Some(customer.clone()), ..refuse(reason) }
+        charge_allowance(instance, customer, tokens).map_err(|reason| {
+            EarlyRefusal { customer: Some(customer.clone()), ..refuse(reason) }
         })?;
     }
     let most = routing.limits.body_bytes;
-    let body = read_body(body, most, BODY_TIME).await.map_err(|err| {
+    let body = read_body(body, most, BODY_TIMEOUT).await.map_err(|err| {
         refuse(match err {
             BodyError::TooLong(_) => Reason::BodyTooLong,
             BodyError::TooSlow(_) | BodyError::Broken(_) => Reason::BodyBroken,
         })
     })?;
-    let patience = facts.patience.unwrap_or(PATIENCE_UNSTATED);
-    let end = arrived + patience.min(route.timeout) - ANSWER_MARGIN;
-    let longest = instance.longest_time_limit(&route.name, patience);
-    let is_later_try = patience < longest.mul_f64(LATER_TRY_PART);
+    let time_limit = facts.patience.unwrap_or(DEFAULT_TIME_LIMIT);
+    let deadline = arrived + time_limit.min(route.timeout) - ANSWER_MARGIN;
+    let longest = instance.longest_time_limit(&route.name, time_limit);
+    let is_later_try = time_limit < longest.mul_f64(LATER_TRY_FRACTION);
     let service = route
-        .pick_service(draw_of(&facts.request_id))
+        .pick_service(hash_fraction(&facts.request_id))
         .ok_or_else(|| refuse(Reason::NobodyThere))?
         .clone();
     let is_engine = routing.engine_group(&service).is_some();
@@ -191,7 +195,7 @@
         service,
         is_engine,
         arrived,
-        end,
+        deadline,
         is_later_try,
         customer,
         sent_to: RefCell::default(),
@@ -223,9 +227,9 @@
     pub(crate) runs: u32,
     pub(crate) waited: Duration,
     /// From the last send to the head of its answer.
-    pub(crate) engine: Duration,
+    pub(crate) engine_time: Duration,
     /// When what it was rejected for is likely to be over.
-    pub(crate) gone_in: Option<Duration>,
+    pub(crate) available_in: Option<Duration>,
 }
 
 async fn serve(
@@ -246,23 +250,28 @@
         sends: 0,
         runs: 0,
         waited: Duration::ZERO,
-        engine: Duration::ZERO,
-        gone_in: None,
+        engine_time: Duration::ZERO,
+        available_in: None,
     };
     let mut watch =
         request_log::UnansweredGuard::begin(instance, call.clone());
     let last_event = call.facts.last_event.clone();
-    let found = obtain(instance, &call, &mut progress, last_event.as_deref());
+    let found = send_with_retries(
+        instance,
+        &call,
+        &mut progress,
+        last_event.as_deref(),
+    );
     let response = match found.await {
         Ok((good, target)) => {
-            pass_on(instance, call, progress, good, target, open).await
+            forward(instance, call, progress, good, target, open).await
         }
         Err(reason) => {
             if progress.runs == 0 {
-                give_back_allowance(instance, &call);
+                refund_allowance(instance, &call);
             }
             request_log::refused(&call, &progress, reason);
-            refusal::answer(reason, come_back_of(&call, &progress))
+            refusal::answer(reason, retry_delay_of(&call, &progress))
         }
     };
     watch.answered();
@@ -270,7 +279,7 @@
 }
 
 /// Finds an endpoint that answers; tries others as far as that is allowed.
-pub(crate) async fn obtain(
+pub(crate) async fn send_with_retries(
     instance: &Rc<FleetInstance>,
     call: &CallerRequest,
     progress: &mut Progress,
@@ -278,7 +287,7 @@
 ) -> Result<(GoodAnswer, Target), Reason> {
     loop {
         poison::check(instance, call, progress.runs)?;
-        let target = match find(instance, call, progress).await {
+        let target = match select_endpoint(instance, call, progress).await {
             Ok(target) => target,
             Err(_) if progress.runs > 0 => return Err(Reason::OutcomeUnknown),
             Err(reason) => return Err(reason),
@@ -286,7 +295,7 @@
         // Others may have seen its endpoints end while it waited for a place.
         poison::check(instance, call, progress.runs)?;
         let is_first = progress.sends == 0;
-        if !is_first && !take_repeat(instance, call) {
+        if !is_first && !take_retry(instance, call) {
             return Err(match progress.runs {
                 0 => Reason::RetriesSpent,
                 _ => Reason::OutcomeUnknown,
@@ -299,36 +308,36 @@
         let began = Instant::now();
         let sent =
             attempt::send(instance, call, &target, last_event, limits).await;
-        progress.engine = began.elapsed();
+        progress.engine_time = began.elapsed();
         let err = match sent {
             Ok(good) => return Ok((good, target)),
             Err(err) => err,
         };
-        request_log::attempt(call, progress, &target, &err);
+        request_log::send_failed(call, progress, &target, &err);
         progress.runs += u32::from(!err.is_not_run());
         if !matches!(err, AttemptError::Misdirected) || call.key().is_none() {
             progress.tried.push(target.id.clone());
         }
-        after_failure(call, progress, &err)?;
+        check_retry(call, progress, &err)?;
     }
 }
 
 /// Takes one repeat of the allowance that all instances share.
-fn take_repeat(instance: &FleetInstance, call: &CallerRequest) -> bool {
+fn take_retry(instance: &FleetInstance, call: &CallerRequest) -> bool {
     let now = Instant::now();
     let instances = instance.instances();
     instance.budget.borrow_mut().take(&call.service, now, instances)
 }
 
 /// Returns whether there may be another send, or the final answer.
-fn after_failure(
+fn check_retry(
     call: &CallerRequest,
     progress: &Progress,
     err: &AttemptError,
 ) -> Result<(), Reason> {
     let is_over = call.left().is_zero();
     if progress.runs == 0 {
-        return match (is_over, progress.sends >= MOST_SENDS) {
+        return match (is_over, progress.sends >= MAX_SENDS) {
             (true, _) => Err(Reason::TooLate),
             (_, true) => Err(Reason::RetriesSpent),
             _ => Ok(()),
@@ -336,7 +345,7 @@
     }
     let may_repeat = call.is_repeatable()
         && progress.runs < call.route.max_attempts
-        && progress.sends < MOST_SENDS;
+        && progress.sends < MAX_SENDS;
     if may_repeat && !is_over {
         return Ok(());
     }
@@ -350,13 +359,14 @@
     let left = call.left();
     let is_last =
         !call.is_repeatable() || progress.runs + 1 >= call.route.max_attempts;
-    let patience = call.route.target_latency.mul_f64(PATIENCE_TARGETS);
-    let within = if is_last { left } else { left.min(patience) };
+    let time_limit =
+        call.route.target_latency.mul_f64(ATTEMPT_TIMEOUT_TARGETS);
+    let within = if is_last { left } else { left.min(time_limit) };
     SendLimits { within, is_last }
 }
 
 /// Waits for an endpoint that can take the request.
-async fn find(
+async fn select_endpoint(
     instance: &Rc<FleetInstance>,
     call: &CallerRequest,
     progress: &mut Progress,
@@ -365,12 +375,12 @@
     let began = Instant::now();
     let target = call.route.target_latency;
     let held = held(instance, call);
-    let look_again = match held.is_later_try {
-        true => LOOK_AGAIN_LONG,
-        false => LOOK_AGAIN,
+    let poll_interval = match held.is_later_try {
+        true => LATER_TRY_POLL_INTERVAL,
+        false => CAPACITY_POLL_INTERVAL,
     };
     // Where it would come late it waits for another engine to get the adapter.
-    let patient_until = began + COPY_WAIT;
+    let patient_until = began + LOAD_WAIT;
     let mut permits = Permits::default();
     loop {
         let now = Instant::now();
@@ -411,14 +421,14 @@
             }
             Choice::Full => {
                 request_adapter(instance, call);
-                (Reason::Full, WaitReason::NoCapacity, look_again)
+                (Reason::Full, WaitReason::NoCapacity, poll_interval)
             }
             Choice::Busy(ready_in) => {
                 if ready_in.is_none() {
                     request_adapter(instance, call);
                 }
                 let left = patient_until - now;
-                sleep_or_hear(
+                sleep_or_woken(
                     instance,
                     call,
                     ready_in.unwrap_or(left).min(left),
@@ -438,20 +448,20 @@
                 match limited_for.or_else(resting) {
                     Some(ready_in) => {
                         let obstacle = WaitReason::Saturated(ready_in);
-                        let pause = ready_in.max(look_again);
+                        let pause = ready_in.max(poll_interval);
                         (Reason::EndpointsLimited, obstacle, pause)
                     }
                     None => (
                         Reason::NobodyThere,
                         WaitReason::NoCapacity,
-                        look_again,
+                        poll_interval,
                     ),
                 }
             }
         };
         let until = held.wait_until(obstacle, now);
         if now >= until {
-            progress.gone_in = match obstacle {
+            progress.available_in = match obstacle {
                 WaitReason::AdapterLoading(ready_in)
                 | WaitReason::Saturated(ready_in) => Some(ready_in),
                 WaitReason::AdapterNotLoaded { .. }
@@ -459,18 +469,18 @@
             };
             return Err(reason);
         }
-        sleep_or_hear(instance, call, pause.min(until - now)).await;
+        sleep_or_woken(instance, call, pause.min(until - now)).await;
     }
 }
 
 /// Returns when a caller whose request is rejected may come back.
-fn come_back_of(call: &CallerRequest, progress: &Progress) -> Duration {
-    let draw = draw_of(&call.facts.request_id);
-    retry_delay(call.left(), progress.gone_in, draw)
+fn retry_delay_of(call: &CallerRequest, progress: &Progress) -> Duration {
+    let draw = hash_fraction(&call.facts.request_id);
+    retry_delay(call.left(), progress.available_in, draw)
 }
 
 /// Returns a number between 0 and 1 that is drawn for a request.
-fn draw_of(request_id: &str) -> f64 {
+fn hash_fraction(request_id: &str) -> f64 {
     xxh3_64(request_id.as_bytes()) as f64 / u64::MAX as f64
 }
 
@@ -485,7 +495,7 @@
     };
     WaitingRequest {
         arrived: call.arrived,
-        deadline: call.end,
+        deadline: call.deadline,
         target: call.route.target_latency,
         engine_time,
         is_later_try: call.is_later_try && call.is_engine,
@@ -493,7 +503,7 @@
 }
 
 /// Waits for a time, or until something is heard of the request's adapter.
-async fn sleep_or_hear(
+async fn sleep_or_woken(
     instance: &FleetInstance,
     call: &CallerRequest,
     time: Duration,
@@ -512,7 +522,7 @@
     }
 }
 
-async fn pass_on(
+async fn forward(
     instance: &Rc<FleetInstance>,
     call: Rc<CallerRequest>,
     progress: Progress,
@@ -567,7 +577,7 @@
                 }
             };
             request_log::refused(&call, &progress, reason);
-            refusal::answer(reason, come_back_of(&call, &progress))
+            refusal::answer(reason, retry_delay_of(&call, &progress))
         }
     }
 }
--- a/crates/sedgewalld/src/fleet/refusal.rs
+++ b/crates/sedgewalld/src/fleet/refusal.rs
@@ -10,7 +10,7 @@
 use crate::responses;
 
 /// When a caller may come back whose time was over before we were free.
-const SOON: Duration = Duration::from_millis(100);
+const SHORT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Why a request gets an answer of our own.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -83,7 +83,7 @@
     }
 
     /// Returns whether a newer configuration may decide otherwise.
-    pub(crate) fn is_of_configuration(self) -> bool {
+    pub(crate) fn depends_on_configuration(self) -> bool {
         matches!(self, Reason::NoRoute | Reason::NoKey | Reason::UnknownKey)
     }
 
@@ -128,7 +128,7 @@
             // Another instance may know.
             Reason::TooLate
             | Reason::KeysUnsure
-            | Reason::ConfigurationBehind => Some(most.min(SOON)),
+            | Reason::ConfigurationBehind => Some(most.min(SHORT_RETRY_DELAY)),
             _ => None,
         }
     }
--- a/crates/sedgewalld/src/fleet/relay.rs
+++ b/crates/sedgewalld/src/fleet/relay.rs
@@ -173,7 +173,7 @@
         cutter.discard_partial();
         let last_event = cutter.last_id().map(str::to_owned);
         let call = self.call.clone();
-        let found = caller::obtain(
+        let found = caller::send_with_retries(
             &self.instance,
             &call,
             &mut self.progress,
@@ -243,7 +243,7 @@
 impl Drop for Relay {
     fn drop(&mut self) {
         if !self.is_over {
-            request_log::left(&self.call, self.bytes);
+            request_log::caller_left(&self.call, self.bytes);
             poison::run_lost(&self.instance, &self.call, Loss::CallerLeft);
         }
     }
--- a/crates/sedgewalld/src/fleet/request_log.rs
+++ b/crates/sedgewalld/src/fleet/request_log.rs
@@ -40,14 +40,14 @@
 impl Drop for UnansweredGuard {
     fn drop(&mut self) {
         if !self.is_answered {
-            left(&self.call, 0);
+            caller_left(&self.call, 0);
             poison::run_lost(&self.instance, &self.call, Loss::CallerLeft);
         }
     }
 }
 
 /// One line for each request whose caller left before the end of its answer.
-pub(crate) fn left(call: &CallerRequest, bytes: usize) {
+pub(crate) fn caller_left(call: &CallerRequest, bytes: usize) {
     metrics::counter!("sedgewall_callers_left_total").increment(1);
     tracing::info!(
         event = "caller_left",
@@ -62,7 +62,7 @@
 }
 
 /// One line for each send that did not end with an answer to pass on.
-pub(crate) fn attempt(
+pub(crate) fn send_failed(
     call: &CallerRequest,
     progress: &Progress,
     target: &Target,
@@ -111,7 +111,7 @@
         unread_tokens = target.unread_tokens,
         predicted_ms = target.predicted.map(|p| p.as_millis() as u64),
         prompt_tokens = call.facts.prompt_tokens,
-        engine_ms = progress.engine.as_millis() as u64,
+        engine_ms = progress.engine_time.as_millis() as u64,
         sends = progress.sends,
         waited_ms = progress.waited.as_millis() as u64,
         is_later_try = call.is_later_try,
