--- a/crates/sedgewalld/src/fleet/relay.rs
+++ b/crates/sedgewalld/src/fleet/relay.rs
@@ -21,15 +21,15 @@
 };
 
 /// A caller gives a stream up after a pause of this long at the least.
-const LEAST_PATIENCE: Duration = Duration::from_secs(2);
+const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// It waits this many times its target latency.
-const TARGETS: u32 = 4;
+const IDLE_TIMEOUT_TARGETS: u32 = 4;
 
 /// It waits this many times the longest pause that is in time.
-const GAPS: u32 = 8;
+const IDLE_TIMEOUT_GAPS: u32 = 8;
 
-struct Relay {
+struct StreamRelay {
     instance: Rc<FleetInstance>,
     call: Rc<CallerRequest>,
     progress: Progress,
@@ -47,10 +47,10 @@
 }
 
 /// How a stream stopped before its end.
-enum Stopped {
+enum StreamFailure {
     Broken(SendError),
-    Silent,
-    TimeOver,
+    Idle,
+    DeadlinePassed,
 }
 
 /// Returns a body that passes an engine's events on.
@@ -66,7 +66,7 @@
         .route
         .is_resumable
         .then(|| EventFramer::after(call.facts.last_event.clone()));
-    let relay = Relay {
+    let relay = StreamRelay {
         head: call.arrived.elapsed(),
         instance,
         call,
@@ -87,7 +87,7 @@
     }))
 }
 
-impl Relay {
+impl StreamRelay {
     async fn next(&mut self) -> Option<io::Result<Bytes>> {
         if self.is_over {
             return None;
@@ -106,10 +106,10 @@
                     }
                 }
                 Ok(None) => return self.finish(),
-                Err(stopped) => {
-                    self.record_lost_run(&stopped);
-                    if !self.resume(&stopped).await {
-                        return Some(Err(self.give_up(&stopped)));
+                Err(failure) => {
+                    self.record_lost_run(&failure);
+                    if !self.resume(&failure).await {
+                        return Some(Err(self.fail(&failure)));
                     }
                 }
             }
@@ -122,23 +122,27 @@
         self.longest_pause = self.longest_pause.max(pause);
     }
 
-    async fn read(&mut self) -> Result<Option<Bytes>, Stopped> {
+    async fn read(&mut self) -> Result<Option<Bytes>, StreamFailure> {
         let left = self.call.left();
-        let patience = self.patience();
-        let within = patience.min(left);
+        let idle_timeout = self.idle_timeout();
+        let within = idle_timeout.min(left);
         match compio::time::timeout(within, self.body.next()).await {
             Ok(Some(Ok(bytes))) => Ok(Some(bytes)),
-            Ok(Some(Err(err))) => Err(Stopped::Broken(err)),
+            Ok(Some(Err(err))) => Err(StreamFailure::Broken(err)),
             Ok(None) => Ok(None),
-            Err(_) if left <= patience => Err(Stopped::TimeOver),
-            Err(_) => Err(Stopped::Silent),
+            Err(_) if left <= idle_timeout => {
+                Err(StreamFailure::DeadlinePassed)
+            }
+            Err(_) => Err(StreamFailure::Idle),
         }
     }
 
-    fn patience(&self) -> Duration {
+    fn idle_timeout(&self) -> Duration {
         let route = &self.call.route;
         let gap = route.gap.unwrap_or_default();
-        LEAST_PATIENCE.max(route.target_latency * TARGETS).max(gap * GAPS)
+        MIN_IDLE_TIMEOUT
+            .max(route.target_latency * IDLE_TIMEOUT_TARGETS)
+            .max(gap * IDLE_TIMEOUT_GAPS)
     }
 
     fn finish(&mut self) -> Option<io::Result<Bytes>> {
@@ -159,8 +163,10 @@
     }
 
     /// Goes on at another engine, if the route and the allowance permit.
-    async fn resume(&mut self, stopped: &Stopped) -> bool {
-        if self.cutter.is_none() || matches!(stopped, Stopped::TimeOver) {
+    async fn resume(&mut self, failure: &StreamFailure) -> bool {
+        if self.cutter.is_none()
+            || matches!(failure, StreamFailure::DeadlinePassed)
+        {
             return false;
         }
         self.progress.runs += 1;
@@ -197,14 +203,14 @@
     }
 
     /// Notes the run's end, which may be that of its engine.
-    fn record_lost_run(&self, stopped: &Stopped) {
+    fn record_lost_run(&self, failure: &StreamFailure) {
         let (instance, call) = (&self.instance, &self.call);
-        match stopped {
-            Stopped::Broken(err) => {
+        match failure {
+            StreamFailure::Broken(err) => {
                 let cause = err.to_string();
                 poison::run_broke(instance, call, &self.target, &cause);
             }
-            Stopped::Silent | Stopped::TimeOver => {
+            StreamFailure::Idle | StreamFailure::DeadlinePassed => {
                 poison::run_lost(instance, call, Loss::Broken);
             }
         }
@@ -217,15 +223,17 @@
         }
     }
 
-    fn give_up(&mut self, stopped: &Stopped) -> io::Error {
+    fn fail(&mut self, failure: &StreamFailure) -> io::Error {
         self.is_over = true;
-        if self.cutter.is_none() && !matches!(stopped, Stopped::TimeOver) {
+        if self.cutter.is_none()
+            && !matches!(failure, StreamFailure::DeadlinePassed)
+        {
             self.record_failure();
         }
-        let cause = match stopped {
-            Stopped::Broken(err) => err.to_string(),
-            Stopped::Silent => "no event for too long".to_owned(),
-            Stopped::TimeOver => "the time is over".to_owned(),
+        let cause = match failure {
+            StreamFailure::Broken(err) => err.to_string(),
+            StreamFailure::Idle => "no event for too long".to_owned(),
+            StreamFailure::DeadlinePassed => "the time is over".to_owned(),
         };
         metrics::counter!("sedgewall_streams_broken_total").increment(1);
         tracing::warn!(
@@ -240,7 +248,7 @@
     }
 }
 
-impl Drop for Relay {
+impl Drop for StreamRelay {
     fn drop(&mut self) {
         if !self.is_over {
             request_log::caller_left(&self.call, self.bytes);
