--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -210,7 +210,7 @@
             Err(AttemptError::Unreachable(cause))
         }
         Ok(Err(SendError::Broken(cause))) => {
-            poison::run_broke(instance, call, target, &cause);
+            poison::run_broken(instance, call, target, &cause);
             Err(AttemptError::Unclear(cause))
         }
         Err(_) => {
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -557,7 +557,7 @@
             };
             request_log::served(&call, &progress, &target, &delivered);
             if status.is_success() {
-                poison::ended_well(instance, &call);
+                poison::run_succeeded(instance, &call);
             }
             let mut response = Response::new(LocalBody::whole(body));
             *response.status_mut() = status;
@@ -568,7 +568,7 @@
             let reason = match &whole {
                 Ok(Err(err)) => {
                     let cause = err.to_string();
-                    poison::run_broke(instance, &call, &target, &cause);
+                    poison::run_broken(instance, &call, &target, &cause);
                     Reason::OutcomeUnknown
                 }
                 _ => {
--- a/crates/sedgewalld/src/fleet/instance.rs
+++ b/crates/sedgewalld/src/fleet/instance.rs
@@ -197,7 +197,7 @@
     pub(crate) is_poison_watcher: Cell<bool>,
     /// Endpoints at which a run broke off, while it is looked at whether they are
     /// still there.
-    pub(crate) looked_at: RefCell<BTreeSet<EndpointId>>,
+    pub(crate) probed_endpoints: RefCell<BTreeSet<EndpointId>>,
     /// Connections to other instances.
     pub(crate) peer_pool: EndpointPool,
     pub(crate) store: Store,
@@ -298,7 +298,7 @@
             poison_records_notify: Notify::default(),
             poison_notify: Rc::default(),
             is_poison_watcher: Cell::new(true),
-            looked_at: RefCell::default(),
+            probed_endpoints: RefCell::default(),
             peer_pool: EndpointPool::new(),
             open_requests: Cell::new(0),
             adapter_waiters: RefCell::default(),
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -24,10 +24,10 @@
 
 /// The longest time for an endpoint's machine to say whether it listens: within a
 /// region a connection takes milliseconds.
-const PRESENCE_TIME: Duration = Duration::from_millis(400);
+const ENDPOINT_PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Requests that one line names at most.
-const NAMED_RUNS: usize = 8;
+const MAX_LOGGED_DIGESTS: usize = 8;
 
 /// Returns why a request is not sent on, if it is known to end endpoints.
 pub(crate) fn check(
@@ -58,7 +58,7 @@
         digest = %call.digest(),
         path = call.uri.path(),
         customer = call.customer.as_ref().map(|c| c.name.as_str()),
-        ended = names(&verdict.endpoints),
+        ended = endpoint_names(&verdict.endpoints),
         condemned_ms_ago = verdict.condemned_ago.as_millis() as u64,
         back_in_ms = verdict.released_in.as_millis() as u64,
     );
@@ -66,7 +66,7 @@
 
 /// Notes that the connection of a run broke before the end of its answer, and looks
 /// whether its endpoint is still there.
-pub(crate) fn run_broke(
+pub(crate) fn run_broken(
     instance: &Rc<FleetInstance>,
     call: &CallerRequest,
     target: &Target,
@@ -83,7 +83,7 @@
         held_ms = call.arrived.elapsed().as_millis() as u64,
     );
     run_lost(instance, call, Loss::Broken);
-    look(instance, target.id.clone(), target.address);
+    probe_endpoint(instance, target.id.clone(), target.address);
 }
 
 /// Notes that the last run of a request will bring no answer. It counts if its
@@ -113,7 +113,7 @@
 }
 
 /// Notes that a run of a request ended well: it is none that ends endpoints.
-pub(crate) fn ended_well(instance: &FleetInstance, call: &CallerRequest) {
+pub(crate) fn run_succeeded(instance: &FleetInstance, call: &CallerRequest) {
     let hash = call.hash(&instance.hash_key);
     instance.recent_successes.borrow_mut().record(hash, Instant::now());
     if !instance.poison.borrow().has_suspects() {
@@ -130,16 +130,21 @@
 }
 
 /// Looks whether an endpoint is still there, once at a time for each.
-fn look(instance: &Rc<FleetInstance>, id: EndpointId, address: SocketAddr) {
-    if !instance.looked_at.borrow_mut().insert(id.clone()) {
+fn probe_endpoint(
+    instance: &Rc<FleetInstance>,
+    id: EndpointId,
+    address: SocketAddr,
+) {
+    if !instance.probed_endpoints.borrow_mut().insert(id.clone()) {
         return;
     }
     let instance = instance.clone();
     let life = life_of(&instance, &id);
     compio::runtime::spawn(async move {
         let began = Instant::now();
-        let presence = instance.pool.presence(address, PRESENCE_TIME).await;
-        instance.looked_at.borrow_mut().remove(&id);
+        let presence =
+            instance.pool.presence(address, ENDPOINT_PROBE_TIMEOUT).await;
+        instance.probed_endpoints.borrow_mut().remove(&id);
         tracing::info!(
             event = "endpoint_looked_at",
             endpoint = id,
@@ -206,7 +211,7 @@
         MergeOutcome::Added => tracing::info!(
             event = "poison_heard",
             %digest,
-            ended = names(&condemned.endpoints),
+            ended = endpoint_names(&condemned.endpoints),
             condemned_ms_ago = condemned.ms_ago,
             from,
         ),
@@ -221,7 +226,7 @@
 fn publish(instance: &FleetInstance, crash: Option<Crash>) {
     if let Some(crash) = crash {
         metrics::counter!("sedgewall_endpoint_crashes_total").increment(1);
-        let named = crash.runs.iter().take(NAMED_RUNS);
+        let named = crash.runs.iter().take(MAX_LOGGED_DIGESTS);
         let digests: Vec<String> =
             named.map(|run| run.digest.to_string()).collect();
         tracing::warn!(
@@ -242,7 +247,7 @@
         tracing::warn!(
             event = "poison_condemned",
             %digest,
-            ended = names(&endpoints),
+            ended = endpoint_names(&endpoints),
         );
     }
     if !condemned.is_empty() {
@@ -260,7 +265,7 @@
     EndpointIncarnation { id: id.clone(), born }
 }
 
-fn names(endpoints: &[EndpointIncarnation]) -> String {
+fn endpoint_names(endpoints: &[EndpointIncarnation]) -> String {
     let ids: Vec<&str> = endpoints.iter().map(|e| e.id.as_str()).collect();
     ids.join(" ")
 }
--- a/crates/sedgewalld/src/fleet/relay.rs
+++ b/crates/sedgewalld/src/fleet/relay.rs
@@ -147,7 +147,7 @@
 
     fn finish(&mut self) -> Option<io::Result<Bytes>> {
         self.is_over = true;
-        poison::ended_well(&self.instance, &self.call);
+        poison::run_succeeded(&self.instance, &self.call);
         request_log::served(
             &self.call,
             &self.progress,
@@ -208,7 +208,7 @@
         match failure {
             StreamFailure::Broken(err) => {
                 let cause = err.to_string();
-                poison::run_broke(instance, call, &self.target, &cause);
+                poison::run_broken(instance, call, &self.target, &cause);
             }
             StreamFailure::Idle | StreamFailure::DeadlinePassed => {
                 poison::run_lost(instance, call, Loss::Broken);
