--- a/crates/sedgewalld/src/fleet/admit.rs
+++ b/crates/sedgewalld/src/fleet/admit.rs
@@ -98,7 +98,7 @@
 ) -> Result<(), Reason> {
     let Some(allowance) = customer.allowance else { return Ok(()) };
     let units = allowance.unit.count(tokens);
-    let (now, instances) = (Instant::now(), instance.instances());
+    let (now, instances) = (Instant::now(), instance.instance_count());
     let mut shares = instance.shares.borrow_mut();
     let taken = shares.take(customer, units, instances, now);
     taken.map_err(Reason::OverAllowance)
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -325,7 +325,7 @@
 /// Takes one repeat of the allowance that all instances share.
 fn take_retry(instance: &FleetInstance, call: &CallerRequest) -> bool {
     let now = Instant::now();
-    let instances = instance.instances();
+    let instances = instance.instance_count();
     instance.budget.borrow_mut().take(&call.service, now, instances)
 }
 
--- a/crates/sedgewalld/src/fleet/daemon.rs
+++ b/crates/sedgewalld/src/fleet/daemon.rs
@@ -20,7 +20,7 @@
     keys, leader, lease, list_watch,
     log_buffer::LogBuffer,
     note_sender, notes,
-    orders::Orders,
+    orders::OrderQueues,
     watch_configuration::{Configuration, Versions},
     watch_endpoints::Endpoints,
     watch_instances::{Instances, register},
@@ -33,7 +33,7 @@
 
 /// How long a caller's connection may rest or take for a head. Longer than any
 /// configuration allows callers.
-const REST_TIME: Duration = Duration::from_secs(60);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// After a stop is announced, callers still come for this long, until the
 /// balancer has asked twice, a second apart.
@@ -43,7 +43,7 @@
 const STOP_MARGIN: Duration = Duration::from_millis(700);
 
 /// How often a stop looks whether all requests have ended.
-const DRAIN_LOOK: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs an instance until it is told to stop.
 pub(crate) fn run(
@@ -88,7 +88,7 @@
         version = env!("CARGO_PKG_VERSION"),
     );
     let (stopping, stop) = stop_signal();
-    let orders = Orders::new(instance.clone(), sender.clone());
+    let orders = OrderQueues::new(instance.clone(), sender.clone());
     compio::runtime::spawn(log.clone().run()).detach();
     start_watches(&instance);
     compio::runtime::spawn(notes::receive(
@@ -118,7 +118,7 @@
     ))
     .detach();
     wait_for_stop(signals).await;
-    finish(&instance, stopping).await;
+    shut_down(&instance, stopping).await;
     log.flush();
     Ok(())
 }
@@ -152,7 +152,7 @@
     stop: Stop,
 ) {
     let connections = instance.settings.limits.connections;
-    let limits = ServerLimits { connections, header_time: REST_TIME };
+    let limits = ServerLimits { connections, header_time: IDLE_TIMEOUT };
     let handler: Handler = Rc::new(move |request| {
         Box::pin(caller::answer(instance.clone(), request))
     });
@@ -184,7 +184,7 @@
     metrics: PrometheusHandle,
 ) {
     let connections = OPERATOR_CONNECTIONS;
-    let limits = ServerLimits { connections, header_time: REST_TIME };
+    let limits = ServerLimits { connections, header_time: IDLE_TIMEOUT };
     let handler: Handler = Rc::new(move |request| {
         let response = operator_answer(&instance, &metrics, &request);
         Box::pin(async move { response })
@@ -242,7 +242,7 @@
 }
 
 /// Leaves: the balancer is told, then connections end with their requests.
-async fn finish(
+async fn shut_down(
     instance: &FleetInstance,
     stopping: futures_channel::oneshot::Sender<()>,
 ) {
@@ -257,10 +257,10 @@
     let has_duties =
         || instance.open_requests.get() > 0 || instance.held.get().is_some();
     while has_duties() && Instant::now() < end {
-        compio::time::sleep(DRAIN_LOOK).await;
+        compio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
     // What was answered last still has to leave.
-    compio::time::sleep(DRAIN_LOOK).await;
+    compio::time::sleep(DRAIN_POLL_INTERVAL).await;
     tracing::info!(
         event = "stopped",
         cut_off = instance.open_requests.get(),
--- a/crates/sedgewalld/src/fleet/leader.rs
+++ b/crates/sedgewalld/src/fleet/leader.rs
@@ -7,7 +7,7 @@
     load_rate_limiter::LoadRateLimiter, placement::PlacementPlanner,
 };
 
-use super::{instance::FleetInstance, orders::Orders};
+use super::{instance::FleetInstance, orders::OrderQueues};
 use crate::process;
 
 /// How often the holder looks at demand when nothing waits.
@@ -25,7 +25,7 @@
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Decides and gives orders, for ever.
-pub(crate) async fn run(instance: Rc<FleetInstance>, orders: Orders) {
+pub(crate) async fn run(instance: Rc<FleetInstance>, orders: OrderQueues) {
     let mut last_cleanup = Instant::now();
     let mut epoch = None;
     loop {
@@ -35,7 +35,7 @@
             last_cleanup = now;
             instance.demand.borrow_mut().forget(now);
             instance.load_times.borrow_mut().forget(now);
-            orders.forget_gone();
+            orders.drop_stale_queues();
             drop_unneeded_requests(&instance, now);
             log_state(&instance, &orders, now);
         }
@@ -69,7 +69,7 @@
             ),
             None => continue,
         };
-        orders.give(held.epoch, planned);
+        orders.dispatch(held.epoch, planned);
         let pause = MIN_PLAN_PAUSE.max(now.elapsed() * PAUSE_FACTOR);
         compio::time::sleep(pause).await;
     }
@@ -85,7 +85,7 @@
 }
 
 /// One line a second: what is asked for and what the engines hold.
-fn log_state(instance: &FleetInstance, orders: &Orders, now: Instant) {
+fn log_state(instance: &FleetInstance, orders: &OrderQueues, now: Instant) {
     if instance.current_lease(now).is_none() {
         return;
     }
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -43,24 +43,24 @@
 
 /// The queues of orders, by engine.
 #[derive(Clone)]
-pub(crate) struct Orders {
+pub(crate) struct OrderQueues {
     instance: Rc<FleetInstance>,
     sender: Rc<NoteSender>,
     pub(crate) loader: Rc<RefCell<Option<PlacementPlanner>>>,
     queues: Rc<RefCell<HashMap<EndpointId, mpsc::UnboundedSender<Batch>>>>,
 }
 
-impl Orders {
+impl OrderQueues {
     pub(crate) fn new(
         instance: Rc<FleetInstance>,
         sender: Rc<NoteSender>,
-    ) -> Orders {
+    ) -> OrderQueues {
         let (loader, queues) = (Rc::default(), Rc::default());
-        Orders { instance, sender, loader, queues }
+        OrderQueues { instance, sender, loader, queues }
     }
 
     /// Sends orders; those in a row for one engine belong together.
-    pub(crate) fn give(&self, epoch: Epoch, orders: Vec<Order>) {
+    pub(crate) fn dispatch(&self, epoch: Epoch, orders: Vec<Order>) {
         let mut batches: Vec<Vec<Order>> = Vec::new();
         for order in orders {
             match batches.last_mut() {
@@ -79,7 +79,7 @@
     }
 
     /// Forgets the queues of engines that are gone.
-    pub(crate) fn forget_gone(&self) {
+    pub(crate) fn drop_stale_queues(&self) {
         let view = self.instance.view.borrow();
         let mut queues = self.queues.borrow_mut();
         queues.retain(|id, _| view.get(id).is_some());
@@ -90,7 +90,7 @@
         let mut queues = self.queues.borrow_mut();
         let tx = queues.entry(id).or_insert_with(|| {
             let (tx, rx) = mpsc::unbounded();
-            compio::runtime::spawn(self.clone().work(rx)).detach();
+            compio::runtime::spawn(self.clone().run_queue(rx)).detach();
             tx
         });
         if tx.unbounded_send(batch).is_err() {
@@ -98,7 +98,7 @@
         }
     }
 
-    async fn work(self, mut rx: mpsc::UnboundedReceiver<Batch>) {
+    async fn run_queue(self, mut rx: mpsc::UnboundedReceiver<Batch>) {
         let mut taken = OrdersTaken::default();
         while let Some((epoch, batch)) = rx.next().await {
             if taken.epoch != epoch {
@@ -137,7 +137,7 @@
             lease_is_current = self.may_order(epoch),
         );
         order.revert(&mut self.instance.view.borrow_mut());
-        self.forget_load(order);
+        self.cancel_load(order);
     }
 
     /// Asks an engine what it holds, once its report shows our last order.
@@ -246,7 +246,7 @@
                 event = "order_outlived",
                 endpoint = order.endpoint
             );
-            self.forget_load(order);
+            self.cancel_load(order);
             order.revert(&mut self.instance.view.borrow_mut());
             return None;
         }
@@ -273,10 +273,10 @@
             }
             OrderAnswer::Rests(rest) => {
                 self.apply_cooldown(&order.endpoint, rest);
-                self.forget_load(order);
+                self.cancel_load(order);
             }
             OrderAnswer::Refused(_) | OrderAnswer::Unclear(_) => {
-                self.forget_load(order);
+                self.cancel_load(order);
             }
         }
         if count.is_none() {
@@ -286,7 +286,7 @@
     }
 
     /// Takes a load out of the count of those on their way.
-    fn forget_load(&self, order: &Order) {
+    fn cancel_load(&self, order: &Order) {
         if let Task::Load(key, _) = &order.task {
             let mut times = self.instance.load_times.borrow_mut();
             times.cancel(&order.endpoint, key);
@@ -304,7 +304,7 @@
     /// says nothing of what a load takes.
     fn record_already_loaded(&self, order: &Order) {
         let Task::Load(key, _) = &order.task else { return };
-        self.forget_load(order);
+        self.cancel_load(order);
         let mut view = self.instance.view.borrow_mut();
         view.mark_present(&order.endpoint, key, Instant::now());
     }
--- a/crates/sedgewalld/src/fleet/peers.rs
+++ b/crates/sedgewalld/src/fleet/peers.rs
@@ -13,7 +13,7 @@
 
 /// An instance that was not heard for this long after its entry was read is
 /// not there.
-const NEW_PEER_FOR: Duration = Duration::from_secs(6);
+const NEW_PEER_GRACE: Duration = Duration::from_secs(6);
 
 /// An address from which nothing was heard for this long is forgotten: among
 /// many, an instance tells all others every 2.4 s.
@@ -68,7 +68,7 @@
 
     /// Returns how many instances share what all may do together. One more is
     /// counted for those that we do not hear.
-    pub(crate) fn instances(&self) -> usize {
+    pub(crate) fn instance_count(&self) -> usize {
         let known = self.peers.borrow().len();
         let live = self.view.borrow().live_peers(Instant::now());
         known.max(live) + 1
@@ -77,13 +77,13 @@
     /// Returns how many of the instances that are there come before this one,
     /// in an order that the larger ones lead and that a draw shuffles: so a
     /// duty falls to few, without a word, and to others after each draw.
-    pub(crate) fn rank(&self, draw: u64) -> usize {
-        let own = place(self.id(), self.cpu_percent(), draw);
+    pub(crate) fn rank(&self, seed: u64) -> usize {
+        let own = rank_key(self.id(), self.cpu_percent(), seed);
         let now = Instant::now();
         let peers = self.peers.borrow();
         let before = peers.iter().filter(|(id, peer)| {
-            self.is_there(id, peer, now)
-                && place(id, peer.cpu_percent, draw) < own
+            self.is_live(id, peer, now)
+                && rank_key(id, peer.cpu_percent, seed) < own
         });
         before.count()
     }
@@ -95,27 +95,27 @@
         let peers = self.peers.borrow();
         let mut there: Vec<_> = peers
             .iter()
-            .filter(|(id, peer)| self.is_there(id, peer, now))
-            .map(|(id, peer)| (place(id, peer.cpu_percent, 0), id))
+            .filter(|(id, peer)| self.is_live(id, peer, now))
+            .map(|(id, peer)| (rank_key(id, peer.cpu_percent, 0), id))
             .collect();
         there.sort_unstable();
         there.truncate(count);
         there.into_iter().map(|(_, id)| id.clone()).collect()
     }
 
-    fn is_there(&self, id: &InstanceId, peer: &Peer, now: Instant) -> bool {
-        now - peer.known_since < NEW_PEER_FOR
+    fn is_live(&self, id: &InstanceId, peer: &Peer, now: Instant) -> bool {
+        now - peer.known_since < NEW_PEER_GRACE
             || self.view.borrow().is_live_peer(id, now)
     }
 }
 
 /// Returns an instance's place in an order that larger ones lead and that a draw
 /// shuffles.
-fn place(
+fn rank_key(
     id: &InstanceId,
     cpu_percent: u32,
-    draw: u64,
+    seed: u64,
 ) -> (std::cmp::Reverse<u32>, u64) {
-    let hash = xxh3_64_with_seed(id.as_bytes(), draw);
+    let hash = xxh3_64_with_seed(id.as_bytes(), seed);
     (std::cmp::Reverse(cpu_percent), hash)
 }
--- a/crates/sedgewalld/src/fleet/permits.rs
+++ b/crates/sedgewalld/src/fleet/permits.rs
@@ -58,7 +58,7 @@
                 return PermittedChoice { choice, limited_for };
             }
             let id = target.id.clone();
-            let instances = instance.known_instances();
+            let instances = instance.known_instance_count();
             let mut view = instance.view.borrow_mut();
             if !self.wanted.contains(&id) {
                 view.record_demand(&id, now);
@@ -88,8 +88,8 @@
 impl FleetInstance {
     /// Returns how many instances share what all may do together; nothing before
     /// the others are known.
-    fn known_instances(&self) -> Option<usize> {
-        self.has_listed_instances.get().then(|| self.instances())
+    fn known_instance_count(&self) -> Option<usize> {
+        self.has_listed_instances.get().then(|| self.instance_count())
     }
 
     /// Notes which endpoints that hold an adapter rest, and so need another one beside
