--- a/crates/sedgewalld/src/fleet/daemon.rs
+++ b/crates/sedgewalld/src/fleet/daemon.rs
@@ -1,5 +1,5 @@
-//! Starts all parts of an instance on the one loop, and stops them as
-//! planned.
+//! Starts all tasks of an instance on one event loop, and shuts them down
+//! gracefully.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -28,21 +28,21 @@
 };
 use crate::{daemon::DaemonError, process, responses, signals::Signals};
 
-/// Connections of operators at once.
+/// The maximum number of open operator connections.
 const OPERATOR_CONNECTIONS: usize = 64;
 
-/// How long a caller's connection may rest or take for a head. Longer than any
-/// configuration allows callers.
+/// How long a caller's connection may be idle or take to send its request
+/// headers. Longer than any configuration allows callers.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// After a stop is announced, callers still come for this long, until the
-/// balancer has asked twice, a second apart.
+/// How long requests are still accepted after a shutdown was announced: until
+/// the load balancer has probed readiness twice, one second apart.
 const BALANCER_GRACE: Duration = Duration::from_millis(2_400);
 
-/// What a stop leaves of the grace for the process to end.
+/// The part of the grace period that is reserved for ending the process.
 const STOP_MARGIN: Duration = Duration::from_millis(700);
 
-/// How often a stop looks whether all requests have ended.
+/// The interval at which a shutdown checks whether all requests have ended.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs an instance until it is told to stop.
@@ -159,8 +159,8 @@
     serve_until(listener, limits, handler, stop).await;
 }
 
-/// Serves metrics at an address of their own. Requests are served also where
-/// that address cannot be had.
+/// Serves metrics on a separate address. If that address cannot be bound, the
+/// instance serves requests without it.
 async fn spawn_metrics(
     instance: &Rc<FleetInstance>,
     address: SocketAddr,
@@ -228,8 +228,8 @@
     metrics::gauge!("sedgewall_leads").set(f64::from(u8::from(leads)));
 }
 
-/// Waits for a signal to stop. A signal to reload changes nothing that is in
-/// force: bounds are read at the start.
+/// Waits for a stop signal. A reload signal is only logged, because settings
+/// are read at the start.
 async fn wait_for_stop(mut signals: Signals) {
     let mut interrupt = Box::pin(compio::signal::ctrl_c()).fuse();
     loop {
@@ -241,7 +241,8 @@
     }
 }
 
-/// Leaves: the balancer is told, then connections end with their requests.
+/// Shuts down: readiness fails first, so that the load balancer notices, and
+/// then connections are closed as their requests end.
 async fn shut_down(
     instance: &FleetInstance,
     stopping: futures_channel::oneshot::Sender<()>,
@@ -259,7 +260,7 @@
     while has_duties() && Instant::now() < end {
         compio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
-    // What was answered last still has to leave.
+    // Gives the last responses time to be sent.
     compio::time::sleep(DRAIN_POLL_INTERVAL).await;
     tracing::info!(
         event = "stopped",
--- a/crates/sedgewalld/src/fleet/instance.rs
+++ b/crates/sedgewalld/src/fleet/instance.rs
@@ -1,4 +1,5 @@
-//! What all parts of an instance share, and nothing that acts on its own.
+//! State that all tasks of an instance share. Nothing in this module runs on
+//! its own.
 
 use std::{
     cell::{Cell, RefCell},
@@ -40,45 +41,48 @@
     watch_poison::PoisonRecords,
 };
 
-/// Notes of the holder that may be lost in a row before it is missed.
+/// The number of consecutive notes of the lease holder that may be lost before
+/// it counts as gone.
 const MAX_LOST_LEADER_NOTES: u32 = 4;
 
-/// The holder is asked for the same adapter again after this long.
+/// The minimum interval between two requests to the lease holder for the same
+/// adapter.
 const ADAPTER_REQUEST_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Adapters that were asked for, beyond which old ones are forgotten.
+/// The number of remembered adapter requests above which old ones are dropped.
 const MAX_REMEMBERED_REQUESTS: usize = 512;
 
-/// Where an instance is in its life.
+/// The lifecycle stage of an instance.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Stage {
-    /// It knows no configuration yet.
+    /// No configuration is known yet.
     Starting,
-    /// It takes requests.
+    /// Requests are accepted.
     Ready,
-    /// It finishes what it has.
+    /// The instance shuts down and finishes the requests that it has.
     Leaving,
 }
 
-/// Another instance, as its entry in the store says.
+/// Another instance, as described by its entry in the store.
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
-    /// Where its notes go.
+    /// The address that its notes are sent to.
     pub(crate) address: SocketAddr,
     pub(crate) zone: ZoneName,
-    /// The part of a processor that it has, in hundredths.
+    /// The share of a processor core that it has, in percent.
     pub(crate) cpu_percent: u32,
-    /// When we read its entry first.
+    /// When this instance first read its entry.
     pub(crate) known_since: Instant,
 }
 
-/// The instance that gives orders.
+/// The lease holder, as known from its notes.
 #[derive(Clone, Debug)]
 pub(crate) struct KnownLeader {
     pub(crate) instance: InstanceId,
     pub(crate) epoch: Epoch,
-    /// What it said of its lease.
+    /// The state of the lease, as the holder reported it.
     pub(crate) noted: NotedLease,
+    /// When the holder counts as gone, unless another note of it comes.
     pub(crate) holds_until: Instant,
 }
 
@@ -86,15 +90,17 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct HeldLease {
     pub(crate) epoch: Epoch,
-    /// The last renewal that the store has answered.
+    /// The number of the last renewal that the store confirmed.
     pub(crate) renewal: u64,
-    /// Until then, nobody else can have it.
+    /// Until this time no other instance can take the lease.
     pub(crate) current_until: Instant,
-    /// Before that, engines may still hear the holder before us.
+    /// The earliest time for orders. Before it, engines may still receive
+    /// orders of the previous holder.
     pub(crate) order_from: Instant,
 }
 
-/// What a request showed of an adapter on its way.
+/// Whether an adapter that was still loading had arrived when a request was
+/// sent to it.
 #[derive(Clone, Debug)]
 pub(crate) struct ObservedLoad {
     pub(crate) endpoint: EndpointId,
@@ -104,19 +110,19 @@
     pub(crate) sent: Instant,
 }
 
-/// Counts of work since the start.
+/// Counters since the start of the process.
 #[derive(Debug, Default)]
 pub(crate) struct NoteCounters {
-    /// Notes that were heard.
+    /// The number of notes received.
     pub(crate) notes_received: Cell<u64>,
-    /// Notes of what requests wait for that were heard.
+    /// The number of notes received that ask for adapters.
     pub(crate) asked_received: Cell<u64>,
 }
 
 impl HeldLease {
-    /// Returns how long the lease still holds: without another renewal, or,
-    /// where it goes on because nobody reaches the store, without another word
-    /// of the others.
+    /// Returns how long the lease still holds without another renewal. While
+    /// the lease goes on because no instance reaches the store, returns how
+    /// long it holds without new reports of the other instances.
     pub(crate) fn left(&self, now: Instant) -> Duration {
         match self.current_until.saturating_duration_since(now) {
             Duration::ZERO => REPORT_VALID_FOR,
@@ -125,113 +131,133 @@
     }
 }
 
-/// What all parts of an instance share.
+/// The state that all tasks of one instance share.
 pub(crate) struct FleetInstance {
     pub(crate) settings: Settings,
     pub(crate) fleet: FleetSettings,
     pub(crate) incarnation: Incarnation,
     pub(crate) stage: Cell<Stage>,
-    /// When it was told to stop.
+    /// When the instance was told to stop.
     pub(crate) leaving_since: Cell<Option<Instant>>,
     pub(crate) routing: RefCell<Option<Rc<RoutingConfiguration>>>,
-    /// When it was last read, from the store or another instance.
+    /// When the configuration was last read, from the store or another
+    /// instance.
     pub(crate) configuration_read: Cell<Option<Instant>>,
-    /// What others know, and whom we ask for what we miss.
+    /// The state that other instances report to have, and which of them to ask
+    /// for what is missing here.
     pub(crate) catch_up: RefCell<CatchUp>,
     /// Requests that wait for a newer configuration.
     pub(super) configuration_waiters: RefCell<Vec<oneshot::Sender<()>>>,
+    /// The table of endpoints.
     pub(crate) view: RefCell<FleetView>,
+    /// At the lease holder: the demand for adapters.
     pub(crate) demand: RefCell<Demand>,
-    /// What was seen of loads from the weight store, while we had the lease.
+    /// Load times from the weight store, observed while this instance held the
+    /// lease.
     pub(crate) load_times: RefCell<LoadTimes>,
-    /// What our requests saw of adapters on their way, for the holder to hear.
+    /// What requests showed of adapters that were still loading, to be
+    /// reported to the lease holder.
     pub(crate) observed_loads: RefCell<Vec<ObservedLoad>>,
+    /// The number of requests for each adapter since the last report to the
+    /// lease holder.
     pub(crate) requested_adapters: RefCell<HashMap<AdapterKey, u32>>,
+    /// Adapters that requests wait for, with the rank of the most urgent one.
     pub(crate) awaited_adapters: RefCell<HashMap<AdapterKey, u8>>,
-    /// Our part of what customers may use.
+    /// This instance's share of each customer's allowance.
     pub(crate) shares: RefCell<RateLimiter>,
-    /// Whether keys that were taken away are sure to be known.
+    /// Whether all revocations of keys are certain to be known here.
     pub(crate) keys: Keys,
-    /// Whether the store answers us.
+    /// Whether the store answers this instance.
     pub(crate) store_contact: RefCell<StoreReachability>,
-    /// What the other instances say of themselves.
+    /// Whether each other instance reports that it reaches the store.
     pub(crate) store_reports: RefCell<StoreReports>,
-    /// Endpoints that take no more from us, and until when, for the holder to hear.
+    /// Endpoints that take no more requests from this instance, and until
+    /// when, to be reported to the lease holder.
     pub(crate) saturated: RefCell<BTreeMap<EndpointId, Instant>>,
-    /// When a value of an answer's head that cannot be read was last logged.
+    /// When an unreadable response header was last logged.
     pub(crate) unreadable_logged: Cell<Option<Instant>>,
-    /// Engines that could not be reached, for the holder to hear.
+    /// Engines that could not be reached, to be reported to the lease holder.
     pub(crate) unreachable: RefCell<BTreeSet<EndpointId>>,
-    /// What the holder heard of such.
+    /// At the lease holder: reports of unreachable engines.
     pub(crate) suspicions: RefCell<Suspicions>,
-    /// The longest time that a caller gave, by route.
+    /// The longest time limit that a caller stated, by route.
     longest_time_limits: RefCell<HashMap<String, Duration>>,
-    /// When the holder was last asked for an adapter.
+    /// When the lease holder was last asked for each adapter.
     last_requested: RefCell<HashMap<AdapterKey, Instant>>,
+    /// The retry budget, which all instances share.
     pub(crate) budget: RefCell<RetryBudget>,
-    /// The other instances and where their notes go.
+    /// The other instances, as listed in the store.
     pub(crate) peers: RefCell<BTreeMap<InstanceId, Peer>>,
-    /// Where instances were heard from whose entries are not known here: an
-    /// instance that loses the store before it has listed them catches up from
-    /// these.
+    /// Source addresses of notes from instances that are not listed here. An
+    /// instance that loses the store before it has listed the others fetches
+    /// what it is missing from these.
     pub(super) observed_addresses:
         RefCell<HashMap<InstanceId, ObservedAddress>>,
-    /// Our own entry, as it was listed.
+    /// This instance's own entry, as the store listed it.
     pub(crate) own_entry: RefCell<Option<serde_json::Value>>,
-    /// Whether the entries of instances were listed once.
+    /// Whether the entries of the instances were listed at least once.
     pub(crate) has_listed_instances: Cell<bool>,
+    /// The last known lease holder.
     pub(crate) leader: RefCell<Option<KnownLeader>>,
-    /// Our own lease on orders, if we have it.
+    /// This instance's lease on orders, if it holds it.
     pub(crate) held: Cell<Option<HeldLease>>,
     pub(crate) pool: EndpointPool,
-    /// What was seen of requests that end endpoints.
+    /// Evidence of requests that crash endpoints.
     pub(crate) poison: RefCell<PoisonDetector>,
-    /// What ended well here lately, by hashes that this process keys.
+    /// Requests that succeeded here lately, as hashes with a key of this
+    /// process.
     pub(crate) recent_successes: RefCell<RecentSuccesses>,
+    /// The key of these hashes.
     pub(crate) hash_key: RandomState,
-    /// What of it stands in the store.
+    /// The records of condemned requests in the store.
     pub(crate) poison_records: RefCell<PoisonRecords>,
+    /// Notified when records may have to be written or deleted.
     pub(crate) poison_records_notify: Notify,
     pub(crate) poison_notify: Rc<Notify>,
-    /// Whether this instance watches them for the others.
+    /// Whether this instance is one of those that watch these records for all
+    /// instances.
     pub(crate) is_poison_watcher: Cell<bool>,
-    /// Endpoints at which a run broke off, while it is looked at whether they are
-    /// still there.
+    /// Endpoints that are being probed because a run broke off there.
     pub(crate) probed_endpoints: RefCell<BTreeSet<EndpointId>>,
     /// Connections to other instances.
     pub(crate) peer_pool: EndpointPool,
     pub(crate) store: Store,
-    /// Requests that were read and are not answered to the end.
+    /// The number of requests that were received and are not fully answered.
     pub(crate) open_requests: Cell<usize>,
+    /// Requests that wait for each adapter.
     adapter_waiters: RefCell<HashMap<AdapterKey, Vec<oneshot::Sender<()>>>>,
     loader_notify: Notify,
     pub(super) catch_up_notify: Notify,
     notes_notify: Notify,
-    /// Whether a large prompt was sent that the others have not heard of.
+    /// Whether a large prompt was sent that no note has reported yet.
     pub(crate) has_unreported_work: Cell<bool>,
-    /// Whether requests were sent to engines of which the holder has not heard.
+    /// Whether requests were sent to engines that no note to the lease holder
+    /// has reported yet.
     pub(crate) has_unreported_sends: Cell<bool>,
-    /// Ring when what was watched must be listed anew.
+    /// Notified when the configuration must be listed again. The same holds
+    /// for the notifications of the other watched kinds.
     pub(crate) configuration_notify: Rc<Notify>,
     pub(crate) versions_notify: Rc<Notify>,
-    /// Whether others were heard to know newer ones for a while.
+    /// Whether other instances have reported a newer configuration for a
+    /// while. The next field says the same of versions of weights.
     pub(crate) is_configuration_behind: Cell<bool>,
     pub(crate) is_versions_behind: Cell<bool>,
-    /// Whether the newest configuration could not be read.
+    /// Whether the newest configuration in the store could not be read.
     pub(crate) is_configuration_unreadable: Cell<bool>,
     pub(crate) instances_notify: Rc<Notify>,
     pub(crate) endpoints_notify: Rc<Notify>,
-    /// Since when others are heard to know more than we do.
+    /// Since when other instances have reported newer state than this one has.
     pub(crate) behind_since: Cell<Option<Instant>>,
-    /// What this instance has done, for the log.
+    /// Counters for the log.
     pub(crate) counters: NoteCounters,
-    /// The renewal that another instance was asked for, by its number.
+    /// The renewal that other instances were asked to send, with the number of
+    /// the request.
     pub(crate) renewal: RefCell<Option<(u64, oneshot::Sender<WriteAnswer>)>>,
-    /// Notes that wait to go to one instance each.
+    /// Notes that wait to be sent to one instance each.
     pub(crate) unicast_queue: RefCell<Vec<(InstanceId, Note)>>,
-    /// Notes that wait to go to all others.
+    /// Notes that wait to be sent to all other instances.
     pub(crate) broadcast_queue: RefCell<Vec<Note>>,
-    /// Who waits for an adapter, at the holder of the lease.
+    /// At the lease holder: the instances that wait for each adapter.
     pub(crate) awaiting_instances:
         RefCell<HashMap<AdapterKey, BTreeSet<InstanceId>>>,
 }
@@ -327,41 +353,47 @@
         &self.settings.instance
     }
 
-    /// Returns whether requests need keys.
+    /// Returns whether the configuration has customers, so that requests need
+    /// keys.
     pub(crate) fn has_customers(&self) -> bool {
         self.routing().is_some_and(|d| !d.customers.is_empty())
     }
 
-    /// Returns whether requests may come here: those that need a key could not be
-    /// served where keys that were taken away are not known.
+    /// Returns whether this instance is ready for requests. Where requests
+    /// need keys, it is not ready while it may have missed the revocation of a
+    /// key.
     pub(crate) fn takes_requests(&self) -> bool {
         let is_fresh = !self.has_customers() || self.keys.are_fresh();
         self.stage.get() == Stage::Ready && is_fresh
     }
 
-    /// Returns our lease on orders, while it is sure to be ours: until it ends,
-    /// or while the store is out for all who could take it.
+    /// Returns this instance's lease on orders while no other instance can
+    /// have it: until it expires, or for as long as no instance reaches the
+    /// store to take it.
     pub(crate) fn current_lease(&self, now: Instant) -> Option<HeldLease> {
         let held = self.held.get()?;
         (now < held.current_until || self.no_instance_reaches_store(now))
             .then_some(held)
     }
 
-    /// Returns whether no instance can take the lease now.
+    /// Returns whether the store is out of reach for all instances, so that
+    /// none can take the lease.
     pub(crate) fn no_instance_reaches_store(&self, now: Instant) -> bool {
         let peers = self.peers.borrow();
         let words = self.store_reports.borrow();
         !peers.is_empty() && words.no_instance_reaches_store(peers.keys(), now)
     }
 
-    /// Notes that the store answered; others hear at once what changed.
+    /// Records that the store answered. A change of reachability is reported
+    /// to the other instances at once.
     pub(crate) fn record_store_success(&self) {
         if self.store_contact.borrow_mut().record_success(Instant::now()) {
             self.notify_notes();
         }
     }
 
-    /// Notes that a call to the store failed; others hear at once what changed.
+    /// Records that a call to the store failed. A change of reachability is
+    /// reported to the other instances at once.
     pub(crate) fn record_store_failure(
         &self,
         sent: Instant,
@@ -377,13 +409,14 @@
         }
     }
 
-    /// Returns the instance that gives orders, if it was heard lately.
+    /// Returns the lease holder, if a note of it came lately.
     pub(crate) fn live_leader(&self, now: Instant) -> Option<KnownLeader> {
         let leader = self.leader.borrow().clone()?;
         (now < leader.holds_until).then_some(leader)
     }
 
-    /// Notes who gives orders; an older epoch than the known one is ignored.
+    /// Records which instance holds the lease. A report with an older epoch
+    /// than the known one is ignored.
     pub(crate) fn record_leader(
         &self,
         instance: &str,
@@ -410,19 +443,21 @@
         *leader = Some(KnownLeader { instance, epoch, noted, holds_until });
         drop(leader);
         if is_new {
-            // It knows nothing of us yet, and our pace is that of a time
-            // without a holder.
+            // The new holder knows nothing of this instance yet, and without a
+            // holder notes are sent less often.
             self.notify_notes();
         }
     }
 
-    /// Returns the part of a processor that this instance has, in hundredths.
+    /// Returns the share of a processor core that this instance has, in
+    /// percent.
     pub(crate) fn cpu_percent(&self) -> u32 {
         (self.fleet.cpu_share * 100.0) as u32
     }
 
-    /// Returns the longest time that a caller gave on a route, this one's
-    /// included. First tries have the whole of it, later ones what is left.
+    /// Returns the longest time limit that a caller stated on a route,
+    /// including this one. First tries state the full time limit, later ones
+    /// what is left of it.
     pub(crate) fn longest_time_limit(
         &self,
         route: &str,
@@ -437,14 +472,16 @@
         *known
     }
 
-    /// Forgets the patience of routes, which a new configuration may change.
+    /// Clears the longest time limits of all routes, because a new
+    /// configuration may change them.
     pub(crate) fn clear_time_limits(&self) {
         self.longest_time_limits.borrow_mut().clear();
     }
 
-    /// Asks the holder of the lease for an adapter that a request of this rank
-    /// waits for. Many requests ask once in a while: the holder remembers, and
-    /// a lost note is repaired by the next.
+    /// Asks the lease holder for an adapter that a request of the given rank
+    /// waits for. Requests for the same adapter are sent to the holder once
+    /// per interval: the holder remembers them, and the next one makes up for
+    /// a lost note.
     pub(crate) fn request_adapter(&self, key: &AdapterKey, rank: u8) {
         let now = Instant::now();
         let mut last_requested = self.last_requested.borrow_mut();
@@ -466,7 +503,7 @@
         self.notify_notes();
     }
 
-    /// Waits until something is heard of an adapter, or for a time.
+    /// Waits until the state of an adapter changes, or until the timeout.
     pub(crate) async fn wait_for_adapter(
         &self,
         key: &AdapterKey,
@@ -478,7 +515,7 @@
             .entry(key.clone())
             .or_default()
             .push(tx);
-        // Either way the request looks again.
+        // Woken or timed out, the request checks the endpoints again.
         let _ = compio::time::timeout(within, rx).await;
     }
 
@@ -486,12 +523,12 @@
     pub(crate) fn wake(&self, key: &AdapterKey) {
         let waiting = self.adapter_waiters.borrow_mut().remove(key);
         for tx in waiting.into_iter().flatten() {
-            // Its request may be gone.
+            // Fails if the request has ended meanwhile.
             let _ = tx.send(());
         }
     }
 
-    /// Wakes the requests whose adapters the table now shows.
+    /// Wakes all requests that wait for an adapter.
     pub(crate) fn wake_all(&self) {
         let waiting: Vec<_> =
             self.adapter_waiters.borrow_mut().drain().collect();
@@ -500,11 +537,14 @@
         }
     }
 
-    /// Makes everything that is watched be listed anew, but for what was just
-    /// listed and has this notify. Watches that were under way while the store was
-    /// out may never be answered; what was listed since is known. Without that, the
-    /// first answer of each kind made all others list again: 2,285 lists, three for
-    /// each instance and kind, when all watches of 195 instances were cut once.
+    /// Makes all watched kinds be listed again, except the one that was just
+    /// listed.
+    ///
+    /// Watches that were open while the store was out may never be answered. A
+    /// kind that was listed after the last failed call is left out too:
+    /// without that, the first answer of each kind made all others list again,
+    /// which were 2,285 lists, three for each instance and kind, when all
+    /// watches of 195 instances were cut once.
     pub(crate) fn relist_others(&self, listed: &Rc<Notify>) {
         let failed = self.store_contact.borrow().last_failure();
         let is_known = |notify: &Notify| {
@@ -524,22 +564,22 @@
         }
     }
 
-    /// Wakes the part that gives orders.
+    /// Wakes the task that gives orders.
     pub(crate) fn notify_loader(&self) {
         self.loader_notify.notify();
     }
 
-    /// Waits for [`FleetInstance::notify_loader`], or for a time.
+    /// Waits for [`FleetInstance::notify_loader`], or until the timeout.
     pub(crate) async fn loader_notified(&self, within: Duration) {
         self.loader_notify.wait(within).await;
     }
 
-    /// Wakes the part that sends notes.
+    /// Wakes the task that sends notes.
     pub(crate) fn notify_notes(&self) {
         self.notes_notify.notify();
     }
 
-    /// Waits for [`FleetInstance::notify_notes`], or for a time.
+    /// Waits for [`FleetInstance::notify_notes`], or until the timeout.
     pub(crate) async fn notes_notified(&self, within: Duration) {
         self.notes_notify.wait(within).await;
     }
--- a/crates/sedgewalld/src/fleet/knowledge.rs
+++ b/crates/sedgewalld/src/fleet/knowledge.rs
@@ -1,5 +1,5 @@
-//! What an instance has of what the operator changes: the configuration and named
-//! versions of weights.
+//! The operator's settings as far as this instance knows them: the
+//! configuration and the announced versions of weights.
 
 use std::{rc::Rc, time::Duration};
 
@@ -32,7 +32,7 @@
         self.routing.borrow().as_ref().map(|known| known.version)
     }
 
-    /// Returns by which configuration a request is decided that comes now.
+    /// Returns which configuration a request that arrives now is decided by.
     pub(crate) fn configuration_status(&self) -> ConfigurationStatus {
         let now = Instant::now();
         let version = self.configuration_version();
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns how much we have of what all must know.
+    /// Returns a summary of the state that all instances must have.
     pub(crate) fn knowledge(&self) -> StateSummary {
         StateSummary {
             configuration: self.configuration_version().unwrap_or(0),
@@ -54,14 +54,15 @@
         }
     }
 
-    /// Returns whether a newer configuration was heard of lately than is in force
-    /// here.
+    /// Returns whether another instance lately reported a newer configuration
+    /// than the one in force here.
     pub(crate) fn is_configuration_behind(&self) -> bool {
         let heard = self.catch_up.borrow().newest_heard(Instant::now());
         heard.configuration > self.configuration_version().unwrap_or(0)
     }
 
-    /// Takes in the newest version of a model or adapter; one line if that is news.
+    /// Records the newest version of a model or adapter, and logs it if it is
+    /// new.
     pub(crate) fn name_version(
         &self,
         key: &AdapterKey,
@@ -77,30 +78,31 @@
         self.notify_loader();
     }
 
-    /// Asks others at once for a newer configuration, and waits for it, for a time.
+    /// Asks other instances at once for a newer configuration, and waits for
+    /// it until the timeout.
     pub(crate) async fn await_newer_configuration(&self, within: Duration) {
         let (tx, rx) = oneshot::channel();
         self.configuration_waiters.borrow_mut().push(tx);
         self.catch_up.borrow_mut().fetch_now(Instant::now());
         self.catch_up_notify.notify();
-        // Either way the request is looked at again.
+        // Woken or timed out, the request is decided again.
         let _ = compio::time::timeout(within, rx).await;
     }
 
     /// Wakes the requests that wait for a newer configuration.
     pub(crate) fn wake_configuration_waiters(&self) {
         for tx in self.configuration_waiters.take() {
-            // Its request may be gone.
+            // Fails if the request has ended meanwhile.
             let _ = tx.send(());
         }
     }
 
-    /// Wakes the part that asks others for what we miss.
+    /// Wakes the task that fetches missing state from other instances.
     pub(crate) fn notify_catch_up(&self) {
         self.catch_up_notify.notify();
     }
 
-    /// Waits for [`FleetInstance::notify_catch_up`], or for a time.
+    /// Waits for [`FleetInstance::notify_catch_up`], or until the timeout.
     pub(crate) async fn catch_up_notified(&self, within: Duration) {
         self.catch_up_notify.wait(within).await;
     }
--- a/crates/sedgewalld/src/fleet/mod.rs
+++ b/crates/sedgewalld/src/fleet/mod.rs
@@ -1,9 +1,10 @@
 //! An instance on an operator's platform.
 //!
-//! Each instance dispatches by itself on a table of endpoints; one of them at
-//! a time holds the lease on orders to engines. [`instance`] holds what all parts
-//! share; [`caller`], [`leader`], [`list_watch`] with its three kinds of followers,
-//! and [`notes`] stand beside each other above it, and [`daemon`] starts them.
+//! Each instance dispatches requests on its own, by its table of endpoints.
+//! One instance at a time holds the lease on orders to engines. [`instance`]
+//! holds the state that all tasks share. [`caller`], [`leader`],
+//! [`list_watch`] with its object handlers, and [`notes`] build on it
+//! independently of each other, and [`daemon`] starts them.
 
 mod admit;
 mod announcements;
--- a/crates/sedgewalld/src/fleet/peers.rs
+++ b/crates/sedgewalld/src/fleet/peers.rs
@@ -1,7 +1,8 @@
-//! The other instances: where they are reached, how many share what all may do, and
-//! to whom a duty falls.
+//! The other instances: their addresses, how many of them share a limit, and
+//! which of them takes on a duty.
 //!
-//! What an entry in the store says of an instance goes before where it was heard from.
+//! The address in an instance's entry in the store takes precedence over the
+//! source address of its notes.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,15 +12,15 @@
 
 use super::instance::{FleetInstance, Peer};
 
-/// An instance that was not heard for this long after its entry was read is
-/// not there.
+/// How long an instance counts as alive after its entry was first read, if no
+/// note of it has come.
 const NEW_PEER_GRACE: Duration = Duration::from_secs(6);
 
-/// An address from which nothing was heard for this long is forgotten: among
-/// many, an instance tells all others every 2.4 s.
+/// How long a source address is kept after its last note. With many instances,
+/// each sends a note to all every 2.4 s.
 const ADDRESS_TTL: Duration = Duration::from_secs(5);
 
-/// Where an instance without a known entry was heard from.
+/// The source address of notes from an instance that is not listed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ObservedAddress {
     address: SocketAddr,
@@ -27,7 +28,7 @@
 }
 
 impl FleetInstance {
-    /// Notes where an instance's own note came from.
+    /// Records the source address of an instance's own note.
     pub(crate) fn record_address(&self, id: &InstanceId, address: SocketAddr) {
         if self.peers.borrow().contains_key(id) || id == self.id() {
             return;
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Forgets the addresses of instances that are listed now or silent.
+    /// Drops the addresses of instances that are listed by now or silent.
     pub(crate) fn drop_stale_addresses(&self, now: Instant) {
         let peers = self.peers.borrow();
         self.observed_addresses.borrow_mut().retain(|id, heard| {
@@ -48,8 +49,8 @@
         });
     }
 
-    /// Returns where notes to an instance go: as its entry says, or, while that
-    /// is not known, where it was heard from.
+    /// Returns the address for notes to an instance: the one in its entry, or
+    /// the source address of its notes while the entry is unknown.
     pub(crate) fn address_of(&self, id: &InstanceId) -> Option<SocketAddr> {
         let listed = self.peers.borrow().get(id).map(|peer| peer.address);
         let heard =
@@ -57,7 +58,8 @@
         listed.or_else(heard)
     }
 
-    /// Returns where a note to all goes while no other instance is listed.
+    /// Returns the addresses for a note to all while no other instance is
+    /// listed.
     pub(crate) fn unlisted_addresses(&self) -> Vec<SocketAddr> {
         self.observed_addresses
             .borrow()
@@ -66,17 +68,18 @@
             .collect()
     }
 
-    /// Returns how many instances share what all may do together. One more is
-    /// counted for those that we do not hear.
+    /// Returns how many instances share a common limit. The count includes one
+    /// more for instances that this one has no notes from.
     pub(crate) fn instance_count(&self) -> usize {
         let known = self.peers.borrow().len();
         let live = self.view.borrow().live_peers(Instant::now());
         known.max(live) + 1
     }
 
-    /// Returns how many of the instances that are there come before this one,
-    /// in an order that the larger ones lead and that a draw shuffles: so a
-    /// duty falls to few, without a word, and to others after each draw.
+    /// Returns how many live instances come before this one in an order by
+    /// size that `seed` shuffles among equals. A duty that falls to the first
+    /// ranks thus goes to few instances without coordination, and to others
+    /// with each new seed.
     pub(crate) fn rank(&self, seed: u64) -> usize {
         let own = rank_key(self.id(), self.cpu_percent(), seed);
         let now = Instant::now();
@@ -88,8 +91,8 @@
         before.count()
     }
 
-    /// Returns the first other instances that are there, in the order of
-    /// [`FleetInstance::rank`] without a draw.
+    /// Returns the first live instances other than this one, in the order of
+    /// [`FleetInstance::rank`] with seed 0.
     pub(crate) fn largest_peers(&self, count: usize) -> Vec<InstanceId> {
         let now = Instant::now();
         let peers = self.peers.borrow();
@@ -109,8 +112,8 @@
     }
 }
 
-/// Returns an instance's place in an order that larger ones lead and that a draw
-/// shuffles.
+/// Returns the sort key of an instance: by size, the largest first, and
+/// shuffled by `seed` among equals.
 fn rank_key(
     id: &InstanceId,
     cpu_percent: u32,
