--- a/crates/sedgewalld/src/fleet/leader.rs
+++ b/crates/sedgewalld/src/fleet/leader.rs
@@ -1,4 +1,5 @@
-//! Decides what engines hold, while this instance has the lease on orders.
+//! Plans which models and adapters engines hold, while this instance holds the
+//! lease on orders.
 
 use std::{rc::Rc, time::Duration};
 
@@ -10,21 +11,21 @@
 use super::{instance::FleetInstance, orders::OrderQueues};
 use crate::process;
 
-/// How often the holder looks at demand when nothing waits.
+/// The planning interval while no request waits.
 const PLAN_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The least pause between two looks, so that many requests that wait are
-/// looked at together.
+/// The minimum pause between two planning runs, so that many waiting requests
+/// are planned together.
 const MIN_PLAN_PAUSE: Duration = Duration::from_millis(10);
 
-/// The pause after a look, as a multiple of what the look took: decisions use
-/// a ninth of the processor at most.
+/// The pause after a planning run, as a multiple of the run's duration.
+/// Planning thus uses at most a ninth of the processor.
 const PAUSE_FACTOR: u32 = 8;
 
-/// How often demand that has faded is forgotten.
+/// The interval at which faded demand is dropped.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Decides and gives orders, for ever.
+/// Plans and gives orders. Never returns.
 pub(crate) async fn run(instance: Rc<FleetInstance>, orders: OrderQueues) {
     let mut last_cleanup = Instant::now();
     let mut epoch = None;
@@ -75,7 +76,8 @@
     }
 }
 
-/// Forgets who asked for what nobody waits for any more.
+/// Drops the instances that asked for adapters which no request waits for any
+/// more.
 fn drop_unneeded_requests(instance: &FleetInstance, now: Instant) {
     let demand = instance.demand.borrow();
     instance
@@ -84,7 +86,7 @@
         .retain(|key, _| demand.get(key).is_some_and(|d| d.has_waiting(now)));
 }
 
-/// One line a second: what is asked for and what the engines hold.
+/// Logs one line a second: what is asked for and what the engines hold.
 fn log_state(instance: &FleetInstance, orders: &OrderQueues, now: Instant) {
     if instance.current_lease(now).is_none() {
         return;
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -1,9 +1,10 @@
 //! The lease on orders to engines, kept in the platform's store.
 //!
-//! The rules are those of [`sedgewall_coordination::lease`]; here they meet
-//! the store. Engines that do not check epochs must hear one holder at a time,
-//! so a new holder waits until the last order of the one before is a whole
-//! turn old ([`sedgewall_coordination::turn`]).
+//! The rules are those of [`sedgewall_coordination::lease`]; this module
+//! applies them to the store. Engines that do not check epochs must receive
+//! orders from one holder at a time, so a new holder gives no orders until the
+//! last order of the previous holder is a whole turn old
+//! ([`sedgewall_coordination::turn`]).
 
 use std::{rc::Rc, time::Duration};
 
@@ -26,62 +27,69 @@
 };
 
 /// How long the lease holds after its last renewal. A slow store answers in
-/// some 300 ms; a holder that dies stops all loads for this long.
+/// some 300 ms. When a holder dies, all loads stop for this long.
 const TIME_TO_LIVE: Duration = Duration::from_millis(1_300);
 
-/// How often it is renewed. Each renewal is a priced call.
+/// The interval between renewals. Each renewal is a call to the store, which
+/// is billed.
 const RENEW_EVERY: Duration = Duration::from_millis(450);
 
-/// What a challenger waits beyond the time to live: steady clocks agree to
-/// within a few per cent, and an order travels for some milliseconds.
+/// How much longer than the time to live a challenger waits: monotonic clocks
+/// agree to within a few per cent, and an order takes some milliseconds to
+/// arrive.
 const CHALLENGE_MARGIN: Duration = Duration::from_millis(250);
 
-/// What a new holder waits beyond the turn between two holders.
+/// How much longer than a turn a new holder waits before its first order.
 const TURN_MARGIN: Duration = Duration::from_millis(200);
 
-/// How often the first in rank looks at the record when it hears no holder.
+/// The interval at which the instance of the first rank reads the record while
+/// no lease holder is known.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What each rank waits longer, before its first look and between two: the
-/// first ones take the lease, and calls to the store have a price.
+/// The additional delay for each rank, before the first read of the record and
+/// between reads. The first ranks take the lease, and calls to the store are
+/// billed.
 const DELAY_PER_RANK: Duration = Duration::from_millis(120);
 
-/// What the smallest instance waits before it takes a lease that nobody ever
-/// held. All start within some 300 ms.
+/// How long the smallest instance waits before it takes a lease that was never
+/// held. All instances start within some 300 ms of each other.
 const SMALLEST_INSTANCE_DELAY: Duration = Duration::from_millis(2_000);
 
-/// The longest that an instance waits for the first list of the others; without
-/// the store it could not take the lease either.
+/// The maximum wait for the first list of the other instances. Without the
+/// store, this instance could not take the lease either.
 const PEERS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What an instance waits at the system's first start, in which all write their
-/// entries: these are watched every 1.5 s.
+/// How long an instance waits at the first start of the system, when all
+/// instances write their entries, which are watched every 1.5 s.
 const FIRST_START_DELAY: Duration = Duration::from_millis(2_500);
 
-/// The longest that an instance waits for those of a higher rank.
+/// The maximum delay by rank.
 const MAX_RANK_DELAY: Duration = Duration::from_secs(5);
 
-/// How often the holder looks whether a renewal is due.
+/// The interval at which the holder checks whether a renewal is due.
 const TICK: Duration = Duration::from_millis(50);
 
-/// What a word of ours that the store is out takes to reach the holder.
+/// How long this instance's report that the store is out takes to reach the
+/// holder.
 const REPORT_DELAY: Duration = Duration::from_millis(200);
 
-/// What the holder waits after a renewal failed: two more fit into the time to
-/// live, and calls that fail have a price too.
+/// How long the holder waits after a failed renewal. Two more renewals fit
+/// into the time to live, and failed calls are billed too.
 const RENEWAL_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// What is left of a planned stop when the holder gives the lease up: the
-/// store may take 0.3 s to answer, and the stop ends 0.7 s before its time.
-/// Nobody orders for the turn after it, so it is given up as late as it may be.
+/// The time left of a planned stop when the holder releases the lease. The
+/// store may take 0.3 s to answer, and the stop ends 0.7 s before its time. No
+/// instance gives orders for a turn after the release, so it happens as late
+/// as possible.
 const RELEASE_MARGIN: Duration = Duration::from_millis(1_800);
 
-/// How long others may renew the lease for a holder that cannot reach the store.
-/// It hears of endpoints that left, but not of new ones and new versions; giving
-/// the lease up stops all loads for some 4 s.
+/// How long other instances may renew the lease for a holder that cannot reach
+/// the store. Such a holder learns of endpoints that left, but not of new
+/// endpoints and new versions. Releasing the lease stops all loads for some 4
+/// s.
 const MAX_PEER_RENEWAL_TIME: Duration = Duration::from_secs(15);
 
-/// Takes the lease when nobody holds it, and keeps it, for ever.
+/// Takes the lease when no instance holds it, and keeps it. Never returns.
 pub(crate) async fn run(instance: Rc<FleetInstance>) {
     let turn =
         Duration::from_millis(instance.fleet.order_turn_ms) + TURN_MARGIN;
@@ -105,9 +113,12 @@
     }
 }
 
-/// Waits until the others are known, by which an instance knows its rank. All
-/// start at once, and one that knows nobody takes itself for the first: 195 of
-/// them read the record two or three times each, at the full price.
+/// Waits until the other instances are listed, which an instance needs to know
+/// its rank.
+///
+/// All instances start at once, and one that knows no other ranks itself
+/// first: without this wait, 195 instances read the record two or three times
+/// each, at the full price.
 async fn wait_for_peers(instance: &FleetInstance) {
     let began = Instant::now();
     while !instance.has_listed_instances.get()
@@ -116,18 +127,18 @@
         compio::time::sleep(POLL_INTERVAL).await;
     }
     if !instance.fleet.has_run_before {
-        // The others' entries are just being written.
+        // The other instances are still writing their entries.
         compio::time::sleep(FIRST_START_DELAY).await;
     }
 }
 
-/// Returns whether this instance takes requests and hears no holder.
+/// Returns whether this instance is ready and knows of no lease holder.
 fn may_challenge(instance: &FleetInstance) -> bool {
     instance.stage.get() == Stage::Ready
         && instance.live_leader(Instant::now()).is_none()
 }
 
-/// Returns what this instance waits for those of a higher rank.
+/// Returns how long this instance waits for those that come before it in rank.
 fn rank_delay(instance: &FleetInstance) -> Duration {
     let leader = instance.leader.borrow();
     let epoch = leader.as_ref().map_or(0, |leader| leader.epoch);
@@ -147,22 +158,23 @@
 /// A lease that was just taken.
 struct TakenLease {
     lease: Lease<Held>,
-    /// The record that stood there before.
+    /// The record that was replaced.
     before: Option<LeaseRecord>,
-    /// When that one's lease had ended, at the latest.
+    /// The latest time at which the replaced lease ended.
     ended: Instant,
     /// When the write was sent, from which the time to live counts.
     sent: Instant,
 }
 
-/// Watches the record until it is free or somebody is heard to hold it, and
-/// tries to take it.
+/// Watches the record and tries to take the lease once it is free. Gives up if
+/// another instance turns out to hold it.
 async fn take(
     instance: &FleetInstance,
     mut watching: Lease<Watching>,
 ) -> Option<TakenLease> {
-    // Whoever holds the lease decides for all engines: a large instance takes
-    // it first. Where somebody held it before, every moment counts more.
+    // The lease holder plans for all engines, so large instances are preferred
+    // for a lease that was never held. If it was held before, a fast takeover
+    // matters more.
     let size_delay = SMALLEST_INSTANCE_DELAY
         .mul_f64(1.0 - instance.fleet.cpu_share.min(1.0));
     let mut has_waited = false;
@@ -191,8 +203,8 @@
     }
 }
 
-/// Returns when the lease that is free now had ended. One that was given up
-/// ended just before we saw so.
+/// Returns when the lease that is now free ended. A released lease ended just
+/// before the release was seen.
 fn ended_by(
     instance: &FleetInstance,
     watching: &Lease<Watching>,
@@ -204,9 +216,10 @@
     }
     let leader = instance.leader.borrow();
     let noted = leader.as_ref().map(|leader| leader.noted);
-    // A holder goes on while all say that the store is out, we among them; then
-    // what it said before that has not ended its lease. Waiting for the record
-    // alone, for 30 s after an outage, let 2 s more pass without orders.
+    // A holder keeps its lease while all instances, this one included, report
+    // that the store is out, so the end of the lease that it reported before
+    // that does not count. Waiting by the record alone, for 30 s after an
+    // outage, left 2 s more without orders.
     let contact = instance.store_contact.borrow();
     let noted = match contact.reported_outage(REPORT_VALID_FOR + REPORT_DELAY)
     {
@@ -238,16 +251,17 @@
     }
 }
 
-/// A lease that we keep.
+/// A lease that this instance holds and keeps renewing.
 struct KeptLease {
     lease: Lease<Held>,
-    /// When the last renewal was sent that the store answered.
+    /// When the last renewal that the store confirmed was sent.
     renewed: Instant,
-    /// Before that, engines may still hear the holder before us.
+    /// The earliest time for orders. Before it, engines may still receive
+    /// orders of the previous holder.
     order_from: Instant,
-    /// When the renewal was first sent that the store has yet to answer.
+    /// When the renewal that the store has yet to confirm was first sent.
     renewal_sent: Option<Instant>,
-    /// Since when others renew it for us.
+    /// Since when other instances send the renewals for this one.
     renewed_by_peers_since: Option<Instant>,
 }
 
@@ -273,7 +287,8 @@
             order_from: kept.order_from,
         }));
         if before.is_none() {
-            // The others must hear of it before they can ask for anything.
+            // The other instances can only ask for adapters once they know the
+            // holder.
             instance.notify_notes();
         }
         let is_peer_renewal_over = kept
@@ -295,9 +310,10 @@
     }
 }
 
-/// Returns whether this instance stops so soon that another must take the
-/// lease. Nobody gives orders for a turn after that, so it is done once and late:
-/// instances that stop one after the other would pass it on each time.
+/// Returns whether this instance stops so soon that it must release the lease.
+/// No instance gives orders for a turn after a release, so it is done once and
+/// late: instances that are stopped one after the other would otherwise pass
+/// the lease on each time.
 fn must_release(instance: &FleetInstance, now: Instant) -> bool {
     let Some(since) = instance.leaving_since.get() else { return false };
     let grace = Duration::from_secs_f64(instance.fleet.grace_s);
@@ -340,9 +356,11 @@
     tracing::info!(event = "lease_released", epoch, answer = ?answer);
 }
 
-/// Renews the lease once, our own way or through another instance. A renewal
-/// without an answer is sent again as it is, and counts from the first time: the
-/// store may have taken that one. Returns nothing if somebody else has the lease.
+/// Renews the lease once, directly or through another instance. Returns none
+/// if another instance has taken the lease.
+///
+/// A renewal without an answer is repeated unchanged and counts from its first
+/// send, because the store may have applied that one.
 async fn renew(
     instance: &FleetInstance,
     kept: KeptLease,
@@ -377,8 +395,8 @@
             renewed_by_peers_since,
         });
     }
-    // All see whether the store answers them: while it answers nobody, nobody
-    // can take the lease.
+    // Makes all instances check whether the store answers them: while it
+    // answers none, none can take the lease.
     instance.broadcast_queue.borrow_mut().push(Note::ProbeStore);
     instance.notify_notes();
     compio::time::sleep(RENEWAL_RETRY_PAUSE).await;
--- a/crates/sedgewalld/src/fleet/lease_store.rs
+++ b/crates/sedgewalld/src/fleet/lease_store.rs
@@ -1,10 +1,10 @@
-//! The record of the lease on orders in the platform's store: our own way
-//! there, and through another instance where that is cut.
+//! Access to the record of the lease on orders in the platform's store:
+//! directly, or through another instance if the direct path is cut.
 //!
-//! A holder that loses only its own path would end its lease, and nobody gives
-//! orders for some 5 s until the next one may; so another instance that reaches
-//! the store sends the renewal. The update is conditional, so it does not matter
-//! who sends it, nor how often.
+//! A holder that alone loses its path to the store would lose its lease, and
+//! no instance would give orders for some 5 s until the next holder may. So
+//! another instance that reaches the store sends the renewal. The update is
+//! conditional, so it does not matter which instance sends it, nor how often.
 
 use std::{pin::pin, time::Duration};
 
@@ -22,25 +22,28 @@
 
 use super::{instance::FleetInstance, note_sender::NoteSender};
 
-/// The kind of leases in the store.
+/// The kind of lease objects in the store.
 const LEASES_KIND: &str = "sedgewall-leases";
 
 /// The name of the lease on orders.
 pub(super) const ORDERS_LEASE: &str = "orders";
 
-/// How long a renewal of our own may take before others are asked. A slow store
-/// answers in some 300 ms; two others fit into what the lease leaves after it.
+/// The timeout of a direct renewal, after which other instances are asked. A
+/// slow store answers in some 300 ms, and two rounds of asking others fit into
+/// the time that the lease leaves after it.
 const DIRECT_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// How long another instance may take: two ways between instances and one call
-/// to the store, 10 ms where both work.
+/// The timeout of a renewal through another instance: a round trip between
+/// instances and one call to the store, 10 ms if both work.
 const PEER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Instances that are asked for one renewal at once. Of 79 of which 28 were cut off
-/// without a word, one of three answers in 95 of 100 rounds.
+/// The number of instances that are asked for one renewal at once. With 28 of
+/// 79 instances silently cut off, at least one of three answers in 95 of 100
+/// rounds.
 const PEERS_PER_ROUND: usize = 3;
 
-/// Rounds of asking others, which the lease leaves time for.
+/// The number of rounds of asking others that fit into the lease's remaining
+/// time.
 const PEER_ROUNDS: usize = 2;
 
 /// Reads the record.
@@ -49,7 +52,8 @@
 ) -> Result<Option<StoredLease>, StoreError> {
     let sent = Instant::now();
     let read = instance.store.get(LEASES_KIND, ORDERS_LEASE).await;
-    // The holder counts on our word: who can read the record can take it.
+    // The holder relies on this instance's reports that the store is out,
+    // because an instance that can read the record can take the lease.
     match &read {
         Ok(_) => instance.record_store_success(),
         Err(err) => instance.record_store_failure(sent, err),
@@ -67,7 +71,7 @@
     }
 }
 
-/// Writes the record our own way.
+/// Writes the record directly to the store.
 pub(super) async fn write(
     instance: &FleetInstance,
     write: &LeaseWrite,
@@ -88,7 +92,8 @@
     };
     match written {
         Ok(object) => WriteAnswer::Done(object.revision),
-        // A write that was sent before, and whose answer was lost.
+        // The conflict is with an earlier send of the same write, whose answer
+        // was lost.
         Err(StoreError::Conflict(Some(known))) if known.spec == spec => {
             WriteAnswer::Done(known.revision)
         }
@@ -99,16 +104,17 @@
     }
 }
 
-/// How a write of the holder's reached the store.
+/// How a write of the lease holder reached the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum RenewalPath {
     Direct,
     Peer,
 }
 
-/// Renews or releases the lease: our own way first, and through others that reach
-/// the store; both at once while our own way is taken to be cut. The write is the
-/// same and bound to a revision, so it is done once however many send it.
+/// Renews or releases the lease. Tries the direct path first, and then other
+/// instances that reach the store; uses both at once while the direct path is
+/// taken to be cut. Each sender makes the same conditional update of one
+/// revision, so it is applied once.
 pub(super) async fn renew(
     instance: &FleetInstance,
     renewal: &LeaseWrite,
@@ -183,9 +189,11 @@
     WriteAnswer::Unclear
 }
 
-/// Asks several at once; the first clear answer counts. Half of the others may be
-/// cut off without our knowing: one by one, two in a row took 0.4 s of the 0.85 s
-/// that the lease leaves, and orders stood still for 3 s.
+/// Asks several instances at once; the first definite answer counts.
+///
+/// Half of the other instances may be cut off without this one's knowledge.
+/// Asked one by one, two of them in a row took 0.4 s of the 0.85 s that the
+/// lease leaves, and no orders were given for 3 s.
 async fn renew_through(
     instance: &FleetInstance,
     peers: &[InstanceId],
@@ -237,11 +245,12 @@
     sender.send_to_peer(instance, &from, &Note::RenewalAnswer(answer));
 }
 
-/// Takes in what the store answered to another instance. An answer to an older
-/// request says nothing of the one that is out.
+/// Applies the store's answer to a renewal that another instance sent. An
+/// answer to an earlier request is ignored.
 ///
-/// What it knows of endpoints and versions counts in any case: a holder that saw
-/// none of 18 new engines for 7 s left 500 adapters waiting for the others' places.
+/// The endpoints and versions that come with it are always applied: a holder
+/// that saw none of 18 new engines for 7 s left 500 adapters waiting for
+/// places on the other engines.
 pub(super) fn apply_renewal_answer(
     instance: &FleetInstance,
     received: RenewalAnswer,
@@ -255,14 +264,14 @@
     }
     instance.notify_loader();
     if received.answer == WriteAnswer::Unclear {
-        // Another one that was asked may know more.
+        // Another instance that was asked may have a definite answer.
         return;
     }
     let mut waiting = instance.renewal.borrow_mut();
     if waiting.as_ref().is_some_and(|(number, _)| *number == received.number)
         && let Some((_, tx)) = waiting.take()
     {
-        // The renewal may have waited for long enough.
+        // Fails if the renewal has timed out meanwhile.
         let _ = tx.send(received.answer);
     }
 }
--- a/crates/sedgewalld/src/fleet/note_sender.rs
+++ b/crates/sedgewalld/src/fleet/note_sender.rs
@@ -1,9 +1,10 @@
-//! Sends notes: to one instance, to all, or through relays.
+//! Sends notes to one instance or to all, through relays if there are many.
 //!
-//! Where there are many instances, a note to all goes to one of each other zone,
-//! and there and in our own to one of each group, which passes it on ([`sedgewall_fleet::relays`]): the link of a small
-//! instance does not carry eighty times what it has to say, and few bytes cross
-//! between zones.
+//! With many instances, a note to all is sent to one instance of each other
+//! zone. There, and in the sender's own zone, it goes to one instance of each
+//! group, which forwards it to the rest of the group
+//! ([`sedgewall_fleet::relays`]). This way the link of a small instance does
+//! not carry eighty copies of each note, and few bytes cross between zones.
 
 use std::{
     cell::Cell,
@@ -21,19 +22,21 @@
 
 use super::instance::FleetInstance;
 
-/// The longest datagram that IPv4 carries, less some room for its head.
+/// The maximum size of an encoded note: the largest IPv4 datagram, less some
+/// room for its headers.
 pub(crate) const MAX_NOTE_BYTES: usize = 60_000;
 
-/// Sends notes.
+/// Sends notes over one UDP socket.
 pub(crate) struct NoteSender {
     socket: UdpSocket,
-    /// Counts notes that went through relays, to choose others for the next.
+    /// The number of notes sent through relays, by which each note takes other
+    /// relays than the one before.
     relay_rotation: Cell<usize>,
 }
 
 impl NoteSender {
     fn send(&self, to: SocketAddr, bytes: &[u8]) {
-        // A note that cannot be sent now is like one that was lost.
+        // A note that cannot be sent now is treated as lost.
         if let Err(err) = self.socket.send_to(bytes, to) {
             tracing::debug!(event = "note_not_sent", cause = %err);
         }
@@ -80,7 +83,7 @@
         self.broadcast_in_zone(instance, note);
     }
 
-    /// Sends a note to one instance of each group of our zone.
+    /// Sends a note to one instance of each group in this instance's zone.
     pub(crate) fn broadcast_in_zone(
         &self,
         instance: &FleetInstance,
@@ -102,14 +105,15 @@
         }
     }
 
-    /// Returns the number by which relays are chosen; each note has another one.
+    /// Returns a number that selects the relays, a different one for each
+    /// note.
     fn next_rotation(&self) -> usize {
         let rotation = self.relay_rotation.get();
         self.relay_rotation.set(rotation.wrapping_add(1));
         rotation
     }
 
-    /// Passes a note on to the rest of its group.
+    /// Forwards a note to the other instances of the group.
     pub(crate) fn forward_to_group(
         &self,
         instance: &FleetInstance,
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -1,8 +1,8 @@
-//! Notes between instances, as datagrams.
+//! Notes between instances, sent as UDP datagrams.
 //!
-//! A datagram fits what they say: sums that replace each other, where the
-//! newest counts and a lost one is repaired by the next. It needs no
-//! connection to hang when a machine loses power.
+//! Datagrams suit their content: state that replaces earlier state, where the
+//! newest note counts and the next one makes up for a lost one. There is no
+//! connection that could hang when a machine loses power.
 
 use std::{rc::Rc, time::Duration};
 
@@ -27,24 +27,28 @@
     poison, watch_poison,
 };
 
-/// Where there are many, each so many-th note goes to all and not to the holder
-/// alone, so that each knows who is there.
+/// With many instances, one in this many status notes goes to all instances
+/// and not only to the lease holder, so that each instance knows which others
+/// are alive.
 const BROADCAST_EVERY: u64 = 8;
 
-/// What others know in a newer version is listed after this long, if our own
-/// watch has not brought it, and again after this long.
+/// How long another instance must have reported newer state before this
+/// instance lists it again, unless its own watch brings it first; also the
+/// interval between such lists.
 const RELIST_DELAY: Duration = Duration::from_millis(500);
 
-/// A newer version that was heard of this long ago was another one.
+/// If newer state was first reported longer ago than this, that report was
+/// about another version.
 const BEHIND_VALID_FOR: Duration = Duration::from_millis(2_000);
 
-/// Notes in one datagram at most, so that it fits one packet.
+/// The maximum number of notes in one datagram, so that it fits one packet.
 const BATCH_LEN: usize = 16;
 
-/// How often peers that fell silent are forgotten.
+/// The interval at which expired state, such as that of silent peers, is
+/// dropped.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Receives notes for ever.
+/// Receives and applies notes. Never returns.
 pub(crate) async fn receive(
     instance: Rc<FleetInstance>,
     sender: Rc<NoteSender>,
@@ -58,8 +62,9 @@
         match received {
             Ok((len, from)) => match rmp_serde::from_slice(&buf[..len]) {
                 Ok(note) => {
-                    // One that a relay passed on comes from the relay, which
-                    // answers as well.
+                    // The source address of a relayed note is the relay's.
+                    // That does no harm, because the relay can serve missing
+                    // state as well.
                     if let Note::Status(status) = &note {
                         instance.record_address(&status.from, from);
                     }
@@ -70,7 +75,8 @@
                 }
             },
             Err(err) => {
-                // A dead peer's port answers so; nothing is lost by it.
+                // The error comes from the closed port of an instance that is
+                // gone. Nothing is lost by it.
                 tracing::debug!(event = "note_error", cause = %err);
                 compio::time::sleep(Duration::from_millis(5)).await;
             }
@@ -85,7 +91,7 @@
         .notes_received
         .set(instance.counters.notes_received.get() + 1);
     match note {
-        // A relay passes our own note on to us as well.
+        // A relay may send this instance's own note back to it.
         Note::Status(status) if status.from == *instance.id() => {}
         Note::Status(status) => {
             if let Some(lead) = status.leads {
@@ -153,7 +159,7 @@
             sender.forward_to_group(instance, &relayed);
             handle(instance, sender, *relayed.note);
         }
-        // Whoever gives orders knows better than a note from before.
+        // The lease holder's own table is newer than such a note.
         Note::Placed(_) | Note::Removed(_)
             if instance.current_lease(now).is_some() => {}
         Note::Placed(placed) => {
@@ -166,7 +172,7 @@
     }
 }
 
-/// Hears that an endpoint has left, so that none of our requests goes there.
+/// Records that an endpoint has left, so that no request is sent to it.
 pub(crate) fn apply_departure(
     instance: &FleetInstance,
     departure: &Departure,
@@ -185,8 +191,9 @@
     instance.wake_all();
 }
 
-/// Lists anew what another instance knows in a newer version for a while: a
-/// watch of ours may be on a channel that says nothing further.
+/// Lists objects again if another instance has reported newer state for a
+/// while. This instance's watch may be on a connection that brings nothing
+/// more.
 fn check_for_newer_state(
     instance: &FleetInstance,
     status: &Status,
@@ -208,7 +215,8 @@
     }
     let since = instance.behind_since.get().unwrap_or(now);
     if now - since > BEHIND_VALID_FOR {
-        // Heard of long ago; our watch has brought that one.
+        // The first report is old: this instance's watch has brought that
+        // version.
         instance.behind_since.set(Some(now));
     } else if now - since < RELIST_DELAY {
         instance.behind_since.set(Some(since));
@@ -232,7 +240,7 @@
     }
 }
 
-/// Takes in how much another instance has of what the operator changes.
+/// Records which state another instance has.
 pub(crate) fn record_state_summary(
     instance: &FleetInstance,
     from: &InstanceId,
@@ -280,7 +288,7 @@
     instance.notify_loader();
 }
 
-/// Takes in what customers ask of another instance, or of all.
+/// Records the demand of customers at another instance, or at all instances.
 fn record_customer_demand(
     instance: &FleetInstance,
     status: &Status,
@@ -305,7 +313,7 @@
     for arrived in arrivals {
         let LoadObservationReport { endpoint, key, is_there, ago_ms } =
             arrived;
-        // Its engine may take another load now.
+        // The engine that finished this load may take another one now.
         view.confirm_load(endpoint, key, *is_there);
         let Some(at) = now.checked_sub(Duration::from_millis(*ago_ms)) else {
             continue;
@@ -315,8 +323,9 @@
     }
 }
 
-/// What two instances cannot reach is left out by all, and what it holds is
-/// brought elsewhere.
+/// Records that an instance could not reach an endpoint. Once two instances
+/// have reported it, tells all instances to avoid it; its adapters are then
+/// loaded elsewhere.
 fn record_unreachable(
     instance: &FleetInstance,
     endpoint: &EndpointId,
@@ -336,8 +345,8 @@
     instance.notify_notes();
 }
 
-/// Tells an instance at once where what it asks for already is; the rest it
-/// hears when it is placed.
+/// Tells an instance at once where the adapters that it asks for are already
+/// placed. It is told of the others when they are placed.
 fn send_known_placements(
     instance: &FleetInstance,
     sender: &NoteSender,
@@ -362,7 +371,7 @@
     }
 }
 
-/// Sends what this instance has to say, for ever.
+/// Sends the notes that are due. Never returns.
 pub(crate) async fn run_sender(
     instance: Rc<FleetInstance>,
     sender: Rc<NoteSender>,
@@ -443,7 +452,8 @@
     Topology { peers: instance.peers.borrow().len(), role }
 }
 
-/// A restart begins above what its last life can have reached.
+/// Returns a first sequence number that is above any of a previous run of this
+/// instance.
 fn initial_sequence() -> u64 {
     let since = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
@@ -451,9 +461,9 @@
     since.as_millis() as u64
 }
 
-/// Tells between two regular notes what was sent since the last one. Until
-/// it is heard others send to the same engines, and the holder of the lease may
-/// remove an adapter that is in use.
+/// Reports, between two regular status notes, what was sent to endpoints since
+/// the last one. Until other instances know of it, they send to the same
+/// engines, and the lease holder may remove an adapter that is in use.
 fn send_interim_status(
     instance: &FleetInstance,
     sender: &NoteSender,
@@ -461,7 +471,8 @@
     topology: Topology,
 ) {
     if topology.uses_relays() && topology.role == Role::Holder {
-        // What the holder sends itself is in the sums that it tells anyway.
+        // The holder's own requests are in the totals that it sends regularly
+        // anyway.
         instance.has_unreported_work.set(false);
         return;
     }
@@ -487,8 +498,8 @@
         .live_leader(Instant::now())
         .filter(|_| topology.uses_relays() && status.leads.is_none());
     if let Some(holder) = holder {
-        // The holder alone needs to know of adapters in use. Of two notes with
-        // one number it keeps the first.
+        // Only the holder needs to know which adapters are in use. Of two
+        // notes with the same sequence number, it keeps the first.
         let note = Note::Status(status.clone());
         sender.send_to_peer(instance, &holder.instance, &note);
         if !sequence.is_multiple_of(BROADCAST_EVERY) {
@@ -502,7 +513,7 @@
     sender.broadcast(instance, &Note::Status(status));
 }
 
-/// Returns what this instance says of itself now.
+/// Returns the current status of this instance.
 fn status(
     instance: &FleetInstance,
     sequence: u64,
@@ -574,7 +585,8 @@
     }
     let zone = instance.settings.zone.clone();
     let from = instance.id().clone();
-    // Matters to who must find another place for what requests wait for.
+    // Only needed for finding other places for the adapters that requests wait
+    // for.
     let saturated = match waiting.is_empty() {
         true => Vec::new(),
         false => instance.saturated_for(Instant::now()),
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -1,9 +1,9 @@
-//! Sends orders to engines, one after the other for each engine.
+//! Sends orders to engines, one at a time for each engine.
 //!
-//! The invariants: an order goes out only while the lease is current on our own
-//! clock, and each names how many orders its engine has taken, so that an order
-//! whose answer was lost is never carried out after a newer one. When the
-//! count is not known, the engine's report gives it.
+//! Invariants: an order is sent only while the lease is current by this
+//! instance's own clock. Each order states how many orders its engine has
+//! accepted before, so that an order whose answer was lost is never executed
+//! after a newer one. If that count is unknown, the engine's report gives it.
 
 use std::{cell::RefCell, collections::HashMap, rc::Rc, time::Duration};
 
@@ -21,19 +21,19 @@
 
 use super::{announcements, instance::FleetInstance, note_sender::NoteSender};
 
-/// What must be left of the lease when an order goes out: an order travels,
-/// and its engine may hear it only while the lease holds.
+/// The time that must be left of the lease when an order is sent. The order
+/// takes some time to arrive, and must reach its engine while the lease holds.
 const ORDER_MARGIN: Duration = Duration::from_millis(100);
 
-/// Orders to one engine that belong together: if one fails, those after it
-/// are not sent.
+/// Orders to one engine that depend on each other: if one fails, those after
+/// it are not sent.
 type Batch = (Epoch, Vec<Order>);
 
-/// A report shows orders that are this old. The platform says some hundred
-/// milliseconds.
+/// How old an order must be to show in an engine's report. The platform
+/// specifies some hundred milliseconds.
 const REPORT_LAG: Duration = Duration::from_millis(450);
 
-/// How many orders an engine has taken, as its queue knows it.
+/// How many orders an engine has accepted, as far as its queue knows.
 #[derive(Default)]
 struct OrdersTaken {
     epoch: Epoch,
@@ -41,7 +41,7 @@
     last_sent: Option<Instant>,
 }
 
-/// The queues of orders, by engine.
+/// The queues of orders, one for each engine.
 #[derive(Clone)]
 pub(crate) struct OrderQueues {
     instance: Rc<FleetInstance>,
@@ -59,7 +59,7 @@
         OrderQueues { instance, sender, loader, queues }
     }
 
-    /// Sends orders; those in a row for one engine belong together.
+    /// Sends orders. Consecutive orders for one engine depend on each other.
     pub(crate) fn dispatch(&self, epoch: Epoch, orders: Vec<Order>) {
         let mut batches: Vec<Vec<Order>> = Vec::new();
         for order in orders {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Forgets the queues of engines that are gone.
+    /// Drops the queues of engines that are gone.
     pub(crate) fn drop_stale_queues(&self) {
         let view = self.instance.view.borrow();
         let mut queues = self.queues.borrow_mut();
@@ -126,8 +126,9 @@
         }
     }
 
-    /// An order that cannot go out now. What was planned with it must not be
-    /// believed: the orders that follow would fill places that are taken.
+    /// Drops an order that cannot be sent now and reverts its planned effect.
+    /// Otherwise the orders after it would be planned for places that are
+    /// taken.
     fn drop_order(&self, epoch: Epoch, order: &Order) {
         tracing::info!(
             event = "order_dropped",
@@ -140,7 +141,7 @@
         self.cancel_load(order);
     }
 
-    /// Asks an engine what it holds, once its report shows our last order.
+    /// Asks an engine what it holds, once its report must show the last order.
     async fn sync(&self, order: &Order, taken: &mut OrdersTaken) {
         if self.is_cooling_down(&order.endpoint) {
             return;
@@ -204,8 +205,8 @@
             .is_some_and(|held| held.epoch == epoch && now >= held.order_from)
     }
 
-    /// Returns how many orders the engine has taken after this one, or nothing
-    /// if that is not known; then nothing more may be sent.
+    /// Sends an order. Returns how many orders the engine has accepted after
+    /// it, or none if that is unknown; then no further order may be sent.
     async fn send(
         &self,
         epoch: Epoch,
@@ -241,7 +242,8 @@
         );
         metrics::counter!("sedgewall_orders_total").increment(1);
         if self.instance.view.borrow().incarnation(&order.endpoint) != born {
-            // Whatever its engine said, it has started again since and forgotten it.
+            // Whatever the engine answered, it has restarted since and lost
+            // the effect of the order.
             tracing::info!(
                 event = "order_outlived",
                 endpoint = order.endpoint
@@ -252,7 +254,8 @@
         }
         let count = match (&answer, &order.task) {
             (OrderAnswer::Done, _) => Some(taken + 1),
-            // The place is free only after the runs there have ended.
+            // The place becomes free only after the requests that use it have
+            // ended.
             (OrderAnswer::Accepted, Task::Unload(_)) => None,
             (OrderAnswer::Accepted, _) => Some(taken + 1),
             (
@@ -285,7 +288,7 @@
         count
     }
 
-    /// Takes a load out of the count of those on their way.
+    /// Removes a load from the loads in flight.
     fn cancel_load(&self, order: &Order) {
         if let Task::Load(key, _) = &order.task {
             let mut times = self.instance.load_times.borrow_mut();
@@ -293,15 +296,15 @@
         }
     }
 
-    /// Notes that an engine has begun a load.
+    /// Records that an engine has begun a load.
     fn record_load_accepted(&self, order: &Order) {
         let Task::Load(key, _) = &order.task else { return };
         let mut times = self.instance.load_times.borrow_mut();
         times.order_accepted(&order.endpoint, key, Instant::now());
     }
 
-    /// Notes that an engine held the adapter already: nothing is loaded, so that
-    /// says nothing of what a load takes.
+    /// Records that an engine already held the adapter. Nothing is loaded, so
+    /// the answer shows nothing about load times.
     fn record_already_loaded(&self, order: &Order) {
         let Task::Load(key, _) = &order.task else { return };
         self.cancel_load(order);
