--- a/crates/sedgewalld/src/fleet/keys.rs
+++ b/crates/sedgewalld/src/fleet/keys.rs
@@ -1,11 +1,15 @@
-//! How sure this instance is to know which keys are in force.
+//! Freshness of the keys in force: how certain it is that this instance knows
+//! of every revoked key.
 //!
-//! A few instances watch the store's configuration, each change and its absence;
-//! the others ask them, and the store itself where their answers grow old. With
-//! 74 instances that is a seventh of the calls to the store that a watch at each
-//! takes, and one that is cut off from the store alone goes on to serve. The
-//! invariant: keys count as known only up to a moment that a call to the store
-//! confirmed, here or at an instance that was asked after it.
+//! A few instances watch the configuration in the store, both for changes and
+//! for their absence. The other instances ask these, and read the store
+//! themselves when the answers get too old. With 74 instances this takes a
+//! seventh of the calls to the store that a watch by each instance would, and
+//! an instance that alone is cut off from the store goes on serving.
+//!
+//! Invariant: keys count as known only up to a moment that a call to the store
+//! has confirmed, made by this instance or by the instance that was asked,
+//! after the question.
 
 use std::{
     cell::{Cell, RefCell},
@@ -24,26 +28,28 @@
 
 use super::{instance::FleetInstance, note_sender::NoteSender, notes};
 
-/// Instances that watch for all. Three may be cut off at once and one still
-/// answers.
+/// The number of instances that watch the configuration for all others. With
+/// three of them cut off at once, one still answers.
 const WATCHERS: usize = 4;
 
-/// How often an instance that asks nobody looks whether it has to.
+/// The interval at which an instance that asks nobody checks whether it has
+/// to.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// While the store is asked, it is not asked again.
+/// The minimum interval between two reads of the store.
 const READ_INTERVAL: Duration = Duration::from_millis(600);
 
-/// What an instance knows of the keys in force.
+/// What an instance knows about the keys in force.
 pub(crate) struct Keys {
     known: Cell<KeyFreshness>,
     asking: RefCell<FreshnessPoll>,
-    /// Whom the last question went to.
+    /// The instance that the last question was sent to.
     last_asked: RefCell<Option<InstanceId>>,
-    /// Whether this instance watches for all.
+    /// Whether this instance is one of those that watch the configuration for
+    /// all others.
     is_watching: Cell<bool>,
     read_at: Cell<Option<Instant>>,
-    /// Whether it was logged that it is not sure.
+    /// Whether it was logged that keys are no longer certain to be known.
     has_logged_stale: Cell<bool>,
 }
 
@@ -59,7 +65,7 @@
         }
     }
 
-    /// Takes in that all changes of the configuration before a moment are known.
+    /// Records that all changes of the configuration before `until` are known.
     pub(crate) fn confirm(&self, until: Instant) {
         let mut known = self.known.get();
         known.confirm(until);
@@ -70,8 +76,8 @@
         }
     }
 
-    /// Returns whether it is sure which keys are in force; one line when that is
-    /// no longer so.
+    /// Returns whether all keys in force are certain to be known. Logs a line
+    /// when that ceases to be so.
     pub(crate) fn are_fresh(&self) -> bool {
         let known = self.known.get();
         let now = Instant::now();
@@ -85,8 +91,8 @@
     }
 }
 
-/// Returns how long the next watch of the configuration waits, if this instance is
-/// one of those that watch for all.
+/// Returns the timeout of the next watch of the configuration, if this
+/// instance is one of those that watch it for all others.
 pub(crate) fn watch_timeout(instance: &FleetInstance) -> Option<Duration> {
     let is_watching = instance.has_customers() && instance.rank(0) < WATCHERS;
     instance.keys.is_watching.set(is_watching);
@@ -94,7 +100,8 @@
     wait.filter(|_| is_watching)
 }
 
-/// Asks those that watch, and the store where that is not enough, for ever.
+/// Keeps the known keys fresh by asking the instances that watch, and by
+/// reading the store where that is not enough. Never returns.
 pub(crate) async fn keep_fresh(
     instance: Rc<FleetInstance>,
     sender: Rc<NoteSender>,
@@ -113,7 +120,8 @@
     }
 }
 
-/// Returns when to ask, if this instance does.
+/// Returns the time until the next question, or none if this instance asks
+/// nobody.
 fn next_question_in(instance: &FleetInstance) -> Option<Duration> {
     let asks = instance.has_customers() && !instance.keys.is_watching.get();
     let asking = instance.keys.asking.borrow();
@@ -121,7 +129,8 @@
     due.filter(|_| asks)
 }
 
-/// Makes the configuration be listed with all that was acknowledged.
+/// Makes the configuration be listed again, including everything that the
+/// store has acknowledged.
 fn reread(instance: &FleetInstance, now: Instant) {
     let keys = &instance.keys;
     if keys.read_at.get().is_some_and(|at| now < at + READ_INTERVAL) {
@@ -148,8 +157,9 @@
     );
 }
 
-/// Gets a newer configuration from an instance that has it; the next question says
-/// whether that is the newest. From the store it is read once what is known is old.
+/// Fetches a newer configuration from an instance that has it; the next
+/// question shows whether that is the newest one. If no instance is known to
+/// have it, reads the store.
 fn fetch_newer(
     instance: &FleetInstance,
     peer: Option<&InstanceId>,
@@ -162,7 +172,7 @@
     instance.notify_catch_up();
 }
 
-/// Answers another instance.
+/// Answers a question of another instance.
 pub(crate) fn answer(
     instance: &FleetInstance,
     sender: &NoteSender,
@@ -174,14 +184,15 @@
     };
     let answer = Note::FreshnessAnswer {
         number,
-        // Rounded up: what is said to be known must be.
+        // Rounded up, so that the answer never claims too much.
         age_ms: age.as_millis() as u64 + 1,
         configuration: instance.configuration_version().unwrap_or(0),
     };
     sender.send_to_peer(instance, from, &answer);
 }
 
-/// Hears an answer. Where a newer version is in force there, that is asked for first.
+/// Applies an answer. If a newer configuration is in force at the other
+/// instance, that one is fetched first.
 pub(crate) fn apply_answer(
     instance: &FleetInstance,
     number: u64,
--- a/crates/sedgewalld/src/fleet/list_watch.rs
+++ b/crates/sedgewalld/src/fleet/list_watch.rs
@@ -1,7 +1,9 @@
-//! Follows one kind of objects in the platform's store.
+//! Keeps one kind of objects in the platform's store up to date by listing and
+//! watching them.
 //!
-//! Each kind is listed once and then watched. While the store is out, what was
-//! known stays in force; what a kind means is for its [`Follower`].
+//! Each kind is listed once and then watched. While the store is out, the last
+//! known state stays in force. What to do with the objects is up to the
+//! [`ObjectHandler`] of the kind.
 
 use std::{pin::pin, rc::Rc, time::Duration};
 
@@ -16,60 +18,64 @@
 
 use super::{instance::FleetInstance, notify::Notify};
 
-/// How long a watch waits, but for that of endpoints. Each call has a price, and what
-/// other instances know in a newer version is listed soon. It is well within the
-/// history that the store keeps: a watch that waits longer finds its revision gone.
+/// The timeout of a watch of any kind but endpoints. Calls to the store are
+/// billed, and what another instance reports in a newer version is listed soon
+/// anyway. The timeout is well within the history that the store keeps: a
+/// longer watch finds its revision gone.
 pub(crate) const DEFAULT_WATCH_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// Instances that watch with all that was acknowledged. Three may be cut off at
-/// once and one still tells all others.
+/// The number of instances whose watches include everything that the store has
+/// acknowledged. With three of them cut off at once, one still tells all
+/// others.
 pub(crate) const FRESH_WATCHERS: usize = 4;
 
-/// The longest time for the answer to a probe: the lease leaves 0.85 s from the
-/// first renewal that fails.
+/// The timeout of a probe of the store. The lease leaves 0.85 s from the first
+/// renewal that fails.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// While a probe says that the store is out, and no other call has reached it,
-/// it is probed again after this long.
+/// The pause between probes while they show that the store is out and no other
+/// call has reached it.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Takes in the objects of one kind.
+/// Handles the objects of one kind.
 pub(crate) trait ObjectHandler {
     const KIND: &'static str;
     const WATCH_TIMEOUT: Duration;
-    /// How new the first list has to be. What the watch tells next follows on
-    /// it, so a start is cheap where a second more does no harm.
+    /// How fresh the first list must be. The next watch continues from it, so
+    /// a cheap, older list suffices where one more second does no harm.
     const FIRST_LIST_FRESHNESS: Freshness = Freshness::SecondsOld;
-    /// The pause before the next watch.
+    /// Returns the pause before the next watch.
     fn pause(&self) -> Duration {
         Duration::ZERO
     }
-    /// Notified when all is to be listed anew.
+    /// Returns the notification that makes all objects of the kind be listed
+    /// again.
     fn relist_notify(&self) -> Rc<Notify>;
-    /// Whether its calls, and no other kind's, are tried soon while the store is
-    /// out, at an instance that does not watch for the others.
+    /// Whether calls for this kind, and for no other, are retried soon while
+    /// the store is out. Applies to instances that do not watch for all
+    /// others.
     const RETRIES_EARLY: bool = false;
-    /// Returns whether others were heard to know more than the last list and
-    /// watch have shown; told once.
+    /// Returns whether other instances have reported newer state than the last
+    /// list or watch has shown, and resets that.
     fn take_behind(&self) -> bool {
         false
     }
-    /// Returns how new a watch has to be and how long it waits, if that does not
-    /// go by our rank.
+    /// Returns the freshness and the timeout of the next watch, if they do not
+    /// depend on this instance's rank.
     fn watch_override(&self) -> Option<(Freshness, Duration)> {
         None
     }
-    /// Takes in that the store answered a call that was sent at a moment.
+    /// Records that the store answered a call that was sent at `sent`.
     fn record_read(&self, _sent: Instant) {}
-    /// Takes in that all changes before a moment are known.
+    /// Records that all changes before `until` are known.
     fn confirm(&self, _until: Instant) {}
-    /// Takes in all objects.
+    /// Handles a complete list of the objects.
     fn handle_list(&self, listing: Listing);
-    /// Takes in one change.
+    /// Handles one change.
     fn handle_change(&self, change: Change);
 }
 
-/// Starts to follow one kind.
+/// Starts to list and watch one kind of objects.
 pub(crate) fn spawn<F: ObjectHandler + 'static>(
     instance: &Rc<FleetInstance>,
     handler: F,
@@ -77,17 +83,19 @@
     compio::runtime::spawn(run(instance.clone(), handler)).detach();
 }
 
-/// How far the following of one kind has come.
+/// The state of listing and watching one kind of objects.
 struct ListWatch<F> {
     instance: Rc<FleetInstance>,
     handler: F,
-    /// Where the next watch goes on; without it, all is listed.
+    /// The revision that the next watch continues from. If there is none, all
+    /// objects are listed.
     since: Option<Revision>,
-    /// How new the next list has to be, if that does not go by our rank.
+    /// How fresh the next list must be, if that does not depend on this
+    /// instance's rank.
     list_freshness_override: Option<Freshness>,
-    /// How new the last watch had to be.
+    /// How fresh the last watch had to be.
     watch_freshness: Freshness,
-    /// Whether the last call of this kind failed.
+    /// Whether the last call for this kind failed.
     last_call_failed: bool,
     back_off: BackOff,
 }
@@ -109,7 +117,7 @@
 }
 
 impl<F: ObjectHandler> ListWatch<F> {
-    /// Lists or watches once, and pauses as its outcome asks for.
+    /// Lists or watches once, and then pauses as the outcome requires.
     async fn step(&mut self) {
         let sent = Instant::now();
         let done = match self.since {
@@ -118,19 +126,20 @@
         };
         match done {
             Ok(Some(revision)) => self.on_success(revision).await,
-            // What was watched is to be listed anew.
+            // A notification asks for a list of all objects.
             Ok(None) => self.since = None,
             Err(StoreError::HistoryGone) => {
                 tracing::warn!(event = "history_gone", kind = F::KIND);
                 self.since = None;
-                // What is seconds old may lie before the history that is left.
+                // A list that may be seconds old may lie before the history
+                // that the store still has.
                 self.list_freshness_override = Some(Freshness::Newest);
             }
             Err(err) => self.on_failure(sent, &err).await,
         }
     }
 
-    /// Lists all objects, which answers every notification until now.
+    /// Lists all objects, which answers all notifications up to now.
     async fn list(&mut self) -> Result<Revision, StoreError> {
         self.handler.relist_notify().clear();
         let freshness = self.next_list_freshness();
@@ -153,10 +162,12 @@
         Ok(revision)
     }
 
-    /// Returns how new the next list has to be. Most instances list for a tenth
-    /// of the price after an outage, and hear in notes if that was too old: 195
-    /// instances that list four kinds with all that was acknowledged are 780 calls
-    /// at once.
+    /// Returns how fresh the next list must be.
+    ///
+    /// After an outage, most instances list with [`Freshness::SecondsOld`],
+    /// for a tenth of the price, and learn from notes if the list was too old.
+    /// If 195 instances listed four kinds with [`Freshness::Newest`], that
+    /// would be 780 calls at once.
     fn next_list_freshness(&self) -> Freshness {
         match self.list_freshness_override {
             Some(freshness) => freshness,
@@ -168,7 +179,8 @@
         }
     }
 
-    /// Waits for changes; returns nothing if the notify rang before any came.
+    /// Waits for changes. Returns none if the kind was to be listed again
+    /// before any came.
     async fn watch(
         &mut self,
         since: Revision,
@@ -195,7 +207,8 @@
             () = notified => return Ok(None),
         };
         log_unreadable(F::KIND, &changes.unreadable);
-        // A watch that ended without a change has waited at the store.
+        // A watch that ends without a change has waited its whole timeout at
+        // the store, so the state is known up to its end.
         let is_empty =
             changes.changes.is_empty() && changes.unreadable.is_empty();
         let has_timed_out = is_empty && sent.elapsed() >= wait;
@@ -217,7 +230,7 @@
         Ok(Some(changes.revision))
     }
 
-    /// Goes on from a revision after the follower's pause.
+    /// Continues from a revision after the handler's pause.
     async fn on_success(&mut self, revision: Revision) {
         self.instance.record_store_success();
         let notify = self.handler.relist_notify();
@@ -228,25 +241,27 @@
         self.back_off.answered();
         let pause = self.handler.pause();
         let is_notified = !pause.is_zero() && notify.wait(pause).await;
-        // After a long pause, what follows on the revision may be gone.
+        // After a long pause, the store may have dropped the changes that
+        // follow the revision.
         let is_old = pause > DEFAULT_WATCH_TIMEOUT;
         self.since = (!is_notified && !is_old).then_some(revision);
     }
 
-    /// Waits before the next call, or until another kind reaches the store: the
-    /// first one that does notifies the others.
+    /// Waits before the next call, or until another kind has reached the
+    /// store. The first kind that reaches it notifies the others.
     async fn on_failure(&mut self, sent: Instant, err: &StoreError) {
         self.instance.record_store_failure(sent, err);
         let cause = err.to_string();
         if !std::mem::replace(&mut self.last_call_failed, true) {
             tracing::warn!(event = "store_lost", kind = F::KIND, cause);
             if !F::RETRIES_EARLY {
-                // Its watch may wait on a channel that says nothing further.
+                // The watch of the configuration may be open on a connection
+                // that brings nothing more.
                 self.instance.configuration_notify.notify();
             }
         }
-        // A watch answers only once something changes; a list tells at once
-        // that the store is regained, and what was missed.
+        // A watch answers only on a change. A list shows at once that the
+        // store is back, and what was missed.
         let is_list = self.since.take().is_none();
         let calls = match rank_freshness(&self.instance) {
             Freshness::Newest => CallKind::Watcher,
@@ -266,9 +281,12 @@
         self.wait_for_retry(pause).await;
     }
 
-    /// Waits for a time, or until another kind has reached the store. That
-    /// others know more does not make the store answer us: 68 instances that
-    /// the store turned away for 9 s tried each time they heard so, 1,100 calls.
+    /// Waits until the timeout, or until another kind has reached the store.
+    ///
+    /// Notifications are ignored while the store is out: reports of newer
+    /// state do not mean that the store answers this instance. Retrying on
+    /// each of them, 68 instances that the store turned away for 9 s made
+    /// 1,100 calls.
     async fn wait_for_retry(&self, pause: Duration) {
         let notify = self.handler.relist_notify();
         let until = Instant::now() + pause;
@@ -283,15 +301,17 @@
     }
 }
 
-/// One line for each object of which not even the name can be read.
+/// Logs one line for each object whose name cannot even be read.
 fn log_unreadable(kind: &str, causes: &[String]) {
     for cause in causes {
         tracing::error!(event = "object_unreadable", kind, cause);
     }
 }
 
-/// A few instances hear everything at once and tell the others, who watch for
-/// a tenth of the price and repair with it what notes lost.
+/// Returns how fresh the next watch must be, by this instance's rank.
+///
+/// A few instances get all changes at once and tell the others. Those watch
+/// for a tenth of the price, which makes up for lost notes.
 fn next_watch_freshness(
     instance: &FleetInstance,
     before: Freshness,
@@ -312,8 +332,8 @@
     }
 }
 
-/// Sees whether the store answers, for the holder of the lease to hear. Our own
-/// watches may still wait on connections that were made before an outage.
+/// Probes whether the store answers and reports that to the lease holder.
+/// Watches may still wait on connections from before an outage.
 pub(crate) fn probe_store(instance: &Rc<FleetInstance>) {
     if !instance.store_contact.borrow_mut().begin_probe() {
         return;
@@ -342,7 +362,7 @@
     .detach();
 }
 
-/// Waits for a notify.
+/// Waits for a notification.
 async fn notified(notify: &Notify) {
     while !notify.wait(DEFAULT_WATCH_TIMEOUT).await {}
 }
--- a/crates/sedgewalld/src/fleet/watch_configuration.rs
+++ b/crates/sedgewalld/src/fleet/watch_configuration.rs
@@ -1,6 +1,7 @@
-//! Follows the configuration and the versions of weights.
+//! Handlers for the configuration and for the versions of weights in the
+//! store.
 //!
-//! The invariant: a configuration is never replaced by an older one.
+//! Invariant: a configuration is never replaced by an older one.
 
 use std::{rc::Rc, time::Duration};
 
@@ -20,18 +21,20 @@
     store::{Change, Freshness, Listing, StoredObject},
 };
 
-/// Takes in the operator's configuration.
+/// Handles the operator's configuration.
 pub(crate) struct Configuration(pub(crate) Rc<FleetInstance>);
 
-/// Takes in named versions of weights.
+/// Handles the announced versions of weights.
 pub(crate) struct Versions(pub(crate) Rc<FleetInstance>);
 
 impl ObjectHandler for Configuration {
     const KIND: &'static str = CONFIG_KIND;
-    /// An older configuration must not be in force after a newer one.
+    /// The first list must be the newest, because an older configuration must
+    /// not come into force after a newer one.
     const FIRST_LIST_FRESHNESS: Freshness = Freshness::Newest;
     const WATCH_TIMEOUT: Duration = DEFAULT_WATCH_TIMEOUT;
-    /// Without the newest one, requests are refused.
+    /// Retried first, because requests are refused while the newest
+    /// configuration is missing.
     const RETRIES_EARLY: bool = true;
 
     fn relist_notify(&self) -> Rc<Notify> {
@@ -42,8 +45,8 @@
         self.0.is_configuration_behind.take()
     }
 
-    /// Where keys must stop in time, a few instances watch for the newest, and the
-    /// others ask these.
+    /// Where revoked keys must stop working within a time limit, a few
+    /// instances watch for the newest configuration, and the others ask these.
     fn watch_override(&self) -> Option<(Freshness, Duration)> {
         let wait = keys::watch_timeout(&self.0)?;
         Some((Freshness::Newest, wait))
@@ -67,7 +70,7 @@
     }
 
     fn handle_change(&self, change: Change) {
-        // A configuration that is gone stays in force.
+        // A configuration stays in force when its object is deleted.
         if !change.is_deleted {
             self.apply(&change.object);
         }
@@ -94,7 +97,7 @@
     }
 }
 
-/// Where a configuration comes from.
+/// The origin of a configuration.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Source {
     Store,
@@ -111,7 +114,7 @@
     }
 }
 
-/// Puts a configuration in force if it is newer than the one that is.
+/// Puts a configuration in force if it is newer than the current one.
 pub(crate) fn put_in_force(
     instance: &FleetInstance,
     routing: RoutingConfiguration,
--- a/crates/sedgewalld/src/fleet/watch_endpoints.rs
+++ b/crates/sedgewalld/src/fleet/watch_endpoints.rs
@@ -1,8 +1,8 @@
-//! Follows the platform's list of endpoints.
+//! Handler for the platform's list of endpoints.
 //!
-//! The invariant: an endpoint that the store shows as leaving or gone, to us or
-//! to any instance that we hear, gets no new work, but for the time after an
-//! outage in which entries that lapsed come back.
+//! Invariant: an endpoint that the store shows as leaving or gone, to this
+//! instance or to any instance that it has notes from, gets no new requests.
+//! The exception is a time after an outage in which lapsed entries come back.
 
 use std::{
     cell::RefCell,
@@ -23,31 +23,32 @@
     instance::FleetInstance, list_watch::ObjectHandler, notify::Notify, poison,
 };
 
-/// How long a watch of endpoints waits for a change. A channel that went dead
-/// without a word is noticed after this time; then all is listed anew.
+/// The timeout of a watch of endpoints. A connection that died silently is
+/// detected after this time, and then all endpoints are listed again.
 const ENDPOINTS_WATCH_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// The pause between two watches of endpoints, so that many changes come in
-/// one call. A leaving endpoint may get work for 2 s after the store has taken
-/// its word.
+/// The pause between two watches of endpoints, so that one call brings many
+/// changes. A leaving endpoint may get requests for 2 s after the store has
+/// acknowledged that it leaves.
 const ENDPOINTS_PAUSE: Duration = Duration::from_millis(650);
 
-/// What each instance adds to this pause: the first one that sees an endpoint
-/// leave tells all others.
+/// The minimum pause per other instance. With many instances each may pause
+/// for longer, because the first one that sees an endpoint leave tells all
+/// others.
 const PAUSE_PER_INSTANCE: Duration = Duration::from_millis(40);
 
-/// The longest pause between two watches of endpoints.
+/// The maximum pause between two watches of endpoints.
 const MAX_PAUSE: Duration = Duration::from_millis(2_500);
 
-/// An entry that is missing so soon after the store was regained may have lapsed
-/// while it was out: twice what a lapsed one takes to be back.
+/// How long after the store came back a missing entry may have lapsed in the
+/// outage: twice the time that a lapsed entry takes to come back.
 const LAPSE_DOUBT_WINDOW: Duration = Duration::from_secs(4);
 
-/// Takes in the entries of endpoints.
+/// Handles the entries of endpoints.
 pub(crate) struct Endpoints {
     instance: Rc<FleetInstance>,
-    /// Endpoints whose entries are gone, and may be back soon, with the revision
-    /// at which they were missing.
+    /// Endpoints whose entries lapsed and may come back soon, with the
+    /// revision at which they were missing.
     lapsed: Rc<RefCell<HashMap<EndpointId, Revision>>>,
 }
 
@@ -69,7 +70,7 @@
             listing.objects.iter().filter_map(decoded).collect();
         let listed: HashSet<&EndpointId> =
             read.iter().map(|endpoint| &endpoint.id).collect();
-        // A list that is seconds old does not show what is newer.
+        // A list that may be seconds old does not show newer entries.
         let known: Vec<EndpointId> = self
             .instance
             .view
@@ -98,7 +99,8 @@
         }
         match decoded(&object) {
             Some(endpoint) => self.apply(endpoint),
-            // It names no endpoint now, whatever it named before.
+            // The entry no longer describes an endpoint, whatever it described
+            // before.
             None => self.entry_missing(&object.name, object.revision),
         }
         broadcast_departures(&self.instance);
@@ -111,11 +113,11 @@
         Endpoints { instance: instance.clone(), lapsed: Rc::default() }
     }
 
-    /// Takes in an entry.
+    /// Applies an entry.
     fn apply(&self, endpoint: Endpoint) {
         let mut view = self.instance.view.borrow_mut();
-        // One that is there again belongs to the same life of its endpoint, but
-        // what that holds is asked for anew.
+        // An entry that comes back belongs to the same incarnation of the
+        // endpoint, but the engine must report again what it holds.
         if self.lapsed.borrow_mut().remove(&endpoint.id).is_some() {
             view.invalidate_contents(&endpoint.id);
         }
@@ -135,9 +137,9 @@
         view.apply_entry(endpoint, Instant::now());
     }
 
-    /// Takes an endpoint out whose entry was missing at a revision of the store.
-    /// Just after an outage it may have lapsed meanwhile, and is waited for: a
-    /// live endpoint writes it again.
+    /// Removes an endpoint whose entry was missing at a revision of the store.
+    /// Just after an outage the entry may only have lapsed, so the removal is
+    /// delayed: a live endpoint writes its entry again.
     fn entry_missing(&self, id: &EndpointId, revision: Revision) {
         let now = Instant::now();
         let contact = self.instance.store_contact.borrow();
@@ -163,7 +165,8 @@
         let id = id.clone();
         compio::runtime::spawn(async move {
             compio::time::sleep(left).await;
-            // One that came back and lapsed again has a wait of its own.
+            // The entry came back, or came back and lapsed again, which has a
+            // delay of its own.
             if lapsed.borrow().get(&id) != Some(&revision) {
                 return;
             }
@@ -190,8 +193,8 @@
     instance.view.borrow_mut().remove_entry(id, revision, is_sure, now);
 }
 
-/// Tells all others of endpoints that we saw leave: their watches may be late,
-/// or their way to the store cut.
+/// Tells all other instances of endpoints that this one has seen leave. Their
+/// watches may be late, or their path to the store cut.
 pub(crate) fn broadcast_departures(instance: &FleetInstance) {
     let untold = instance.view.borrow_mut().take_unsent_departures();
     if untold.is_empty() {
--- a/crates/sedgewalld/src/fleet/watch_instances.rs
+++ b/crates/sedgewalld/src/fleet/watch_instances.rs
@@ -1,4 +1,5 @@
-//! Follows the entries of the other instances, and writes our own.
+//! Handler for the entries of the other instances, and the task that writes
+//! this instance's own entry.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -17,31 +18,32 @@
     notify::Notify,
 };
 
-/// The kind of our own instances' entries.
+/// The kind of instance entries in the store.
 pub(crate) const INSTANCES_KIND: &str = "sedgewall-instances";
 
-/// The pause between two watches of instances: all write their entries when
-/// all start, and each that is watched would wake all others.
+/// The pause between two watches of instances. At a start of the system all
+/// instances write their entries, and each write would otherwise wake the
+/// watches of all others.
 const INSTANCES_PAUSE: Duration = Duration::from_millis(1_500);
 
 /// How long an instance waits for the first list before it writes its entry.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How often it looks whether the list is there.
+/// The interval at which it checks for that list.
 const FIRST_LIST_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What an instance tells the others about itself.
+/// The entry of an instance in the store.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct InstanceEntry {
-    /// Where its notes go.
+    /// The address that its notes are sent to.
     notes_address: SocketAddr,
-    /// Where it is.
+    /// Its availability zone.
     zone: ZoneName,
-    /// The part of a processor that it has, in hundredths.
+    /// The share of a processor core that it has, in percent.
     cpu_percent: u32,
 }
 
-/// Takes in the entries of the other instances.
+/// Handles the entries of the other instances.
 pub(crate) struct Instances(pub(crate) Rc<FleetInstance>);
 
 impl ObjectHandler for Instances {
@@ -104,7 +106,7 @@
     }
 }
 
-/// Writes our own entry, until the store has it.
+/// Writes this instance's own entry, with retries until the store has it.
 pub(crate) async fn register(instance: Rc<FleetInstance>) {
     let entry = InstanceEntry {
         notes_address: instance.settings.peer_listen,
@@ -112,8 +114,8 @@
         cpu_percent: instance.cpu_percent(),
     };
     let Ok(spec) = serde_json::to_value(&entry) else { return };
-    // An instance that starts again at its address finds its entry in the first
-    // list; the write would change nothing, and has the price of a call.
+    // An instance that restarts at the same address finds its entry in the
+    // first list. Writing it again would change nothing and still be billed.
     let until = Instant::now() + FIRST_LIST_TIMEOUT;
     while !instance.has_listed_instances.get() && Instant::now() < until {
         compio::time::sleep(FIRST_LIST_POLL_INTERVAL).await;
@@ -136,7 +138,7 @@
     let written =
         instance.store.create(INSTANCES_KIND, instance.id(), spec).await;
     match written {
-        // A start at the same address changes nothing.
+        // A restart at the same address changes nothing.
         Err(StoreError::Conflict(Some(known))) if known.spec == *spec => {
             Ok(())
         }
--- a/crates/sedgewalld/src/fleet/watch_poison.rs
+++ b/crates/sedgewalld/src/fleet/watch_poison.rs
@@ -1,8 +1,10 @@
-//! Keeps condemned requests in the platform's store, and follows what stands there.
+//! Keeps the records of condemned requests in the platform's store, and
+//! handles changes of them.
 //!
-//! What instances know ends with them, and one that hears no other learns it from
-//! the store alone. Each condemned request is an object named by its digest; an
-//! operator who deletes one lets its request go.
+//! The instances' own knowledge ends with their processes, and an instance
+//! that gets no notes learns of condemned requests from the store alone. Each
+//! condemned request is an object that is named by its digest. An operator
+//! releases a request by deleting its object.
 
 use std::{
     cell::Cell,
@@ -31,63 +33,64 @@
     poison,
 };
 
-/// The kind of condemned requests.
+/// The kind of records of condemned requests in the store.
 const POISON_KIND: &str = "sedgewall-poison-requests";
 
-/// What each instance that comes before this one adds to the time after which it
-/// writes what another one may write, so that one of them does.
+/// The delay per rank before an instance writes a record, so that only one
+/// instance writes it.
 const WRITE_DELAY_PER_RANK: Duration = Duration::from_millis(250);
 
-/// How long an instance that does not watch for the others waits before it lists the
-/// records again. It hears of them in notes; a list repairs what notes lost. Where
-/// all watch, as they do for the configuration, calls to the store are 11 of 100 more
-/// with 79 instances.
+/// The interval at which an instance that does not watch the records lists
+/// them. It learns of them from notes; the list makes up for lost notes. If
+/// all instances watched them, as they do the configuration, there would be 11
+/// of 100 more calls to the store with 79 instances.
 const RELIST_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Until it has listed the others, each instance takes itself for the first. Those
-/// that start together find each other's entries 1.5 s later; 79 that all began with a
+/// The delay before the first watch. Until an instance has listed the others,
+/// it ranks itself first; instances that start together find each other's
+/// entries 1.5 s later. Without the delay, 79 instances that each began with a
 /// watch of their own made 74 calls more.
 const FIRST_WATCH_DELAY: Duration = Duration::from_secs(2);
 
-/// How often it is looked for records that are over.
+/// The interval at which expired records are looked for.
 const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_secs(30);
 
-/// How long a record that is over stays beyond its time: clocks of instances differ
-/// by seconds.
+/// How long a record is kept after it expires, because the clocks of instances
+/// differ by seconds.
 const EXPIRY_MARGIN: Duration = Duration::from_secs(60);
 
-/// What stands in the store of one condemned request.
+/// The record of one condemned request in the store.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct PoisonRecord {
-    /// The endpoints that ended under it.
+    /// The endpoints that crashed under the request.
     endpoints: Vec<EndpointIncarnation>,
     /// When it was condemned, in milliseconds of Unix time.
     condemned_unix_ms: u64,
 }
 
-/// The records in the store, as far as they are known.
+/// The known records in the store.
 #[derive(Debug, Default)]
 pub(crate) struct PoisonRecords(HashMap<RequestDigest, KnownRecord>);
 
 #[derive(Clone, Copy, Debug)]
 struct KnownRecord {
     revision: Revision,
-    /// When it is over.
+    /// When the record may be deleted.
     expires_at: Instant,
-    /// Whether a run of the request has ended well since.
+    /// Whether a run of the request has succeeded since.
     is_refuted: bool,
 }
 
-/// What is to be done in the store.
+/// A pending change of the records in the store.
 enum RecordChange {
     Write(Condemned),
     Delete(RequestDigest, Revision),
 }
 
-/// Takes in the records of condemned requests.
+/// Handles the records of condemned requests.
 pub(crate) struct PoisonRequests {
     instance: Rc<FleetInstance>,
-    /// Whether it has not paused yet.
+    /// Whether the first pause is still to come.
     is_first: Cell<bool>,
 }
 
@@ -114,7 +117,7 @@
             let name = digest.to_string();
             listing.objects.iter().any(|object| object.name == name)
         };
-        // A list that is seconds old does not show what is newer.
+        // A list that may be seconds old does not show newer records.
         let gone: Vec<RequestDigest> = self
             .instance
             .poison_records
@@ -181,8 +184,8 @@
         wake_record_keeper(&self.instance);
     }
 
-    /// Lets a request go whose record was deleted: it is over, or an operator says
-    /// so.
+    /// Releases a request whose record was deleted, because it expired or by
+    /// an operator.
     fn record_gone(&self, digest: RequestDigest) {
         if self
             .instance
@@ -203,8 +206,9 @@
     instance.rank(0) < FRESH_WATCHERS
 }
 
-/// Begins to watch the records if that has become this instance's part: those before
-/// it have left, or it hears them no longer.
+/// Updates whether this instance watches the records for all instances, and
+/// starts to watch if it newly does, because the instances that came before it
+/// have left or are silent.
 pub(crate) fn update_watcher_role(instance: &FleetInstance) {
     let is_watcher = is_watcher(instance);
     if is_watcher && !instance.is_poison_watcher.replace(is_watcher) {
@@ -213,7 +217,8 @@
     instance.is_poison_watcher.set(is_watcher);
 }
 
-/// Notes that a run of a request ended well: its record is to go.
+/// Marks the record of a request for deletion, because a run of the request
+/// succeeded.
 pub(crate) fn mark_refuted(instance: &FleetInstance, digest: RequestDigest) {
     if let Some(known) =
         instance.poison_records.borrow_mut().0.get_mut(&digest)
@@ -223,18 +228,20 @@
     wake_record_keeper(instance);
 }
 
-/// Wakes the part that keeps the records.
+/// Wakes the task that keeps the records.
 pub(crate) fn wake_record_keeper(instance: &FleetInstance) {
     instance.poison_records_notify.notify();
 }
 
-/// Writes what is condemned and not in the store, and deletes what is over, for ever.
+/// Writes missing records of condemned requests, and deletes expired ones.
+/// Never returns.
 pub(crate) async fn keep_records(instance: Rc<FleetInstance>) {
     let mut back_off = BackOff::default();
     loop {
         instance.poison_records_notify.wait(EXPIRY_CHECK_INTERVAL).await;
         while let Some(pending) = next_change(&instance) {
-            // Whoever comes first does it, and tells the others by it.
+            // The instance of the first rank makes the change, which the
+            // others then see in the store.
             let rank = instance.rank(0) as u32;
             compio::time::sleep(WRITE_DELAY_PER_RANK * rank).await;
             if !is_still_due(&instance, &pending) {
@@ -320,7 +327,8 @@
     let revision = match instance.store.create(POISON_KIND, &name, &spec).await
     {
         Ok(object) => object.revision,
-        // Another instance has written it; until it is read, no list shows that it
+        // Another instance has written the record. Its revision is unknown
+        // until it is read, and until then no list counts as showing that it
         // is gone.
         Err(StoreError::Conflict(known)) => {
             known.map_or(Revision::MAX, |object| object.revision)
