--- a/crates/sedgewalld/src/fleet/catch_up.rs
+++ b/crates/sedgewalld/src/fleet/catch_up.rs
@@ -1,8 +1,10 @@
-//! Gets from other instances what this one misses, and gives them what they miss.
+//! State transfer between instances: fetches from other instances what this
+//! one is missing, and serves them what they are missing.
 //!
-//! A configuration may be longer than a datagram, so it is asked for over HTTP, at
-//! the port at which notes come as datagrams. It comes whole or not at all, and is
-//! taken in like one that was read from the store: only ever forward.
+//! A configuration may be larger than a datagram, so it is transferred over
+//! HTTP, on the port that receives notes as UDP datagrams. It arrives whole or
+//! not at all and is applied like one read from the store: an older version
+//! never replaces a newer one.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -23,44 +25,45 @@
     watch_configuration::{Source, put_in_force},
 };
 
-/// The path of what an instance misses.
+/// The path at which instances serve missing state.
 const MISSED_PATH: &str = "/missed";
 
-/// Instances that are answered at once; the next one asks another. With 300 that are
-/// behind, the link of one would carry some megabytes else.
+/// The maximum number of instances served at once; any other asks another
+/// instance. Without the limit, 300 outdated instances would put some
+/// megabytes on the link of one.
 const MAX_SERVED_AT_ONCE: usize = 8;
 
-/// The longest time for a connection to another instance, which takes milliseconds.
+/// The timeout for connecting to another instance, which takes milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The longest time for an answer. 100 kB take 80 ms at 10 Mbit/s.
+/// The timeout for a response. 100 kB take 80 ms at 10 Mbit/s.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The longest time for a question to come in.
+/// The timeout for receiving a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The longest question, in bytes: two numbers.
+/// The maximum size of a request, in bytes. It holds a few numbers.
 const MAX_REQUEST_BYTES: usize = 256;
 
-/// How long an instance that misses nothing waits to be notified.
+/// How long an instance that is missing nothing waits for a notification.
 const IDLE_WAIT: Duration = Duration::from_secs(60);
 
-/// Error of asking another instance.
+/// An error of fetching missing state from another instance.
 #[derive(Debug, displaydoc::Display)]
 enum FetchError {
-    /// it has no entry, and was not heard directly
+    /// no known address: not listed, and no note came directly
     Unknown,
-    /// no answer in time
+    /// no response in time
     Unanswered,
     /// {0}
     Unreachable(SendError),
-    /// it answered {0}
+    /// unexpected response status {0}
     Refused(StatusCode),
-    /// unreadable: {0}
+    /// invalid request or response: {0}
     Unreadable(String),
 }
 
-/// Asks for what is missed, for ever.
+/// Fetches missing state whenever there is any. Never returns.
 pub(crate) async fn run(instance: Rc<FleetInstance>) {
     loop {
         let own = instance.knowledge();
@@ -156,7 +159,8 @@
         .map_err(|err| unreadable(err.to_string()))
 }
 
-/// Takes in what another instance has; returns whether any of it is news.
+/// Applies the state that another instance sent, and returns whether any of it
+/// is new.
 fn apply_missed(instance: &FleetInstance, missed: StateDelta) -> bool {
     let before = instance.knowledge();
     let now = Instant::now();
@@ -175,7 +179,7 @@
     instance.knowledge().has_more_than(before)
 }
 
-/// Answers other instances, for ever.
+/// Serves missing state to other instances. Never returns.
 pub(crate) async fn serve_peers(
     instance: Rc<FleetInstance>,
     listener: TcpListener,
@@ -210,7 +214,8 @@
     match rmp_serde::to_vec(&missing_for(&instance, known)) {
         Ok(body) => {
             let mut response = Response::new(LocalBody::whole(body));
-            // One question a connection, so that those that rest take no place.
+            // One request per connection, so that idle connections do not use
+            // up the limit.
             let close = header::HeaderValue::from_static("close");
             response.headers_mut().insert(header::CONNECTION, close);
             response
@@ -222,7 +227,7 @@
     }
 }
 
-/// Returns what an instance misses that knows so much.
+/// Returns the state that an instance with the given summary is missing.
 fn missing_for(instance: &FleetInstance, known: StateSummary) -> StateDelta {
     let newer = |version| version > known.configuration;
     let routing = instance.routing().filter(|d| newer(d.version));
