--- a/crates/sedgewalld/src/fleet/admit.rs
+++ b/crates/sedgewalld/src/fleet/admit.rs
@@ -104,8 +104,8 @@
     let Some(allowance) = customer.allowance else { return Ok(()) };
     let units = allowance.unit.count(tokens);
     let (now, instances) = (Instant::now(), instance.instance_count());
-    let mut shares = instance.shares.borrow_mut();
-    let taken = shares.take(customer, units, instances, now);
+    let mut rate_limiter = instance.rate_limiter.borrow_mut();
+    let taken = rate_limiter.take(customer, units, instances, now);
     taken.map_err(Reason::OverAllowance)
 }
 
@@ -119,5 +119,5 @@
     let Some(allowance) = customer.allowance else { return };
     let tokens = call.facts.prompt_tokens + call.facts.answer_tokens;
     let units = allowance.unit.count(tokens);
-    instance.shares.borrow_mut().refund(customer, units);
+    instance.rate_limiter.borrow_mut().refund(customer, units);
 }
--- a/crates/sedgewalld/src/fleet/announcements.rs
+++ b/crates/sedgewalld/src/fleet/announcements.rs
@@ -35,7 +35,7 @@
     status: StatusCode,
     facts: &AnswerFacts,
 ) {
-    if !is_own(call, status, facts) {
+    if !is_answer_to(call, status, facts) {
         return;
     }
     let now = Instant::now();
@@ -134,7 +134,7 @@
     tracing::info!(event = "departure_announced", endpoint, request);
     watch_endpoints::broadcast_departures(instance);
     instance.wake_all();
-    instance.notify_loader();
+    instance.notify_planner();
 }
 
 /// Applies the limits that another instance reports.
@@ -157,7 +157,7 @@
 /// Returns whether a response is the endpoint's answer to this request. An
 /// endpoint that has taken over the address of another one answers 421, and a
 /// surplus response carries the id of another request.
-fn is_own(
+fn is_answer_to(
     call: &CallerRequest,
     status: StatusCode,
     facts: &AnswerFacts,
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -381,18 +381,18 @@
     let draw = xxh3_64(call.facts.request_id.as_bytes());
     let began = Instant::now();
     let target = call.route.target_latency;
-    let held = held(instance, call);
-    let poll_interval = match held.is_later_try {
+    let waiting_request = waiting_request(instance, call);
+    let poll_interval = match waiting_request.is_later_try {
         true => LATER_TRY_POLL_INTERVAL,
         false => CAPACITY_POLL_INTERVAL,
     };
     // If the answer would be late on every engine that holds the adapter, wait
     // until another engine has loaded it.
-    let patient_until = began + LOAD_WAIT;
+    let load_wait_end = began + LOAD_WAIT;
     let mut permits = Permits::default();
     loop {
         let now = Instant::now();
-        let may_wait = now < patient_until;
+        let may_wait = now < load_wait_end;
         let need = Need {
             service: &call.service,
             key: call.key(),
@@ -405,26 +405,26 @@
         let PermittedChoice { choice, limited_for } =
             permits.choose(instance, need, now);
         progress.waited = now - began;
-        let (reason, obstacle, pause) = match choice {
+        let (reason, wait_reason, pause) = match choice {
             Choice::Send(found) => return Ok(found),
             Choice::Loading(ready_in) => {
-                let obstacle = WaitReason::AdapterLoading(ready_in);
-                (Reason::AdapterAbsent, obstacle, ready_in)
+                let wait_reason = WaitReason::AdapterLoading(ready_in);
+                (Reason::AdapterAbsent, wait_reason, ready_in)
             }
             Choice::Absent => {
-                let resting = call.key().and_then(|key| {
+                let cooling_down = call.key().and_then(|key| {
                     instance.mark_holders_cooling_down(key, now)
                 });
-                let limited_for = limited_for.or(resting);
+                let limited_for = limited_for.or(cooling_down);
                 request_adapter(instance, call);
                 let load_time = instance.view.borrow().load_time();
-                let obstacle = WaitReason::AdapterNotLoaded { load_time };
+                let wait_reason = WaitReason::AdapterNotLoaded { load_time };
                 match limited_for {
                     Some(ready_in) => {
                         let pause = ready_in.min(target);
-                        (Reason::EndpointsLimited, obstacle, pause)
+                        (Reason::EndpointsLimited, wait_reason, pause)
                     }
-                    None => (Reason::AdapterAbsent, obstacle, target),
+                    None => (Reason::AdapterAbsent, wait_reason, target),
                 }
             }
             Choice::Full => {
@@ -435,7 +435,7 @@
                 if ready_in.is_none() {
                     request_adapter(instance, call);
                 }
-                let left = patient_until - now;
+                let left = load_wait_end - now;
                 sleep_or_woken(
                     instance,
                     call,
@@ -450,15 +450,15 @@
                 if progress.runs > 0 {
                     progress.tried.clear();
                 }
-                let resting = || {
+                let cooling_down = || {
                     let view = instance.view.borrow();
                     view.service_cooldown(&call.service, now)
                 };
-                match limited_for.or_else(resting) {
+                match limited_for.or_else(cooling_down) {
                     Some(ready_in) => {
-                        let obstacle = WaitReason::Saturated(ready_in);
+                        let wait_reason = WaitReason::Saturated(ready_in);
                         let pause = ready_in.max(poll_interval);
-                        (Reason::EndpointsLimited, obstacle, pause)
+                        (Reason::EndpointsLimited, wait_reason, pause)
                     }
                     None => (
                         Reason::NobodyThere,
@@ -468,9 +468,9 @@
                 }
             }
         };
-        let until = held.wait_until(obstacle, now);
+        let until = waiting_request.wait_until(wait_reason, now);
         if now >= until {
-            progress.available_in = match obstacle {
+            progress.available_in = match wait_reason {
                 WaitReason::AdapterLoading(ready_in)
                 | WaitReason::Saturated(ready_in) => Some(ready_in),
                 WaitReason::AdapterNotLoaded { .. }
@@ -494,7 +494,10 @@
 }
 
 /// Returns the bounds on how long a request may wait for an endpoint.
-fn held(instance: &FleetInstance, call: &CallerRequest) -> WaitingRequest {
+fn waiting_request(
+    instance: &FleetInstance,
+    call: &CallerRequest,
+) -> WaitingRequest {
     let tokens = call.facts.prompt_tokens;
     let engine_time = match call.key() {
         Some(_) => {
--- a/crates/sedgewalld/src/fleet/catch_up.rs
+++ b/crates/sedgewalld/src/fleet/catch_up.rs
@@ -66,7 +66,7 @@
 /// Fetches missing state whenever there is any. Never returns.
 pub(crate) async fn run(instance: Rc<FleetInstance>) {
     loop {
-        let own = instance.knowledge();
+        let own = instance.state_summary();
         match next_step(&instance, own) {
             Step::Idle => instance.catch_up_notified(IDLE_WAIT).await,
             Step::Wait(until) => {
@@ -162,7 +162,7 @@
 /// Applies the state that another instance sent, and returns whether any of it
 /// is new.
 fn apply_missed(instance: &FleetInstance, missed: StateDelta) -> bool {
-    let before = instance.knowledge();
+    let before = instance.state_summary();
     let now = Instant::now();
     if let Some(routing) = missed.deployment {
         put_in_force(instance, routing, Source::Instance);
@@ -176,7 +176,7 @@
     for condemned in &missed.condemned {
         poison::merge_condemned(instance, condemned, "instance");
     }
-    instance.knowledge().has_more_than(before)
+    instance.state_summary().has_more_than(before)
 }
 
 /// Serves missing state to other instances. Never returns.
--- a/crates/sedgewalld/src/fleet/in_flight.rs
+++ b/crates/sedgewalld/src/fleet/in_flight.rs
@@ -36,14 +36,14 @@
         prompt_tokens: u64,
     ) -> InFlightGuard {
         let mut view = instance.view.borrow_mut();
-        let reads_for = view.prefill_time(endpoint, prompt_tokens);
+        let prefill_time = view.prefill_time(endpoint, prompt_tokens);
         let mut load = 0.0;
         if let Some(state) = view.get_mut(endpoint) {
             load = state.load();
             state.own_work.begin(key, prompt_tokens);
         }
         drop(view);
-        if reads_for >= LARGE_PROMPT {
+        if prefill_time >= LARGE_PROMPT {
             instance.has_unreported_work.set(true);
         }
         if key.is_some() {
--- a/crates/sedgewalld/src/fleet/instance.rs
+++ b/crates/sedgewalld/src/fleet/instance.rs
@@ -116,7 +116,7 @@
     /// The number of notes received.
     pub(crate) notes_received: Cell<u64>,
     /// The number of notes received that ask for adapters.
-    pub(crate) asked_received: Cell<u64>,
+    pub(crate) demand_reports_received: Cell<u64>,
 }
 
 impl HeldLease {
@@ -164,11 +164,11 @@
     /// Adapters that requests wait for, with the rank of the most urgent one.
     pub(crate) awaited_adapters: RefCell<HashMap<AdapterKey, u8>>,
     /// This instance's share of each customer's allowance.
-    pub(crate) shares: RefCell<RateLimiter>,
+    pub(crate) rate_limiter: RefCell<RateLimiter>,
     /// Whether all revocations of keys are certain to be known here.
     pub(crate) keys: Keys,
     /// Whether the store answers this instance.
-    pub(crate) store_contact: RefCell<StoreReachability>,
+    pub(crate) store_reachability: RefCell<StoreReachability>,
     /// Whether each other instance reports that it reaches the store.
     pub(crate) store_reports: RefCell<StoreReports>,
     /// Endpoints that take no more requests from this instance, and until
@@ -226,7 +226,7 @@
     pub(crate) open_requests: Cell<usize>,
     /// Requests that wait for each adapter.
     adapter_waiters: RefCell<HashMap<AdapterKey, Vec<oneshot::Sender<()>>>>,
-    loader_notify: Notify,
+    planner_notify: Notify,
     pub(super) catch_up_notify: Notify,
     notes_notify: Notify,
     /// Whether a large prompt was sent that no note has reported yet.
@@ -296,9 +296,9 @@
             observed_loads: RefCell::default(),
             requested_adapters: RefCell::default(),
             awaited_adapters: RefCell::default(),
-            shares: RefCell::default(),
+            rate_limiter: RefCell::default(),
             keys: Keys::new(revoke_within),
-            store_contact: RefCell::default(),
+            store_reachability: RefCell::default(),
             store_reports: RefCell::default(),
             saturated: RefCell::default(),
             unreadable_logged: Cell::default(),
@@ -328,7 +328,7 @@
             peer_pool: EndpointPool::new(),
             open_requests: Cell::new(0),
             adapter_waiters: RefCell::default(),
-            loader_notify: Notify::default(),
+            planner_notify: Notify::default(),
             catch_up_notify: Notify::default(),
             notes_notify: Notify::default(),
             has_unreported_work: Cell::new(false),
@@ -380,14 +380,16 @@
     /// none can take the lease.
     pub(crate) fn no_instance_reaches_store(&self, now: Instant) -> bool {
         let peers = self.peers.borrow();
-        let words = self.store_reports.borrow();
-        !peers.is_empty() && words.no_instance_reaches_store(peers.keys(), now)
+        let reports = self.store_reports.borrow();
+        !peers.is_empty()
+            && reports.no_instance_reaches_store(peers.keys(), now)
     }
 
     /// Records that the store answered. A change of reachability is reported
     /// to the other instances at once.
     pub(crate) fn record_store_success(&self) {
-        if self.store_contact.borrow_mut().record_success(Instant::now()) {
+        if self.store_reachability.borrow_mut().record_success(Instant::now())
+        {
             self.notify_notes();
         }
     }
@@ -404,7 +406,7 @@
             noticed: Instant::now(),
             is_unanswered: matches!(err, StoreError::Unanswered),
         };
-        if self.store_contact.borrow_mut().record_failure(failure) {
+        if self.store_reachability.borrow_mut().record_failure(failure) {
             self.notify_notes();
         }
     }
@@ -546,7 +548,7 @@
     /// which were 2,285 lists, three for each instance and kind, when all
     /// watches of 195 instances were cut once.
     pub(crate) fn relist_others(&self, listed: &Rc<Notify>) {
-        let failed = self.store_contact.borrow().last_failure();
+        let failed = self.store_reachability.borrow().last_failure();
         let is_known = |notify: &Notify| {
             failed.is_some_and(|call| notify.was_cleared_since(call.noticed))
         };
@@ -565,13 +567,13 @@
     }
 
     /// Wakes the task that gives orders.
-    pub(crate) fn notify_loader(&self) {
-        self.loader_notify.notify();
+    pub(crate) fn notify_planner(&self) {
+        self.planner_notify.notify();
     }
 
-    /// Waits for [`FleetInstance::notify_loader`], or until the timeout.
-    pub(crate) async fn loader_notified(&self, within: Duration) {
-        self.loader_notify.wait(within).await;
+    /// Waits for [`FleetInstance::notify_planner`], or until the timeout.
+    pub(crate) async fn planner_notified(&self, within: Duration) {
+        self.planner_notify.wait(within).await;
     }
 
     /// Wakes the task that sends notes.
--- a/crates/sedgewalld/src/fleet/keys.rs
+++ b/crates/sedgewalld/src/fleet/keys.rs
@@ -167,8 +167,8 @@
     now: Instant,
 ) {
     let Some(peer) = peer else { return reread(instance, now) };
-    let told = StateSummary { configuration, ..instance.knowledge() };
-    notes::record_state_summary(instance, peer, told, now);
+    let summary = StateSummary { configuration, ..instance.state_summary() };
+    notes::record_state_summary(instance, peer, summary, now);
     instance.notify_catch_up();
 }
 
--- a/crates/sedgewalld/src/fleet/knowledge.rs
+++ b/crates/sedgewalld/src/fleet/knowledge.rs
@@ -46,7 +46,7 @@
     }
 
     /// Returns a summary of the state that all instances must have.
-    pub(crate) fn knowledge(&self) -> StateSummary {
+    pub(crate) fn state_summary(&self) -> StateSummary {
         StateSummary {
             configuration: self.configuration_version().unwrap_or(0),
             versions: self.view.borrow().versions_announced(),
@@ -75,7 +75,7 @@
         drop(view);
         let name = key.to_string();
         tracing::info!(event = "version", key = name, version);
-        self.notify_loader();
+        self.notify_planner();
     }
 
     /// Asks other instances at once for a newer configuration, and waits for
--- a/crates/sedgewalld/src/fleet/leader.rs
+++ b/crates/sedgewalld/src/fleet/leader.rs
@@ -30,7 +30,7 @@
     let mut last_cleanup = Instant::now();
     let mut epoch = None;
     loop {
-        instance.loader_notified(PLAN_INTERVAL).await;
+        instance.planner_notified(PLAN_INTERVAL).await;
         let now = Instant::now();
         if now - last_cleanup >= CLEANUP_INTERVAL {
             last_cleanup = now;
@@ -56,12 +56,12 @@
                 Duration::from_secs_f64(instance.fleet.store_window_s);
             let rate =
                 LoadRateLimiter::new(window, instance.fleet.store_overage);
-            let loader = PlacementPlanner::new(held.epoch, rate, now);
-            *orders.loader.borrow_mut() = Some(loader);
+            let planner = PlacementPlanner::new(held.epoch, rate, now);
+            *orders.planner.borrow_mut() = Some(planner);
         }
         let Some(routing) = instance.routing() else { continue };
-        let planned = match orders.loader.borrow_mut().as_mut() {
-            Some(loader) => loader.plan(
+        let planned = match orders.planner.borrow_mut().as_mut() {
+            Some(planner) => planner.plan(
                 &routing,
                 &mut instance.view.borrow_mut(),
                 &mut instance.demand.borrow_mut(),
@@ -95,7 +95,7 @@
     let demand = instance.demand.borrow();
     let view = instance.view.borrow();
     let mut times = instance.load_times.borrow_mut();
-    let (pace, on_way) = (times.estimate(), times.in_flight(now));
+    let (estimate, in_flight) = (times.estimate(), times.in_flight(now));
     for (service, group) in routing.engines() {
         let engines =
             || view.endpoints().filter(|s| s.endpoint.service == service);
@@ -105,10 +105,10 @@
             })
             .sum();
         let loads_left = orders
-            .loader
+            .planner
             .borrow_mut()
             .as_mut()
-            .map(|loader| loader.loads_left(group.loads_per_s, now));
+            .map(|planner| planner.loads_left(group.loads_per_s, now));
         tracing::info!(
             event = "holdings",
             service,
@@ -120,12 +120,12 @@
             waiting =
                 demand.iter().filter(|(_, d)| d.has_waiting(now)).count(),
             loads_left,
-            load_ms = pace.load_time.as_millis() as u64,
-            loads_at_once = pace.concurrency,
-            loads_on_way = on_way,
+            load_ms = estimate.load_time.as_millis() as u64,
+            loads_at_once = estimate.concurrency,
+            loads_on_way = in_flight,
             load_answers = times.observations(),
             notes_heard = instance.counters.notes_received.get(),
-            asked_heard = instance.counters.asked_received.get(),
+            asked_heard = instance.counters.demand_reports_received.get(),
             cpu_ms = process::cpu_ms(),
         );
     }
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -220,7 +220,7 @@
     // that the store is out, so the end of the lease that it reported before
     // that does not count. Waiting by the record alone, for 30 s after an
     // outage, left 2 s more without orders.
-    let contact = instance.store_contact.borrow();
+    let contact = instance.store_reachability.borrow();
     let noted = match contact.reported_outage(REPORT_VALID_FOR + REPORT_DELAY)
     {
         ReportedOutage::Never => noted,
--- a/crates/sedgewalld/src/fleet/lease_store.rs
+++ b/crates/sedgewalld/src/fleet/lease_store.rs
@@ -119,7 +119,7 @@
     instance: &FleetInstance,
     renewal: &LeaseWrite,
 ) -> (WriteAnswer, RenewalPath) {
-    if !instance.store_contact.borrow().is_unreachable() {
+    if !instance.store_reachability.borrow().is_unreachable() {
         let answer = renew_directly(instance, renewal).await;
         if answer != WriteAnswer::Unclear {
             return (answer, RenewalPath::Direct);
@@ -262,7 +262,7 @@
     for (key, version) in &received.versions {
         instance.name_version(key, *version);
     }
-    instance.notify_loader();
+    instance.notify_planner();
     if received.answer == WriteAnswer::Unclear {
         // Another instance that was asked may have a definite answer.
         return;
--- a/crates/sedgewalld/src/fleet/list_watch.rs
+++ b/crates/sedgewalld/src/fleet/list_watch.rs
@@ -268,7 +268,8 @@
             Freshness::SecondsOld if F::RETRIES_EARLY => CallKind::First,
             Freshness::SecondsOld => CallKind::Notified,
         };
-        let is_out = self.instance.store_contact.borrow().is_unreachable();
+        let is_out =
+            self.instance.store_reachability.borrow().is_unreachable();
         let pause = self.back_off.failed(calls, is_out);
         tracing::info!(
             event = "store_call_failed",
@@ -293,7 +294,8 @@
         loop {
             let left = until.saturating_duration_since(Instant::now());
             let is_notified = notify.wait(left).await;
-            let is_out = self.instance.store_contact.borrow().is_unreachable();
+            let is_out =
+                self.instance.store_reachability.borrow().is_unreachable();
             if !is_notified || !is_out {
                 return;
             }
@@ -335,7 +337,7 @@
 /// Probes whether the store answers and reports that to the lease holder.
 /// Watches may still wait on connections from before an outage.
 pub(crate) fn probe_store(instance: &Rc<FleetInstance>) {
-    if !instance.store_contact.borrow_mut().begin_probe() {
+    if !instance.store_reachability.borrow_mut().begin_probe() {
         return;
     }
     let instance = instance.clone();
@@ -353,11 +355,11 @@
             };
             instance.record_store_failure(sent, &err);
             compio::time::sleep(PROBE_INTERVAL).await;
-            if !instance.store_contact.borrow().is_unreachable() {
+            if !instance.store_reachability.borrow().is_unreachable() {
                 break;
             }
         }
-        instance.store_contact.borrow_mut().end_probe();
+        instance.store_reachability.borrow_mut().end_probe();
     })
     .detach();
 }
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -143,8 +143,8 @@
         Note::FreshnessAnswer { number, age_ms, configuration } => {
             keys::apply_answer(instance, number, age_ms, configuration);
         }
-        Note::DemandReport(asked) => {
-            apply_demand_report(instance, sender, &asked, now)
+        Note::DemandReport(report) => {
+            apply_demand_report(instance, sender, &report, now)
         }
         Note::Batch(notes) => {
             for note in notes {
@@ -200,10 +200,10 @@
     now: Instant,
 ) {
     let Status { configuration, versions, condemned, .. } = *status;
-    let told = StateSummary { configuration, versions, condemned };
-    record_state_summary(instance, &status.from, told, now);
-    let own = instance.knowledge();
-    if !told.has_more_than(own) {
+    let summary = StateSummary { configuration, versions, condemned };
+    record_state_summary(instance, &status.from, summary, now);
+    let own = instance.state_summary();
+    if !summary.has_more_than(own) {
         return;
     }
     instance.notify_catch_up();
@@ -244,48 +244,53 @@
 pub(crate) fn record_state_summary(
     instance: &FleetInstance,
     from: &InstanceId,
-    told: StateSummary,
+    summary: StateSummary,
     now: Instant,
 ) {
     let peers = instance.peers.borrow();
     let zone = peers.get(from).map(|peer| &peer.zone);
     let is_own_zone = zone == Some(&instance.settings.zone);
-    instance.catch_up.borrow_mut().record_peer(from, told, is_own_zone, now);
+    instance.catch_up.borrow_mut().record_peer(
+        from,
+        summary,
+        is_own_zone,
+        now,
+    );
 }
 
 fn apply_demand_report(
     instance: &FleetInstance,
     sender: &NoteSender,
-    asked: &DemandReport,
+    report: &DemandReport,
     now: Instant,
 ) {
     instance
         .counters
-        .asked_received
-        .set(instance.counters.asked_received.get() + 1);
+        .demand_reports_received
+        .set(instance.counters.demand_reports_received.get() + 1);
     let mut demand = instance.demand.borrow_mut();
-    for (key, count) in &asked.counts {
-        demand.add(key, *count, &asked.zone, now);
+    for (key, count) in &report.counts {
+        demand.add(key, *count, &report.zone, now);
     }
-    for (key, rank) in &asked.waiting {
+    for (key, rank) in &report.waiting {
         demand.mark_waiting(key, *rank);
     }
     drop(demand);
-    for endpoint in &asked.unreachable {
-        record_unreachable(instance, endpoint, asked, now);
+    for endpoint in &report.unreachable {
+        record_unreachable(instance, endpoint, report, now);
     }
-    apply_load_observations(instance, &asked.arrivals, now);
-    for (endpoint, for_ms) in &asked.saturated {
+    apply_load_observations(instance, &report.arrivals, now);
+    for (endpoint, for_ms) in &report.saturated {
         let time = Duration::from_millis(*for_ms);
         instance.view.borrow_mut().mark_saturated(endpoint, time, now);
     }
-    if asked.waiting.is_empty() {
+    if report.waiting.is_empty() {
         return;
     }
-    if asked.from != *instance.id() {
-        send_known_placements(instance, sender, asked, now);
+    if report.from != *instance.id() {
+        send_known_placements(instance, sender, report, now);
     }
-    instance.notify_loader();
+    instance.notify_planner();
 }
 
 /// Records the demand of customers at another instance, or at all instances.
@@ -295,11 +300,11 @@
     now: Instant,
 ) {
     let until = now + status.valid_for();
-    let asked = status.asked_by_customers.clone();
-    let mut shares = instance.shares.borrow_mut();
+    let demands = status.asked_by_customers.clone();
+    let mut rate_limiter = instance.rate_limiter.borrow_mut();
     match status.is_total {
-        true => shares.record_totals(asked, now, until),
-        false => shares.record_peer(&status.from, asked, now, until),
+        true => rate_limiter.record_totals(demands, now, until),
+        false => rate_limiter.record_peer(&status.from, demands, now, until),
     }
 }
 
@@ -310,16 +315,16 @@
 ) {
     let mut times = instance.load_times.borrow_mut();
     let mut view = instance.view.borrow_mut();
-    for arrived in arrivals {
+    for reported in arrivals {
         let LoadObservationReport { endpoint, key, is_there, ago_ms } =
-            arrived;
+            reported;
         // The engine that finished this load may take another one now.
         view.confirm_load(endpoint, key, *is_there);
         let Some(at) = now.checked_sub(Duration::from_millis(*ago_ms)) else {
             continue;
         };
-        let arrival = LoadObservation { at, is_loaded: *is_there };
-        times.observe(endpoint, key, arrival, now);
+        let observation = LoadObservation { at, is_loaded: *is_there };
+        times.observe(endpoint, key, observation, now);
     }
 }
 
@@ -329,15 +334,15 @@
 fn record_unreachable(
     instance: &FleetInstance,
     endpoint: &EndpointId,
-    asked: &DemandReport,
+    report: &DemandReport,
     now: Instant,
 ) {
     let mut suspicions = instance.suspicions.borrow_mut();
-    let Some(time) = suspicions.report(endpoint, &asked.from, now) else {
+    let Some(time) = suspicions.report(endpoint, &report.from, now) else {
         return;
     };
     let for_ms = time.as_millis() as u64;
-    let by = &asked.from;
+    let by = &report.from;
     tracing::warn!(event = "endpoint_suspect", endpoint, by, for_ms);
     instance.view.borrow_mut().mark_suspect(endpoint, time, now);
     let note = Note::Suspect { endpoint: endpoint.clone(), for_ms };
@@ -350,24 +355,24 @@
 fn send_known_placements(
     instance: &FleetInstance,
     sender: &NoteSender,
-    asked: &DemandReport,
+    report: &DemandReport,
     now: Instant,
 ) {
     let Some(held) = instance.current_lease(now) else { return };
     let mut known = Vec::new();
-    let mut askers = instance.awaiting_instances.borrow_mut();
-    for (key, _) in &asked.waiting {
+    let mut awaiting = instance.awaiting_instances.borrow_mut();
+    for (key, _) in &report.waiting {
         let places =
             instance.view.borrow().placement_notes(key, held.epoch, now);
         if places.is_empty() {
-            let of_key = askers.entry(key.clone()).or_default();
-            of_key.insert(asked.from.clone());
+            let of_key = awaiting.entry(key.clone()).or_default();
+            of_key.insert(report.from.clone());
         }
         known.extend(places.into_iter().map(Note::Placed));
     }
     for notes in known.chunks(BATCH_LEN) {
         let batch = Note::Batch(notes.to_vec());
-        sender.send_to_peer(instance, &asked.from, &batch);
+        sender.send_to_peer(instance, &report.from, &batch);
     }
 }
 
@@ -399,7 +404,7 @@
         }
         let due = schedule.take(pending(&instance), topology, now);
         if due.status {
-            instance.store_contact.borrow_mut().take_change();
+            instance.store_reachability.borrow_mut().take_change();
             sequence += 1;
             send_status(&instance, &sender, sequence, topology);
         }
@@ -420,7 +425,7 @@
             instance.view.borrow_mut().remove_silent_peers(now);
             instance.view.borrow_mut().forget_departures(now);
             instance.suspicions.borrow_mut().forget(now);
-            instance.shares.borrow_mut().forget(now);
+            instance.rate_limiter.borrow_mut().forget(now);
             instance.view.borrow_mut().forget_limits(now);
             instance.view.borrow_mut().forget_cooldowns(now);
             instance.forget_saturated(now);
@@ -433,7 +438,7 @@
 
 fn pending(instance: &FleetInstance) -> Pending {
     Pending {
-        has_store_change: instance.store_contact.borrow().has_change(),
+        has_store_change: instance.store_reachability.borrow().has_change(),
         has_large_prompt: instance.has_unreported_work.get(),
         has_batch: !instance.broadcast_queue.borrow().is_empty(),
         has_waiting: !instance.awaited_adapters.borrow().is_empty()
@@ -535,10 +540,10 @@
         }
     };
     let versions = instance.view.borrow().versions_announced();
-    let shares = instance.shares.borrow();
+    let rate_limiter = instance.rate_limiter.borrow();
     let asked_by_customers = match is_total {
-        true => shares.total_demand(now),
-        false => shares.local_demand(now),
+        true => rate_limiter.total_demand(now),
+        false => rate_limiter.local_demand(now),
     };
     Status {
         from: instance.id().clone(),
@@ -547,7 +552,7 @@
         leads,
         configuration: instance.configuration_version().unwrap_or(0),
         versions,
-        store_is_out: instance.store_contact.borrow().is_unreachable(),
+        store_is_out: instance.store_reachability.borrow().is_unreachable(),
         is_leaving: instance.stage.get() == Stage::Leaving,
         asked_by_customers,
         departures: instance.view.borrow().departures(now),
@@ -560,7 +565,7 @@
     }
 }
 
-fn arrived(seen: ObservedLoad) -> LoadObservationReport {
+fn load_observation_report(seen: ObservedLoad) -> LoadObservationReport {
     let ObservedLoad { endpoint, key, is_there, sent } = seen;
     let ago_ms = sent.elapsed().as_millis() as u64;
     LoadObservationReport { endpoint, key, is_there, ago_ms }
@@ -574,8 +579,12 @@
         instance.awaited_adapters.borrow_mut().drain().collect();
     let unreachable: Vec<_> =
         instance.unreachable.take().into_iter().collect();
-    let arrivals: Vec<_> =
-        instance.observed_loads.take().into_iter().map(arrived).collect();
+    let arrivals: Vec<_> = instance
+        .observed_loads
+        .take()
+        .into_iter()
+        .map(load_observation_report)
+        .collect();
     if counts.is_empty()
         && waiting.is_empty()
         && unreachable.is_empty()
@@ -591,7 +600,7 @@
         true => Vec::new(),
         false => instance.saturated_for(Instant::now()),
     };
-    let asked = DemandReport {
+    let report = DemandReport {
         from,
         zone,
         counts,
@@ -601,13 +610,13 @@
         saturated,
     };
     if instance.held.get().is_some() {
-        apply_demand_report(instance, sender, &asked, Instant::now());
+        apply_demand_report(instance, sender, &report, Instant::now());
         return;
     }
     let Some(leader) = instance.live_leader(Instant::now()) else { return };
     sender.send_to_peer(
         instance,
         &leader.instance,
-        &Note::DemandReport(asked),
+        &Note::DemandReport(report),
     );
 }
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -46,7 +46,7 @@
 pub(crate) struct OrderQueues {
     instance: Rc<FleetInstance>,
     sender: Rc<NoteSender>,
-    pub(crate) loader: Rc<RefCell<Option<PlacementPlanner>>>,
+    pub(crate) planner: Rc<RefCell<Option<PlacementPlanner>>>,
     queues: Rc<RefCell<HashMap<EndpointId, mpsc::UnboundedSender<Batch>>>>,
 }
 
@@ -55,8 +55,8 @@
         instance: Rc<FleetInstance>,
         sender: Rc<NoteSender>,
     ) -> OrderQueues {
-        let (loader, queues) = (Rc::default(), Rc::default());
-        OrderQueues { instance, sender, loader, queues }
+        let (planner, queues) = (Rc::default(), Rc::default());
+        OrderQueues { instance, sender, planner, queues }
     }
 
     /// Sends orders. Consecutive orders for one engine depend on each other.
@@ -160,9 +160,10 @@
                 );
                 let now = Instant::now();
                 let mut view = self.instance.view.borrow_mut();
-                let is_of_this_life =
+                let is_current_incarnation =
                     view.apply_report(&order.endpoint, &report, now);
-                taken.count = is_of_this_life.then_some(report.orders_taken);
+                taken.count =
+                    is_current_incarnation.then_some(report.orders_taken);
             }
             Ok(_) => {
                 tracing::info!(
@@ -329,8 +330,9 @@
             is_cold,
             born,
         };
-        let askers = self.instance.awaiting_instances.borrow_mut().remove(key);
-        for peer in askers.into_iter().flatten() {
+        let awaiting =
+            self.instance.awaiting_instances.borrow_mut().remove(key);
+        for peer in awaiting.into_iter().flatten() {
             let note = Note::Placed(placed.clone());
             self.sender.send_to_peer(&self.instance, &peer, &note);
         }
--- a/crates/sedgewalld/src/fleet/peers.rs
+++ b/crates/sedgewalld/src/fleet/peers.rs
@@ -33,9 +33,9 @@
         if self.peers.borrow().contains_key(id) || id == self.id() {
             return;
         }
-        let heard = ObservedAddress { address, at: Instant::now() };
+        let observed = ObservedAddress { address, at: Instant::now() };
         let known =
-            self.observed_addresses.borrow_mut().insert(id.clone(), heard);
+            self.observed_addresses.borrow_mut().insert(id.clone(), observed);
         if known.is_none() {
             tracing::info!(event = "unlisted_heard", from = id, %address);
         }
@@ -44,8 +44,8 @@
     /// Drops the addresses of instances that are listed by now or silent.
     pub(crate) fn drop_stale_addresses(&self, now: Instant) {
         let peers = self.peers.borrow();
-        self.observed_addresses.borrow_mut().retain(|id, heard| {
-            !peers.contains_key(id) && now - heard.at < ADDRESS_TTL
+        self.observed_addresses.borrow_mut().retain(|id, observed| {
+            !peers.contains_key(id) && now - observed.at < ADDRESS_TTL
         });
     }
 
@@ -53,9 +53,9 @@
     /// the source address of its notes while the entry is unknown.
     pub(crate) fn address_of(&self, id: &InstanceId) -> Option<SocketAddr> {
         let listed = self.peers.borrow().get(id).map(|peer| peer.address);
-        let heard =
+        let observed =
             || self.observed_addresses.borrow().get(id).map(|h| h.address);
-        listed.or_else(heard)
+        listed.or_else(observed)
     }
 
     /// Returns the addresses for a note to all while no other instance is
@@ -64,7 +64,7 @@
         self.observed_addresses
             .borrow()
             .values()
-            .map(|heard| heard.address)
+            .map(|observed| observed.address)
             .collect()
     }
 
--- a/crates/sedgewalld/src/fleet/permits.rs
+++ b/crates/sedgewalld/src/fleet/permits.rs
@@ -102,10 +102,10 @@
         key: &AdapterKey,
         now: Instant,
     ) -> Option<Duration> {
-        let resting = self.view.borrow().holders_cooling_down(key, now);
-        let first = resting.iter().map(|(_, left)| *left).min();
+        let cooling_down = self.view.borrow().holders_cooling_down(key, now);
+        let first = cooling_down.iter().map(|(_, left)| *left).min();
         let mut saturated = self.saturated.borrow_mut();
-        for (id, left) in resting {
+        for (id, left) in cooling_down {
             saturated.insert(id, now + left);
         }
         first
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -108,11 +108,16 @@
         return;
     }
     let Some(sent) = call.sent_to.borrow().clone() else { return };
-    let life = life_of(instance, &sent.endpoint);
+    let incarnation = incarnation_of(instance, &sent.endpoint);
     let now = Instant::now();
     let mut poison = instance.poison.borrow_mut();
-    let crash =
-        poison.record_lost_run(&life, call.digest(), sent.at, loss, now);
+    let crash = poison.record_lost_run(
+        &incarnation,
+        call.digest(),
+        sent.at,
+        loss,
+        now,
+    );
     drop(poison);
     publish(instance, crash);
 }
@@ -146,7 +151,7 @@
         return;
     }
     let instance = instance.clone();
-    let life = life_of(&instance, &id);
+    let incarnation = incarnation_of(&instance, &id);
     compio::runtime::spawn(async move {
         let began = Instant::now();
         let presence =
@@ -161,9 +166,9 @@
         match presence {
             Presence::Listens => {
                 let mut poison = instance.poison.borrow_mut();
-                poison.endpoint_alive(&life, began);
+                poison.endpoint_alive(&incarnation, began);
             }
-            Presence::Refuses => life_ended(&instance, &life),
+            Presence::Refuses => incarnation_ended(&instance, &incarnation),
             // Undecided: the endpoint's entry will disappear, or another
             // instance finds out.
             Presence::Unknown => {}
@@ -179,12 +184,15 @@
         return;
     }
     drop(view);
-    life_ended(instance, &life_of(instance, id));
+    incarnation_ended(instance, &incarnation_of(instance, id));
 }
 
-fn life_ended(instance: &FleetInstance, life: &EndpointIncarnation) {
+fn incarnation_ended(
+    instance: &FleetInstance,
+    incarnation: &EndpointIncarnation,
+) {
     let now = Instant::now();
-    let crash = instance.poison.borrow_mut().endpoint_ended(life, now);
+    let crash = instance.poison.borrow_mut().endpoint_ended(incarnation, now);
     publish(instance, crash);
 }
 
@@ -269,7 +277,10 @@
     instance.notify_notes();
 }
 
-fn life_of(instance: &FleetInstance, id: &EndpointId) -> EndpointIncarnation {
+fn incarnation_of(
+    instance: &FleetInstance,
+    id: &EndpointId,
+) -> EndpointIncarnation {
     let born = instance.view.borrow().incarnation(id);
     EndpointIncarnation { id: id.clone(), born }
 }
--- a/crates/sedgewalld/src/fleet/relay.rs
+++ b/crates/sedgewalld/src/fleet/relay.rs
@@ -38,7 +38,7 @@
     body: PooledBody,
     _in_flight_guard: InFlightGuard,
     _open: OpenRequestGuard,
-    cutter: Option<EventFramer>,
+    framer: Option<EventFramer>,
     head: Duration,
     bytes: usize,
     /// When the last bytes arrived, and the longest time between bytes.
@@ -63,7 +63,7 @@
     target: Target,
     open: OpenRequestGuard,
 ) -> LocalBody {
-    let cutter = call
+    let framer = call
         .route
         .is_resumable
         .then(|| EventFramer::after(call.facts.last_event.clone()));
@@ -76,7 +76,7 @@
         body: good.answer.body,
         _in_flight_guard: good.in_flight_guard,
         _open: open,
-        cutter,
+        framer,
         bytes: 0,
         last_bytes: Instant::now(),
         longest_pause: Duration::ZERO,
@@ -97,8 +97,8 @@
             match self.read().await {
                 Ok(Some(bytes)) => {
                     self.record_pause();
-                    let whole = match &mut self.cutter {
-                        Some(cutter) => cutter.push(&bytes).into(),
+                    let whole = match &mut self.framer {
+                        Some(framer) => framer.push(&bytes).into(),
                         None => bytes,
                     };
                     if !whole.is_empty() {
@@ -159,14 +159,14 @@
                 longest_pause: self.longest_pause,
             },
         );
-        let rest = self.cutter.as_mut().map(EventFramer::take_partial)?;
+        let rest = self.framer.as_mut().map(EventFramer::take_partial)?;
         (!rest.is_empty()).then(|| Ok(rest.into()))
     }
 
     /// Continues the stream on another engine, if the route and the retry
     /// budget allow it. Returns whether it continues.
     async fn resume(&mut self, failure: &StreamFailure) -> bool {
-        if self.cutter.is_none()
+        if self.framer.is_none()
             || matches!(failure, StreamFailure::DeadlinePassed)
         {
             return false;
@@ -177,9 +177,9 @@
         if self.progress.runs >= self.call.route.max_attempts {
             return false;
         }
-        let Some(cutter) = self.cutter.as_mut() else { return false };
-        cutter.discard_partial();
-        let last_event = cutter.last_id().map(str::to_owned);
+        let Some(framer) = self.framer.as_mut() else { return false };
+        framer.discard_partial();
+        let last_event = framer.last_id().map(str::to_owned);
         let call = self.call.clone();
         let found = caller::send_with_retries(
             &self.instance,
@@ -227,7 +227,7 @@
 
     fn fail(&mut self, failure: &StreamFailure) -> io::Error {
         self.is_over = true;
-        if self.cutter.is_none()
+        if self.framer.is_none()
             && !matches!(failure, StreamFailure::DeadlinePassed)
         {
             self.record_failure();
--- a/crates/sedgewalld/src/fleet/watch_endpoints.rs
+++ b/crates/sedgewalld/src/fleet/watch_endpoints.rs
@@ -87,7 +87,7 @@
         }
         broadcast_departures(&self.instance);
         self.instance.wake_all();
-        self.instance.notify_loader();
+        self.instance.notify_planner();
     }
 
     fn handle_change(&self, change: Change) {
@@ -142,7 +142,7 @@
     /// delayed: a live endpoint writes its entry again.
     fn entry_missing(&self, id: &EndpointId, revision: Revision) {
         let now = Instant::now();
-        let contact = self.instance.store_contact.borrow();
+        let contact = self.instance.store_reachability.borrow();
         let left = contact.missing_entry_grace(now);
         if left.is_zero() {
             remove_endpoint(&self.instance, id, revision);
@@ -184,7 +184,7 @@
     revision: Revision,
 ) {
     let now = Instant::now();
-    let contact = instance.store_contact.borrow();
+    let contact = instance.store_reachability.borrow();
     let is_sure = !contact.was_unreachable_within(LAPSE_DOUBT_WINDOW, now);
     tracing::info!(event = "endpoint_gone", endpoint = id, revision, is_sure);
     if is_sure {
@@ -196,14 +196,14 @@
 /// Tells all other instances of endpoints that this one has seen leave. Their
 /// watches may be late, or their path to the store cut.
 pub(crate) fn broadcast_departures(instance: &FleetInstance) {
-    let untold = instance.view.borrow_mut().take_unsent_departures();
-    if untold.is_empty() {
+    let unsent = instance.view.borrow_mut().take_unsent_departures();
+    if unsent.is_empty() {
         return;
     }
     instance
         .broadcast_queue
         .borrow_mut()
-        .extend(untold.into_iter().map(Note::Departed));
+        .extend(unsent.into_iter().map(Note::Departed));
     instance.notify_notes();
 }
 
