--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -278,14 +278,20 @@
     if !is_ours {
         answer.distrust();
         let of = facts.request_id.unwrap_or_default();
-        return Err(AttemptError::Unclear(format!("the answer is to {of:?}")));
+        return Err(AttemptError::Unclear(format!(
+            "response is for request {of:?}"
+        )));
     }
     if status.is_success() && !facts.is_proven {
         answer.distrust();
-        return Err(AttemptError::Unclear("a success without proof".into()));
+        return Err(AttemptError::Unclear(
+            "success response without the response-seal header".into(),
+        ));
     }
     if status.is_server_error() && !(is_last && facts.is_proven) {
-        return Err(AttemptError::Unclear(format!("it answered {status}")));
+        return Err(AttemptError::Unclear(format!(
+            "endpoint answered {status}"
+        )));
     }
     Ok(answer)
 }
--- a/crates/sedgewalld/src/fleet/relay.rs
+++ b/crates/sedgewalld/src/fleet/relay.rs
@@ -234,8 +234,10 @@
         }
         let cause = match failure {
             StreamFailure::Broken(err) => err.to_string(),
-            StreamFailure::Idle => "no event for too long".to_owned(),
-            StreamFailure::DeadlinePassed => "the time is over".to_owned(),
+            StreamFailure::Idle => {
+                "no bytes within the idle timeout".to_owned()
+            }
+            StreamFailure::DeadlinePassed => "deadline passed".to_owned(),
         };
         metrics::counter!("sedgewall_streams_broken_total").increment(1);
         tracing::warn!(
