--- a/crates/sedgewalld/src/fleet/announcements.rs
+++ b/crates/sedgewalld/src/fleet/announcements.rs
@@ -41,8 +41,13 @@
     let now = Instant::now();
     log_unreadable(instance, answered, facts);
     match facts.announcement.cooldown {
-        Some(rest) => {
-            apply_cooldown(instance, answered, rest, &call.facts.request_id);
+        Some(cooldown) => {
+            apply_cooldown(
+                instance,
+                answered,
+                cooldown,
+                &call.facts.request_id,
+            );
         }
         None => end_cooldown(instance, answered),
     }
@@ -73,20 +78,20 @@
 pub(crate) fn apply_cooldown(
     instance: &FleetInstance,
     answered: &AnsweredRequest,
-    rest: Duration,
+    cooldown: Duration,
     request: &str,
 ) {
     let now = Instant::now();
     if !instance
         .view
         .borrow_mut()
-        .apply_announced_cooldown(answered, rest, now)
+        .apply_announced_cooldown(answered, cooldown, now)
     {
         return;
     }
     metrics::counter!("sedgewall_endpoint_rests_total").increment(1);
     let endpoint = &answered.endpoint;
-    let rest_ms = rest.as_millis() as u64;
+    let rest_ms = cooldown.as_millis() as u64;
     tracing::info!(event = "endpoint_rest", endpoint, rest_ms, request);
 }
 
--- a/crates/sedgewalld/src/fleet/keys.rs
+++ b/crates/sedgewalld/src/fleet/keys.rs
@@ -42,7 +42,7 @@
 /// What an instance knows about the keys in force.
 pub(crate) struct Keys {
     known: Cell<KeyFreshness>,
-    asking: RefCell<FreshnessPoll>,
+    poll: RefCell<FreshnessPoll>,
     /// The instance that the last question was sent to.
     last_asked: RefCell<Option<InstanceId>>,
     /// Whether this instance is one of those that watch the configuration for
@@ -57,7 +57,7 @@
     pub(crate) fn new(within: Option<Duration>) -> Keys {
         Keys {
             known: Cell::new(KeyFreshness::new(within)),
-            asking: RefCell::default(),
+            poll: RefCell::default(),
             last_asked: RefCell::default(),
             is_watching: Cell::new(false),
             read_at: Cell::new(None),
@@ -124,8 +124,8 @@
 /// nobody.
 fn next_question_in(instance: &FleetInstance) -> Option<Duration> {
     let asks = instance.has_customers() && !instance.keys.is_watching.get();
-    let asking = instance.keys.asking.borrow();
-    let due = instance.keys.known.get().next_poll_in(&asking, Instant::now());
+    let poll = instance.keys.poll.borrow();
+    let due = instance.keys.known.get().next_poll_in(&poll, Instant::now());
     due.filter(|_| asks)
 }
 
@@ -143,9 +143,9 @@
 
 fn ask(instance: &FleetInstance, sender: &NoteSender, now: Instant) {
     let watchers = instance.largest_peers(WATCHERS);
-    let mut asking = instance.keys.asking.borrow_mut();
-    let number = asking.start(now);
-    let Some(peer) = watchers.get(asking.next_target(watchers.len())) else {
+    let mut poll = instance.keys.poll.borrow_mut();
+    let number = poll.start(now);
+    let Some(peer) = watchers.get(poll.next_target(watchers.len())) else {
         return;
     };
     let from = instance.id().clone();
@@ -206,7 +206,7 @@
         return fetch_newer(instance, peer.as_ref(), configuration, now);
     }
     let age = Duration::from_millis(age_ms);
-    let until = instance.keys.asking.borrow_mut().record_answer(number, age);
+    let until = instance.keys.poll.borrow_mut().record_answer(number, age);
     if let Some(until) = until {
         instance.keys.confirm(until);
     }
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -220,16 +220,16 @@
     // that the store is out, so the end of the lease that it reported before
     // that does not count. Waiting by the record alone, for 30 s after an
     // outage, left 2 s more without orders.
-    let contact = instance.store_reachability.borrow();
-    let noted = match contact.reported_outage(REPORT_VALID_FOR + REPORT_DELAY)
-    {
-        ReportedOutage::Never => noted,
-        ReportedOutage::Until(end) => noted.map(|noted| NotedLease {
-            ends_by: noted.ends_by.max(end),
-            ..noted
-        }),
-        ReportedOutage::Ongoing => None,
-    };
+    let reachability = instance.store_reachability.borrow();
+    let noted =
+        match reachability.reported_outage(REPORT_VALID_FOR + REPORT_DELAY) {
+            ReportedOutage::Never => noted,
+            ReportedOutage::Until(end) => noted.map(|noted| NotedLease {
+                ends_by: noted.ends_by.max(end),
+                ..noted
+            }),
+            ReportedOutage::Ongoing => None,
+        };
     watching.ended_by(noted).unwrap_or(now)
 }
 
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -35,7 +35,7 @@
 
 /// How many orders an engine has accepted, as far as its queue knows.
 #[derive(Default)]
-struct OrdersTaken {
+struct AcceptedOrders {
     epoch: Epoch,
     count: Option<u64>,
     last_sent: Option<Instant>,
@@ -99,29 +99,30 @@
     }
 
     async fn run_queue(self, mut rx: mpsc::UnboundedReceiver<Batch>) {
-        let mut taken = OrdersTaken::default();
+        let mut accepted = AcceptedOrders::default();
         while let Some((epoch, batch)) = rx.next().await {
-            if taken.epoch != epoch {
-                taken = OrdersTaken { epoch, ..OrdersTaken::default() };
+            if accepted.epoch != epoch {
+                accepted =
+                    AcceptedOrders { epoch, ..AcceptedOrders::default() };
             }
             let Some(first) = batch.first() else {
                 continue;
             };
             if matches!(first.task, Task::Sync) {
-                self.sync(first, &mut taken).await;
+                self.sync(first, &mut accepted).await;
                 continue;
             }
             for order in batch {
                 let may_send = self.may_order(epoch)
                     && !self.is_cooling_down(&order.endpoint);
-                let count = taken.count.filter(|_| may_send);
+                let count = accepted.count.filter(|_| may_send);
                 let Some(count) = count else {
-                    taken.count = None;
+                    accepted.count = None;
                     self.drop_order(epoch, &order);
                     continue;
                 };
-                taken.last_sent = Some(Instant::now());
-                taken.count = self.send(epoch, &order, count).await;
+                accepted.last_sent = Some(Instant::now());
+                accepted.count = self.send(epoch, &order, count).await;
             }
         }
     }
@@ -142,11 +143,12 @@
     }
 
     /// Asks an engine what it holds, once its report must show the last order.
-    async fn sync(&self, order: &Order, taken: &mut OrdersTaken) {
+    async fn sync(&self, order: &Order, accepted: &mut AcceptedOrders) {
         if self.is_cooling_down(&order.endpoint) {
             return;
         }
-        let since = taken.last_sent.map_or(Duration::MAX, |at| at.elapsed());
+        let since =
+            accepted.last_sent.map_or(Duration::MAX, |at| at.elapsed());
         compio::time::sleep(REPORT_LAG.saturating_sub(since)).await;
         let report = engine::report(&self.instance.pool, order.address).await;
         match report {
@@ -162,7 +164,7 @@
                 let mut view = self.instance.view.borrow_mut();
                 let is_current_incarnation =
                     view.apply_report(&order.endpoint, &report, now);
-                taken.count =
+                accepted.count =
                     is_current_incarnation.then_some(report.orders_taken);
             }
             Ok(_) => {
@@ -172,8 +174,8 @@
                 );
             }
             Err(err) => {
-                if let ReportError::Rests(rest) = err {
-                    self.apply_cooldown(&order.endpoint, rest);
+                if let ReportError::Rests(cooldown) = err {
+                    self.apply_cooldown(&order.endpoint, cooldown);
                 }
                 let (endpoint, cause) = (&order.endpoint, err.to_string());
                 tracing::warn!(event = "report_failed", endpoint, cause);
@@ -185,7 +187,7 @@
         self.instance.view.borrow().is_cooling_down(endpoint, Instant::now())
     }
 
-    fn apply_cooldown(&self, endpoint: &EndpointId, rest: Duration) {
+    fn apply_cooldown(&self, endpoint: &EndpointId, cooldown: Duration) {
         let answered = AnsweredRequest {
             endpoint: endpoint.clone(),
             born: self.instance.view.borrow().incarnation(endpoint),
@@ -194,7 +196,7 @@
         announcements::apply_cooldown(
             &self.instance,
             &answered,
-            rest,
+            cooldown,
             "order",
         );
     }
@@ -212,7 +214,7 @@
         &self,
         epoch: Epoch,
         order: &Order,
-        taken: u64,
+        accepted: u64,
     ) -> Option<u64> {
         let born = self.instance.view.borrow().incarnation(&order.endpoint);
         if let Task::Unload(key) = &order.task {
@@ -229,7 +231,7 @@
             &order.endpoint,
             &order.task,
             &holder,
-            taken,
+            accepted,
         )
         .await;
         tracing::info!(
@@ -254,11 +256,11 @@
             return None;
         }
         let count = match (&answer, &order.task) {
-            (OrderAnswer::Done, _) => Some(taken + 1),
+            (OrderAnswer::Done, _) => Some(accepted + 1),
             // The place becomes free only after the requests that use it have
             // ended.
             (OrderAnswer::Accepted, Task::Unload(_)) => None,
-            (OrderAnswer::Accepted, _) => Some(taken + 1),
+            (OrderAnswer::Accepted, _) => Some(accepted + 1),
             (
                 OrderAnswer::Refused(_)
                 | OrderAnswer::Rests(_)
@@ -275,8 +277,8 @@
                 self.record_load_accepted(order);
                 self.broadcast_placement(epoch, order, order.is_cold);
             }
-            OrderAnswer::Rests(rest) => {
-                self.apply_cooldown(&order.endpoint, rest);
+            OrderAnswer::Rests(cooldown) => {
+                self.apply_cooldown(&order.endpoint, cooldown);
                 self.cancel_load(order);
             }
             OrderAnswer::Refused(_) | OrderAnswer::Unclear(_) => {
--- a/crates/sedgewalld/src/fleet/permits.rs
+++ b/crates/sedgewalld/src/fleet/permits.rs
@@ -31,7 +31,7 @@
 #[derive(Default)]
 pub(crate) struct Permits {
     /// Endpoints at which the request was counted as demand.
-    wanted: Vec<EndpointId>,
+    counted_as_demand: Vec<EndpointId>,
 }
 
 impl Permits {
@@ -62,9 +62,9 @@
             let id = target.id.clone();
             let instances = instance.known_instance_count();
             let mut view = instance.view.borrow_mut();
-            if !self.wanted.contains(&id) {
+            if !self.counted_as_demand.contains(&id) {
                 view.record_demand(&id, now);
-                self.wanted.push(id.clone());
+                self.counted_as_demand.push(id.clone());
             }
             let hash = xxh3_64_with_seed(id.as_bytes(), need.draw);
             let request = PermitRequest {
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -198,9 +198,9 @@
 
 /// Records which runs of another instance were lost in a crash of an endpoint.
 pub(crate) fn apply_crash(instance: &FleetInstance, crash: &Crash) {
-    let ours =
+    let own_crash =
         instance.poison.borrow_mut().record_crash(crash, Instant::now());
-    publish(instance, ours);
+    publish(instance, own_crash);
 }
 
 /// Records that a run of a request succeeded at another instance.
@@ -220,10 +220,9 @@
     from: &str,
 ) -> MergeOutcome {
     let now = Instant::now();
-    let taken_in =
-        instance.poison.borrow_mut().merge_condemned(condemned, now);
+    let outcome = instance.poison.borrow_mut().merge_condemned(condemned, now);
     let digest = condemned.digest;
-    match taken_in {
+    match outcome {
         MergeOutcome::Added => tracing::info!(
             event = "poison_heard",
             %digest,
@@ -234,7 +233,7 @@
         MergeOutcome::AlreadyKnown => {}
         MergeOutcome::Refuted => broadcast_clearance(instance, digest),
     }
-    taken_in
+    outcome
 }
 
 /// Tells all other instances which runs of this one were lost in a crash of an
--- a/crates/sedgewalld/src/fleet/watch_endpoints.rs
+++ b/crates/sedgewalld/src/fleet/watch_endpoints.rs
@@ -142,8 +142,8 @@
     /// delayed: a live endpoint writes its entry again.
     fn entry_missing(&self, id: &EndpointId, revision: Revision) {
         let now = Instant::now();
-        let contact = self.instance.store_reachability.borrow();
-        let left = contact.missing_entry_grace(now);
+        let reachability = self.instance.store_reachability.borrow();
+        let left = reachability.missing_entry_grace(now);
         if left.is_zero() {
             remove_endpoint(&self.instance, id, revision);
             return;
@@ -152,7 +152,7 @@
             return;
         }
         self.lapsed.borrow_mut().insert(id.clone(), revision);
-        let last = contact.last_failure();
+        let last = reachability.last_failure();
         let ms_ago = |at: Instant| (now - at).as_millis() as u64;
         tracing::info!(
             event = "endpoint_lapsed",
@@ -184,8 +184,9 @@
     revision: Revision,
 ) {
     let now = Instant::now();
-    let contact = instance.store_reachability.borrow();
-    let is_sure = !contact.was_unreachable_within(LAPSE_DOUBT_WINDOW, now);
+    let reachability = instance.store_reachability.borrow();
+    let is_sure =
+        !reachability.was_unreachable_within(LAPSE_DOUBT_WINDOW, now);
     tracing::info!(event = "endpoint_gone", endpoint = id, revision, is_sure);
     if is_sure {
         poison::endpoint_ended(instance, id);
--- a/crates/sedgewalld/src/fleet/watch_poison.rs
+++ b/crates/sedgewalld/src/fleet/watch_poison.rs
@@ -173,12 +173,12 @@
         let left = CONDEMNED_FOR.saturating_sub(ago);
         let endpoints = record.endpoints;
         let condemned = Condemned { digest, ms_ago, endpoints };
-        let taken_in =
+        let outcome =
             poison::merge_condemned(&self.instance, &condemned, "store");
         let known = KnownRecord {
             revision: object.revision,
             expires_at: Instant::now() + left + EXPIRY_MARGIN,
-            is_refuted: taken_in == MergeOutcome::Refuted,
+            is_refuted: outcome == MergeOutcome::Refuted,
         };
         self.instance.poison_records.borrow_mut().0.insert(digest, known);
         wake_record_keeper(&self.instance);
