--- a/crates/sedgewalld/src/fleet/instance.rs
+++ b/crates/sedgewalld/src/fleet/instance.rs
@@ -105,6 +105,7 @@
 pub(crate) struct ObservedLoad {
     pub(crate) endpoint: EndpointId,
     pub(crate) key: AdapterKey,
+    /// Whether the adapter was loaded by then.
     pub(crate) is_there: bool,
     /// When the request was sent.
     pub(crate) sent: Instant,
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -85,8 +85,8 @@
 
 /// How long other instances may renew the lease for a holder that cannot reach
 /// the store. Such a holder learns of endpoints that left, but not of new
-/// endpoints and new versions. Releasing the lease stops all loads for some 4
-/// s.
+/// endpoints and new versions. Releasing the lease, however, stops all loads
+/// for some 4 s.
 const MAX_PEER_RENEWAL_TIME: Duration = Duration::from_secs(15);
 
 /// Takes the lease when no instance holds it, and keeps it. Never returns.
