--- a/crates/sedgewalld/src/fleet/admit.rs
+++ b/crates/sedgewalld/src/fleet/admit.rs
@@ -1,5 +1,5 @@
-//! What the configuration decides of a request: its route, whose it is, and whether
-//! its customer may send it.
+//! Admission of requests by the configuration: which route and which customer
+//! a request belongs to, and whether the customer may send it.
 
 use std::{rc::Rc, time::Duration};
 
@@ -10,14 +10,16 @@
     route::{Route, RoutingConfiguration},
 };
 
-use super::{attempt::CallerRequest, instance::FleetNode, refusal::Reason};
+use super::{
+    attempt::CallerRequest, instance::FleetInstance, refusal::Reason,
+};
 
-/// How long a request that the configuration refuses waits for a newer one that was
-/// heard of: two questions to other instances.
-const NEWER_WAIT: Duration = Duration::from_millis(250);
+/// How long a request that the configuration refuses waits for a newer version
+/// that another instance has reported. Leaves time to ask two instances.
+const NEWER_CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What the configuration decides a request by.
-pub(super) struct Asked {
+/// The properties of a request that admission depends on.
+pub(super) struct AdmissionQuery {
     pub(super) host: String,
     pub(super) path: String,
     pub(super) credential: Option<KeyDigest>,
@@ -31,42 +33,50 @@
     pub(super) decided_by: ConfigurationStatus,
 }
 
-/// Decides by the configuration in force; where that refuses for good and a newer one
-/// was heard of, by that one, which another instance gives in some 5 ms. A refusal
-/// that the newer one may not hold to is for now: callers do not come back after 404.
+/// Admits a request by the configuration in force.
+///
+/// If that configuration refuses the request for good and another instance has
+/// reported a newer version, fetches that version first, which takes some 5
+/// ms, and decides by it. A refusal that a newer version may overturn is
+/// returned as temporary, because callers do not retry after 404.
 pub(super) async fn admit_by_newest(
-    node: &FleetNode,
-    asked: &Asked,
+    instance: &FleetInstance,
+    query: &AdmissionQuery,
 ) -> Result<Admitted, Reason> {
-    let is_doubtful = |reason: Reason| {
-        reason.is_of_configuration() && node.is_configuration_behind()
+    let may_be_outdated = |reason: Reason| {
+        reason.depends_on_configuration() && instance.is_configuration_behind()
     };
-    match admit(node, asked) {
-        Err(reason) if is_doubtful(reason) => {}
+    match admit(instance, query) {
+        Err(reason) if may_be_outdated(reason) => {}
         decided => return decided,
     }
-    node.newer_configuration(NEWER_WAIT).await;
-    admit(node, asked).map_err(|reason| match is_doubtful(reason) {
+    instance.await_newer_configuration(NEWER_CONFIGURATION_TIMEOUT).await;
+    admit(instance, query).map_err(|reason| match may_be_outdated(reason) {
         true => Reason::ConfigurationBehind,
         false => reason,
     })
 }
 
-fn admit(node: &FleetNode, asked: &Asked) -> Result<Admitted, Reason> {
-    let routing = node.routing().ok_or(Reason::NoConfiguration)?;
-    let route = routing.route(&asked.host, &asked.path);
+fn admit(
+    instance: &FleetInstance,
+    query: &AdmissionQuery,
+) -> Result<Admitted, Reason> {
+    let routing = instance.routing().ok_or(Reason::NoConfiguration)?;
+    let route = routing.route(&query.host, &query.path);
     let route = route.ok_or(Reason::NoRoute)?.clone();
-    let credential = asked.credential.as_ref();
-    let customer = admit_key(node, &routing, &route, credential)?;
-    let decided_by = node.decides();
+    let credential = query.credential.as_ref();
+    let customer = admit_key(instance, &routing, &route, credential)?;
+    let decided_by = instance.configuration_status();
     Ok(Admitted { routing, route, customer, decided_by })
 }
 
-/// Returns whose a request is. Each request is looked at by itself: a key that
-/// was taken away stops on open connections too, and what was read before runs
-/// on.
+/// Returns the customer that a request belongs to, or none if the route needs
+/// no key.
+///
+/// Each request is checked on its own, so that a revoked key stops working on
+/// open connections too. Requests that were already admitted run to their end.
 fn admit_key(
-    node: &FleetNode,
+    instance: &FleetInstance,
     routing: &RoutingConfiguration,
     route: &Route,
     credential: Option<&KeyDigest>,
@@ -78,32 +88,36 @@
     let Some(credential) = credential else {
         return if route.is_public { Ok(None) } else { Err(Reason::NoKey) };
     };
-    if !node.keys.are_sure() {
+    if !instance.keys.are_fresh() {
         return Err(Reason::KeysUnsure);
     }
     let known = customers.find_by_key(credential).cloned();
     known.map(Some).ok_or(Reason::UnknownKey)
 }
 
-/// Takes what a request counts of its customer's allowance.
-pub(super) fn take_allowance(
-    node: &FleetNode,
+/// Charges a request against its customer's allowance.
+pub(super) fn charge_allowance(
+    instance: &FleetInstance,
     customer: &Customer,
     tokens: u64,
 ) -> Result<(), Reason> {
     let Some(allowance) = customer.allowance else { return Ok(()) };
     let units = allowance.unit.count(tokens);
-    let (now, instances) = (Instant::now(), node.instances());
-    let mut shares = node.shares.borrow_mut();
-    let taken = shares.take(customer, units, instances, now);
+    let (now, instances) = (Instant::now(), instance.instance_count());
+    let mut rate_limiter = instance.rate_limiter.borrow_mut();
+    let taken = rate_limiter.take(customer, units, instances, now);
     taken.map_err(Reason::OverAllowance)
 }
 
-/// Gives back what a request took of its customer's allowance and did not use.
-pub(super) fn give_back_allowance(node: &FleetNode, call: &CallerRequest) {
+/// Refunds the part of its customer's allowance that a request was charged and
+/// did not use.
+pub(super) fn refund_allowance(
+    instance: &FleetInstance,
+    call: &CallerRequest,
+) {
     let Some(customer) = &call.customer else { return };
     let Some(allowance) = customer.allowance else { return };
     let tokens = call.facts.prompt_tokens + call.facts.answer_tokens;
     let units = allowance.unit.count(tokens);
-    node.shares.borrow_mut().refund(customer, units);
+    instance.rate_limiter.borrow_mut().refund(customer, units);
 }
--- a/crates/sedgewalld/src/fleet/announcements.rs
+++ b/crates/sedgewalld/src/fleet/announcements.rs
@@ -1,8 +1,9 @@
-//! What endpoints announce of themselves in their answers, and what other instances
-//! report of it.
+//! Announcements that endpoints make about themselves in response headers, and
+//! what other instances report of them.
 //!
-//! The invariant: only an answer to our own request, of the life of the endpoint that
-//! it was sent to, changes anything.
+//! Invariant: only a response to one of this instance's own requests, from the
+//! incarnation of the endpoint that the request was sent to, changes any
+//! state.
 
 use std::time::Duration;
 
@@ -16,118 +17,141 @@
 use sedgewall_platform::AnswerFacts;
 use sedgewall_state::id::EndpointId;
 
-use super::{attempt::CallerRequest, instance::FleetNode, watch_endpoints};
+use super::{
+    attempt::CallerRequest, instance::FleetInstance, watch_endpoints,
+};
 
-/// A limit that changes by a smaller fraction is not worth a line in the log.
+/// Relative change of a limit below which the change is not logged.
 const LOGGED_CHANGE: f64 = 0.05;
 
-/// The least pause between two lines on values that cannot be read.
+/// The minimum interval between two log lines about unreadable values.
 const UNREADABLE_LOGGED_EVERY: Duration = Duration::from_secs(1);
 
-/// Takes in what the head of an answer announces of its endpoint.
-pub(crate) fn hear_answer(
-    node: &FleetNode,
+/// Applies what the response headers announce about the endpoint.
+pub(crate) fn apply_response(
+    instance: &FleetInstance,
     call: &CallerRequest,
     answered: &AnsweredRequest,
     status: StatusCode,
     facts: &AnswerFacts,
 ) {
-    if !is_own(call, status, facts) {
+    if !is_answer_to(call, status, facts) {
         return;
     }
     let now = Instant::now();
-    log_unreadable(node, answered, facts);
+    log_unreadable(instance, answered, facts);
     match facts.announcement.cooldown {
-        Some(rest) => {
-            hear_rest(node, answered, rest, &call.facts.request_id);
+        Some(cooldown) => {
+            apply_cooldown(
+                instance,
+                answered,
+                cooldown,
+                &call.facts.request_id,
+            );
         }
-        None => hear_no_rest(node, answered),
+        None => end_cooldown(instance, answered),
     }
     if facts.announcement.is_leaving {
-        hear_departure(node, answered, &call.facts.request_id, now);
+        apply_announced_departure(
+            instance,
+            answered,
+            &call.facts.request_id,
+            now,
+        );
     }
     let limit = facts.announcement.limit;
     let is_named = limit.per_s().is_some();
-    // What an endpoint turns away it may answer before it looks at its limit.
+    // An endpoint may reject a request before it looks up its limit, so a
+    // rejection without a limit does not mean that the limit is over.
     if is_named || facts.is_proven {
-        let change =
-            node.view.borrow_mut().apply_announced_limit(answered, limit, now);
+        let change = instance
+            .view
+            .borrow_mut()
+            .apply_announced_limit(answered, limit, now);
         if let Some(change) = change {
             log_limit(&answered.endpoint, change, "answer");
         }
     }
 }
 
-/// Takes in that an endpoint asks for rest.
-pub(crate) fn hear_rest(
-    node: &FleetNode,
+/// Records that an endpoint asks for a cooldown.
+pub(crate) fn apply_cooldown(
+    instance: &FleetInstance,
     answered: &AnsweredRequest,
-    rest: Duration,
+    cooldown: Duration,
     request: &str,
 ) {
     let now = Instant::now();
-    if !node.view.borrow_mut().apply_announced_cooldown(answered, rest, now) {
+    if !instance
+        .view
+        .borrow_mut()
+        .apply_announced_cooldown(answered, cooldown, now)
+    {
         return;
     }
     metrics::counter!("sedgewall_endpoint_rests_total").increment(1);
     let endpoint = &answered.endpoint;
-    let rest_ms = rest.as_millis() as u64;
+    let rest_ms = cooldown.as_millis() as u64;
     tracing::info!(event = "endpoint_rest", endpoint, rest_ms, request);
 }
 
-/// Takes in that an endpoint answered without a wish for rest.
-fn hear_no_rest(node: &FleetNode, answered: &AnsweredRequest) {
-    if !node.view.borrow_mut().record_answer(answered) {
+/// Records that an endpoint answered without asking for a cooldown.
+fn end_cooldown(instance: &FleetInstance, answered: &AnsweredRequest) {
+    if !instance.view.borrow_mut().record_answer(answered) {
         return;
     }
     let endpoint = &answered.endpoint;
     tracing::info!(event = "endpoint_rest_over", endpoint);
-    node.wake_all();
+    instance.wake_all();
 }
 
-/// One line a second at most for values that cannot be read.
+/// Logs a value that cannot be read, at most one line a second.
 fn log_unreadable(
-    node: &FleetNode,
+    instance: &FleetInstance,
     answered: &AnsweredRequest,
     facts: &AnswerFacts,
 ) {
     let Some(value) = &facts.announcement.unreadable else { return };
     metrics::counter!("sedgewall_announcements_unreadable_total").increment(1);
     let now = Instant::now();
-    let logged = node.unreadable_logged.get();
+    let logged = instance.unreadable_logged.get();
     if logged.is_some_and(|at| now - at < UNREADABLE_LOGGED_EVERY) {
         return;
     }
-    node.unreadable_logged.set(Some(now));
+    instance.unreadable_logged.set(Some(now));
     let endpoint = &answered.endpoint;
     tracing::warn!(event = "announcement_unreadable", endpoint, value);
 }
 
-/// Takes in that an endpoint leaves, and tells all others.
-fn hear_departure(
-    node: &FleetNode,
+/// Records that an endpoint is leaving, and tells all other instances.
+fn apply_announced_departure(
+    instance: &FleetInstance,
     answered: &AnsweredRequest,
     request: &str,
     now: Instant,
 ) {
-    if !node.view.borrow_mut().apply_announced_departure(answered, now) {
+    if !instance.view.borrow_mut().apply_announced_departure(answered, now) {
         return;
     }
     metrics::counter!("sedgewall_endpoint_departures_announced_total")
         .increment(1);
     let endpoint = &answered.endpoint;
     tracing::info!(event = "departure_announced", endpoint, request);
-    watch_endpoints::tell_departures(node);
-    node.wake_all();
-    node.notify_loader();
+    watch_endpoints::broadcast_departures(instance);
+    instance.wake_all();
+    instance.notify_planner();
 }
 
-/// Takes in what another instance reports of limits.
-pub(crate) fn hear_reports(node: &FleetNode, status: &Status, now: Instant) {
+/// Applies the limits that another instance reports.
+pub(crate) fn apply_limit_reports(
+    instance: &FleetInstance,
+    status: &Status,
+    now: Instant,
+) {
     let until = now + status.valid_for();
     let (from, is_total) = (&status.from, status.is_total);
     let source = ReportSource { from, is_total, until };
-    let mut view = node.view.borrow_mut();
+    let mut view = instance.view.borrow_mut();
     for report in &status.limits {
         if let Some(change) = view.apply_limit_report(report, source, now) {
             log_limit(&report.endpoint, change, from);
@@ -135,9 +159,10 @@
     }
 }
 
-/// Returns whether an answer is the endpoint's to this request. Another endpoint that
-/// has the address now says so with 421; a surplus answer names another request.
-fn is_own(
+/// Returns whether a response is the endpoint's answer to this request. An
+/// endpoint that has taken over the address of another one answers 421, and a
+/// surplus response carries the id of another request.
+fn is_answer_to(
     call: &CallerRequest,
     status: StatusCode,
     facts: &AnswerFacts,
--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -1,4 +1,5 @@
-//! One send of a request to one endpoint, and what its end means.
+//! One attempt to send a request to one endpoint, and the classification of
+//! its outcome.
 
 use std::{
     cell::{OnceCell, RefCell},
@@ -29,16 +30,16 @@
 
 use super::{
     announcements,
-    in_flight::UnderWay,
-    instance::{FleetNode, SeenArrival},
+    in_flight::InFlightGuard,
+    instance::{FleetInstance, ObservedLoad},
     poison,
 };
 
-/// The longest time for a connection to an endpoint. Within a region a
-/// connection takes milliseconds; a lost packet costs a second.
-const CONNECT_TIME: Duration = Duration::from_millis(400);
+/// The timeout for connecting to an endpoint. Within a region a connection
+/// takes milliseconds; a lost packet costs a second.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What a request is, once it was read.
+/// A caller's request after its headers and body were read.
 pub(crate) struct CallerRequest {
     pub(crate) facts: CallFacts,
     pub(crate) method: Method,
@@ -46,42 +47,44 @@
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
     pub(crate) route: Route,
-    /// By which configuration it was routed.
+    /// The configuration that it was routed by.
     pub(crate) decided_by: ConfigurationStatus,
     pub(crate) service: String,
     pub(crate) is_engine: bool,
     pub(crate) arrived: Instant,
-    /// When it must have its final answer.
-    pub(crate) end: Instant,
-    /// Whether its caller has tried before, as its time tells.
+    /// The deadline for the final answer.
+    pub(crate) deadline: Instant,
+    /// Whether the caller has tried before, as inferred from a time limit that
+    /// is shorter than the longest on this route.
     pub(crate) is_later_try: bool,
-    /// Whose it is.
+    /// The customer that the request belongs to, if its route needs a key.
     pub(crate) customer: Option<Rc<Customer>>,
-    /// Where it was sent last, and when.
+    /// The endpoint that it was last sent to, and when.
     pub(crate) sent_to: RefCell<Option<SentTo>>,
-    /// Made when it is asked for: few requests need one.
+    /// Computed on first use, because few requests need one.
     pub(crate) digest: OnceCell<RequestDigest>,
 }
 
-/// Where a request was sent.
+/// The destination and time of a send.
 #[derive(Clone, Debug)]
 pub(crate) struct SentTo {
     pub(crate) endpoint: EndpointId,
     pub(crate) at: Instant,
 }
 
-/// How a send ended without an answer to pass on.
+/// Why an attempt brought no response that can be forwarded.
 #[derive(Clone, Debug)]
 pub(crate) enum AttemptError {
-    /// The endpoint does not hold the adapter, or is another one.
+    /// The endpoint does not hold the adapter, or another endpoint has the
+    /// address now.
     Misdirected,
-    /// The endpoint has no room.
+    /// The endpoint has no capacity left.
     Busy,
     /// No connection could be made.
     Unreachable(String),
-    /// The endpoint may have run it.
+    /// The attempt failed, and the endpoint may have run the request.
     Unclear(String),
-    /// The time for this send passed; the endpoint may have run it.
+    /// The attempt timed out, and the endpoint may have run the request.
     TimedOut,
 }
 
@@ -96,7 +99,7 @@
         }
     }
 
-    /// What is known of the cause.
+    /// Returns the details of the cause, or an empty string if there are none.
     pub(crate) fn detail(&self) -> &str {
         match self {
             AttemptError::Unreachable(cause)
@@ -105,7 +108,7 @@
         }
     }
 
-    /// The name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub(crate) fn name(&self) -> &'static str {
         match self {
             AttemptError::Misdirected => "misdirected",
@@ -117,16 +120,16 @@
     }
 }
 
-/// An endpoint's answer that may be passed on.
+/// An endpoint's response that may be forwarded to the caller.
 pub(crate) struct GoodAnswer {
     pub(crate) answer: PooledAnswer,
-    pub(crate) under_way: UnderWay,
+    pub(crate) in_flight_guard: InFlightGuard,
 }
 
 impl CallerRequest {
-    /// Returns what is left of the request's time.
+    /// Returns the time left until the deadline.
     pub(crate) fn left(&self) -> Duration {
-        self.end.saturating_duration_since(Instant::now())
+        self.deadline.saturating_duration_since(Instant::now())
     }
 
     /// Returns the model or adapter, if an engine serves the request.
@@ -134,12 +137,13 @@
         self.facts.key.as_ref().filter(|_| self.is_engine)
     }
 
-    /// Returns what all tries of this request have in common.
+    /// Returns a digest that all tries of this request have in common.
     pub(crate) fn digest(&self) -> RequestDigest {
         *self.digest.get_or_init(|| RequestDigest::of(self.parts()))
     }
 
-    /// Returns a hash of the same, which is cheap enough for each request.
+    /// Returns a hash of the same parts as the digest that is cheap enough to
+    /// compute for each request.
     pub(crate) fn hash(&self, key: &RandomState) -> RequestHash {
         let RequestParts { customer, method, host, path, body } = self.parts();
         key.hash_one((customer, method, host, path, body))
@@ -156,7 +160,8 @@
         }
     }
 
-    /// Returns the rank: the customer's comes before the route's.
+    /// Returns the priority rank. The customer's rank takes precedence over
+    /// the route's.
     pub(crate) fn rank(&self) -> u8 {
         let route = self.route.priority;
         self.customer.as_ref().map_or(route, |c| c.effective_priority(route))
@@ -168,63 +173,66 @@
     }
 }
 
-/// What bounds a send.
+/// The bounds of one attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SendLimits {
-    /// The longest time until the head of the answer.
+    /// The timeout until the response headers arrive.
     pub(crate) within: Duration,
-    /// Whether a failure that the endpoint answers is the final answer.
+    /// Whether an error response of the endpoint is the final answer, because
+    /// no other attempt follows.
     pub(crate) is_last: bool,
 }
 
-/// Sends a request to an endpoint and waits for the head of its answer.
+/// Sends a request to an endpoint and waits for the response headers.
 pub(crate) async fn send(
-    node: &Rc<FleetNode>,
+    instance: &Rc<FleetInstance>,
     call: &CallerRequest,
     target: &Target,
     last_event: Option<&str>,
     limits: SendLimits,
 ) -> Result<GoodAnswer, AttemptError> {
     let prompt_tokens = call.facts.prompt_tokens;
-    let mut under_way =
-        UnderWay::begin(node, &target.id, call.key(), prompt_tokens);
+    let mut in_flight_guard =
+        InFlightGuard::begin(instance, &target.id, call.key(), prompt_tokens);
     let request = build(call, target, last_event);
     let began = Instant::now();
     let answered = AnsweredRequest {
         endpoint: target.id.clone(),
-        born: node.view.borrow().incarnation(&target.id),
+        born: instance.view.borrow().incarnation(&target.id),
         sent: began,
     };
-    node.view.borrow_mut().record_sent(&target.id, began);
-    let sending = node.pool.send(target.address, request, CONNECT_TIME);
+    instance.view.borrow_mut().record_sent(&target.id, began);
+    let sending = instance.pool.send(target.address, request, CONNECT_TIMEOUT);
     let ended = match compio::time::timeout(limits.within, sending).await {
         Ok(Ok(answer)) => {
             let status = answer.status;
             let facts = AnswerFacts::read(status, &answer.headers);
-            announcements::hear_answer(node, call, &answered, status, &facts);
-            judge(call, answer, facts, limits.is_last)
+            announcements::apply_response(
+                instance, call, &answered, status, &facts,
+            );
+            classify(call, answer, facts, limits.is_last)
         }
         Ok(Err(SendError::NotSent(cause))) => {
             Err(AttemptError::Unreachable(cause))
         }
         Ok(Err(SendError::Broken(cause))) => {
-            poison::run_broke(node, call, target, &cause);
+            poison::run_broken(instance, call, target, &cause);
             Err(AttemptError::Unclear(cause))
         }
         Err(_) => {
-            poison::run_lost(node, call, Loss::Broken);
+            poison::run_lost(instance, call, Loss::Broken);
             Err(AttemptError::TimedOut)
         }
     };
-    under_way.answer_begins();
+    in_flight_guard.response_started();
     if ended.is_ok() && call.key().is_some() {
         let tokens = target.unread_tokens + prompt_tokens;
-        let mut view = node.view.borrow_mut();
+        let mut view = instance.view.borrow_mut();
         view.observe_first_event(&call.service, tokens, began.elapsed());
     }
-    note_arrival(node, call, target, &ended, began);
-    note(node, call, target, &ended);
-    ended.map(|answer| GoodAnswer { answer, under_way })
+    record_load_observation(instance, call, target, &ended, began);
+    record_outcome(instance, call, target, &ended);
+    ended.map(|answer| GoodAnswer { answer, in_flight_guard })
 }
 
 fn build(
@@ -247,9 +255,9 @@
     request
 }
 
-/// Tells answers that may be passed on from those that say or mean that
-/// something went wrong.
-fn judge(
+/// Separates responses that may be forwarded from those that report or imply a
+/// failure.
+fn classify(
     call: &CallerRequest,
     mut answer: PooledAnswer,
     facts: AnswerFacts,
@@ -263,29 +271,35 @@
             _ => AttemptError::Busy,
         });
     }
-    // An endpoint may send an answer twice; the second one then lies where
-    // the next request's answer is due.
+    // An endpoint may send a response twice. The second copy is then read
+    // where the response to the next request on the connection is expected.
     let is_ours =
         facts.request_id.as_deref() == Some(call.facts.request_id.as_str());
     if !is_ours {
         answer.distrust();
         let of = facts.request_id.unwrap_or_default();
-        return Err(AttemptError::Unclear(format!("the answer is to {of:?}")));
+        return Err(AttemptError::Unclear(format!(
+            "response is for request {of:?}"
+        )));
     }
     if status.is_success() && !facts.is_proven {
         answer.distrust();
-        return Err(AttemptError::Unclear("a success without proof".into()));
+        return Err(AttemptError::Unclear(
+            "success response without the response-seal header".into(),
+        ));
     }
     if status.is_server_error() && !(is_last && facts.is_proven) {
-        return Err(AttemptError::Unclear(format!("it answered {status}")));
+        return Err(AttemptError::Unclear(format!(
+            "endpoint answered {status}"
+        )));
     }
     Ok(answer)
 }
 
-/// Notes what a send to an adapter on its way showed: it was there when the
-/// request came, or not.
-fn note_arrival(
-    node: &FleetNode,
+/// Records what a send to an adapter that is still loading showed: whether the
+/// adapter was loaded when the request arrived.
+fn record_load_observation(
+    instance: &FleetInstance,
     call: &CallerRequest,
     target: &Target,
     ended: &Result<PooledAnswer, AttemptError>,
@@ -297,26 +311,26 @@
         Err(AttemptError::Misdirected) => false,
         _ => return,
     };
-    if !node.view.borrow_mut().confirm_load(&target.id, key, is_there) {
+    if !instance.view.borrow_mut().confirm_load(&target.id, key, is_there) {
         return;
     }
-    node.arrivals.borrow_mut().push(SeenArrival {
+    instance.observed_loads.borrow_mut().push(ObservedLoad {
         endpoint: target.id.clone(),
         key: key.clone(),
         is_there,
         sent,
     });
-    node.notify_notes();
+    instance.notify_notes();
 }
 
-fn note(
-    node: &FleetNode,
+fn record_outcome(
+    instance: &FleetInstance,
     call: &CallerRequest,
     target: &Target,
     ended: &Result<PooledAnswer, AttemptError>,
 ) {
     let now = Instant::now();
-    let mut view = node.view.borrow_mut();
+    let mut view = instance.view.borrow_mut();
     if let (Err(AttemptError::Misdirected | AttemptError::Busy), Some(key)) =
         (ended, call.key())
     {
@@ -340,14 +354,15 @@
         }
         Err(AttemptError::Busy) => false,
         Err(AttemptError::Misdirected) => {
-            // Where no adapter is named, another endpoint has the address.
+            // For a request without an adapter, a misdirected answer means
+            // that another endpoint has the address.
             call.key().is_none() && state.health.failed(now)
         }
         Err(AttemptError::Unreachable(_)) => {
             state.health.unreachable(now);
             if call.is_engine {
-                node.unreachable.borrow_mut().insert(target.id.clone());
-                node.notify_notes();
+                instance.unreachable.borrow_mut().insert(target.id.clone());
+                instance.notify_notes();
             }
             !state.health.is_usable(now)
         }
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -1,9 +1,9 @@
-//! One request of a caller: routed, sent, answered.
+//! The handling of one request of a caller: routing, sending and answering it.
 //!
-//! The module keeps the rules on repetition: a request goes to another
-//! endpoint only if it certainly did not run, or may run again, and only
-//! within the allowance that all instances share. A refusal says "not run"
-//! only if no endpoint can have run the request.
+//! This module enforces the retry rules. A request is sent to another endpoint
+//! only if it certainly did not run or is safe to repeat, and only within the
+//! retry budget that all instances share. A refusal says "not run" only if no
+//! endpoint can have run the request.
 
 use std::{
     cell::{OnceCell, RefCell},
@@ -31,63 +31,68 @@
 
 use super::{
     admit::{
-        Admitted, Asked, admit_by_newest, give_back_allowance, take_allowance,
+        AdmissionQuery, Admitted, admit_by_newest, charge_allowance,
+        refund_allowance,
     },
     attempt::{
         self, AttemptError, CallerRequest, GoodAnswer, SendLimits, SentTo,
     },
-    in_flight::OpenRequest,
-    instance::{FleetNode, Stage},
+    in_flight::OpenRequestGuard,
+    instance::{FleetInstance, Stage},
     permits::{Permits, PermittedChoice},
     poison,
     refusal::{self, Reason},
     relay, request_log,
 };
 
-/// How long a body may take to come in.
-const BODY_TIME: Duration = Duration::from_secs(10);
+/// The timeout for receiving a request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The time of a request that states none.
-const PATIENCE_UNSTATED: Duration = Duration::from_secs(10);
+/// The time limit of a request whose caller states none.
+const DEFAULT_TIME_LIMIT: Duration = Duration::from_secs(10);
 
-/// An answer of ours must leave this long before the caller's time is over.
+/// How long before the caller's deadline this instance must send an answer of
+/// its own.
 const ANSWER_MARGIN: Duration = Duration::from_millis(20);
 
-/// How long a request that would come late everywhere waits for its adapter to
-/// be loaded where it begins sooner. From the weight store that takes 0.25 s.
-/// The rest is for the order.
-const COPY_WAIT: Duration = Duration::from_millis(330);
+/// How long a request that would be late at every endpoint waits for its
+/// adapter to be loaded on an engine that can start sooner. A load from the
+/// weight store takes 0.25 s; the rest is for giving the order.
+const LOAD_WAIT: Duration = Duration::from_millis(330);
 
-/// How often a request looks again for a place at full endpoints.
-const LOOK_AGAIN: Duration = Duration::from_millis(15);
+/// The interval at which a request checks full endpoints for capacity again.
+const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(15);
 
-/// The same for a try that waits long: many may wait on a small instance.
-const LOOK_AGAIN_LONG: Duration = Duration::from_millis(60);
+/// The same interval for a later try. Later tries wait long, and many of them
+/// may wait on a small instance.
+const LATER_TRY_POLL_INTERVAL: Duration = Duration::from_millis(60);
 
-/// A try whose time is below this part of the longest on its route is not its
-/// caller's first. Refused again it is lost, so it waits as long as an answer
-/// can still come, be it late.
-const LATER_TRY_PART: f64 = 0.9;
+/// A try whose time limit is below this fraction of the longest on its route
+/// is taken to be a repetition by its caller. A caller that is refused once
+/// more gives up, so such a try waits as long as any answer, even a late one,
+/// is still possible.
+const LATER_TRY_FRACTION: f64 = 0.9;
 
-/// A repeatable request without an answer goes to another endpoint after this
-/// many times its target latency.
-const PATIENCE_TARGETS: f64 = 2.5;
+/// The timeout of an attempt of a repeatable request, in multiples of the
+/// route's target latency. After it, the request goes to another endpoint.
+const ATTEMPT_TIMEOUT_TARGETS: f64 = 2.5;
 
-/// Sends of one request at most, those that were turned away included.
-const MOST_SENDS: u32 = 6;
+/// The maximum number of sends for one request, including those that an
+/// endpoint rejected.
+const MAX_SENDS: u32 = 6;
 
-/// Answers one request.
+/// Answers one request of a caller.
 pub(crate) async fn answer(
-    node: Rc<FleetNode>,
+    instance: Rc<FleetInstance>,
     request: Request<Incoming>,
 ) -> Response<LocalBody> {
-    let open = OpenRequest::begin(&node);
+    let open = OpenRequestGuard::begin(&instance);
     let arrived = Instant::now();
-    let mut response = match read(&node, request, arrived).await {
-        Ok(call) => serve(&node, Rc::new(call), open).await,
-        Err(refused) => refuse_unread(refused, arrived),
+    let mut response = match read(&instance, request, arrived).await {
+        Ok(call) => serve(&instance, Rc::new(call), open).await,
+        Err(refused) => refuse_early(refused, arrived),
     };
-    if node.stage.get() == Stage::Leaving {
+    if instance.stage.get() == Stage::Leaving {
         let close = header::HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
@@ -95,7 +100,7 @@
 }
 
 /// A request that was refused before it was routed.
-struct Unread {
+struct EarlyRefusal {
     reason: Reason,
     request_id: String,
     path: String,
@@ -103,7 +108,10 @@
     decided_by: ConfigurationStatus,
 }
 
-fn refuse_unread(refused: Unread, arrived: Instant) -> Response<LocalBody> {
+fn refuse_early(
+    refused: EarlyRefusal,
+    arrived: Instant,
+) -> Response<LocalBody> {
     let denied = match refused.reason {
         Reason::OverAllowance(denied) => Some(denied),
         _ => None,
@@ -128,56 +136,55 @@
         total_age_ms = denied.and_then(|d| d.total_age).map(ms),
         back_in_ms = denied.map(|denied| ms(denied.retry_in)),
     );
-    let draw = draw_of(&refused.request_id);
-    let after = retry_delay(PATIENCE_UNSTATED, None, draw);
+    let draw = hash_fraction(&refused.request_id);
+    let after = retry_delay(DEFAULT_TIME_LIMIT, None, draw);
     refusal::answer(refused.reason, after)
 }
 
 async fn read(
-    node: &FleetNode,
+    instance: &FleetInstance,
     request: Request<Incoming>,
     arrived: Instant,
-) -> Result<CallerRequest, Unread> {
+) -> Result<CallerRequest, EarlyRefusal> {
     let (mut head, body) = request.into_parts();
     let facts = CallFacts::take(&mut head.headers);
     let path = head.uri.path().to_owned();
     let request_id =
         facts.as_ref().map_or(String::new(), |f| f.request_id.clone());
-    let refuse = |reason| Unread {
+    let refuse = |reason| EarlyRefusal {
         reason,
         request_id: request_id.clone(),
         path: path.clone(),
         customer: None,
-        decided_by: node.decides(),
+        decided_by: instance.configuration_status(),
     };
-    let asked = Asked {
+    let query = AdmissionQuery {
         host: host_of(&head),
         path: path.clone(),
         credential: facts.as_ref().and_then(|f| f.credential),
     };
-    let admitted = admit_by_newest(node, &asked).await.map_err(&refuse)?;
+    let admitted = admit_by_newest(instance, &query).await.map_err(&refuse)?;
     let Admitted { routing, route, customer, decided_by } = admitted;
     let facts = facts.ok_or_else(|| refuse(Reason::NoRequestId))?;
     let tokens = facts.prompt_tokens + facts.answer_tokens;
     if let Some(customer) = &customer {
-        take_allowance(node, customer, tokens).map_err(|reason| Unread {
-            customer: Some(customer.clone()),
-            ..refuse(reason)
+        charge_allowance(instance, customer, tokens).map_err(|reason| {
+            EarlyRefusal { customer: Some(customer.clone()), ..refuse(reason) }
         })?;
     }
     let most = routing.limits.body_bytes;
-    let body = read_body(body, most, BODY_TIME).await.map_err(|err| {
+    let body = read_body(body, most, BODY_TIMEOUT).await.map_err(|err| {
         refuse(match err {
             BodyError::TooLong(_) => Reason::BodyTooLong,
             BodyError::TooSlow(_) | BodyError::Broken(_) => Reason::BodyBroken,
         })
     })?;
-    let patience = facts.patience.unwrap_or(PATIENCE_UNSTATED);
-    let end = arrived + patience.min(route.timeout) - ANSWER_MARGIN;
-    let longest = node.longest_patience(&route.name, patience);
-    let is_later_try = patience < longest.mul_f64(LATER_TRY_PART);
+    let time_limit = facts.patience.unwrap_or(DEFAULT_TIME_LIMIT);
+    let deadline = arrived + time_limit.min(route.timeout) - ANSWER_MARGIN;
+    let longest = instance.longest_time_limit(&route.name, time_limit);
+    let is_later_try = time_limit < longest.mul_f64(LATER_TRY_FRACTION);
     let service = route
-        .pick_service(draw_of(&facts.request_id))
+        .pick_service(hash_fraction(&facts.request_id))
         .ok_or_else(|| refuse(Reason::NobodyThere))?
         .clone();
     let is_engine = routing.engine_group(&service).is_some();
@@ -192,7 +199,7 @@
         service,
         is_engine,
         arrived,
-        end,
+        deadline,
         is_later_try,
         customer,
         sent_to: RefCell::default(),
@@ -207,7 +214,8 @@
     name.to_owned()
 }
 
-/// Endpoints get path and query, also if the caller named a whole URL.
+/// Returns the URI in origin form: endpoints get path and query only, even if
+/// the caller sent an absolute URL.
 fn origin_form(uri: http::Uri) -> http::Uri {
     if uri.authority().is_none() {
         return uri;
@@ -216,73 +224,84 @@
     path.map_or(uri, http::Uri::from)
 }
 
-/// What happened to a request so far.
+/// The attempts made so far for one request.
 pub(crate) struct Progress {
     pub(crate) tried: Vec<EndpointId>,
     pub(crate) sends: u32,
-    /// Sends that may have run.
+    /// The number of sends whose request may have run.
     pub(crate) runs: u32,
     pub(crate) waited: Duration,
-    /// From the last send to the head of its answer.
-    pub(crate) engine: Duration,
-    /// When what it was rejected for is likely to be over.
-    pub(crate) gone_in: Option<Duration>,
+    /// The time from the last send to its response headers.
+    pub(crate) engine_time: Duration,
+    /// When the reason for the rejection is expected to be over.
+    pub(crate) available_in: Option<Duration>,
 }
 
 async fn serve(
-    node: &Rc<FleetNode>,
+    instance: &Rc<FleetInstance>,
     call: Rc<CallerRequest>,
-    open: OpenRequest,
+    open: OpenRequestGuard,
 ) -> Response<LocalBody> {
-    node.budget.borrow_mut().count_request(&call.service, call.arrived);
+    instance.budget.borrow_mut().count_request(&call.service, call.arrived);
     if let Some(key) = call.key() {
-        *node.asked.borrow_mut().entry(key.clone()).or_default() += 1;
+        *instance
+            .requested_adapters
+            .borrow_mut()
+            .entry(key.clone())
+            .or_default() += 1;
     }
     let mut progress = Progress {
         tried: Vec::new(),
         sends: 0,
         runs: 0,
         waited: Duration::ZERO,
-        engine: Duration::ZERO,
-        gone_in: None,
+        engine_time: Duration::ZERO,
+        available_in: None,
     };
-    let mut watch = request_log::Unanswered::begin(node, call.clone());
+    let mut watch =
+        request_log::UnansweredGuard::begin(instance, call.clone());
     let last_event = call.facts.last_event.clone();
-    let found = obtain(node, &call, &mut progress, last_event.as_deref());
+    let found = send_with_retries(
+        instance,
+        &call,
+        &mut progress,
+        last_event.as_deref(),
+    );
     let response = match found.await {
         Ok((good, target)) => {
-            pass_on(node, call, progress, good, target, open).await
+            forward(instance, call, progress, good, target, open).await
         }
         Err(reason) => {
             if progress.runs == 0 {
-                give_back_allowance(node, &call);
+                refund_allowance(instance, &call);
             }
             request_log::refused(&call, &progress, reason);
-            refusal::answer(reason, come_back_of(&call, &progress))
+            refusal::answer(reason, retry_delay_of(&call, &progress))
         }
     };
     watch.answered();
     response
 }
 
-/// Finds an endpoint that answers; tries others as far as that is allowed.
-pub(crate) async fn obtain(
-    node: &Rc<FleetNode>,
+/// Sends the request to endpoints until one answers, within the retry rules.
+pub(crate) async fn send_with_retries(
+    instance: &Rc<FleetInstance>,
     call: &CallerRequest,
     progress: &mut Progress,
     last_event: Option<&str>,
 ) -> Result<(GoodAnswer, Target), Reason> {
     loop {
-        poison::check(node, call, progress.runs)?;
-        let target = match find(node, call, progress).await {
+        poison::check(instance, call, progress.runs)?;
+        let target = match select_endpoint(instance, call, progress).await {
             Ok(target) => target,
             Err(_) if progress.runs > 0 => return Err(Reason::OutcomeUnknown),
             Err(reason) => return Err(reason),
         };
-        // Others may have seen its endpoints end while it waited for a place.
-        poison::check(node, call, progress.runs)?;
+        // While the request waited for capacity, other instances may have
+        // reported crashes under it.
+        poison::check(instance, call, progress.runs)?;
         let is_first = progress.sends == 0;
-        if !is_first && !take_repeat(node, call) {
+        if !is_first && !take_retry(instance, call) {
             return Err(match progress.runs {
                 0 => Reason::RetriesSpent,
                 _ => Reason::OutcomeUnknown,
@@ -294,37 +313,38 @@
         let limits = send_limits(call, progress);
         let began = Instant::now();
         let sent =
-            attempt::send(node, call, &target, last_event, limits).await;
-        progress.engine = began.elapsed();
+            attempt::send(instance, call, &target, last_event, limits).await;
+        progress.engine_time = began.elapsed();
         let err = match sent {
             Ok(good) => return Ok((good, target)),
             Err(err) => err,
         };
-        request_log::attempt(call, progress, &target, &err);
+        request_log::send_failed(call, progress, &target, &err);
         progress.runs += u32::from(!err.is_not_run());
         if !matches!(err, AttemptError::Misdirected) || call.key().is_none() {
             progress.tried.push(target.id.clone());
         }
-        after_failure(call, progress, &err)?;
+        check_retry(call, progress, &err)?;
     }
 }
 
-/// Takes one repeat of the allowance that all instances share.
-fn take_repeat(node: &FleetNode, call: &CallerRequest) -> bool {
+/// Takes one retry out of the budget that all instances share.
+fn take_retry(instance: &FleetInstance, call: &CallerRequest) -> bool {
     let now = Instant::now();
-    let instances = node.instances();
-    node.budget.borrow_mut().take(&call.service, now, instances)
+    let instances = instance.instance_count();
+    instance.budget.borrow_mut().take(&call.service, now, instances)
 }
 
-/// Returns whether there may be another send, or the final answer.
-fn after_failure(
+/// Returns `Ok` if another attempt is allowed, otherwise the reason for the
+/// final answer.
+fn check_retry(
     call: &CallerRequest,
     progress: &Progress,
     err: &AttemptError,
 ) -> Result<(), Reason> {
     let is_over = call.left().is_zero();
     if progress.runs == 0 {
-        return match (is_over, progress.sends >= MOST_SENDS) {
+        return match (is_over, progress.sends >= MAX_SENDS) {
             (true, _) => Err(Reason::TooLate),
             (_, true) => Err(Reason::RetriesSpent),
             _ => Ok(()),
@@ -332,7 +352,7 @@
     }
     let may_repeat = call.is_repeatable()
         && progress.runs < call.route.max_attempts
-        && progress.sends < MOST_SENDS;
+        && progress.sends < MAX_SENDS;
     if may_repeat && !is_over {
         return Ok(());
     }
@@ -346,31 +366,33 @@
     let left = call.left();
     let is_last =
         !call.is_repeatable() || progress.runs + 1 >= call.route.max_attempts;
-    let patience = call.route.target_latency.mul_f64(PATIENCE_TARGETS);
-    let within = if is_last { left } else { left.min(patience) };
+    let time_limit =
+        call.route.target_latency.mul_f64(ATTEMPT_TIMEOUT_TARGETS);
+    let within = if is_last { left } else { left.min(time_limit) };
     SendLimits { within, is_last }
 }
 
-/// Waits for an endpoint that can take the request.
-async fn find(
-    node: &Rc<FleetNode>,
+/// Waits until an endpoint can take the request, and returns that endpoint.
+async fn select_endpoint(
+    instance: &Rc<FleetInstance>,
     call: &CallerRequest,
     progress: &mut Progress,
 ) -> Result<Target, Reason> {
     let draw = xxh3_64(call.facts.request_id.as_bytes());
     let began = Instant::now();
     let target = call.route.target_latency;
-    let held = held(node, call);
-    let look_again = match held.is_later_try {
-        true => LOOK_AGAIN_LONG,
-        false => LOOK_AGAIN,
+    let waiting_request = waiting_request(instance, call);
+    let poll_interval = match waiting_request.is_later_try {
+        true => LATER_TRY_POLL_INTERVAL,
+        false => CAPACITY_POLL_INTERVAL,
     };
-    // Where it would come late it waits for another engine to get the adapter.
-    let patient_until = began + COPY_WAIT;
+    // If the answer would be late on every engine that holds the adapter, wait
+    // until another engine has loaded it.
+    let load_wait_end = began + LOAD_WAIT;
     let mut permits = Permits::default();
     loop {
         let now = Instant::now();
-        let may_wait = now < patient_until;
+        let may_wait = now < load_wait_end;
         let need = Need {
             service: &call.service,
             key: call.key(),
@@ -381,69 +403,74 @@
             may_wait,
         };
         let PermittedChoice { choice, limited_for } =
-            permits.choose(node, need, now);
+            permits.choose(instance, need, now);
         progress.waited = now - began;
-        let (reason, obstacle, pause) = match choice {
+        let (reason, wait_reason, pause) = match choice {
             Choice::Send(found) => return Ok(found),
             Choice::Loading(ready_in) => {
-                let obstacle = WaitReason::AdapterLoading(ready_in);
-                (Reason::AdapterAbsent, obstacle, ready_in)
+                let wait_reason = WaitReason::AdapterLoading(ready_in);
+                (Reason::AdapterAbsent, wait_reason, ready_in)
             }
             Choice::Absent => {
-                let resting = call
-                    .key()
-                    .and_then(|key| node.note_resting_holders(key, now));
-                let limited_for = limited_for.or(resting);
-                ask_for(node, call);
-                let load_time = node.view.borrow().load_time();
-                let obstacle = WaitReason::AdapterNotLoaded { load_time };
+                let cooling_down = call.key().and_then(|key| {
+                    instance.mark_holders_cooling_down(key, now)
+                });
+                let limited_for = limited_for.or(cooling_down);
+                request_adapter(instance, call);
+                let load_time = instance.view.borrow().load_time();
+                let wait_reason = WaitReason::AdapterNotLoaded { load_time };
                 match limited_for {
                     Some(ready_in) => {
                         let pause = ready_in.min(target);
-                        (Reason::EndpointsLimited, obstacle, pause)
+                        (Reason::EndpointsLimited, wait_reason, pause)
                     }
-                    None => (Reason::AdapterAbsent, obstacle, target),
+                    None => (Reason::AdapterAbsent, wait_reason, target),
                 }
             }
             Choice::Full => {
-                ask_for(node, call);
-                (Reason::Full, WaitReason::NoCapacity, look_again)
+                request_adapter(instance, call);
+                (Reason::Full, WaitReason::NoCapacity, poll_interval)
             }
             Choice::Busy(ready_in) => {
                 if ready_in.is_none() {
-                    ask_for(node, call);
+                    request_adapter(instance, call);
                 }
-                let left = patient_until - now;
-                sleep_or_hear(node, call, ready_in.unwrap_or(left).min(left))
-                    .await;
+                let left = load_wait_end - now;
+                sleep_or_woken(
+                    instance,
+                    call,
+                    ready_in.unwrap_or(left).min(left),
+                )
+                .await;
                 continue;
             }
             Choice::NoEndpoint => {
-                // All have failed it; what may run again goes round again.
+                // Every endpoint has failed this request. A repeatable request
+                // may try them again.
                 if progress.runs > 0 {
                     progress.tried.clear();
                 }
-                let resting = || {
-                    let view = node.view.borrow();
+                let cooling_down = || {
+                    let view = instance.view.borrow();
                     view.service_cooldown(&call.service, now)
                 };
-                match limited_for.or_else(resting) {
+                match limited_for.or_else(cooling_down) {
                     Some(ready_in) => {
-                        let obstacle = WaitReason::Saturated(ready_in);
-                        let pause = ready_in.max(look_again);
-                        (Reason::EndpointsLimited, obstacle, pause)
+                        let wait_reason = WaitReason::Saturated(ready_in);
+                        let pause = ready_in.max(poll_interval);
+                        (Reason::EndpointsLimited, wait_reason, pause)
                     }
                     None => (
                         Reason::NobodyThere,
                         WaitReason::NoCapacity,
-                        look_again,
+                        poll_interval,
                     ),
                 }
             }
         };
-        let until = held.wait_until(obstacle, now);
+        let until = waiting_request.wait_until(wait_reason, now);
         if now >= until {
-            progress.gone_in = match obstacle {
+            progress.available_in = match wait_reason {
                 WaitReason::AdapterLoading(ready_in)
                 | WaitReason::Saturated(ready_in) => Some(ready_in),
                 WaitReason::AdapterNotLoaded { .. }
@@ -451,72 +478,81 @@
             };
             return Err(reason);
         }
-        sleep_or_hear(node, call, pause.min(until - now)).await;
+        sleep_or_woken(instance, call, pause.min(until - now)).await;
     }
 }
 
-/// Returns when a caller whose request is rejected may come back.
-fn come_back_of(call: &CallerRequest, progress: &Progress) -> Duration {
-    let draw = draw_of(&call.facts.request_id);
-    retry_delay(call.left(), progress.gone_in, draw)
+/// Returns the delay after which the caller of a rejected request may retry.
+fn retry_delay_of(call: &CallerRequest, progress: &Progress) -> Duration {
+    let draw = hash_fraction(&call.facts.request_id);
+    retry_delay(call.left(), progress.available_in, draw)
 }
 
-/// Returns a number between 0 and 1 that is drawn for a request.
-fn draw_of(request_id: &str) -> f64 {
+/// Returns a number between 0 and 1 derived from the hash of a request id.
+fn hash_fraction(request_id: &str) -> f64 {
     xxh3_64(request_id.as_bytes()) as f64 / u64::MAX as f64
 }
 
-/// Returns what is known of a request that may have to wait.
-fn held(node: &FleetNode, call: &CallerRequest) -> WaitingRequest {
+/// Returns the bounds on how long a request may wait for an endpoint.
+fn waiting_request(
+    instance: &FleetInstance,
+    call: &CallerRequest,
+) -> WaitingRequest {
     let tokens = call.facts.prompt_tokens;
     let engine_time = match call.key() {
         Some(_) => {
-            node.view.borrow().idle_first_event_time(&call.service, tokens)
+            instance.view.borrow().idle_first_event_time(&call.service, tokens)
         }
         None => Duration::ZERO,
     };
     WaitingRequest {
         arrived: call.arrived,
-        deadline: call.end,
+        deadline: call.deadline,
         target: call.route.target_latency,
         engine_time,
         is_later_try: call.is_later_try && call.is_engine,
     }
 }
 
-/// Waits for a time, or until something is heard of the request's adapter.
-async fn sleep_or_hear(
-    node: &FleetNode,
+/// Waits for `time`, or until the state of the request's adapter changes.
+async fn sleep_or_woken(
+    instance: &FleetInstance,
     call: &CallerRequest,
     time: Duration,
 ) {
     let pause = time + Duration::from_millis(1);
     match call.key() {
-        Some(key) => node.wait_for(key, pause).await,
+        Some(key) => instance.wait_for_adapter(key, pause).await,
         None => compio::time::sleep(pause).await,
     }
 }
 
-/// Asks the holder of the lease for an adapter.
-fn ask_for(node: &FleetNode, call: &CallerRequest) {
+/// Asks the lease holder to load the request's adapter.
+fn request_adapter(instance: &FleetInstance, call: &CallerRequest) {
     if let Some(key) = call.key() {
-        node.ask_for(key, call.rank());
+        instance.request_adapter(key, call.rank());
     }
 }
 
-async fn pass_on(
-    node: &Rc<FleetNode>,
+async fn forward(
+    instance: &Rc<FleetInstance>,
     call: Rc<CallerRequest>,
     progress: Progress,
     good: GoodAnswer,
     target: Target,
-    open: OpenRequest,
+    open: OpenRequestGuard,
 ) -> Response<LocalBody> {
     let status = good.answer.status;
     let headers = to_caller(&good.answer.headers);
     if call.route.is_stream && status.is_success() {
-        let stream =
-            relay::stream(node.clone(), call, progress, good, target, open);
+        let stream = relay::stream(
+            instance.clone(),
+            call,
+            progress,
+            good,
+            target,
+            open,
+        );
         let mut response = Response::new(stream);
         *response.status_mut() = status;
         *response.headers_mut() = headers;
@@ -533,7 +569,7 @@
             };
             request_log::served(&call, &progress, &target, &delivered);
             if status.is_success() {
-                poison::ended_well(node, &call);
+                poison::run_succeeded(instance, &call);
             }
             let mut response = Response::new(LocalBody::whole(body));
             *response.status_mut() = status;
@@ -544,16 +580,16 @@
             let reason = match &whole {
                 Ok(Err(err)) => {
                     let cause = err.to_string();
-                    poison::run_broke(node, &call, &target, &cause);
+                    poison::run_broken(instance, &call, &target, &cause);
                     Reason::OutcomeUnknown
                 }
                 _ => {
-                    poison::run_lost(node, &call, Loss::Broken);
+                    poison::run_lost(instance, &call, Loss::Broken);
                     Reason::TimedOut
                 }
             };
             request_log::refused(&call, &progress, reason);
-            refusal::answer(reason, come_back_of(&call, &progress))
+            refusal::answer(reason, retry_delay_of(&call, &progress))
         }
     }
 }
--- a/crates/sedgewalld/src/fleet/catch_up.rs
+++ b/crates/sedgewalld/src/fleet/catch_up.rs
@@ -1,8 +1,10 @@
-//! Gets from other instances what this one misses, and gives them what they miss.
+//! State transfer between instances: fetches from other instances what this
+//! one is missing, and serves them what they are missing.
 //!
-//! A configuration may be longer than a datagram, so it is asked for over HTTP, at
-//! the port at which notes come as datagrams. It comes whole or not at all, and is
-//! taken in like one that was read from the store: only ever forward.
+//! A configuration may be larger than a datagram, so it is transferred over
+//! HTTP, on the port that receives notes as UDP datagrams. It arrives whole or
+//! not at all and is applied like one read from the store: an older version
+//! never replaces a newer one.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -18,85 +20,91 @@
 };
 
 use super::{
-    instance::FleetNode,
+    instance::FleetInstance,
     notes, poison,
     watch_configuration::{Source, put_in_force},
 };
 
-/// The path of what an instance misses.
+/// The path at which instances serve missing state.
 const MISSED_PATH: &str = "/missed";
 
-/// Instances that are answered at once; the next one asks another. With 300 that are
-/// behind, the link of one would carry some megabytes else.
-const ANSWERED_AT_ONCE: usize = 8;
+/// The maximum number of instances served at once; any other asks another
+/// instance. Without the limit, 300 outdated instances would put some
+/// megabytes on the link of one.
+const MAX_SERVED_AT_ONCE: usize = 8;
 
-/// The longest time for a connection to another instance, which takes milliseconds.
-const CONNECT_TIME: Duration = Duration::from_millis(200);
+/// The timeout for connecting to another instance, which takes milliseconds.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The longest time for an answer. 100 kB take 80 ms at 10 Mbit/s.
-const ANSWER_TIME: Duration = Duration::from_millis(800);
+/// The timeout for a response. 100 kB take 80 ms at 10 Mbit/s.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The longest time for a question to come in.
-const QUESTION_TIME: Duration = Duration::from_millis(500);
+/// The timeout for receiving a request.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The longest question, in bytes: two numbers.
-const QUESTION_BYTES: usize = 256;
+/// The maximum size of a request, in bytes. It holds a few numbers.
+const MAX_REQUEST_BYTES: usize = 256;
 
-/// How long an instance that misses nothing waits to be notified.
-const REST: Duration = Duration::from_secs(60);
+/// How long an instance that is missing nothing waits for a notification.
+const IDLE_WAIT: Duration = Duration::from_secs(60);
 
-/// Error of asking another instance.
+/// An error of fetching missing state from another instance.
 #[derive(Debug, displaydoc::Display)]
-enum AskError {
-    /// it has no entry, and was not heard directly
+enum FetchError {
+    /// no known address: not listed, and no note came directly
     Unknown,
-    /// no answer in time
+    /// no response in time
     Unanswered,
     /// {0}
     Unreachable(SendError),
-    /// it answered {0}
+    /// unexpected response status {0}
     Refused(StatusCode),
-    /// unreadable: {0}
+    /// invalid request or response: {0}
     Unreadable(String),
 }
 
-/// Asks for what is missed, for ever.
-pub(crate) async fn run(node: Rc<FleetNode>) {
+/// Fetches missing state whenever there is any. Never returns.
+pub(crate) async fn run(instance: Rc<FleetInstance>) {
     loop {
-        let own = node.knowledge();
-        match next_step(&node, own) {
-            Step::Idle => node.catch_up_notified(REST).await,
+        let own = instance.state_summary();
+        match next_step(&instance, own) {
+            Step::Idle => instance.catch_up_notified(IDLE_WAIT).await,
             Step::Wait(until) => {
                 let now = Instant::now();
                 let pause = until.saturating_duration_since(now);
-                node.catch_up_notified(pause).await;
+                instance.catch_up_notified(pause).await;
             }
-            Step::Fetch(whom) => ask_one(&node, &whom, own).await,
+            Step::Fetch(peer) => fetch_from(&instance, &peer, own).await,
         }
     }
 }
 
-fn next_step(node: &FleetNode, own: StateSummary) -> Step {
-    let others = node.peers.borrow().len();
-    let mut catch_up = node.catch_up.borrow_mut();
+fn next_step(instance: &FleetInstance, own: StateSummary) -> Step {
+    let others = instance.peers.borrow().len();
+    let mut catch_up = instance.catch_up.borrow_mut();
     catch_up.step(own, others, rand::random(), Instant::now())
 }
 
-async fn ask_one(node: &FleetNode, whom: &InstanceId, own: StateSummary) {
+async fn fetch_from(
+    instance: &FleetInstance,
+    peer: &InstanceId,
+    own: StateSummary,
+) {
     let began = Instant::now();
-    let asked = compio::time::timeout(ANSWER_TIME, ask(node, whom, own));
-    let answer = asked.await.unwrap_or(Err(AskError::Unanswered));
+    let asked =
+        compio::time::timeout(RESPONSE_TIMEOUT, fetch(instance, peer, own));
+    let answer = asked.await.unwrap_or(Err(FetchError::Unanswered));
     let took_ms = began.elapsed().as_millis() as u64;
     match answer {
         Ok((missed, bytes)) => {
-            let is_news = take_in(node, missed);
-            let read = &node.configuration_read;
+            let is_news = apply_missed(instance, missed);
+            let read = &instance.configuration_read;
             read.set(read.get().max(Some(began)));
             tracing::info!(
                 event = "caught_up",
-                from = whom,
+                from = peer,
                 had = own.configuration,
-                configuration = node.configuration_version(),
+                configuration = instance.configuration_version(),
                 is_news,
                 bytes,
                 took_ms,
@@ -109,39 +117,40 @@
             let cause = err.to_string();
             tracing::info!(
                 event = "not_caught_up",
-                from = whom,
+                from = peer,
                 cause,
                 took_ms
             );
         }
     }
-    let mut catch_up = node.catch_up.borrow_mut();
-    catch_up.fetch_failed(whom, Instant::now());
+    let mut catch_up = instance.catch_up.borrow_mut();
+    catch_up.fetch_failed(peer, Instant::now());
 }
 
-async fn ask(
-    node: &FleetNode,
-    whom: &InstanceId,
+async fn fetch(
+    instance: &FleetInstance,
+    peer: &InstanceId,
     own: StateSummary,
-) -> Result<(StateDelta, usize), AskError> {
-    let address = node.address_of(whom).ok_or(AskError::Unknown)?;
-    let request = question(address, own)?;
-    let sent = node.peer_pool.send(address, request, CONNECT_TIME).await;
-    let answer = sent.map_err(AskError::Unreachable)?;
+) -> Result<(StateDelta, usize), FetchError> {
+    let address = instance.address_of(peer).ok_or(FetchError::Unknown)?;
+    let request = fetch_request(address, own)?;
+    let sent =
+        instance.peer_pool.send(address, request, CONNECT_TIMEOUT).await;
+    let answer = sent.map_err(FetchError::Unreachable)?;
     if answer.status != StatusCode::OK {
-        return Err(AskError::Refused(answer.status));
+        return Err(FetchError::Refused(answer.status));
     }
-    let body = answer.whole().await.map_err(AskError::Unreachable)?;
+    let body = answer.whole().await.map_err(FetchError::Unreachable)?;
     let missed = rmp_serde::from_slice(&body)
-        .map_err(|err| AskError::Unreadable(err.to_string()))?;
+        .map_err(|err| FetchError::Unreadable(err.to_string()))?;
     Ok((missed, body.len()))
 }
 
-fn question(
+fn fetch_request(
     address: SocketAddr,
     own: StateSummary,
-) -> Result<Request<http_body_util::Full<Bytes>>, AskError> {
-    let unreadable = |cause: String| AskError::Unreadable(cause);
+) -> Result<Request<http_body_util::Full<Bytes>>, FetchError> {
+    let unreadable = |cause: String| FetchError::Unreadable(cause);
     let body = rmp_serde::to_vec(&own);
     let body = body.map_err(|err| unreadable(err.to_string()))?;
     Request::post(MISSED_PATH)
@@ -150,38 +159,42 @@
         .map_err(|err| unreadable(err.to_string()))
 }
 
-/// Takes in what another instance has; returns whether any of it is news.
-fn take_in(node: &FleetNode, missed: StateDelta) -> bool {
-    let before = node.knowledge();
+/// Applies the state that another instance sent, and returns whether any of it
+/// is new.
+fn apply_missed(instance: &FleetInstance, missed: StateDelta) -> bool {
+    let before = instance.state_summary();
     let now = Instant::now();
     if let Some(routing) = missed.deployment {
-        put_in_force(node, routing, Source::Instance);
+        put_in_force(instance, routing, Source::Instance);
     }
     for (key, version) in &missed.versions {
-        node.name_version(key, *version);
+        instance.name_version(key, *version);
     }
     for departure in &missed.departures {
-        notes::hear_departure(node, departure, now);
+        notes::apply_departure(instance, departure, now);
     }
     for condemned in &missed.condemned {
-        poison::take_in(node, condemned, "instance");
+        poison::merge_condemned(instance, condemned, "instance");
     }
-    node.knowledge().has_more_than(before)
+    instance.state_summary().has_more_than(before)
 }
 
-/// Answers other instances, for ever.
-pub(crate) async fn answer_others(node: Rc<FleetNode>, listener: TcpListener) {
+/// Serves missing state to other instances. Never returns.
+pub(crate) async fn serve_peers(
+    instance: Rc<FleetInstance>,
+    listener: TcpListener,
+) {
     let limits = ServerLimits {
-        connections: ANSWERED_AT_ONCE,
-        header_time: QUESTION_TIME,
+        connections: MAX_SERVED_AT_ONCE,
+        header_time: REQUEST_TIMEOUT,
     };
     let handler: Handler =
-        Rc::new(move |request| Box::pin(answer(node.clone(), request)));
+        Rc::new(move |request| Box::pin(answer(instance.clone(), request)));
     serve(listener, limits, handler).await;
 }
 
 async fn answer(
-    node: Rc<FleetNode>,
+    instance: Rc<FleetInstance>,
     request: Request<Incoming>,
 ) -> Response<LocalBody> {
     let (head, body) = request.into_parts();
@@ -193,15 +206,16 @@
     if head.uri.path() != MISSED_PATH {
         return status(StatusCode::NOT_FOUND);
     }
-    let question = read_body(body, QUESTION_BYTES, QUESTION_TIME).await;
+    let question = read_body(body, MAX_REQUEST_BYTES, REQUEST_TIMEOUT).await;
     let known = match question.map(|bytes| rmp_serde::from_slice(&bytes)) {
         Ok(Ok(known)) => known,
         Ok(Err(_)) | Err(_) => return status(StatusCode::BAD_REQUEST),
     };
-    match rmp_serde::to_vec(&missed_by(&node, known)) {
+    match rmp_serde::to_vec(&missing_for(&instance, known)) {
         Ok(body) => {
             let mut response = Response::new(LocalBody::whole(body));
-            // One question a connection, so that those that rest take no place.
+            // One request per connection, so that idle connections do not use
+            // up the limit.
             let close = header::HeaderValue::from_static("close");
             response.headers_mut().insert(header::CONNECTION, close);
             response
@@ -213,12 +227,12 @@
     }
 }
 
-/// Returns what an instance misses that knows so much.
-fn missed_by(node: &FleetNode, known: StateSummary) -> StateDelta {
+/// Returns the state that an instance with the given summary is missing.
+fn missing_for(instance: &FleetInstance, known: StateSummary) -> StateDelta {
     let newer = |version| version > known.configuration;
-    let routing = node.routing().filter(|d| newer(d.version));
-    let condemned = node.poison.borrow().condemned(Instant::now());
-    let view = node.view.borrow();
+    let routing = instance.routing().filter(|d| newer(d.version));
+    let condemned = instance.poison.borrow().condemned(Instant::now());
+    let view = instance.view.borrow();
     let versions = match view.versions_announced() > known.versions {
         true => view.newest_versions().map(|(k, v)| (k.clone(), v)).collect(),
         false => Vec::new(),
--- a/crates/sedgewalld/src/fleet/daemon.rs
+++ b/crates/sedgewalld/src/fleet/daemon.rs
@@ -1,5 +1,5 @@
-//! Starts all parts of an instance on the one loop, and stops them as
-//! planned.
+//! Starts all tasks of an instance on one event loop, and shuts them down
+//! gracefully.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -16,34 +16,34 @@
 
 use super::{
     caller, catch_up,
-    instance::{FleetNode, Stage},
+    instance::{FleetInstance, Stage},
     keys, leader, lease, list_watch,
     log_buffer::LogBuffer,
     note_sender, notes,
-    orders::Orders,
+    orders::OrderQueues,
     watch_configuration::{Configuration, Versions},
     watch_endpoints::Endpoints,
-    watch_instances::{Instances, announce},
+    watch_instances::{Instances, register},
     watch_poison::{self, PoisonRequests},
 };
 use crate::{daemon::DaemonError, process, responses, signals::Signals};
 
-/// Connections of operators at once.
+/// The maximum number of open operator connections.
 const OPERATOR_CONNECTIONS: usize = 64;
 
-/// How long a caller's connection may rest or take for a head. Longer than any
-/// configuration allows callers.
-const REST_TIME: Duration = Duration::from_secs(60);
+/// How long a caller's connection may be idle or take to send its request
+/// headers. Longer than any configuration allows callers.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// After a stop is announced, callers still come for this long, until the
-/// balancer has asked twice, a second apart.
+/// How long requests are still accepted after a shutdown was announced: until
+/// the load balancer has probed readiness twice, one second apart.
 const BALANCER_GRACE: Duration = Duration::from_millis(2_400);
 
-/// What a stop leaves of the grace for the process to end.
+/// The part of the grace period that is reserved for ending the process.
 const STOP_MARGIN: Duration = Duration::from_millis(700);
 
-/// How often a stop looks whether all requests have ended.
-const DRAIN_LOOK: Duration = Duration::from_millis(50);
+/// The interval at which a shutdown checks whether all requests have ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs an instance until it is told to stop.
 pub(crate) fn run(
@@ -68,62 +68,70 @@
     let callers = bind(settings.caller_listen).await?;
     let operators = bind(settings.operator_listen).await?;
     let others = bind(settings.peer_listen).await?;
-    let node = FleetNode::new(settings, fleet, store);
+    let instance = FleetInstance::new(settings, fleet, store);
     let (sender, receiver) =
-        note_sender::open(&node).map_err(|source| DaemonError::Listen {
-            address: node.settings.peer_listen.to_string(),
-            source,
+        note_sender::open(&instance).map_err(|source| {
+            DaemonError::Listen {
+                address: instance.settings.peer_listen.to_string(),
+                source,
+            }
         })?;
     tracing::info!(
         event = "start",
-        instance = node.id(),
-        incarnation = node.incarnation,
-        zone = node.settings.zone,
-        callers = %node.settings.caller_listen,
-        operators = %node.settings.operator_listen,
-        notes = %node.settings.peer_listen,
+        instance = instance.id(),
+        incarnation = instance.incarnation,
+        zone = instance.settings.zone,
+        callers = %instance.settings.caller_listen,
+        operators = %instance.settings.operator_listen,
+        notes = %instance.settings.peer_listen,
         store = %store,
         version = env!("CARGO_PKG_VERSION"),
     );
     let (stopping, stop) = stop_signal();
-    let orders = Orders::new(node.clone(), sender.clone());
+    let orders = OrderQueues::new(instance.clone(), sender.clone());
     compio::runtime::spawn(log.clone().run()).detach();
-    start_to_follow(&node);
+    start_watches(&instance);
     compio::runtime::spawn(notes::receive(
-        node.clone(),
+        instance.clone(),
         sender.clone(),
         receiver,
     ))
     .detach();
-    compio::runtime::spawn(catch_up::run(node.clone())).detach();
-    compio::runtime::spawn(catch_up::answer_others(node.clone(), others))
+    compio::runtime::spawn(catch_up::run(instance.clone())).detach();
+    compio::runtime::spawn(catch_up::serve_peers(instance.clone(), others))
         .detach();
-    compio::runtime::spawn(keys::stay_sure(node.clone(), sender.clone()))
+    compio::runtime::spawn(keys::keep_fresh(instance.clone(), sender.clone()))
         .detach();
-    compio::runtime::spawn(notes::tell(node.clone(), sender)).detach();
-    compio::runtime::spawn(lease::run(node.clone())).detach();
-    compio::runtime::spawn(leader::run(node.clone(), orders)).detach();
-    compio::runtime::spawn(serve_callers(node.clone(), callers, stop))
+    compio::runtime::spawn(notes::run_sender(instance.clone(), sender))
         .detach();
-    if let Some(address) = node.fleet.metrics_listen {
-        spawn_metrics(&node, address, metrics.clone()).await;
-    }
-    compio::runtime::spawn(serve_operators(node.clone(), operators, metrics))
+    compio::runtime::spawn(lease::run(instance.clone())).detach();
+    compio::runtime::spawn(leader::run(instance.clone(), orders)).detach();
+    compio::runtime::spawn(serve_callers(instance.clone(), callers, stop))
         .detach();
+    if let Some(address) = instance.fleet.metrics_listen {
+        spawn_metrics(&instance, address, metrics.clone()).await;
+    }
+    compio::runtime::spawn(serve_operators(
+        instance.clone(),
+        operators,
+        metrics,
+    ))
+    .detach();
     wait_for_stop(signals).await;
-    finish(&node, stopping).await;
+    shut_down(&instance, stopping).await;
     log.flush();
     Ok(())
 }
 
-fn start_to_follow(node: &Rc<FleetNode>) {
-    list_watch::spawn(node, Configuration(node.clone()));
-    list_watch::spawn(node, Endpoints::new(node));
-    list_watch::spawn(node, Versions(node.clone()));
-    list_watch::spawn(node, Instances(node.clone()));
-    list_watch::spawn(node, PoisonRequests::new(node));
-    compio::runtime::spawn(watch_poison::keep_records(node.clone())).detach();
-    compio::runtime::spawn(announce(node.clone())).detach();
+fn start_watches(instance: &Rc<FleetInstance>) {
+    list_watch::spawn(instance, Configuration(instance.clone()));
+    list_watch::spawn(instance, Endpoints::new(instance));
+    list_watch::spawn(instance, Versions(instance.clone()));
+    list_watch::spawn(instance, Instances(instance.clone()));
+    list_watch::spawn(instance, PoisonRequests::new(instance));
+    compio::runtime::spawn(watch_poison::keep_records(instance.clone()))
+        .detach();
+    compio::runtime::spawn(register(instance.clone())).detach();
 }
 
 fn store_address(url: &str) -> Result<SocketAddr, DaemonError> {
@@ -139,28 +147,28 @@
 }
 
 async fn serve_callers(
-    node: Rc<FleetNode>,
+    instance: Rc<FleetInstance>,
     listener: TcpListener,
     stop: Stop,
 ) {
-    let connections = node.settings.limits.connections;
-    let limits = ServerLimits { connections, header_time: REST_TIME };
+    let connections = instance.settings.limits.connections;
+    let limits = ServerLimits { connections, header_time: IDLE_TIMEOUT };
     let handler: Handler = Rc::new(move |request| {
-        Box::pin(caller::answer(node.clone(), request))
+        Box::pin(caller::answer(instance.clone(), request))
     });
     serve_until(listener, limits, handler, stop).await;
 }
 
-/// Serves metrics at an address of their own. Requests are served also where
-/// that address cannot be had.
+/// Serves metrics on a separate address. If that address cannot be bound, the
+/// instance serves requests without it.
 async fn spawn_metrics(
-    node: &Rc<FleetNode>,
+    instance: &Rc<FleetInstance>,
     address: SocketAddr,
     metrics: PrometheusHandle,
 ) {
     match bind(address).await {
         Ok(listener) => {
-            let serving = serve_operators(node.clone(), listener, metrics);
+            let serving = serve_operators(instance.clone(), listener, metrics);
             compio::runtime::spawn(serving).detach();
         }
         Err(err) => {
@@ -171,56 +179,57 @@
 }
 
 async fn serve_operators(
-    node: Rc<FleetNode>,
+    instance: Rc<FleetInstance>,
     listener: TcpListener,
     metrics: PrometheusHandle,
 ) {
     let connections = OPERATOR_CONNECTIONS;
-    let limits = ServerLimits { connections, header_time: REST_TIME };
+    let limits = ServerLimits { connections, header_time: IDLE_TIMEOUT };
     let handler: Handler = Rc::new(move |request| {
-        let response = operator_answer(&node, &metrics, &request);
+        let response = operator_answer(&instance, &metrics, &request);
         Box::pin(async move { response })
     });
     serve(listener, limits, handler).await;
 }
 
 fn operator_answer(
-    node: &FleetNode,
+    instance: &FleetInstance,
     metrics: &PrometheusHandle,
     request: &Request<Incoming>,
 ) -> Response<LocalBody> {
     match request.uri().path() {
         "/healthz" => responses::text(StatusCode::OK, "live\n"),
-        "/readyz" if node.takes_requests() => {
+        "/readyz" if instance.takes_requests() => {
             responses::text(StatusCode::OK, "ready\n")
         }
         "/readyz" => {
             responses::text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
         }
         "/metrics" => {
-            note_gauges(node);
+            update_gauges(instance);
             responses::text(StatusCode::OK, metrics.render())
         }
         _ => responses::text(StatusCode::NOT_FOUND, "no such path\n"),
     }
 }
 
-fn note_gauges(node: &FleetNode) {
-    metrics::gauge!("sedgewall_requests_open").set(node.open.get() as f64);
+fn update_gauges(instance: &FleetInstance) {
+    metrics::gauge!("sedgewall_requests_open")
+        .set(instance.open_requests.get() as f64);
     let resident = process::resident_bytes();
     metrics::gauge!("sedgewall_resident_bytes").set(resident as f64);
     let cpu_s = process::cpu_ms() as f64 / 1_000.0;
     metrics::gauge!("sedgewall_cpu_seconds").set(cpu_s);
     metrics::counter!("sedgewall_store_calls_total")
-        .absolute(node.store.calls());
+        .absolute(instance.store.calls());
     metrics::counter!("sedgewall_endpoint_connections_total")
-        .absolute(node.pool.opened());
-    let leads = node.current_lease(Instant::now()).is_some();
+        .absolute(instance.pool.opened());
+    let leads = instance.current_lease(Instant::now()).is_some();
     metrics::gauge!("sedgewall_leads").set(f64::from(u8::from(leads)));
 }
 
-/// Waits for a signal to stop. A signal to reload changes nothing that is in
-/// force: bounds are read at the start.
+/// Waits for a stop signal. A reload signal is only logged, because settings
+/// are read at the start.
 async fn wait_for_stop(mut signals: Signals) {
     let mut interrupt = Box::pin(compio::signal::ctrl_c()).fuse();
     loop {
@@ -232,28 +241,30 @@
     }
 }
 
-/// Leaves: the balancer is told, then connections end with their requests.
-async fn finish(
-    node: &FleetNode,
+/// Shuts down: readiness fails first, so that the load balancer notices, and
+/// then connections are closed as their requests end.
+async fn shut_down(
+    instance: &FleetInstance,
     stopping: futures_channel::oneshot::Sender<()>,
 ) {
     let began = Instant::now();
-    tracing::info!(event = "stop", open = node.open.get());
-    node.stage.set(Stage::Leaving);
-    node.leaving_since.set(Some(began));
+    tracing::info!(event = "stop", open = instance.open_requests.get());
+    instance.stage.set(Stage::Leaving);
+    instance.leaving_since.set(Some(began));
     compio::time::sleep(BALANCER_GRACE).await;
     drop(stopping);
-    let grace = Duration::from_secs_f64(node.fleet.grace_s);
+    let grace = Duration::from_secs_f64(instance.fleet.grace_s);
     let end = began + grace.saturating_sub(STOP_MARGIN);
-    let has_duties = || node.open.get() > 0 || node.held.get().is_some();
+    let has_duties =
+        || instance.open_requests.get() > 0 || instance.held.get().is_some();
     while has_duties() && Instant::now() < end {
-        compio::time::sleep(DRAIN_LOOK).await;
+        compio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
-    // What was answered last still has to leave.
-    compio::time::sleep(DRAIN_LOOK).await;
+    // Gives the last responses time to be sent.
+    compio::time::sleep(DRAIN_POLL_INTERVAL).await;
     tracing::info!(
         event = "stopped",
-        cut_off = node.open.get(),
+        cut_off = instance.open_requests.get(),
         took_ms = began.elapsed().as_millis() as u64,
     );
 }
--- a/crates/sedgewalld/src/fleet/in_flight.rs
+++ b/crates/sedgewalld/src/fleet/in_flight.rs
@@ -1,4 +1,5 @@
-//! Requests that an instance counts: those at an endpoint, and those that were read.
+//! Guards that count requests: those in flight at an endpoint, and those that
+//! this instance has yet to answer.
 
 use std::{rc::Rc, time::Duration};
 
@@ -6,50 +7,53 @@
 use sedgewall_fleet::adapter::AdapterKey;
 use sedgewall_state::id::EndpointId;
 
-use super::instance::FleetNode;
+use super::instance::FleetInstance;
 
-/// A prompt that an engine reads for this long is told of at once: with fewer
-/// notes, others send to the same engine; a note for each
-/// send would be 390 a second, to each zone, where so many short requests come.
+/// The prefill time from which a prompt is reported to the other instances at
+/// once. With fewer reports, other instances send to the same engine. A report
+/// for each send would be 390 notes a second to each zone under many short
+/// requests.
 const LARGE_PROMPT: Duration = Duration::from_millis(50);
 
-/// A request under way at an endpoint; dropping it counts it out.
-pub(crate) struct UnderWay {
-    node: Rc<FleetNode>,
+/// A request in flight at an endpoint, counted until the guard is dropped.
+pub(crate) struct InFlightGuard {
+    instance: Rc<FleetInstance>,
     endpoint: EndpointId,
     key: Option<AdapterKey>,
-    /// Tokens of its prompt that still count as unread.
+    /// Tokens of the prompt that still await prefill.
     unread_tokens: u64,
     began: Instant,
-    /// Requests for each slot there before it, as far as we knew.
+    /// The number of requests per slot at the endpoint before this one, as far
+    /// as this instance knew.
     load: f64,
 }
 
-impl UnderWay {
+impl InFlightGuard {
     pub(crate) fn begin(
-        node: &Rc<FleetNode>,
+        instance: &Rc<FleetInstance>,
         endpoint: &EndpointId,
         key: Option<&AdapterKey>,
         prompt_tokens: u64,
-    ) -> UnderWay {
-        let mut view = node.view.borrow_mut();
-        let reads_for = view.prefill_time(endpoint, prompt_tokens);
+    ) -> InFlightGuard {
+        let mut view = instance.view.borrow_mut();
+        let prefill_time = view.prefill_time(endpoint, prompt_tokens);
         let mut load = 0.0;
         if let Some(state) = view.get_mut(endpoint) {
             load = state.load();
             state.own_work.begin(key, prompt_tokens);
         }
         drop(view);
-        if reads_for >= LARGE_PROMPT {
-            node.has_untold_work.set(true);
+        if prefill_time >= LARGE_PROMPT {
+            instance.has_unreported_work.set(true);
         }
         if key.is_some() {
-            // The holder must hear of the adapter before it removes it.
-            node.has_untold_sends.set(true);
-            node.notify_notes();
+            // The lease holder must know that the adapter is in use before it
+            // decides to remove it.
+            instance.has_unreported_sends.set(true);
+            instance.notify_notes();
         }
-        UnderWay {
-            node: node.clone(),
+        InFlightGuard {
+            instance: instance.clone(),
             endpoint: endpoint.clone(),
             key: key.cloned(),
             unread_tokens: prompt_tokens,
@@ -58,20 +62,21 @@
         }
     }
 
-    /// Notes that the answer has begun, so the prompt was read.
-    pub(crate) fn answer_begins(&mut self) {
+    /// Records that the response has begun, which means that prefill of the
+    /// prompt is done.
+    pub(crate) fn response_started(&mut self) {
         let read_tokens = std::mem::take(&mut self.unread_tokens);
-        let mut view = self.node.view.borrow_mut();
+        let mut view = self.instance.view.borrow_mut();
         if let Some(state) = view.get_mut(&self.endpoint) {
             state.own_work.prompt_read(read_tokens);
         }
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.answer_begins();
-        let mut view = self.node.view.borrow_mut();
+        self.response_started();
+        let mut view = self.instance.view.borrow_mut();
         if let Some(state) = view.get_mut(&self.endpoint) {
             state.own_work.end(self.key.as_ref());
         }
@@ -82,18 +87,18 @@
     }
 }
 
-/// A request that was read; dropping it counts it out.
-pub(crate) struct OpenRequest(Rc<FleetNode>);
+/// A request that was received, counted as open until the guard is dropped.
+pub(crate) struct OpenRequestGuard(Rc<FleetInstance>);
 
-impl OpenRequest {
-    pub(crate) fn begin(node: &Rc<FleetNode>) -> OpenRequest {
-        node.open.set(node.open.get() + 1);
-        OpenRequest(node.clone())
+impl OpenRequestGuard {
+    pub(crate) fn begin(instance: &Rc<FleetInstance>) -> OpenRequestGuard {
+        instance.open_requests.set(instance.open_requests.get() + 1);
+        OpenRequestGuard(instance.clone())
     }
 }
 
-impl Drop for OpenRequest {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
-        self.0.open.set(self.0.open.get() - 1);
+        self.0.open_requests.set(self.0.open_requests.get() - 1);
     }
 }
--- a/crates/sedgewalld/src/fleet/keys.rs
+++ b/crates/sedgewalld/src/fleet/keys.rs
@@ -1,11 +1,15 @@
-//! How sure this instance is to know which keys are in force.
+//! Freshness of the keys in force: how certain it is that this instance knows
+//! of every revoked key.
 //!
-//! A few instances watch the store's configuration, each change and its absence;
-//! the others ask them, and the store itself where their answers grow old. With
-//! 74 instances that is a seventh of the calls to the store that a watch at each
-//! takes, and one that is cut off from the store alone goes on to serve. The
-//! invariant: keys count as known only up to a moment that a call to the store
-//! confirmed, here or at an instance that was asked after it.
+//! A few instances watch the configuration in the store, both for changes and
+//! for their absence. The other instances ask these, and read the store
+//! themselves when the answers get too old. With 74 instances this takes a
+//! seventh of the calls to the store that a watch by each instance would, and
+//! an instance that alone is cut off from the store goes on serving.
+//!
+//! Invariant: keys count as known only up to a moment that a call to the store
+//! has confirmed, made by this instance or by the instance that was asked,
+//! after the question.
 
 use std::{
     cell::{Cell, RefCell},
@@ -22,172 +26,188 @@
 };
 use sedgewall_state::id::InstanceId;
 
-use super::{instance::FleetNode, note_sender::NoteSender, notes};
+use super::{instance::FleetInstance, note_sender::NoteSender, notes};
 
-/// Instances that watch for all. Three may be cut off at once and one still
-/// answers.
+/// The number of instances that watch the configuration for all others. With
+/// three of them cut off at once, one still answers.
 const WATCHERS: usize = 4;
 
-/// How often an instance that asks nobody looks whether it has to.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+/// The interval at which an instance that asks nobody checks whether it has
+/// to.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// While the store is asked, it is not asked again.
-const READ_AGAIN: Duration = Duration::from_millis(600);
+/// The minimum interval between two reads of the store.
+const READ_INTERVAL: Duration = Duration::from_millis(600);
 
-/// What an instance knows of the keys in force.
+/// What an instance knows about the keys in force.
 pub(crate) struct Keys {
     known: Cell<KeyFreshness>,
-    asking: RefCell<FreshnessPoll>,
-    /// Whom the last question went to.
-    asked: RefCell<Option<InstanceId>>,
-    /// Whether this instance watches for all.
+    poll: RefCell<FreshnessPoll>,
+    /// The instance that the last question was sent to.
+    last_asked: RefCell<Option<InstanceId>>,
+    /// Whether this instance is one of those that watch the configuration for
+    /// all others.
     is_watching: Cell<bool>,
     read_at: Cell<Option<Instant>>,
-    /// Whether it was logged that it is not sure.
-    has_told_unsure: Cell<bool>,
+    /// Whether it was logged that keys are no longer certain to be known.
+    has_logged_stale: Cell<bool>,
 }
 
 impl Keys {
     pub(crate) fn new(within: Option<Duration>) -> Keys {
         Keys {
             known: Cell::new(KeyFreshness::new(within)),
-            asking: RefCell::default(),
-            asked: RefCell::default(),
+            poll: RefCell::default(),
+            last_asked: RefCell::default(),
             is_watching: Cell::new(false),
             read_at: Cell::new(None),
-            has_told_unsure: Cell::new(false),
+            has_logged_stale: Cell::new(false),
         }
     }
 
-    /// Takes in that all changes of the configuration before a moment are known.
+    /// Records that all changes of the configuration before `until` are known.
     pub(crate) fn confirm(&self, until: Instant) {
         let mut known = self.known.get();
         known.confirm(until);
         self.known.set(known);
-        let is_sure = known.is_fresh(Instant::now());
-        if is_sure && self.has_told_unsure.replace(false) {
+        let is_fresh = known.is_fresh(Instant::now());
+        if is_fresh && self.has_logged_stale.replace(false) {
             tracing::info!(event = "keys_sure");
         }
     }
 
-    /// Returns whether it is sure which keys are in force; one line when that is
-    /// no longer so.
-    pub(crate) fn are_sure(&self) -> bool {
+    /// Returns whether all keys in force are certain to be known. Logs a line
+    /// when that ceases to be so.
+    pub(crate) fn are_fresh(&self) -> bool {
         let known = self.known.get();
         let now = Instant::now();
-        let is_sure = known.is_fresh(now);
-        if !is_sure && !self.has_told_unsure.replace(true) {
+        let is_fresh = known.is_fresh(now);
+        if !is_fresh && !self.has_logged_stale.replace(true) {
             let known_ms_ago =
                 known.age(now).map(|age| age.as_millis() as u64);
             tracing::warn!(event = "keys_unsure", known_ms_ago);
         }
-        is_sure
+        is_fresh
     }
 }
 
-/// Returns how long the next watch of the configuration waits, if this instance is
-/// one of those that watch for all.
-pub(crate) fn own_watch(node: &FleetNode) -> Option<Duration> {
-    let is_watching = node.has_customers() && node.rank(0) < WATCHERS;
-    node.keys.is_watching.set(is_watching);
-    let wait = node.keys.known.get().watch_timeout(Instant::now());
+/// Returns the timeout of the next watch of the configuration, if this
+/// instance is one of those that watch it for all others.
+pub(crate) fn watch_timeout(instance: &FleetInstance) -> Option<Duration> {
+    let is_watching = instance.has_customers() && instance.rank(0) < WATCHERS;
+    instance.keys.is_watching.set(is_watching);
+    let wait = instance.keys.known.get().watch_timeout(Instant::now());
     wait.filter(|_| is_watching)
 }
 
-/// Asks those that watch, and the store where that is not enough, for ever.
-pub(crate) async fn stay_sure(node: Rc<FleetNode>, sender: Rc<NoteSender>) {
+/// Keeps the known keys fresh by asking the instances that watch, and by
+/// reading the store where that is not enough. Never returns.
+pub(crate) async fn keep_fresh(
+    instance: Rc<FleetInstance>,
+    sender: Rc<NoteSender>,
+) {
     loop {
-        let pause = ask_in(&node).unwrap_or(LOOK_EVERY);
+        let pause = next_question_in(&instance).unwrap_or(CHECK_INTERVAL);
         compio::time::sleep(pause).await;
-        if ask_in(&node) != Some(Duration::ZERO) {
+        if next_question_in(&instance) != Some(Duration::ZERO) {
             continue;
         }
         let now = Instant::now();
-        if node.keys.known.get().is_read_due(now) {
-            read_anew(&node, now);
+        if instance.keys.known.get().is_read_due(now) {
+            reread(&instance, now);
         }
-        ask(&node, &sender, now);
+        ask(&instance, &sender, now);
     }
 }
 
-/// Returns when to ask, if this instance does.
-fn ask_in(node: &FleetNode) -> Option<Duration> {
-    let asks = node.has_customers() && !node.keys.is_watching.get();
-    let asking = node.keys.asking.borrow();
-    let due = node.keys.known.get().next_poll_in(&asking, Instant::now());
+/// Returns the time until the next question, or none if this instance asks
+/// nobody.
+fn next_question_in(instance: &FleetInstance) -> Option<Duration> {
+    let asks = instance.has_customers() && !instance.keys.is_watching.get();
+    let poll = instance.keys.poll.borrow();
+    let due = instance.keys.known.get().next_poll_in(&poll, Instant::now());
     due.filter(|_| asks)
 }
 
-/// Makes the configuration be listed with all that was acknowledged.
-fn read_anew(node: &FleetNode, now: Instant) {
-    let keys = &node.keys;
-    if keys.read_at.get().is_some_and(|at| now < at + READ_AGAIN) {
+/// Makes the configuration be listed again, including everything that the
+/// store has acknowledged.
+fn reread(instance: &FleetInstance, now: Instant) {
+    let keys = &instance.keys;
+    if keys.read_at.get().is_some_and(|at| now < at + READ_INTERVAL) {
         return;
     }
     keys.read_at.set(Some(now));
-    node.is_configuration_behind.set(true);
-    node.configuration_notify.notify();
+    instance.is_configuration_behind.set(true);
+    instance.configuration_notify.notify();
 }
 
-fn ask(node: &FleetNode, sender: &NoteSender, now: Instant) {
-    let watchers = node.largest_peers(WATCHERS);
-    let mut asking = node.keys.asking.borrow_mut();
-    let number = asking.start(now);
-    let Some(whom) = watchers.get(asking.next_target(watchers.len())) else {
+fn ask(instance: &FleetInstance, sender: &NoteSender, now: Instant) {
+    let watchers = instance.largest_peers(WATCHERS);
+    let mut poll = instance.keys.poll.borrow_mut();
+    let number = poll.start(now);
+    let Some(peer) = watchers.get(poll.next_target(watchers.len())) else {
         return;
     };
-    let from = node.id().clone();
-    *node.keys.asked.borrow_mut() = Some(whom.clone());
-    sender.send_to_peer(node, whom, &Note::FreshnessQuery { from, number });
+    let from = instance.id().clone();
+    *instance.keys.last_asked.borrow_mut() = Some(peer.clone());
+    sender.send_to_peer(
+        instance,
+        peer,
+        &Note::FreshnessQuery { from, number },
+    );
 }
 
-/// Gets a newer configuration from an instance that has it; the next question says
-/// whether that is the newest. From the store it is read once what is known is old.
-fn behind(
-    node: &FleetNode,
-    whom: Option<&InstanceId>,
+/// Fetches a newer configuration from an instance that has it; the next
+/// question shows whether that is the newest one. The store is read only once
+/// what is known gets too old, or if no instance was asked.
+fn fetch_newer(
+    instance: &FleetInstance,
+    peer: Option<&InstanceId>,
     configuration: ConfigurationVersion,
     now: Instant,
 ) {
-    let Some(whom) = whom else { return read_anew(node, now) };
-    let told = StateSummary { configuration, ..node.knowledge() };
-    notes::hear_knowledge(node, whom, told, now);
-    node.notify_catch_up();
+    let Some(peer) = peer else { return reread(instance, now) };
+    let summary = StateSummary { configuration, ..instance.state_summary() };
+    notes::record_state_summary(instance, peer, summary, now);
+    instance.notify_catch_up();
 }
 
-/// Answers another instance.
+/// Answers a question of another instance.
 pub(crate) fn answer(
-    node: &FleetNode,
+    instance: &FleetInstance,
     sender: &NoteSender,
     from: &InstanceId,
     number: u64,
 ) {
-    let Some(age) = node.keys.known.get().age(Instant::now()) else { return };
+    let Some(age) = instance.keys.known.get().age(Instant::now()) else {
+        return;
+    };
     let answer = Note::FreshnessAnswer {
         number,
-        // Rounded up: what is said to be known must be.
+        // Rounded up, so that the answer never claims too much.
         age_ms: age.as_millis() as u64 + 1,
-        configuration: node.configuration_version().unwrap_or(0),
+        configuration: instance.configuration_version().unwrap_or(0),
     };
-    sender.send_to_peer(node, from, &answer);
+    sender.send_to_peer(instance, from, &answer);
 }
 
-/// Hears an answer. Where a newer version is in force there, that is asked for first.
-pub(crate) fn hear(
-    node: &FleetNode,
+/// Applies an answer. If a newer configuration is in force at the other
+/// instance, that one is fetched first.
+pub(crate) fn apply_answer(
+    instance: &FleetInstance,
     number: u64,
     age_ms: u64,
     configuration: u64,
 ) {
     let now = Instant::now();
-    let known = node.configuration_version().unwrap_or(0);
+    let known = instance.configuration_version().unwrap_or(0);
     if configuration > known {
-        let whom = node.keys.asked.borrow().clone();
-        return behind(node, whom.as_ref(), configuration, now);
+        let peer = instance.keys.last_asked.borrow().clone();
+        return fetch_newer(instance, peer.as_ref(), configuration, now);
     }
     let age = Duration::from_millis(age_ms);
-    let until = node.keys.asking.borrow_mut().record_answer(number, age);
+    let until = instance.keys.poll.borrow_mut().record_answer(number, age);
     if let Some(until) = until {
-        node.keys.confirm(until);
+        instance.keys.confirm(until);
     }
 }
--- a/crates/sedgewalld/src/fleet/leader.rs
+++ b/crates/sedgewalld/src/fleet/leader.rs
@@ -1,4 +1,5 @@
-//! Decides what engines hold, while this instance has the lease on orders.
+//! Plans which models and adapters engines hold, while this instance holds the
+//! lease on orders.
 
 use std::{rc::Rc, time::Duration};
 
@@ -7,41 +8,41 @@
     load_rate_limiter::LoadRateLimiter, placement::PlacementPlanner,
 };
 
-use super::{instance::FleetNode, orders::Orders};
+use super::{instance::FleetInstance, orders::OrderQueues};
 use crate::process;
 
-/// How often the holder looks at demand when nothing waits.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// The planning interval while no request waits.
+const PLAN_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The least pause between two looks, so that many requests that wait are
-/// looked at together.
-const LOOK_PAUSE: Duration = Duration::from_millis(10);
+/// The minimum pause between two planning runs, so that many waiting requests
+/// are planned together.
+const MIN_PLAN_PAUSE: Duration = Duration::from_millis(10);
 
-/// The pause after a look, as a multiple of what the look took: decisions use
-/// a ninth of the processor at most.
+/// The pause after a planning run, as a multiple of the run's duration.
+/// Planning thus uses at most a ninth of the processor.
 const PAUSE_FACTOR: u32 = 8;
 
-/// How often demand that has faded is forgotten.
-const FORGET_EVERY: Duration = Duration::from_secs(1);
+/// The interval at which faded demand is dropped.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Decides and gives orders, for ever.
-pub(crate) async fn run(node: Rc<FleetNode>, orders: Orders) {
-    let mut last_forgotten = Instant::now();
+/// Plans and gives orders. Never returns.
+pub(crate) async fn run(instance: Rc<FleetInstance>, orders: OrderQueues) {
+    let mut last_cleanup = Instant::now();
     let mut epoch = None;
     loop {
-        node.loader_notified(LOOK_EVERY).await;
+        instance.planner_notified(PLAN_INTERVAL).await;
         let now = Instant::now();
-        if now - last_forgotten >= FORGET_EVERY {
-            last_forgotten = now;
-            node.demand.borrow_mut().forget(now);
-            node.load_times.borrow_mut().forget(now);
-            orders.forget_gone();
-            forget_askers(&node, now);
-            log_state(&node, &orders, now);
+        if now - last_cleanup >= CLEANUP_INTERVAL {
+            last_cleanup = now;
+            instance.demand.borrow_mut().forget(now);
+            instance.load_times.borrow_mut().forget(now);
+            orders.drop_stale_queues();
+            drop_unneeded_requests(&instance, now);
+            log_state(&instance, &orders, now);
         }
-        let Some(held) = node.current_lease(now) else {
+        let Some(held) = instance.current_lease(now) else {
             if epoch.take().is_some() {
-                node.view.borrow_mut().stop_ordering(now);
+                instance.view.borrow_mut().stop_ordering(now);
             }
             continue;
         };
@@ -50,47 +51,51 @@
         }
         if epoch != Some(held.epoch) {
             epoch = Some(held.epoch);
-            node.view.borrow_mut().stop_ordering(now);
-            let window = Duration::from_secs_f64(node.fleet.store_window_s);
-            let rate = LoadRateLimiter::new(window, node.fleet.store_overage);
-            let loader = PlacementPlanner::new(held.epoch, rate, now);
-            *orders.loader.borrow_mut() = Some(loader);
+            instance.view.borrow_mut().stop_ordering(now);
+            let window =
+                Duration::from_secs_f64(instance.fleet.store_window_s);
+            let rate =
+                LoadRateLimiter::new(window, instance.fleet.store_overage);
+            let planner = PlacementPlanner::new(held.epoch, rate, now);
+            *orders.planner.borrow_mut() = Some(planner);
         }
-        let Some(routing) = node.routing() else { continue };
-        let planned = match orders.loader.borrow_mut().as_mut() {
-            Some(loader) => loader.plan(
+        let Some(routing) = instance.routing() else { continue };
+        let planned = match orders.planner.borrow_mut().as_mut() {
+            Some(planner) => planner.plan(
                 &routing,
-                &mut node.view.borrow_mut(),
-                &mut node.demand.borrow_mut(),
-                &mut node.load_times.borrow_mut(),
+                &mut instance.view.borrow_mut(),
+                &mut instance.demand.borrow_mut(),
+                &mut instance.load_times.borrow_mut(),
                 now,
             ),
             None => continue,
         };
-        orders.give(held.epoch, planned);
-        let pause = LOOK_PAUSE.max(now.elapsed() * PAUSE_FACTOR);
+        orders.dispatch(held.epoch, planned);
+        let pause = MIN_PLAN_PAUSE.max(now.elapsed() * PAUSE_FACTOR);
         compio::time::sleep(pause).await;
     }
 }
 
-/// Forgets who asked for what nobody waits for any more.
-fn forget_askers(node: &FleetNode, now: Instant) {
-    let demand = node.demand.borrow();
-    node.askers
+/// Drops the instances that asked for adapters which no request waits for any
+/// more.
+fn drop_unneeded_requests(instance: &FleetInstance, now: Instant) {
+    let demand = instance.demand.borrow();
+    instance
+        .awaiting_instances
         .borrow_mut()
         .retain(|key, _| demand.get(key).is_some_and(|d| d.has_waiting(now)));
 }
 
-/// One line a second: what is asked for and what the engines hold.
-fn log_state(node: &FleetNode, orders: &Orders, now: Instant) {
-    if node.current_lease(now).is_none() {
+/// Logs one line a second: what is asked for and what the engines hold.
+fn log_state(instance: &FleetInstance, orders: &OrderQueues, now: Instant) {
+    if instance.current_lease(now).is_none() {
         return;
     }
-    let Some(routing) = node.routing() else { return };
-    let demand = node.demand.borrow();
-    let view = node.view.borrow();
-    let mut times = node.load_times.borrow_mut();
-    let (pace, on_way) = (times.estimate(), times.in_flight(now));
+    let Some(routing) = instance.routing() else { return };
+    let demand = instance.demand.borrow();
+    let view = instance.view.borrow();
+    let mut times = instance.load_times.borrow_mut();
+    let (estimate, in_flight) = (times.estimate(), times.in_flight(now));
     for (service, group) in routing.engines() {
         let engines =
             || view.endpoints().filter(|s| s.endpoint.service == service);
@@ -100,10 +105,10 @@
             })
             .sum();
         let loads_left = orders
-            .loader
+            .planner
             .borrow_mut()
             .as_mut()
-            .map(|loader| loader.loads_left(group.loads_per_s, now));
+            .map(|planner| planner.loads_left(group.loads_per_s, now));
         tracing::info!(
             event = "holdings",
             service,
@@ -115,12 +120,12 @@
             waiting =
                 demand.iter().filter(|(_, d)| d.has_waiting(now)).count(),
             loads_left,
-            load_ms = pace.load_time.as_millis() as u64,
-            loads_at_once = pace.concurrency,
-            loads_on_way = on_way,
+            load_ms = estimate.load_time.as_millis() as u64,
+            loads_at_once = estimate.concurrency,
+            loads_on_way = in_flight,
             load_answers = times.observations(),
-            notes_heard = node.work.notes_heard.get(),
-            asked_heard = node.work.asked_heard.get(),
+            notes_heard = instance.counters.notes_received.get(),
+            asked_heard = instance.counters.demand_reports_received.get(),
             cpu_ms = process::cpu_ms(),
         );
     }
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -1,9 +1,10 @@
 //! The lease on orders to engines, kept in the platform's store.
 //!
-//! The rules are those of [`sedgewall_coordination::lease`]; here they meet
-//! the store. Engines that do not check epochs must hear one holder at a time,
-//! so a new holder waits until the last order of the one before is a whole
-//! turn old ([`sedgewall_coordination::handover`]).
+//! The rules are those of [`sedgewall_coordination::lease`]; this module
+//! applies them to the store. Engines that do not check epochs must receive
+//! orders from one holder at a time, so a new holder gives no orders until the
+//! last order of the previous holder is a whole turn old
+//! ([`sedgewall_coordination::handover`]).
 
 use std::{rc::Rc, time::Duration};
 
@@ -21,175 +22,191 @@
 };
 
 use super::{
-    instance::{FleetNode, HeldLease, Stage},
-    lease_store::{self, Way},
+    instance::{FleetInstance, HeldLease, Stage},
+    lease_store::{self, RenewalPath},
 };
 
 /// How long the lease holds after its last renewal. A slow store answers in
-/// some 300 ms; a holder that dies stops all loads for this long.
+/// some 300 ms. When a holder dies, all loads stop for this long.
 const TIME_TO_LIVE: Duration = Duration::from_millis(1_300);
 
-/// How often it is renewed. Each renewal is a priced call.
+/// The interval between renewals. Each renewal is a call to the store, which
+/// is billed.
 const RENEW_EVERY: Duration = Duration::from_millis(450);
 
-/// What a challenger waits beyond the time to live: steady clocks agree to
-/// within a few per cent, and an order travels for some milliseconds.
-const MARGIN: Duration = Duration::from_millis(250);
+/// How much longer than the time to live a challenger waits: monotonic clocks
+/// agree to within a few per cent, and an order takes some milliseconds to
+/// arrive.
+const CHALLENGE_MARGIN: Duration = Duration::from_millis(250);
 
-/// What a new holder waits beyond the turn between two holders.
+/// How much longer than a turn a new holder waits before its first order.
 const TURN_MARGIN: Duration = Duration::from_millis(200);
 
-/// How often the first in rank looks at the record when it hears no holder.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+/// The interval at which the instance of the first rank reads the record while
+/// no lease holder is known.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What each rank waits longer, before its first look and between two: the
-/// first ones take the lease, and calls to the store have a price.
-const RANK_WAITS: Duration = Duration::from_millis(120);
+/// The additional delay for each rank, before the first read of the record and
+/// between reads. The first ranks take the lease, and calls to the store are
+/// billed.
+const DELAY_PER_RANK: Duration = Duration::from_millis(120);
 
-/// What the smallest instance waits before it takes a lease that nobody ever
-/// held. All start within some 300 ms.
-const SMALLEST_WAITS: Duration = Duration::from_millis(2_000);
+/// How long the smallest instance waits before it takes a lease that was never
+/// held. All instances start within some 300 ms of each other.
+const SMALLEST_INSTANCE_DELAY: Duration = Duration::from_millis(2_000);
 
-/// The longest that an instance waits for the first list of the others; without
-/// the store it could not take the lease either.
-const PEERS_TIME: Duration = Duration::from_secs(2);
+/// The maximum wait for the first list of the other instances. Without the
+/// store, this instance could not take the lease either.
+const PEERS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What an instance waits at the system's first start, in which all write their
-/// entries: these are watched every 1.5 s.
-const FIRST_START: Duration = Duration::from_millis(2_500);
+/// How long an instance waits at the first start of the system, when all
+/// instances write their entries, which are watched every 1.5 s.
+const FIRST_START_DELAY: Duration = Duration::from_millis(2_500);
 
-/// The longest that an instance waits for those of a higher rank.
-const LONGEST_RANK_WAIT: Duration = Duration::from_secs(5);
+/// The maximum delay by rank.
+const MAX_RANK_DELAY: Duration = Duration::from_secs(5);
 
-/// How often the holder looks whether a renewal is due.
+/// The interval at which the holder checks whether a renewal is due.
 const TICK: Duration = Duration::from_millis(50);
 
-/// What a word of ours that the store is out takes to reach the holder.
-const WORD_TRAVELS: Duration = Duration::from_millis(200);
-
-/// What the holder waits after a renewal failed: two more fit into the time to
-/// live, and calls that fail have a price too.
-const FAILED_PAUSE: Duration = Duration::from_millis(200);
-
-/// What is left of a planned stop when the holder gives the lease up: the
-/// store may take 0.3 s to answer, and the stop ends 0.7 s before its time.
-/// Nobody orders for the turn after it, so it is given up as late as it may be.
-const HAND_OVER: Duration = Duration::from_millis(1_800);
-
-/// How long others may renew the lease for a holder that cannot reach the store.
-/// It hears of endpoints that left, but not of new ones and new versions; giving
-/// the lease up stops all loads for some 4 s.
-const LONGEST_CUT: Duration = Duration::from_secs(15);
-
-/// Takes the lease when nobody holds it, and keeps it, for ever.
-pub(crate) async fn run(node: Rc<FleetNode>) {
-    let turn = Duration::from_millis(node.fleet.order_turn_ms) + TURN_MARGIN;
+/// How long this instance's report that the store is out takes to reach the
+/// holder.
+const REPORT_DELAY: Duration = Duration::from_millis(200);
+
+/// How long the holder waits after a failed renewal. Two more renewals fit
+/// into the time to live, and failed calls are billed too.
+const RENEWAL_RETRY_PAUSE: Duration = Duration::from_millis(200);
+
+/// The time left of a planned stop when the holder releases the lease. The
+/// store may take 0.3 s to answer, and the stop ends 0.7 s before its time. No
+/// instance gives orders for a turn after the release, so it happens as late
+/// as possible.
+const RELEASE_MARGIN: Duration = Duration::from_millis(1_800);
+
+/// How long other instances may renew the lease for a holder that cannot reach
+/// the store. Such a holder learns of endpoints that left, but not of new
+/// endpoints and new versions. Releasing the lease, however, stops all loads
+/// for some 4 s.
+const MAX_PEER_RENEWAL_TIME: Duration = Duration::from_secs(15);
+
+/// Takes the lease when no instance holds it, and keeps it. Never returns.
+pub(crate) async fn run(instance: Rc<FleetInstance>) {
+    let turn =
+        Duration::from_millis(instance.fleet.order_turn_ms) + TURN_MARGIN;
     let mut handover_delay = HandoverDelay::new(turn);
-    wait_for_peers(&node).await;
+    wait_for_peers(&instance).await;
     let mut watching = new_lease();
     loop {
-        compio::time::sleep(LOOK_EVERY).await;
-        if !may_challenge(&node) {
+        compio::time::sleep(POLL_INTERVAL).await;
+        if !may_challenge(&instance) {
             continue;
         }
-        compio::time::sleep(rank_wait(&node)).await;
-        if !may_challenge(&node) {
+        compio::time::sleep(rank_delay(&instance)).await;
+        if !may_challenge(&instance) {
             continue;
         }
-        if let Some(taken) = take(&node, watching).await {
-            let kept = begin(&node, taken, &mut handover_delay);
-            keep(&node, kept).await;
+        if let Some(taken) = take(&instance, watching).await {
+            let kept = begin_holding(&instance, taken, &mut handover_delay);
+            keep(&instance, kept).await;
         }
         watching = new_lease();
     }
 }
 
-/// Waits until the others are known, by which an instance knows its rank. All
-/// start at once, and one that knows nobody takes itself for the first: 195 of
-/// them read the record two or three times each, at the full price.
-async fn wait_for_peers(node: &FleetNode) {
+/// Waits until the other instances are listed, which an instance needs to know
+/// its rank.
+///
+/// All instances start at once, and one that knows no other ranks itself
+/// first: without this wait, 195 instances read the record two or three times
+/// each, at the full price.
+async fn wait_for_peers(instance: &FleetInstance) {
     let began = Instant::now();
-    while !node.has_listed_instances.get() && began.elapsed() < PEERS_TIME {
-        compio::time::sleep(LOOK_EVERY).await;
+    while !instance.has_listed_instances.get()
+        && began.elapsed() < PEERS_TIMEOUT
+    {
+        compio::time::sleep(POLL_INTERVAL).await;
     }
-    if !node.fleet.has_run_before {
-        // The others' entries are just being written.
-        compio::time::sleep(FIRST_START).await;
+    if !instance.fleet.has_run_before {
+        // The other instances are still writing their entries.
+        compio::time::sleep(FIRST_START_DELAY).await;
     }
 }
 
-/// Returns whether this instance takes requests and hears no holder.
-fn may_challenge(node: &FleetNode) -> bool {
-    node.stage.get() == Stage::Ready
-        && node.live_leader(Instant::now()).is_none()
+/// Returns whether this instance is ready and knows of no lease holder.
+fn may_challenge(instance: &FleetInstance) -> bool {
+    instance.stage.get() == Stage::Ready
+        && instance.live_leader(Instant::now()).is_none()
 }
 
-/// Returns what this instance waits for those of a higher rank.
-fn rank_wait(node: &FleetNode) -> Duration {
-    let leader = node.leader.borrow();
+/// Returns how long this instance waits for those that come before it in rank.
+fn rank_delay(instance: &FleetInstance) -> Duration {
+    let leader = instance.leader.borrow();
     let epoch = leader.as_ref().map_or(0, |leader| leader.epoch);
-    let rank = u32::try_from(node.rank(epoch)).unwrap_or(u32::MAX);
-    RANK_WAITS.saturating_mul(rank).min(LONGEST_RANK_WAIT)
+    let rank = u32::try_from(instance.rank(epoch)).unwrap_or(u32::MAX);
+    DELAY_PER_RANK.saturating_mul(rank).min(MAX_RANK_DELAY)
 }
 
 fn new_lease() -> Lease<Watching> {
     let times = LeaseTiming {
         time_to_live: TIME_TO_LIVE,
         renew_every: RENEW_EVERY,
-        margin: MARGIN,
+        margin: CHALLENGE_MARGIN,
     };
     Lease::new(lease_store::ORDERS_LEASE.to_owned(), times)
 }
 
 /// A lease that was just taken.
-struct Taken {
+struct TakenLease {
     lease: Lease<Held>,
-    /// The record that stood there before.
+    /// The record that was replaced.
     before: Option<LeaseRecord>,
-    /// When that one's lease had ended, at the latest.
+    /// The latest time at which the replaced lease ended.
     ended: Instant,
     /// When the write was sent, from which the time to live counts.
     sent: Instant,
 }
 
-/// Watches the record until it is free or somebody is heard to hold it, and
-/// tries to take it.
+/// Watches the record and tries to take the lease once it is free. Gives up if
+/// another instance turns out to hold it.
 async fn take(
-    node: &FleetNode,
+    instance: &FleetInstance,
     mut watching: Lease<Watching>,
-) -> Option<Taken> {
-    // Whoever holds the lease decides for all engines: a large instance takes
-    // it first. Where somebody held it before, every moment counts more.
-    let handicap = SMALLEST_WAITS.mul_f64(1.0 - node.fleet.cpu_share.min(1.0));
+) -> Option<TakenLease> {
+    // The lease holder plans for all engines, so large instances are preferred
+    // for a lease that was never held. If it was held before, a fast takeover
+    // matters more.
+    let size_delay = SMALLEST_INSTANCE_DELAY
+        .mul_f64(1.0 - instance.fleet.cpu_share.min(1.0));
     let mut has_waited = false;
     loop {
-        if !may_challenge(node) {
+        if !may_challenge(instance) {
             return None;
         }
-        let stored = lease_store::read(node).await.ok()?;
+        let stored = lease_store::read(instance).await.ok()?;
         if stored.is_none() && !std::mem::replace(&mut has_waited, true) {
-            compio::time::sleep(handicap).await;
+            compio::time::sleep(size_delay).await;
             continue;
         }
         let now = Instant::now();
         watching.observe(stored, now);
         let before = watching.seen().cloned();
-        let is_own =
-            before.as_ref().is_some_and(|record| record.holder == *node.id());
+        let is_own = before
+            .as_ref()
+            .is_some_and(|record| record.holder == *instance.id());
         if is_own || watching.is_free(now) {
-            let ended = latest_expiry(node, &watching, now);
-            let acquiring = watching.acquire(&candidate(node), now);
-            let lease = acquire(node, acquiring).await?;
-            return Some(Taken { lease, before, ended, sent: now });
+            let ended = latest_expiry(instance, &watching, now);
+            let acquiring = watching.acquire(&candidate(instance), now);
+            let lease = acquire(instance, acquiring).await?;
+            return Some(TakenLease { lease, before, ended, sent: now });
         }
-        compio::time::sleep(LOOK_EVERY + rank_wait(node)).await;
+        compio::time::sleep(POLL_INTERVAL + rank_delay(instance)).await;
     }
 }
 
-/// Returns when the lease that is free now had ended. One that was given up
-/// ended just before we saw so.
+/// Returns when the lease that is now free ended. A released lease ended just
+/// before the release was seen.
 fn latest_expiry(
-    node: &FleetNode,
+    instance: &FleetInstance,
     watching: &Lease<Watching>,
     now: Instant,
 ) -> Instant {
@@ -197,34 +214,35 @@
     if is_released {
         return now;
     }
-    let leader = node.leader.borrow();
+    let leader = instance.leader.borrow();
     let noted = leader.as_ref().map(|leader| leader.noted);
-    // A holder goes on while all say that the store is out, we among them; then
-    // what it said before that has not ended its lease. Waiting for the record
-    // alone, for 30 s after an outage, let 2 s more pass without orders.
-    let contact = node.store_contact.borrow();
-    let noted = match contact.reported_outage(REPORT_VALID_FOR + WORD_TRAVELS)
-    {
-        ReportedOutage::Never => noted,
-        ReportedOutage::Until(end) => noted.map(|noted| AnnouncedLease {
-            expires_by: noted.expires_by.max(end),
-            ..noted
-        }),
-        ReportedOutage::Ongoing => None,
-    };
+    // A holder keeps its lease while all instances, this one included, report
+    // that the store is out, so the end of the lease that it reported before
+    // that does not count. Waiting by the record alone, for 30 s after an
+    // outage, left 2 s more without orders.
+    let reachability = instance.store_reachability.borrow();
+    let noted =
+        match reachability.reported_outage(REPORT_VALID_FOR + REPORT_DELAY) {
+            ReportedOutage::Never => noted,
+            ReportedOutage::Until(end) => noted.map(|noted| AnnouncedLease {
+                expires_by: noted.expires_by.max(end),
+                ..noted
+            }),
+            ReportedOutage::Ongoing => None,
+        };
     watching.latest_expiry(noted).unwrap_or(now)
 }
 
 async fn acquire(
-    node: &FleetNode,
+    instance: &FleetInstance,
     acquiring: Lease<Acquiring>,
 ) -> Option<Lease<Held>> {
-    let answer = lease_store::write(node, acquiring.write()).await;
+    let answer = lease_store::write(instance, acquiring.write()).await;
     match acquiring.complete_acquire(answer, Instant::now()) {
         AcquireOutcome::Held(held) => Some(held),
         AcquireOutcome::Lost(_) => None,
         AcquireOutcome::Unclear(acquiring) => {
-            let stored = lease_store::read(node).await.ok()?;
+            let stored = lease_store::read(instance).await.ok()?;
             match acquiring.resolve(stored, Instant::now()) {
                 AcquireOutcome::Held(held) => Some(held),
                 AcquireOutcome::Lost(_) | AcquireOutcome::Unclear(_) => None,
@@ -233,55 +251,58 @@
     }
 }
 
-/// A lease that we keep.
-struct Kept {
+/// A lease that this instance holds and keeps renewing.
+struct KeptLease {
     lease: Lease<Held>,
-    /// When the last renewal was sent that the store answered.
+    /// When the last renewal that the store confirmed was sent.
     renewed: Instant,
-    /// Before that, engines may still hear the holder before us.
+    /// The earliest time for orders. Before it, engines may still receive
+    /// orders of the previous holder.
     order_from: Instant,
-    /// When the renewal was first sent that the store has yet to answer.
+    /// When the renewal that the store has yet to confirm was first sent.
     renewal_sent: Option<Instant>,
-    /// Since when others renew it for us.
-    cut_since: Option<Instant>,
+    /// Since when other instances send the renewals for this one.
+    renewed_by_peers_since: Option<Instant>,
 }
 
 /// Renews the lease until it is lost or this instance leaves.
-async fn keep(node: &FleetNode, mut kept: Kept) {
+async fn keep(instance: &FleetInstance, mut kept: KeptLease) {
     loop {
         let now = Instant::now();
         if now >= kept.order_from {
             kept.lease.complete_handover();
         }
-        let is_current =
-            kept.lease.is_current(now) || node.no_instance_reaches_store(now);
+        let is_current = kept.lease.is_current(now)
+            || instance.no_instance_reaches_store(now);
         if !is_current {
-            node.held.set(None);
+            instance.held.set(None);
             let epoch = kept.lease.epoch();
             tracing::warn!(event = "lease_lapsed", epoch);
             return;
         }
-        let before = node.held.replace(Some(HeldLease {
+        let before = instance.held.replace(Some(HeldLease {
             epoch: kept.lease.epoch(),
             renewal: kept.lease.record().renewal,
             current_until: kept.renewed + TIME_TO_LIVE,
             order_from: kept.order_from,
         }));
         if before.is_none() {
-            // The others must hear of it before they can ask for anything.
-            node.notify_notes();
+            // The other instances can only ask for adapters once they know the
+            // holder.
+            instance.notify_notes();
         }
-        let is_cut_long =
-            kept.cut_since.is_some_and(|since| now - since >= LONGEST_CUT);
-        if is_cut_long || must_hand_over(node, now) {
-            return release(node, &kept.lease).await;
+        let is_peer_renewal_over = kept
+            .renewed_by_peers_since
+            .is_some_and(|since| now - since >= MAX_PEER_RENEWAL_TIME);
+        if is_peer_renewal_over || must_release(instance, now) {
+            return release(instance, &kept.lease).await;
         }
         if !kept.lease.is_renewal_due(now) {
             compio::time::sleep(TICK).await;
             continue;
         }
-        let Some(renewed) = renew(node, kept).await else {
-            node.held.set(None);
+        let Some(renewed) = renew(instance, kept).await else {
+            instance.held.set(None);
             tracing::warn!(event = "lease_lost");
             return;
         };
@@ -289,20 +310,23 @@
     }
 }
 
-/// Returns whether this instance stops so soon that another must take the
-/// lease. Nobody gives orders for a turn after that, so it is done once and late:
-/// instances that stop one after the other would pass it on each time.
-fn must_hand_over(node: &FleetNode, now: Instant) -> bool {
-    let Some(since) = node.leaving_since.get() else { return false };
-    let grace = Duration::from_secs_f64(node.fleet.grace_s);
-    now - since >= grace.saturating_sub(HAND_OVER)
+/// Returns whether this instance stops so soon that it must release the lease.
+/// No instance gives orders for a turn after a release, so it is done once and
+/// late: instances that are stopped one after the other would otherwise pass
+/// the lease on each time.
+fn must_release(instance: &FleetInstance, now: Instant) -> bool {
+    let Some(since) = instance.leaving_since.get() else { return false };
+    let grace = Duration::from_secs_f64(instance.fleet.grace_s);
+    now - since >= grace.saturating_sub(RELEASE_MARGIN)
 }
 
-fn begin(
-    node: &FleetNode,
-    taken: Taken,
+fn begin_holding(
+    
+    instance: &FleetInstance,
+    taken: TakenLease,
     handover_delay: &mut HandoverDelay,
-) -> Kept {
+,
+) -> KeptLease {
     let now = Instant::now();
     let takeover = LeaseTakeover {
         taken: taken.lease.record(),
@@ -314,67 +338,84 @@
         event = "lease_taken",
         epoch = taken.lease.epoch(),
         before = taken.before.map(|record| record.holder),
-        rank = node.rank(taken.lease.epoch() - 1),
+        rank = instance.rank(taken.lease.epoch() - 1),
         orders_in_ms =
             order_from.saturating_duration_since(now).as_millis() as u64,
     );
-    Kept {
+    KeptLease {
         lease: taken.lease,
         renewed: taken.sent,
         order_from,
         renewal_sent: None,
-        cut_since: None,
+        renewed_by_peers_since: None,
     }
 }
 
-async fn release(node: &FleetNode, lease: &Lease<Held>) {
-    node.held.set(None);
-    let (answer, _) = lease_store::renew(node, &lease.release()).await;
+async fn release(instance: &FleetInstance, lease: &Lease<Held>) {
+    instance.held.set(None);
+    let (answer, _) = lease_store::renew(instance, &lease.release()).await;
     let epoch = lease.epoch();
     tracing::info!(event = "lease_released", epoch, answer = ?answer);
 }
 
-/// Renews the lease once, our own way or through another instance. A renewal
-/// without an answer is sent again as it is, and counts from the first time: the
-/// store may have taken that one. Returns nothing if somebody else has the lease.
-async fn renew(node: &FleetNode, kept: Kept) -> Option<Kept> {
-    let Kept { lease, renewed, order_from, renewal_sent, cut_since } = kept;
+/// Renews the lease once, directly or through another instance. Returns none
+/// if another instance has taken the lease.
+///
+/// A renewal without an answer is repeated unchanged and counts from its first
+/// send, because the store may have applied that one.
+async fn renew(
+    instance: &FleetInstance,
+    kept: KeptLease,
+) -> Option<KeptLease> {
+    let KeptLease {
+        lease,
+        renewed,
+        order_from,
+        renewal_sent,
+        renewed_by_peers_since,
+    } = kept;
     let renewal = lease.renewal();
     let first_sent = renewal_sent.unwrap_or_else(Instant::now);
-    let (answer, way) = lease_store::renew(node, &renewal).await;
+    let (answer, path) = lease_store::renew(instance, &renewal).await;
     let RenewOutcome::Held(lease) =
         lease.complete_renewal(renewal, answer, first_sent, Instant::now())
     else {
         return None;
     };
     if matches!(answer, WriteAnswer::Done(_)) {
-        let cut_since = match way {
-            Way::Own => None,
-            Way::Peer => cut_since.or(Some(first_sent)),
+        let renewed_by_peers_since = match path {
+            RenewalPath::Direct => None,
+            RenewalPath::Peer => renewed_by_peers_since.or(Some(first_sent)),
         };
         let renewed = first_sent;
         let renewal_sent = None;
-        return Some(Kept {
+        return Some(KeptLease {
             lease,
             renewed,
             order_from,
             renewal_sent,
-            cut_since,
+            renewed_by_peers_since,
         });
     }
-    // All see whether the store answers them: while it answers nobody, nobody
-    // can take the lease.
-    node.outbox.borrow_mut().push(Note::ProbeStore);
-    node.notify_notes();
-    compio::time::sleep(FAILED_PAUSE).await;
+    // Makes all instances check whether the store answers them: while it
+    // answers none, none can take the lease.
+    instance.broadcast_queue.borrow_mut().push(Note::ProbeStore);
+    instance.notify_notes();
+    compio::time::sleep(RENEWAL_RETRY_PAUSE).await;
     let renewal_sent = Some(first_sent);
-    Some(Kept { lease, renewed, order_from, renewal_sent, cut_since })
+    Some(KeptLease {
+        lease,
+        renewed,
+        order_from,
+        renewal_sent,
+        renewed_by_peers_since,
+    })
 }
 
-fn candidate(node: &FleetNode) -> Candidate {
+fn candidate(instance: &FleetInstance) -> Candidate {
     Candidate {
-        instance: node.id().clone(),
-        incarnation: node.incarnation,
-        peer_url: node.settings.peer_listen.to_string(),
+        instance: instance.id().clone(),
+        incarnation: instance.incarnation,
+        peer_url: instance.settings.peer_listen.to_string(),
     }
 }
--- a/crates/sedgewalld/src/fleet/lease_store.rs
+++ b/crates/sedgewalld/src/fleet/lease_store.rs
@@ -1,10 +1,10 @@
-//! The record of the lease on orders in the platform's store: our own way
-//! there, and through another instance where that is cut.
+//! Access to the record of the lease on orders in the platform's store:
+//! directly, or through another instance if the direct path is cut.
 //!
-//! A holder that loses only its own path would end its lease, and nobody gives
-//! orders for some 5 s until the next one may; so another instance that reaches
-//! the store sends the renewal. The update is conditional, so it does not matter
-//! who sends it, nor how often.
+//! A holder that alone loses its path to the store would lose its lease, and
+//! no instance would give orders for some 5 s until the next holder may. So
+//! another instance that reaches the store sends the renewal. The update is
+//! conditional, so it does not matter which instance sends it, nor how often.
 
 use std::{pin::pin, time::Duration};
 
@@ -20,39 +20,43 @@
 use sedgewall_state::id::InstanceId;
 use serde::Deserialize;
 
-use super::{instance::FleetNode, note_sender::NoteSender};
+use super::{instance::FleetInstance, note_sender::NoteSender};
 
-/// The kind of leases in the store.
+/// The kind of lease objects in the store.
 const LEASES_KIND: &str = "sedgewall-leases";
 
 /// The name of the lease on orders.
 pub(super) const ORDERS_LEASE: &str = "orders";
 
-/// How long a renewal of our own may take before others are asked. A slow store
-/// answers in some 300 ms; two others fit into what the lease leaves after it.
-const OWN_TIME: Duration = Duration::from_millis(350);
+/// The timeout of a direct renewal, after which other instances are asked. A
+/// slow store answers in some 300 ms, and two rounds of asking others fit into
+/// the time that the lease leaves after it.
+const DIRECT_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// How long another instance may take: two ways between instances and one call
-/// to the store, 10 ms where both work.
-const PEER_TIME: Duration = Duration::from_millis(200);
+/// The timeout of a renewal through another instance: a round trip between
+/// instances and one call to the store, 10 ms if both work.
+const PEER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Instances that are asked for one renewal at once. Of 79 of which 28 were cut off
-/// without a word, one of three answers in 95 of 100 rounds.
-const PEERS_ASKED: usize = 3;
+/// The number of instances that are asked for one renewal at once. With 28 of
+/// 79 instances silently cut off, at least one of three answers in 95 of 100
+/// rounds.
+const PEERS_PER_ROUND: usize = 3;
 
-/// Rounds of asking others, which the lease leaves time for.
-const ROUNDS: usize = 2;
+/// The number of rounds of asking others that fit into the lease's remaining
+/// time.
+const PEER_ROUNDS: usize = 2;
 
 /// Reads the record.
 pub(super) async fn read(
-    node: &FleetNode,
+    instance: &FleetInstance,
 ) -> Result<Option<StoredLease>, StoreError> {
     let sent = Instant::now();
-    let read = node.store.get(LEASES_KIND, ORDERS_LEASE).await;
-    // The holder counts on our word: who can read the record can take it.
+    let read = instance.store.get(LEASES_KIND, ORDERS_LEASE).await;
+    // The holder relies on this instance's reports that the store is out,
+    // because an instance that can read the record can take the lease.
     match &read {
-        Ok(_) => node.store_reached(),
-        Err(err) => node.store_failed(sent, err),
+        Ok(_) => instance.record_store_success(),
+        Err(err) => instance.record_store_failure(sent, err),
     }
     Ok(read?.and_then(|object| decode(&object)))
 }
@@ -67,9 +71,9 @@
     }
 }
 
-/// Writes the record our own way.
+/// Writes the record directly to the store.
 pub(super) async fn write(
-    node: &FleetNode,
+    instance: &FleetInstance,
     write: &LeaseWrite,
 ) -> WriteAnswer {
     let spec = match serde_json::to_value(&write.record) {
@@ -82,13 +86,14 @@
     let (kind, name) = (LEASES_KIND, ORDERS_LEASE);
     let written = match write.expected {
         Some(revision) => {
-            node.store.replace(kind, name, revision, &spec).await
+            instance.store.replace(kind, name, revision, &spec).await
         }
-        None => node.store.create(kind, name, &spec).await,
+        None => instance.store.create(kind, name, &spec).await,
     };
     match written {
         Ok(object) => WriteAnswer::Done(object.revision),
-        // A write that was sent before, and whose answer was lost.
+        // The conflict is with an earlier send of the same write, whose answer
+        // was lost.
         Err(StoreError::Conflict(Some(known))) if known.spec == spec => {
             WriteAnswer::Done(known.revision)
         }
@@ -99,66 +104,78 @@
     }
 }
 
-/// How a write of the holder's reached the store.
+/// How a write of the lease holder reached the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Way {
-    Own,
+pub(super) enum RenewalPath {
+    Direct,
     Peer,
 }
 
-/// Renews or releases the lease: our own way first, and through others that reach
-/// the store; both at once while our own way is taken to be cut. The write is the
-/// same and bound to a revision, so it is done once however many send it.
+/// Renews or releases the lease. Tries the direct path first, and then other
+/// instances that reach the store; uses both at once while the direct path is
+/// taken to be cut. Each sender makes the same conditional update of one
+/// revision, so it is applied once.
 pub(super) async fn renew(
-    node: &FleetNode,
+    instance: &FleetInstance,
     renewal: &LeaseWrite,
-) -> (WriteAnswer, Way) {
-    if !node.store_contact.borrow().is_unreachable() {
-        let answer = renew_own_way(node, renewal).await;
+) -> (WriteAnswer, RenewalPath) {
+    if !instance.store_reachability.borrow().is_unreachable() {
+        let answer = renew_directly(instance, renewal).await;
         if answer != WriteAnswer::Unclear {
-            return (answer, Way::Own);
+            return (answer, RenewalPath::Direct);
         }
-        return (renew_through_peers(node, renewal).await, Way::Peer);
+        return (
+            renew_through_peers(instance, renewal).await,
+            RenewalPath::Peer,
+        );
     }
-    let own = pin!(renew_own_way(node, renewal));
-    let peers = pin!(renew_through_peers(node, renewal));
+    let own = pin!(renew_directly(instance, renewal));
+    let peers = pin!(renew_through_peers(instance, renewal));
     match future::select(own, peers).await {
         Either::Left((WriteAnswer::Unclear, peers)) => {
-            (peers.await, Way::Peer)
+            (peers.await, RenewalPath::Peer)
+        }
+        Either::Right((WriteAnswer::Unclear, own)) => {
+            (own.await, RenewalPath::Direct)
         }
-        Either::Right((WriteAnswer::Unclear, own)) => (own.await, Way::Own),
-        Either::Left((answer, _)) => (answer, Way::Own),
-        Either::Right((answer, _)) => (answer, Way::Peer),
+        Either::Left((answer, _)) => (answer, RenewalPath::Direct),
+        Either::Right((answer, _)) => (answer, RenewalPath::Peer),
     }
 }
 
-async fn renew_own_way(node: &FleetNode, renewal: &LeaseWrite) -> WriteAnswer {
+async fn renew_directly(
+    instance: &FleetInstance,
+    renewal: &LeaseWrite,
+) -> WriteAnswer {
     let sent = Instant::now();
-    let written = compio::time::timeout(OWN_TIME, write(node, renewal)).await;
+    let written =
+        compio::time::timeout(DIRECT_TIMEOUT, write(instance, renewal)).await;
     let answer = written.unwrap_or(WriteAnswer::Unclear);
     match answer {
         WriteAnswer::Unclear => {
-            node.store_failed(sent, &StoreError::Unanswered);
+            instance.record_store_failure(sent, &StoreError::Unanswered);
+        }
+        WriteAnswer::Done(_) | WriteAnswer::Conflict => {
+            instance.record_store_success()
         }
-        WriteAnswer::Done(_) | WriteAnswer::Conflict => node.store_reached(),
     }
     answer
 }
 
 async fn renew_through_peers(
-    node: &FleetNode,
+    instance: &FleetInstance,
     renewal: &LeaseWrite,
 ) -> WriteAnswer {
     let now = Instant::now();
-    let mut peers: Vec<InstanceId> = node
+    let mut peers: Vec<InstanceId> = instance
         .store_reports
         .borrow()
         .instances_reaching_store(now)
         .cloned()
         .collect();
     peers.shuffle(&mut rand::rng());
-    for asked in peers.chunks(PEERS_ASKED).take(ROUNDS) {
-        let answer = renew_through(node, asked, renewal).await;
+    for asked in peers.chunks(PEERS_PER_ROUND).take(PEER_ROUNDS) {
+        let answer = renew_through(instance, asked, renewal).await;
         tracing::info!(
             event = "lease_renewed_through",
             peers = asked.join(","),
@@ -172,42 +189,44 @@
     WriteAnswer::Unclear
 }
 
-/// Asks several at once; the first clear answer counts. Half of the others may be
-/// cut off without our knowing: one by one, two in a row took 0.4 s of the 0.85 s
-/// that the lease leaves, and orders stood still for 3 s.
+/// Asks several instances at once; the first definite answer counts.
+///
+/// Half of the other instances may be cut off without this one's knowledge.
+/// Asked one by one, two of them in a row took 0.4 s of the 0.85 s that the
+/// lease leaves, and no orders were given for 3 s.
 async fn renew_through(
-    node: &FleetNode,
+    instance: &FleetInstance,
     peers: &[InstanceId],
     renewal: &LeaseWrite,
 ) -> WriteAnswer {
     let number = rand::random();
     let (tx, rx) = oneshot::channel();
-    *node.renewal.borrow_mut() = Some((number, tx));
+    *instance.renewal.borrow_mut() = Some((number, tx));
     let request = RenewalRequest {
-        from: node.id().clone(),
+        from: instance.id().clone(),
         number,
         write: renewal.clone(),
-        known_revision: node.view.borrow().newest_revision(),
+        known_revision: instance.view.borrow().newest_revision(),
     };
     for peer in peers {
         let note = Note::RenewalRequest(request.clone());
-        node.letters.borrow_mut().push((peer.clone(), note));
+        instance.unicast_queue.borrow_mut().push((peer.clone(), note));
     }
-    node.notify_notes();
-    match compio::time::timeout(PEER_TIME, rx).await {
+    instance.notify_notes();
+    match compio::time::timeout(PEER_TIMEOUT, rx).await {
         Ok(Ok(answer)) => answer,
         Ok(Err(_)) | Err(_) => WriteAnswer::Unclear,
     }
 }
 
 /// Renews the lease for its holder, which cannot reach the store.
-pub(super) async fn renew_for(
-    node: &FleetNode,
+pub(super) async fn renew_for_holder(
+    instance: &FleetInstance,
     sender: &NoteSender,
     request: RenewalRequest,
 ) {
     let RenewalRequest { from, number, write, known_revision } = request;
-    let answer = self::write(node, &write).await;
+    let answer = self::write(instance, &write).await;
     tracing::info!(
         event = "lease_renewed_for",
         holder = from,
@@ -215,7 +234,7 @@
         renewal = write.record.renewal,
         answer = ?answer,
     );
-    let view = node.view.borrow();
+    let view = instance.view.borrow();
     let versions = view.newest_versions();
     let answer = RenewalAnswer {
         number,
@@ -223,32 +242,36 @@
         endpoints: view.entries_since(known_revision),
         versions: versions.map(|(key, v)| (key.clone(), v)).collect(),
     };
-    sender.send_to_peer(node, &from, &Note::RenewalAnswer(answer));
+    sender.send_to_peer(instance, &from, &Note::RenewalAnswer(answer));
 }
 
-/// Takes in what the store answered to another instance. An answer to an older
-/// request says nothing of the one that is out.
+/// Applies the store's answer to a renewal that another instance sent. An
+/// answer to an earlier request is ignored.
 ///
-/// What it knows of endpoints and versions counts in any case: a holder that saw
-/// none of 18 new engines for 7 s left 500 adapters waiting for the others' places.
-pub(super) fn hear_answer(node: &FleetNode, heard: RenewalAnswer) {
+/// The endpoints and versions that come with it are always applied: a holder
+/// that saw none of 18 new engines for 7 s left 500 adapters waiting for
+/// places on the other engines.
+pub(super) fn apply_renewal_answer(
+    instance: &FleetInstance,
+    received: RenewalAnswer,
+) {
     let now = Instant::now();
-    let mut view = node.view.borrow_mut();
-    view.apply_entries(heard.endpoints, now);
+    let mut view = instance.view.borrow_mut();
+    view.apply_entries(received.endpoints, now);
     drop(view);
-    for (key, version) in &heard.versions {
-        node.name_version(key, *version);
+    for (key, version) in &received.versions {
+        instance.name_version(key, *version);
     }
-    node.notify_loader();
-    if heard.answer == WriteAnswer::Unclear {
-        // Another one that was asked may know more.
+    instance.notify_planner();
+    if received.answer == WriteAnswer::Unclear {
+        // Another instance that was asked may have a definite answer.
         return;
     }
-    let mut waiting = node.renewal.borrow_mut();
-    if waiting.as_ref().is_some_and(|(number, _)| *number == heard.number)
+    let mut waiting = instance.renewal.borrow_mut();
+    if waiting.as_ref().is_some_and(|(number, _)| *number == received.number)
         && let Some((_, tx)) = waiting.take()
     {
-        // The renewal may have waited for long enough.
-        let _ = tx.send(heard.answer);
+        // Fails if the renewal has timed out meanwhile.
+        let _ = tx.send(received.answer);
     }
 }
--- a/crates/sedgewalld/src/fleet/list_watch.rs
+++ b/crates/sedgewalld/src/fleet/list_watch.rs
@@ -1,7 +1,9 @@
-//! Follows one kind of objects in the platform's store.
+//! Keeps one kind of objects in the platform's store up to date by listing and
+//! watching them.
 //!
-//! Each kind is listed once and then watched. While the store is out, what was
-//! known stays in force; what a kind means is for its [`Follower`].
+//! Each kind is listed once and then watched. While the store is out, the last
+//! known state stays in force. What to do with the objects is up to the
+//! [`ObjectHandler`] of the kind.
 
 use std::{pin::pin, rc::Rc, time::Duration};
 
@@ -14,126 +16,136 @@
     store::{Change, Freshness, Listing, Revision},
 };
 
-use super::{instance::FleetNode, notify::Notify};
+use super::{instance::FleetInstance, notify::Notify};
 
-/// How long a watch waits, but for that of endpoints. Each call has a price, and what
-/// other instances know in a newer version is listed soon. It is well within the
-/// history that the store keeps: a watch that waits longer finds its revision gone.
-pub(crate) const QUIET_WATCH: Duration = Duration::from_secs(12);
+/// The timeout of a watch of any kind but endpoints. Calls to the store are
+/// billed, and what another instance reports in a newer version is listed soon
+/// anyway. The timeout is well within the history that the store keeps: a
+/// longer watch finds its revision gone.
+pub(crate) const DEFAULT_WATCH_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// Instances that watch with all that was acknowledged. Three may be cut off at
-/// once and one still tells all others.
+/// The number of instances whose watches include everything that the store has
+/// acknowledged. With three of them cut off at once, one still tells all
+/// others.
 pub(crate) const FRESH_WATCHERS: usize = 4;
 
-/// The longest time for the answer to a probe: the lease leaves 0.85 s from the
-/// first renewal that fails.
-const PROBE_TIME: Duration = Duration::from_millis(450);
+/// The timeout of a probe of the store. The lease leaves 0.85 s from the first
+/// renewal that fails.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// While a probe says that the store is out, and no other call has reached it,
-/// it is probed again after this long.
-const PROBE_AGAIN: Duration = Duration::from_millis(500);
+/// The pause between probes while they show that the store is out and no other
+/// call has reached it.
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Takes in the objects of one kind.
-pub(crate) trait Follower {
+/// Handles the objects of one kind.
+pub(crate) trait ObjectHandler {
     const KIND: &'static str;
-    const WATCH: Duration;
-    /// How new the first list has to be. What the watch tells next follows on
-    /// it, so a start is cheap where a second more does no harm.
-    const FIRST_LIST: Freshness = Freshness::SecondsOld;
-    /// The pause before the next watch.
+    const WATCH_TIMEOUT: Duration;
+    /// How fresh the first list must be. The next watch continues from it, so
+    /// a cheap, older list suffices where one more second does no harm.
+    const FIRST_LIST_FRESHNESS: Freshness = Freshness::SecondsOld;
+    /// Returns the pause before the next watch.
     fn pause(&self) -> Duration {
         Duration::ZERO
     }
-    /// Notified when all is to be listed anew.
-    fn notify(&self) -> Rc<Notify>;
-    /// Whether its calls, and no other kind's, are tried soon while the store is
-    /// out, at an instance that does not watch for the others.
-    const TRIES_FIRST: bool = false;
-    /// Returns whether others were heard to know more than the last list and
-    /// watch have shown; told once.
+    /// Returns the notification that makes all objects of the kind be listed
+    /// again.
+    fn relist_notify(&self) -> Rc<Notify>;
+    /// Whether calls for this kind, and for no other, are retried soon while
+    /// the store is out. Applies to instances that do not watch for all
+    /// others.
+    const RETRIES_EARLY: bool = false;
+    /// Returns whether other instances have reported newer state than the last
+    /// list or watch has shown, and resets that.
     fn take_behind(&self) -> bool {
         false
     }
-    /// Returns how new a watch has to be and how long it waits, if that does not
-    /// go by our rank.
-    fn own_watch(&self) -> Option<(Freshness, Duration)> {
+    /// Returns the freshness and the timeout of the next watch, if they do not
+    /// depend on this instance's rank.
+    fn watch_override(&self) -> Option<(Freshness, Duration)> {
         None
     }
-    /// Takes in that the store answered a call that was sent at a moment.
-    fn was_read(&self, _sent: Instant) {}
-    /// Takes in that all changes before a moment are known.
+    /// Records that the store answered a call that was sent at `sent`.
+    fn record_read(&self, _sent: Instant) {}
+    /// Records that all changes before `until` are known.
     fn confirm(&self, _until: Instant) {}
-    /// Takes in all objects.
-    fn list(&self, listing: Listing);
-    /// Takes in one change.
-    fn change(&self, change: Change);
+    /// Handles a complete list of the objects.
+    fn handle_list(&self, listing: Listing);
+    /// Handles one change.
+    fn handle_change(&self, change: Change);
 }
 
-/// Starts to follow one kind.
-pub(crate) fn spawn<F: Follower + 'static>(node: &Rc<FleetNode>, follower: F) {
-    compio::runtime::spawn(run(node.clone(), follower)).detach();
+/// Starts to list and watch one kind of objects.
+pub(crate) fn spawn<F: ObjectHandler + 'static>(
+    instance: &Rc<FleetInstance>,
+    handler: F,
+) {
+    compio::runtime::spawn(run(instance.clone(), handler)).detach();
 }
 
-/// How far the following of one kind has come.
-struct Following<F> {
-    node: Rc<FleetNode>,
-    follower: F,
-    /// Where the next watch goes on; without it, all is listed.
+/// The state of listing and watching one kind of objects.
+struct ListWatch<F> {
+    instance: Rc<FleetInstance>,
+    handler: F,
+    /// The revision that the next watch continues from. If there is none, all
+    /// objects are listed.
     since: Option<Revision>,
-    /// How new the next list has to be, if that does not go by our rank.
-    list_freshness: Option<Freshness>,
-    /// How new the last watch had to be.
+    /// How fresh the next list must be, if that does not depend on this
+    /// instance's rank.
+    list_freshness_override: Option<Freshness>,
+    /// How fresh the last watch had to be.
     watch_freshness: Freshness,
-    /// Whether the last call of this kind failed.
-    is_out: bool,
+    /// Whether the last call for this kind failed.
+    last_call_failed: bool,
     back_off: BackOff,
 }
 
-async fn run<F: Follower>(node: Rc<FleetNode>, follower: F) {
-    let in_force_within = node.in_force_within();
-    let mut following = Following {
-        node,
-        follower,
+async fn run<F: ObjectHandler>(instance: Rc<FleetInstance>, handler: F) {
+    let in_force_within = instance.in_force_within();
+    let mut state = ListWatch {
+        instance,
+        handler,
         since: None,
-        list_freshness: Some(F::FIRST_LIST),
+        list_freshness_override: Some(F::FIRST_LIST_FRESHNESS),
         watch_freshness: Freshness::Newest,
-        is_out: false,
+        last_call_failed: false,
         back_off: BackOff::within(in_force_within),
     };
     loop {
-        following.go_on().await;
+        state.step().await;
     }
 }
 
-impl<F: Follower> Following<F> {
-    /// Lists or watches once, and pauses as its outcome asks for.
-    async fn go_on(&mut self) {
+impl<F: ObjectHandler> ListWatch<F> {
+    /// Lists or watches once, and then pauses as the outcome requires.
+    async fn step(&mut self) {
         let sent = Instant::now();
         let done = match self.since {
             None => self.list().await.map(Some),
             Some(revision) => self.watch(revision).await,
         };
         match done {
-            Ok(Some(revision)) => self.reached(revision).await,
-            // What was watched is to be listed anew.
+            Ok(Some(revision)) => self.on_success(revision).await,
+            // A notification asks for a list of all objects.
             Ok(None) => self.since = None,
             Err(StoreError::HistoryGone) => {
                 tracing::warn!(event = "history_gone", kind = F::KIND);
                 self.since = None;
-                // What is seconds old may lie before the history that is left.
-                self.list_freshness = Some(Freshness::Newest);
+                // A list that may be seconds old may lie before the history
+                // that the store still has.
+                self.list_freshness_override = Some(Freshness::Newest);
             }
-            Err(err) => self.failed(sent, &err).await,
+            Err(err) => self.on_failure(sent, &err).await,
         }
     }
 
-    /// Lists all objects, which answers every notification until now.
+    /// Lists all objects, which answers all notifications up to now.
     async fn list(&mut self) -> Result<Revision, StoreError> {
-        self.follower.notify().clear();
-        let freshness = self.next_list();
+        self.handler.relist_notify().clear();
+        let freshness = self.next_list_freshness();
         let sent = Instant::now();
-        let listing = self.node.store.list(F::KIND, freshness).await?;
-        self.list_freshness = None;
+        let listing = self.instance.store.list(F::KIND, freshness).await?;
+        self.list_freshness_override = None;
         let revision = listing.revision;
         log_unreadable(F::KIND, &listing.unreadable);
         tracing::info!(
@@ -142,44 +154,52 @@
             objects = listing.objects.len(),
             revision,
         );
-        self.follower.list(listing);
-        self.follower.was_read(sent);
+        self.handler.handle_list(listing);
+        self.handler.record_read(sent);
         if freshness == Freshness::Newest {
-            self.follower.confirm(sent);
+            self.handler.confirm(sent);
         }
         Ok(revision)
     }
 
-    /// Returns how new the next list has to be. Most instances list for a tenth
-    /// of the price after an outage, and hear in notes if that was too old: 195
-    /// instances that list four kinds with all that was acknowledged are 780 calls
-    /// at once.
-    fn next_list(&self) -> Freshness {
-        match self.list_freshness {
+    /// Returns how fresh the next list must be.
+    ///
+    /// After an outage, most instances list with [`Freshness::SecondsOld`],
+    /// for a tenth of the price, and learn from notes if the list was too old.
+    /// If 195 instances listed four kinds with [`Freshness::Newest`], that
+    /// would be 780 calls at once.
+    fn next_list_freshness(&self) -> Freshness {
+        match self.list_freshness_override {
             Some(freshness) => freshness,
-            None if self.follower.take_behind() => Freshness::Newest,
-            None if self.follower.own_watch().is_some() => Freshness::Newest,
-            None => rank_freshness(&self.node),
+            None if self.handler.take_behind() => Freshness::Newest,
+            None if self.handler.watch_override().is_some() => {
+                Freshness::Newest
+            }
+            None => rank_freshness(&self.instance),
         }
     }
 
-    /// Waits for changes; returns nothing if the notify rang before any came.
+    /// Waits for changes. Returns none if the kind was to be listed again
+    /// before any came.
     async fn watch(
         &mut self,
         since: Revision,
     ) -> Result<Option<Revision>, StoreError> {
-        let (freshness, wait) = match self.follower.own_watch() {
+        let (freshness, wait) = match self.handler.watch_override() {
             Some(own) => own,
             None => {
                 let before = self.watch_freshness;
-                (freshness(&self.node, before, F::KIND), F::WATCH)
+                (
+                    next_watch_freshness(&self.instance, before, F::KIND),
+                    F::WATCH_TIMEOUT,
+                )
             }
         };
         self.watch_freshness = freshness;
         let sent = Instant::now();
-        let store = &self.node.store;
+        let store = &self.instance.store;
         let watch = store.watch(F::KIND, since, wait, freshness);
-        let notify = self.follower.notify();
+        let notify = self.handler.relist_notify();
         let mut watch = pin!(watch.fuse());
         let mut notified = pin!(notified(&notify).fuse());
         let changes = select! {
@@ -187,57 +207,69 @@
             () = notified => return Ok(None),
         };
         log_unreadable(F::KIND, &changes.unreadable);
-        // A watch that ended without a change has waited at the store.
+        // A watch that ends without a change has waited its whole timeout at
+        // the store, so the state is known up to its end.
         let is_empty =
             changes.changes.is_empty() && changes.unreadable.is_empty();
-        let is_whole = is_empty && sent.elapsed() >= wait;
+        let has_timed_out = is_empty && sent.elapsed() >= wait;
         for change in changes.changes {
-            self.follower.change(change);
+            self.handler.handle_change(change);
         }
-        self.follower.was_read(if is_whole { sent + wait } else { sent });
+        self.handler.record_read(if has_timed_out {
+            sent + wait
+        } else {
+            sent
+        });
         if freshness == Freshness::Newest {
-            self.follower.confirm(if is_whole { sent + wait } else { sent });
+            self.handler.confirm(if has_timed_out {
+                sent + wait
+            } else {
+                sent
+            });
         }
         Ok(Some(changes.revision))
     }
 
-    /// Goes on from a revision after the follower's pause.
-    async fn reached(&mut self, revision: Revision) {
-        self.node.store_reached();
-        let notify = self.follower.notify();
-        if std::mem::take(&mut self.is_out) {
+    /// Continues from a revision after the handler's pause.
+    async fn on_success(&mut self, revision: Revision) {
+        self.instance.record_store_success();
+        let notify = self.handler.relist_notify();
+        if std::mem::take(&mut self.last_call_failed) {
             tracing::info!(event = "store_regained", kind = F::KIND);
-            self.node.list_others_anew(&notify);
+            self.instance.relist_others(&notify);
         }
         self.back_off.answered();
-        let pause = self.follower.pause();
+        let pause = self.handler.pause();
         let is_notified = !pause.is_zero() && notify.wait(pause).await;
-        // After a long pause, what follows on the revision may be gone.
-        let is_old = pause > QUIET_WATCH;
+        // After a long pause, the store may have dropped the changes that
+        // follow the revision.
+        let is_old = pause > DEFAULT_WATCH_TIMEOUT;
         self.since = (!is_notified && !is_old).then_some(revision);
     }
 
-    /// Waits before the next call, or until another kind reaches the store: the
-    /// first one that does notifies the others.
-    async fn failed(&mut self, sent: Instant, err: &StoreError) {
-        self.node.store_failed(sent, err);
+    /// Waits before the next call, or until another kind has reached the
+    /// store. The first kind that reaches it notifies the others.
+    async fn on_failure(&mut self, sent: Instant, err: &StoreError) {
+        self.instance.record_store_failure(sent, err);
         let cause = err.to_string();
-        if !std::mem::replace(&mut self.is_out, true) {
+        if !std::mem::replace(&mut self.last_call_failed, true) {
             tracing::warn!(event = "store_lost", kind = F::KIND, cause);
-            if !F::TRIES_FIRST {
-                // Its watch may wait on a channel that says nothing further.
-                self.node.configuration_notify.notify();
+            if !F::RETRIES_EARLY {
+                // The watch of the configuration may be open on a connection
+                // that brings nothing more.
+                self.instance.configuration_notify.notify();
             }
         }
-        // A watch answers only once something changes; a list tells at once
-        // that the store is regained, and what was missed.
+        // A watch answers only on a change. A list shows at once that the
+        // store is back, and what was missed.
         let is_list = self.since.take().is_none();
-        let calls = match rank_freshness(&self.node) {
+        let calls = match rank_freshness(&self.instance) {
             Freshness::Newest => CallKind::Watcher,
-            Freshness::SecondsOld if F::TRIES_FIRST => CallKind::First,
+            Freshness::SecondsOld if F::RETRIES_EARLY => CallKind::First,
             Freshness::SecondsOld => CallKind::Notified,
         };
-        let is_out = self.node.store_contact.borrow().is_unreachable();
+        let is_out =
+            self.instance.store_reachability.borrow().is_unreachable();
         let pause = self.back_off.failed(calls, is_out);
         tracing::info!(
             event = "store_call_failed",
@@ -247,19 +279,23 @@
             next_in_ms = pause.as_millis() as u64,
             cause,
         );
-        self.wait_out(pause).await;
+        self.wait_for_retry(pause).await;
     }
 
-    /// Waits for a time, or until another kind has reached the store. That
-    /// others know more does not make the store answer us: 68 instances that
-    /// the store turned away for 9 s tried each time they heard so, 1,100 calls.
-    async fn wait_out(&self, pause: Duration) {
-        let notify = self.follower.notify();
+    /// Waits until the timeout, or until another kind has reached the store.
+    ///
+    /// Notifications are ignored while the store is out: reports of newer
+    /// state do not mean that the store answers this instance. Retrying on
+    /// each of them, 68 instances that the store turned away for 9 s made
+    /// 1,100 calls.
+    async fn wait_for_retry(&self, pause: Duration) {
+        let notify = self.handler.relist_notify();
         let until = Instant::now() + pause;
         loop {
             let left = until.saturating_duration_since(Instant::now());
             let is_notified = notify.wait(left).await;
-            let is_out = self.node.store_contact.borrow().is_unreachable();
+            let is_out =
+                self.instance.store_reachability.borrow().is_unreachable();
             if !is_notified || !is_out {
                 return;
             }
@@ -267,62 +303,68 @@
     }
 }
 
-/// One line for each object of which not even the name can be read.
+/// Logs one line for each object whose name cannot even be read.
 fn log_unreadable(kind: &str, causes: &[String]) {
     for cause in causes {
         tracing::error!(event = "object_unreadable", kind, cause);
     }
 }
 
-/// A few instances hear everything at once and tell the others, who watch for
-/// a tenth of the price and repair with it what notes lost.
-fn freshness(node: &FleetNode, before: Freshness, kind: &str) -> Freshness {
-    let freshness = rank_freshness(node);
+/// Returns how fresh the next watch must be, by this instance's rank.
+///
+/// A few instances get all changes at once and tell the others. Those watch
+/// for a tenth of the price, which makes up for lost notes.
+fn next_watch_freshness(
+    instance: &FleetInstance,
+    before: Freshness,
+    kind: &str,
+) -> Freshness {
+    let freshness = rank_freshness(instance);
     if freshness != before {
-        let rank = node.rank(0);
+        let rank = instance.rank(0);
         tracing::info!(event = "watch", kind, rank, freshness = ?freshness);
     }
     freshness
 }
 
-fn rank_freshness(node: &FleetNode) -> Freshness {
-    match node.rank(0) < FRESH_WATCHERS {
+fn rank_freshness(instance: &FleetInstance) -> Freshness {
+    match instance.rank(0) < FRESH_WATCHERS {
         true => Freshness::Newest,
         false => Freshness::SecondsOld,
     }
 }
 
-/// Sees whether the store answers, for the holder of the lease to hear. Our own
-/// watches may still wait on connections that were made before an outage.
-pub(crate) fn probe_store(node: &Rc<FleetNode>) {
-    if !node.store_contact.borrow_mut().begin_probe() {
+/// Probes whether the store answers and reports that to the lease holder.
+/// Watches may still wait on connections from before an outage.
+pub(crate) fn probe_store(instance: &Rc<FleetInstance>) {
+    if !instance.store_reachability.borrow_mut().begin_probe() {
         return;
     }
-    let node = node.clone();
+    let instance = instance.clone();
     compio::runtime::spawn(async move {
         loop {
             let sent = Instant::now();
-            let probe = node.store.probe(CONFIG_KIND, CONFIG_NAME);
-            let probed = compio::time::timeout(PROBE_TIME, probe)
+            let probe = instance.store.probe(CONFIG_KIND, CONFIG_NAME);
+            let probed = compio::time::timeout(PROBE_TIMEOUT, probe)
                 .await
                 .unwrap_or(Err(StoreError::Unanswered));
             tracing::info!(event = "store_probed", is_out = probed.is_err());
             let Err(err) = probed else {
-                node.store_reached();
+                instance.record_store_success();
                 break;
             };
-            node.store_failed(sent, &err);
-            compio::time::sleep(PROBE_AGAIN).await;
-            if !node.store_contact.borrow().is_unreachable() {
+            instance.record_store_failure(sent, &err);
+            compio::time::sleep(PROBE_INTERVAL).await;
+            if !instance.store_reachability.borrow().is_unreachable() {
                 break;
             }
         }
-        node.store_contact.borrow_mut().end_probe();
+        instance.store_reachability.borrow_mut().end_probe();
     })
     .detach();
 }
 
-/// Waits for a notify.
+/// Waits for a notification.
 async fn notified(notify: &Notify) {
-    while !notify.wait(QUIET_WATCH).await {}
+    while !notify.wait(DEFAULT_WATCH_TIMEOUT).await {}
 }
--- a/crates/sedgewalld/src/fleet/note_sender.rs
+++ b/crates/sedgewalld/src/fleet/note_sender.rs
@@ -1,9 +1,10 @@
-//! Sends notes: to one instance, to all, or through relays.
+//! Sends notes to one instance or to all, through relays if there are many.
 //!
-//! Where there are many instances, a note to all goes to one of each other zone,
-//! and there and in our own to one of each group, which passes it on ([`sedgewall_fleet::relays`]): the link of a small
-//! instance does not carry eighty times what it has to say, and few bytes cross
-//! between zones.
+//! With many instances, a note to all is sent to one instance of each other
+//! zone. There, and in the sender's own zone, it goes to one instance of each
+//! group, which forwards it to the rest of the group
+//! ([`sedgewall_fleet::relays`]). This way the link of a small instance does
+//! not carry eighty copies of each note, and few bytes cross between zones.
 
 use std::{
     cell::Cell,
@@ -19,21 +20,23 @@
 };
 use sedgewall_state::id::InstanceId;
 
-use super::instance::FleetNode;
+use super::instance::FleetInstance;
 
-/// The longest datagram that IPv4 carries, less some room for its head.
-pub(crate) const LARGEST_NOTE: usize = 60_000;
+/// The maximum size of an encoded note: the largest IPv4 datagram, less some
+/// room for its headers.
+pub(crate) const MAX_NOTE_BYTES: usize = 60_000;
 
-/// Sends notes.
+/// Sends notes over one UDP socket.
 pub(crate) struct NoteSender {
     socket: UdpSocket,
-    /// Counts notes that went through relays, to choose others for the next.
-    relayed: Cell<usize>,
+    /// The number of notes sent through relays, by which each note takes other
+    /// relays than the one before.
+    relay_rotation: Cell<usize>,
 }
 
 impl NoteSender {
     fn send(&self, to: SocketAddr, bytes: &[u8]) {
-        // A note that cannot be sent now is like one that was lost.
+        // A note that cannot be sent now is treated as lost.
         if let Err(err) = self.socket.send_to(bytes, to) {
             tracing::debug!(event = "note_not_sent", cause = %err);
         }
@@ -42,22 +45,22 @@
     /// Sends a note to one instance.
     pub(crate) fn send_to_peer(
         &self,
-        node: &FleetNode,
+        instance: &FleetInstance,
         peer: &InstanceId,
         note: &Note,
     ) {
-        if let Some(address) = node.address_of(peer) {
+        if let Some(address) = instance.address_of(peer) {
             self.send_to(address, note);
         }
     }
 
     /// Sends a note to all other instances, through relays if there are many.
-    pub(crate) fn broadcast(&self, node: &FleetNode, note: &Note) {
-        let peers = node.peers.borrow();
+    pub(crate) fn broadcast(&self, instance: &FleetInstance, note: &Note) {
+        let peers = instance.peers.borrow();
         if peers.len() <= MAX_DIRECT_PEERS {
             let Some(bytes) = encode(note) else { return };
             if peers.is_empty() {
-                for address in node.heard_addresses() {
+                for address in instance.unlisted_addresses() {
                     self.send(address, &bytes);
                 }
             }
@@ -66,29 +69,34 @@
             }
             return;
         }
-        let turn = self.next_turn();
-        let (now, view) = (Instant::now(), node.view.borrow());
+        let rotation = self.next_rotation();
+        let (now, view) = (Instant::now(), instance.view.borrow());
         let zones = peers.iter().map(|(id, peer)| (id, &peer.zone));
-        let own = &node.settings.zone;
+        let own = &instance.settings.zone;
         for id in
-            zone_relays(zones, own, |id| view.is_live_peer(id, now), turn)
+            zone_relays(zones, own, |id| view.is_live_peer(id, now), rotation)
         {
             let for_zone = Note::ZoneRelay(note.clone().into());
             self.send_to(peers[id].address, &for_zone);
         }
         drop(view);
-        self.spread_in_zone(node, note);
+        self.broadcast_in_zone(instance, note);
     }
 
-    /// Sends a note to one instance of each group of our zone.
-    pub(crate) fn spread_in_zone(&self, node: &FleetNode, note: &Note) {
-        let peers = node.peers.borrow();
-        let turn = self.next_turn();
-        let (now, view) = (Instant::now(), node.view.borrow());
-        let own = &node.settings.zone;
+    /// Sends a note to one instance of each group in this instance's zone.
+    pub(crate) fn broadcast_in_zone(
+        &self,
+        instance: &FleetInstance,
+        note: &Note,
+    ) {
+        let peers = instance.peers.borrow();
+        let rotation = self.next_rotation();
+        let (now, view) = (Instant::now(), instance.view.borrow());
+        let own = &instance.settings.zone;
         let zones = peers.iter().map(|(id, peer)| (id, &peer.zone));
         let zones = zones.filter(|(_, zone)| *zone == own);
-        for (id, group) in relays(zones, |id| view.is_live_peer(id, now), turn)
+        for (id, group) in
+            relays(zones, |id| view.is_live_peer(id, now), rotation)
         {
             let Group { index, count } = group;
             let relayed =
@@ -97,19 +105,24 @@
         }
     }
 
-    /// Returns the number by which relays are chosen; each note has another one.
-    fn next_turn(&self) -> usize {
-        let turn = self.relayed.get();
-        self.relayed.set(turn.wrapping_add(1));
-        turn
+    /// Returns a number that selects the relays, a different one for each
+    /// note.
+    fn next_rotation(&self) -> usize {
+        let rotation = self.relay_rotation.get();
+        self.relay_rotation.set(rotation.wrapping_add(1));
+        rotation
     }
 
-    /// Passes a note on to the rest of its group.
-    pub(crate) fn pass_on(&self, node: &FleetNode, relayed: &GroupRelay) {
+    /// Forwards a note to the other instances of the group.
+    pub(crate) fn forward_to_group(
+        &self,
+        instance: &FleetInstance,
+        relayed: &GroupRelay,
+    ) {
         let Some(bytes) = encode(&relayed.note) else { return };
         let group = Group { index: relayed.index, count: relayed.count };
-        for (id, peer) in node.peers.borrow().iter() {
-            if peer.zone == node.settings.zone && group.contains(id) {
+        for (id, peer) in instance.peers.borrow().iter() {
+            if peer.zone == instance.settings.zone && group.contains(id) {
                 self.send(peer.address, &bytes);
             }
         }
@@ -124,7 +137,7 @@
 
 fn encode(note: &Note) -> Option<Vec<u8>> {
     match rmp_serde::to_vec(note) {
-        Ok(bytes) if bytes.len() <= LARGEST_NOTE => Some(bytes),
+        Ok(bytes) if bytes.len() <= MAX_NOTE_BYTES => Some(bytes),
         Ok(bytes) => {
             let len = bytes.len();
             tracing::error!(event = "note_too_large", len);
@@ -139,12 +152,12 @@
 
 /// Opens the socket for notes.
 pub(crate) fn open(
-    node: &FleetNode,
+    instance: &FleetInstance,
 ) -> io::Result<(Rc<NoteSender>, compio::net::UdpSocket)> {
-    let socket = UdpSocket::bind(node.settings.peer_listen)?;
+    let socket = UdpSocket::bind(instance.settings.peer_listen)?;
     socket.set_nonblocking(true)?;
     let sender = socket.try_clone()?;
     let receiver = compio::net::UdpSocket::from_std(socket)?;
-    let sender = NoteSender { socket: sender, relayed: Cell::new(0) };
+    let sender = NoteSender { socket: sender, relay_rotation: Cell::new(0) };
     Ok((Rc::new(sender), receiver))
 }
