--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -1,8 +1,8 @@
-//! Notes between instances, as datagrams.
+//! Notes between instances, sent as UDP datagrams.
 //!
-//! A datagram fits what they say: sums that replace each other, where the
-//! newest counts and a lost one is repaired by the next. It needs no
-//! connection to hang when a machine loses power.
+//! Datagrams suit their content: state that replaces earlier state, where the
+//! newest note counts and the next one makes up for a lost one. There is no
+//! connection that could hang when a machine loses power.
 
 use std::{rc::Rc, time::Duration};
 
@@ -21,36 +21,40 @@
 
 use super::{
     announcements,
-    instance::{FleetNode, SeenArrival, Stage},
+    instance::{FleetInstance, ObservedLoad, Stage},
     keys, lease_store, list_watch,
-    note_sender::{LARGEST_NOTE, NoteSender},
+    note_sender::{MAX_NOTE_BYTES, NoteSender},
     poison, watch_poison,
 };
 
-/// Where there are many, each so many-th note goes to all and not to the holder
-/// alone, so that each knows who is there.
-const ALL_HEAR_EACH: u64 = 8;
+/// With many instances, one in this many status notes goes to all instances
+/// and not only to the lease holder, so that each instance knows which others
+/// are alive.
+const BROADCAST_EVERY: u64 = 8;
 
-/// What others know in a newer version is listed after this long, if our own
-/// watch has not brought it, and again after this long.
-const BEHIND_FOR: Duration = Duration::from_millis(500);
+/// How long another instance must have reported newer state before this
+/// instance lists it again, unless its own watch brings it first; also the
+/// interval between such lists.
+const RELIST_DELAY: Duration = Duration::from_millis(500);
 
-/// A newer version that was heard of this long ago was another one.
-const BEHIND_HOLDS: Duration = Duration::from_millis(2_000);
+/// If newer state was first reported longer ago than this, that report was
+/// about another version.
+const BEHIND_VALID_FOR: Duration = Duration::from_millis(2_000);
 
-/// Notes in one datagram at most, so that it fits one packet.
+/// The maximum number of notes in one datagram, so that it fits one packet.
 const BATCH_LEN: usize = 16;
 
-/// How often peers that fell silent are forgotten.
-const FORGET_EVERY: Duration = Duration::from_secs(1);
+/// The interval at which expired state, such as that of silent peers, is
+/// dropped.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Receives notes for ever.
+/// Receives and applies notes. Never returns.
 pub(crate) async fn receive(
-    node: Rc<FleetNode>,
+    instance: Rc<FleetInstance>,
     sender: Rc<NoteSender>,
     socket: compio::net::UdpSocket,
 ) {
-    let mut buf = Vec::with_capacity(LARGEST_NOTE);
+    let mut buf = Vec::with_capacity(MAX_NOTE_BYTES);
     loop {
         buf.clear();
         let BufResult(received, back) = socket.recv_from(buf).await;
@@ -58,19 +62,21 @@
         match received {
             Ok((len, from)) => match rmp_serde::from_slice(&buf[..len]) {
                 Ok(note) => {
-                    // One that a relay passed on comes from the relay, which
-                    // answers as well.
+                    // The source address of a relayed note is the relay's.
+                    // That does no harm, because the relay can serve missing
+                    // state as well.
                     if let Note::Status(status) = &note {
-                        node.heard_from(&status.from, from);
+                        instance.record_address(&status.from, from);
                     }
-                    hear(&node, &sender, note);
+                    handle(&instance, &sender, note);
                 }
                 Err(err) => {
                     tracing::warn!(event = "note_unreadable", cause = %err);
                 }
             },
             Err(err) => {
-                // A dead peer's port answers so; nothing is lost by it.
+                // The error comes from the closed port of an instance that is
+                // gone. Nothing is lost by it.
                 tracing::debug!(event = "note_error", cause = %err);
                 compio::time::sleep(Duration::from_millis(5)).await;
             }
@@ -78,91 +84,101 @@
     }
 }
 
-fn hear(node: &Rc<FleetNode>, sender: &Rc<NoteSender>, note: Note) {
+fn handle(instance: &Rc<FleetInstance>, sender: &Rc<NoteSender>, note: Note) {
     let now = Instant::now();
-    node.work.notes_heard.set(node.work.notes_heard.get() + 1);
+    instance
+        .counters
+        .notes_received
+        .set(instance.counters.notes_received.get() + 1);
     match note {
-        // A relay passes our own note on to us as well.
-        Note::Status(status) if status.from == *node.id() => {}
+        // A relay may send this instance's own note back to it.
+        Note::Status(status) if status.from == *instance.id() => {}
         Note::Status(status) => {
             if let Some(lead) = status.leads {
                 let next_in = Duration::from_millis(status.next_in_ms);
-                node.hear_leader(&status.from, lead, next_in);
+                instance.record_leader(&status.from, lead, next_in);
             }
-            hear_newer(node, &status, now);
+            check_for_newer_state(instance, &status, now);
             for departure in &status.departures {
-                hear_departure(node, departure, now);
+                apply_departure(instance, departure, now);
             }
             for crash in &status.crashes {
-                poison::hear(node, crash);
+                poison::apply_crash(instance, crash);
             }
-            node.store_reports.borrow_mut().record(
+            instance.store_reports.borrow_mut().record(
                 &status.from,
                 status.store_is_out,
                 status.is_leaving,
                 now,
             );
-            hear_customers(node, &status, now);
-            announcements::hear_reports(node, &status, now);
-            node.view.borrow_mut().apply_status(status, now);
+            record_customer_demand(instance, &status, now);
+            announcements::apply_limit_reports(instance, &status, now);
+            instance.view.borrow_mut().apply_status(status, now);
         }
-        Note::Departed(departure) => hear_departure(node, &departure, now),
-        Note::Crashed(crash) => poison::hear(node, &crash),
-        Note::Cleared(digest) => poison::hear_cleared(node, digest),
-        Note::ProbeStore => list_watch::probe_store(node),
+        Note::Departed(departure) => {
+            apply_departure(instance, &departure, now)
+        }
+        Note::Crashed(crash) => poison::apply_crash(instance, &crash),
+        Note::Cleared(digest) => poison::apply_clearance(instance, digest),
+        Note::ProbeStore => list_watch::probe_store(instance),
         Note::RenewalRequest(request) => {
-            let (node, sender) = (node.clone(), sender.clone());
+            let (instance, sender) = (instance.clone(), sender.clone());
             compio::runtime::spawn(async move {
-                lease_store::renew_for(&node, &sender, request).await;
+                lease_store::renew_for_holder(&instance, &sender, request)
+                    .await;
             })
             .detach();
         }
-        Note::RenewalAnswer(answer) => lease_store::hear_answer(node, answer),
+        Note::RenewalAnswer(answer) => {
+            lease_store::apply_renewal_answer(instance, answer)
+        }
         Note::Suspect { endpoint, for_ms } => {
             let time = Duration::from_millis(for_ms);
-            node.view.borrow_mut().mark_suspect(&endpoint, time, now);
-            node.wake_all();
+            instance.view.borrow_mut().mark_suspect(&endpoint, time, now);
+            instance.wake_all();
         }
         Note::FreshnessQuery { from, number } => {
-            keys::answer(node, sender, &from, number);
+            keys::answer(instance, sender, &from, number);
         }
         Note::FreshnessAnswer { number, age_ms, configuration } => {
-            keys::hear(node, number, age_ms, configuration);
+            keys::apply_answer(instance, number, age_ms, configuration);
+        }
+        Note::DemandReport(report) => {
+            apply_demand_report(instance, sender, &report, now)
         }
-        Note::DemandReport(asked) => hear_asked(node, sender, &asked, now),
         Note::Batch(notes) => {
             for note in notes {
-                hear(node, sender, note);
+                handle(instance, sender, note);
             }
         }
         Note::ZoneRelay(note) => {
-            sender.spread_in_zone(node, &note);
-            hear(node, sender, *note);
+            sender.broadcast_in_zone(instance, &note);
+            handle(instance, sender, *note);
         }
         Note::GroupRelay(relayed) => {
-            sender.pass_on(node, &relayed);
-            hear(node, sender, *relayed.note);
+            sender.forward_to_group(instance, &relayed);
+            handle(instance, sender, *relayed.note);
         }
-        // Whoever gives orders knows better than a note from before.
+        // The lease holder's own table is newer than such a note.
         Note::Placed(_) | Note::Removed(_)
-            if node.current_lease(now).is_some() => {}
+            if instance.current_lease(now).is_some() => {}
         Note::Placed(placed) => {
-            node.view.borrow_mut().apply_placed(&placed, now);
-            node.wake(&placed.key);
+            instance.view.borrow_mut().apply_placed(&placed, now);
+            instance.wake(&placed.key);
         }
         Note::Removed(removed) => {
-            node.view.borrow_mut().apply_removed(&removed, now);
+            instance.view.borrow_mut().apply_removed(&removed, now);
         }
     }
 }
 
-/// Hears that an endpoint has left, so that none of our requests goes there.
-pub(crate) fn hear_departure(
-    node: &FleetNode,
+/// Records that an endpoint has left, so that no request is sent to it.
+pub(crate) fn apply_departure(
+    instance: &FleetInstance,
     departure: &Departure,
     now: Instant,
 ) {
-    if !node.view.borrow_mut().apply_departure(departure, now) {
+    if !instance.view.borrow_mut().apply_departure(departure, now) {
         return;
     }
     let Departure { endpoint, revision, is_announced, .. } = departure;
@@ -172,34 +188,40 @@
         revision,
         is_announced,
     );
-    node.wake_all();
+    instance.wake_all();
 }
 
-/// Lists anew what another instance knows in a newer version for a while: a
-/// watch of ours may be on a channel that says nothing further.
-fn hear_newer(node: &FleetNode, status: &Status, now: Instant) {
+/// Lists objects again if another instance has reported newer state for a
+/// while. This instance's watch may be on a connection that brings nothing
+/// more.
+fn check_for_newer_state(
+    instance: &FleetInstance,
+    status: &Status,
+    now: Instant,
+) {
     let Status { configuration, versions, condemned, .. } = *status;
-    let told = StateSummary { configuration, versions, condemned };
-    hear_knowledge(node, &status.from, told, now);
-    let own = node.knowledge();
-    if !told.has_more_than(own) {
+    let summary = StateSummary { configuration, versions, condemned };
+    record_state_summary(instance, &status.from, summary, now);
+    let own = instance.state_summary();
+    if !summary.has_more_than(own) {
         return;
     }
-    node.notify_catch_up();
+    instance.notify_catch_up();
     let known = own.configuration;
     let is_configuration = configuration > known;
     let is_version = versions > own.versions;
     if !is_configuration && !is_version {
         return;
     }
-    let since = node.behind_since.get().unwrap_or(now);
-    if now - since > BEHIND_HOLDS {
-        // Heard of long ago; our watch has brought that one.
-        node.behind_since.set(Some(now));
-    } else if now - since < BEHIND_FOR {
-        node.behind_since.set(Some(since));
+    let since = instance.behind_since.get().unwrap_or(now);
+    if now - since > BEHIND_VALID_FOR {
+        // The first report is old: this instance's watch has brought that
+        // version.
+        instance.behind_since.set(Some(now));
+    } else if now - since < RELIST_DELAY {
+        instance.behind_since.set(Some(since));
     } else {
-        node.behind_since.set(Some(now));
+        instance.behind_since.set(Some(now));
         tracing::info!(
             event = "behind",
             is_configuration,
@@ -209,142 +231,159 @@
             from = status.from,
         );
         if is_configuration {
-            node.is_configuration_behind.set(true);
-            node.configuration_notify.notify();
+            instance.is_configuration_behind.set(true);
+            instance.configuration_notify.notify();
         } else {
-            node.is_versions_behind.set(true);
-            node.versions_notify.notify();
+            instance.is_versions_behind.set(true);
+            instance.versions_notify.notify();
         }
     }
 }
 
-/// Takes in how much another instance has of what the operator changes.
-pub(crate) fn hear_knowledge(
-    node: &FleetNode,
+/// Records which state another instance has.
+pub(crate) fn record_state_summary(
+    instance: &FleetInstance,
     from: &InstanceId,
-    told: StateSummary,
+    summary: StateSummary,
     now: Instant,
 ) {
-    let peers = node.peers.borrow();
+    let peers = instance.peers.borrow();
     let zone = peers.get(from).map(|peer| &peer.zone);
-    let is_own_zone = zone == Some(&node.settings.zone);
-    node.catch_up.borrow_mut().record_peer(from, told, is_own_zone, now);
+    let is_own_zone = zone == Some(&instance.settings.zone);
+    instance.catch_up.borrow_mut().record_peer(
+        from,
+        summary,
+        is_own_zone,
+        now,
+    );
 }
 
-fn hear_asked(
-    node: &FleetNode,
+fn apply_demand_report(
+    instance: &FleetInstance,
     sender: &NoteSender,
-    asked: &DemandReport,
+    report: &DemandReport,
     now: Instant,
 ) {
-    node.work.asked_heard.set(node.work.asked_heard.get() + 1);
-    let mut demand = node.demand.borrow_mut();
-    for (key, count) in &asked.counts {
-        demand.add(key, *count, &asked.zone, now);
+    instance
+        .counters
+        .demand_reports_received
+        .set(instance.counters.demand_reports_received.get() + 1);
+    let mut demand = instance.demand.borrow_mut();
+    for (key, count) in &report.counts {
+        demand.add(key, *count, &report.zone, now);
     }
-    for (key, rank) in &asked.waiting {
+    for (key, rank) in &report.waiting {
         demand.mark_waiting(key, *rank);
     }
     drop(demand);
-    for endpoint in &asked.unreachable {
-        hear_unreachable(node, endpoint, asked, now);
+    for endpoint in &report.unreachable {
+        record_unreachable(instance, endpoint, report, now);
     }
-    hear_arrivals(node, &asked.arrivals, now);
-    for (endpoint, for_ms) in &asked.saturated {
+    apply_load_observations(instance, &report.arrivals, now);
+    for (endpoint, for_ms) in &report.saturated {
         let time = Duration::from_millis(*for_ms);
-        node.view.borrow_mut().mark_saturated(endpoint, time, now);
+        instance.view.borrow_mut().mark_saturated(endpoint, time, now);
     }
-    if asked.waiting.is_empty() {
+    if report.waiting.is_empty() {
         return;
     }
-    if asked.from != *node.id() {
-        answer_asker(node, sender, asked, now);
+    if report.from != *instance.id() {
+        send_known_placements(instance, sender, report, now);
     }
-    node.notify_loader();
+    instance.notify_planner();
 }
 
-/// Takes in what customers ask of another instance, or of all.
-fn hear_customers(node: &FleetNode, status: &Status, now: Instant) {
+/// Records the demand of customers at another instance, or at all instances.
+fn record_customer_demand(
+    instance: &FleetInstance,
+    status: &Status,
+    now: Instant,
+) {
     let until = now + status.valid_for();
-    let asked = status.asked_by_customers.clone();
-    let mut shares = node.shares.borrow_mut();
+    let demands = status.asked_by_customers.clone();
+    let mut rate_limiter = instance.rate_limiter.borrow_mut();
     match status.is_total {
-        true => shares.record_totals(asked, now, until),
-        false => shares.record_peer(&status.from, asked, now, until),
+        true => rate_limiter.record_totals(demands, now, until),
+        false => rate_limiter.record_peer(&status.from, demands, now, until),
     }
 }
 
-fn hear_arrivals(
-    node: &FleetNode,
+fn apply_load_observations(
+    instance: &FleetInstance,
     arrivals: &[LoadObservationReport],
     now: Instant,
 ) {
-    let mut times = node.load_times.borrow_mut();
-    let mut view = node.view.borrow_mut();
-    for arrived in arrivals {
+    let mut times = instance.load_times.borrow_mut();
+    let mut view = instance.view.borrow_mut();
+    for reported in arrivals {
         let LoadObservationReport { endpoint, key, is_there, ago_ms } =
-            arrived;
-        // Its engine may take another load now.
+            reported;
+        // The engine that finished this load may take another one now.
         view.confirm_load(endpoint, key, *is_there);
         let Some(at) = now.checked_sub(Duration::from_millis(*ago_ms)) else {
             continue;
         };
-        let arrival = LoadObservation { at, is_loaded: *is_there };
-        times.observe(endpoint, key, arrival, now);
+        let observation = LoadObservation { at, is_loaded: *is_there };
+        times.observe(endpoint, key, observation, now);
     }
 }
 
-/// What two instances cannot reach is left out by all, and what it holds is
-/// brought elsewhere.
-fn hear_unreachable(
-    node: &FleetNode,
+/// Records that an instance could not reach an endpoint. Once two instances
+/// have reported it, tells all instances to avoid it; its adapters are then
+/// loaded elsewhere.
+fn record_unreachable(
+    instance: &FleetInstance,
     endpoint: &EndpointId,
-    asked: &DemandReport,
+    report: &DemandReport,
     now: Instant,
 ) {
-    let mut suspicions = node.suspicions.borrow_mut();
-    let Some(time) = suspicions.report(endpoint, &asked.from, now) else {
+    let mut suspicions = instance.suspicions.borrow_mut();
+    let Some(time) = suspicions.report(endpoint, &report.from, now) else {
         return;
     };
     let for_ms = time.as_millis() as u64;
-    let by = &asked.from;
+    let by = &report.from;
     tracing::warn!(event = "endpoint_suspect", endpoint, by, for_ms);
-    node.view.borrow_mut().mark_suspect(endpoint, time, now);
+    instance.view.borrow_mut().mark_suspect(endpoint, time, now);
     let note = Note::Suspect { endpoint: endpoint.clone(), for_ms };
-    node.outbox.borrow_mut().push(note);
-    node.notify_notes();
+    instance.broadcast_queue.borrow_mut().push(note);
+    instance.notify_notes();
 }
 
-/// Tells an instance at once where what it asks for already is; the rest it
-/// hears when it is placed.
-fn answer_asker(
-    node: &FleetNode,
+/// Tells an instance at once where the adapters that it asks for are already
+/// placed. It is told of the others when they are placed.
+fn send_known_placements(
+    instance: &FleetInstance,
     sender: &NoteSender,
-    asked: &DemandReport,
+    report: &DemandReport,
     now: Instant,
 ) {
-    let Some(held) = node.current_lease(now) else { return };
+    let Some(held) = instance.current_lease(now) else { return };
     let mut known = Vec::new();
-    let mut askers = node.askers.borrow_mut();
-    for (key, _) in &asked.waiting {
-        let places = node.view.borrow().placement_notes(key, held.epoch, now);
+    let mut awaiting = instance.awaiting_instances.borrow_mut();
+    for (key, _) in &report.waiting {
+        let places =
+            instance.view.borrow().placement_notes(key, held.epoch, now);
         if places.is_empty() {
-            let of_key = askers.entry(key.clone()).or_default();
-            of_key.insert(asked.from.clone());
+            let of_key = awaiting.entry(key.clone()).or_default();
+            of_key.insert(report.from.clone());
         }
         known.extend(places.into_iter().map(Note::Placed));
     }
     for notes in known.chunks(BATCH_LEN) {
         let batch = Note::Batch(notes.to_vec());
-        sender.send_to_peer(node, &asked.from, &batch);
+        sender.send_to_peer(instance, &report.from, &batch);
     }
 }
 
-/// Sends what this instance has to say, for ever.
-pub(crate) async fn tell(node: Rc<FleetNode>, sender: Rc<NoteSender>) {
-    let mut sequence = start_sequence();
+/// Sends the notes that are due. Never returns.
+pub(crate) async fn run_sender(
+    instance: Rc<FleetInstance>,
+    sender: Rc<NoteSender>,
+) {
+    let mut sequence = initial_sequence();
     let mut schedule = NoteSchedule::default();
-    let mut next_forget = Instant::now();
+    let mut next_cleanup = Instant::now();
     let mut suspensions = SuspendDetector::start();
     loop {
         if let Some(time) = suspensions.check() {
@@ -352,184 +391,200 @@
             tracing::warn!(event = "woke", suspended_ms);
         }
         let now = Instant::now();
-        let wait =
-            schedule.wait(pending(&node), surroundings(&node, now), now);
-        node.notes_notified(wait).await;
+        let wait = schedule.wait(
+            pending(&instance),
+            topology_at(&instance, now),
+            now,
+        );
+        instance.notes_notified(wait).await;
         let now = Instant::now();
-        let around = surroundings(&node, now);
-        for (peer, note) in node.letters.take() {
-            sender.send_to_peer(&node, &peer, &note);
+        let topology = topology_at(&instance, now);
+        for (peer, note) in instance.unicast_queue.take() {
+            sender.send_to_peer(&instance, &peer, &note);
         }
-        let due = schedule.take(pending(&node), around, now);
+        let due = schedule.take(pending(&instance), topology, now);
         if due.status {
-            node.store_contact.borrow_mut().take_change();
+            instance.store_reachability.borrow_mut().take_change();
             sequence += 1;
-            tell_status(&node, &sender, sequence, around);
+            send_status(&instance, &sender, sequence, topology);
         }
         if due.interim_work {
-            tell_work_soon(&node, &sender, &mut sequence, around);
+            send_interim_status(&instance, &sender, &mut sequence, topology);
         }
         if due.batch {
-            for notes in node.outbox.take().chunks(BATCH_LEN) {
-                sender.broadcast(&node, &Note::Batch(notes.to_vec()));
+            for notes in instance.broadcast_queue.take().chunks(BATCH_LEN) {
+                sender.broadcast(&instance, &Note::Batch(notes.to_vec()));
             }
         }
         if due.demand {
-            tell_asked(&node, &sender);
+            send_demand_report(&instance, &sender);
         }
-        if now >= next_forget {
-            next_forget = now + FORGET_EVERY;
-            node.forget_heard(now);
-            node.view.borrow_mut().remove_silent_peers(now);
-            node.view.borrow_mut().forget_departures(now);
-            node.suspicions.borrow_mut().forget(now);
-            node.shares.borrow_mut().forget(now);
-            node.view.borrow_mut().forget_limits(now);
-            node.view.borrow_mut().forget_cooldowns(now);
-            node.forget_saturated(now);
-            node.catch_up.borrow_mut().forget(now);
-            node.poison.borrow_mut().forget(now);
-            watch_poison::note_rank(&node);
+        if now >= next_cleanup {
+            next_cleanup = now + CLEANUP_INTERVAL;
+            instance.drop_stale_addresses(now);
+            instance.view.borrow_mut().remove_silent_peers(now);
+            instance.view.borrow_mut().forget_departures(now);
+            instance.suspicions.borrow_mut().forget(now);
+            instance.rate_limiter.borrow_mut().forget(now);
+            instance.view.borrow_mut().forget_limits(now);
+            instance.view.borrow_mut().forget_cooldowns(now);
+            instance.forget_saturated(now);
+            instance.catch_up.borrow_mut().forget(now);
+            instance.poison.borrow_mut().forget(now);
+            watch_poison::update_watcher_role(&instance);
         }
     }
 }
 
-fn pending(node: &FleetNode) -> Pending {
+fn pending(instance: &FleetInstance) -> Pending {
     Pending {
-        has_store_change: node.store_contact.borrow().has_change(),
-        has_large_prompt: node.has_untold_work.get(),
-        has_batch: !node.outbox.borrow().is_empty(),
-        has_waiting: !node.waiting.borrow().is_empty()
-            || !node.unreachable.borrow().is_empty()
-            || !node.arrivals.borrow().is_empty(),
-        has_sent: node.has_untold_sends.get(),
+        has_store_change: instance.store_reachability.borrow().has_change(),
+        has_large_prompt: instance.has_unreported_work.get(),
+        has_batch: !instance.broadcast_queue.borrow().is_empty(),
+        has_waiting: !instance.awaited_adapters.borrow().is_empty()
+            || !instance.unreachable.borrow().is_empty()
+            || !instance.observed_loads.borrow().is_empty(),
+        has_sent: instance.has_unreported_sends.get(),
     }
 }
 
-fn surroundings(node: &FleetNode, now: Instant) -> Topology {
-    let role = match (node.current_lease(now), node.live_leader(now)) {
+fn topology_at(instance: &FleetInstance, now: Instant) -> Topology {
+    let role = match (instance.current_lease(now), instance.live_leader(now)) {
         (Some(_), _) => Role::Holder,
         (None, Some(_)) => Role::Follower,
         (None, None) => Role::Leaderless,
     };
-    Topology { peers: node.peers.borrow().len(), role }
+    Topology { peers: instance.peers.borrow().len(), role }
 }
 
-/// A restart begins above what its last life can have reached.
-fn start_sequence() -> u64 {
+/// Returns a first sequence number that is above any of a previous run of this
+/// instance.
+fn initial_sequence() -> u64 {
     let since = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap_or_default();
     since.as_millis() as u64
 }
 
-/// Tells between two regular notes what was sent since the last one. Until
-/// it is heard others send to the same engines, and the holder of the lease may
-/// remove an adapter that is in use.
-fn tell_work_soon(
-    node: &FleetNode,
+/// Reports, between two regular status notes, what was sent to endpoints since
+/// the last one. Until other instances know of it, they send to the same
+/// engines, and the lease holder may remove an adapter that is in use.
+fn send_interim_status(
+    instance: &FleetInstance,
     sender: &NoteSender,
     sequence: &mut u64,
-    around: Topology,
+    topology: Topology,
 ) {
-    if around.uses_relays() && around.role == Role::Holder {
-        // What the holder sends itself is in the sums that it tells anyway.
-        node.has_untold_work.set(false);
+    if topology.uses_relays() && topology.role == Role::Holder {
+        // The holder's own requests are in the totals that it sends regularly
+        // anyway.
+        instance.has_unreported_work.set(false);
         return;
     }
-    if !around.uses_relays() {
+    if !topology.uses_relays() {
         *sequence += 1;
-        return tell_status(node, sender, *sequence, around);
+        return send_status(instance, sender, *sequence, topology);
     }
-    let Some(holder) = node.live_leader(Instant::now()) else { return };
-    *sequence += ALL_HEAR_EACH;
-    let status = status(node, *sequence, around);
+    let Some(holder) = instance.live_leader(Instant::now()) else { return };
+    *sequence += BROADCAST_EVERY;
+    let status = status(instance, *sequence, topology);
     let note = Note::Status(status);
-    sender.send_to_peer(node, &holder.instance, &note);
+    sender.send_to_peer(instance, &holder.instance, &note);
 }
 
-fn tell_status(
-    node: &FleetNode,
+fn send_status(
+    instance: &FleetInstance,
     sender: &NoteSender,
     sequence: u64,
-    around: Topology,
+    topology: Topology,
 ) {
-    let mut status = status(node, sequence, around);
-    let holder = node
+    let mut status = status(instance, sequence, topology);
+    let holder = instance
         .live_leader(Instant::now())
-        .filter(|_| around.uses_relays() && status.leads.is_none());
+        .filter(|_| topology.uses_relays() && status.leads.is_none());
     if let Some(holder) = holder {
-        // The holder alone needs to know of adapters in use. Of two notes with
-        // one number it keeps the first.
+        // Only the holder needs to know which adapters are in use. Of two
+        // notes with the same sequence number, it keeps the first.
         let note = Note::Status(status.clone());
-        sender.send_to_peer(node, &holder.instance, &note);
-        if !sequence.is_multiple_of(ALL_HEAR_EACH) {
+        sender.send_to_peer(instance, &holder.instance, &note);
+        if !sequence.is_multiple_of(BROADCAST_EVERY) {
             return;
         }
-        status.next_in_ms *= ALL_HEAR_EACH;
+        status.next_in_ms *= BROADCAST_EVERY;
         for (_, work) in &mut status.work {
             *work = work.without_adapters();
         }
     }
-    sender.broadcast(node, &Note::Status(status));
+    sender.broadcast(instance, &Note::Status(status));
 }
 
-/// Returns what this instance says of itself now.
-fn status(node: &FleetNode, sequence: u64, around: Topology) -> Status {
+/// Returns the current status of this instance.
+fn status(
+    instance: &FleetInstance,
+    sequence: u64,
+    topology: Topology,
+) -> Status {
     let now = Instant::now();
-    let leads = node.current_lease(now).map(|held| LeaderLease {
+    let leads = instance.current_lease(now).map(|held| LeaderLease {
         epoch: held.epoch,
         renewal: held.renewal,
         left_ms: held.left(now).as_millis() as u64 + 1,
     });
-    let is_total = around.uses_relays() && leads.is_some();
-    node.has_untold_work.set(false);
+    let is_total = topology.uses_relays() && leads.is_some();
+    instance.has_unreported_work.set(false);
     let Totals { work, is_part } = match is_total {
-        true => node.view.borrow_mut().publish_totals(),
+        true => instance.view.borrow_mut().publish_totals(),
         false => {
-            let work = node.view.borrow_mut().publish_work();
+            let work = instance.view.borrow_mut().publish_work();
             Totals { work, is_part: false }
         }
     };
-    let versions = node.view.borrow().versions_announced();
-    let shares = node.shares.borrow();
+    let versions = instance.view.borrow().versions_announced();
+    let rate_limiter = instance.rate_limiter.borrow();
     let asked_by_customers = match is_total {
-        true => shares.total_demand(now),
-        false => shares.local_demand(now),
+        true => rate_limiter.total_demand(now),
+        false => rate_limiter.local_demand(now),
     };
     Status {
-        from: node.id().clone(),
+        from: instance.id().clone(),
         sequence,
-        next_in_ms: around.status_pause().as_millis() as u64,
+        next_in_ms: topology.status_pause().as_millis() as u64,
         leads,
-        configuration: node.configuration_version().unwrap_or(0),
+        configuration: instance.configuration_version().unwrap_or(0),
         versions,
-        store_is_out: node.store_contact.borrow().is_unreachable(),
-        is_leaving: node.stage.get() == Stage::Leaving,
+        store_is_out: instance.store_reachability.borrow().is_unreachable(),
+        is_leaving: instance.stage.get() == Stage::Leaving,
         asked_by_customers,
-        departures: node.view.borrow().departures(now),
+        departures: instance.view.borrow().departures(now),
         work,
         is_total,
         is_part,
-        crashes: node.poison.borrow().recent_crashes(now),
-        condemned: node.poison.borrow().condemned_len() as u64,
-        limits: node.view.borrow().limit_reports(is_total, now),
+        crashes: instance.poison.borrow().recent_crashes(now),
+        condemned: instance.poison.borrow().condemned_len() as u64,
+        limits: instance.view.borrow().limit_reports(is_total, now),
     }
 }
 
-fn arrived(seen: SeenArrival) -> LoadObservationReport {
-    let SeenArrival { endpoint, key, is_there, sent } = seen;
+fn load_observation_report(seen: ObservedLoad) -> LoadObservationReport {
+    let ObservedLoad { endpoint, key, is_there, sent } = seen;
     let ago_ms = sent.elapsed().as_millis() as u64;
     LoadObservationReport { endpoint, key, is_there, ago_ms }
 }
 
-fn tell_asked(node: &FleetNode, sender: &NoteSender) {
-    node.has_untold_sends.set(false);
-    let counts: Vec<_> = node.asked.borrow_mut().drain().collect();
-    let waiting: Vec<_> = node.waiting.borrow_mut().drain().collect();
-    let unreachable: Vec<_> = node.unreachable.take().into_iter().collect();
-    let arrivals: Vec<_> =
-        node.arrivals.take().into_iter().map(arrived).collect();
+fn send_demand_report(instance: &FleetInstance, sender: &NoteSender) {
+    instance.has_unreported_sends.set(false);
+    let counts: Vec<_> =
+        instance.requested_adapters.borrow_mut().drain().collect();
+    let waiting: Vec<_> =
+        instance.awaited_adapters.borrow_mut().drain().collect();
+    let unreachable: Vec<_> =
+        instance.unreachable.take().into_iter().collect();
+    let arrivals: Vec<_> = instance
+        .observed_loads
+        .take()
+        .into_iter()
+        .map(load_observation_report)
+        .collect();
     if counts.is_empty()
         && waiting.is_empty()
         && unreachable.is_empty()
@@ -537,14 +592,15 @@
     {
         return;
     }
-    let zone = node.settings.zone.clone();
-    let from = node.id().clone();
-    // Matters to who must find another place for what requests wait for.
+    let zone = instance.settings.zone.clone();
+    let from = instance.id().clone();
+    // Only needed for finding other places for the adapters that requests wait
+    // for.
     let saturated = match waiting.is_empty() {
         true => Vec::new(),
-        false => node.saturated_for(Instant::now()),
+        false => instance.saturated_for(Instant::now()),
     };
-    let asked = DemandReport {
+    let report = DemandReport {
         from,
         zone,
         counts,
@@ -553,10 +609,14 @@
         arrivals,
         saturated,
     };
-    if node.held.get().is_some() {
-        hear_asked(node, sender, &asked, Instant::now());
+    if instance.held.get().is_some() {
+        apply_demand_report(instance, sender, &report, Instant::now());
         return;
     }
-    let Some(leader) = node.live_leader(Instant::now()) else { return };
-    sender.send_to_peer(node, &leader.instance, &Note::DemandReport(asked));
+    let Some(leader) = instance.live_leader(Instant::now()) else { return };
+    sender.send_to_peer(
+        instance,
+        &leader.instance,
+        &Note::DemandReport(report),
+    );
 }
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -1,9 +1,9 @@
-//! Sends orders to engines, one after the other for each engine.
+//! Sends orders to engines, one at a time for each engine.
 //!
-//! The invariants: an order goes out only while the lease is current on our own
-//! clock, and each names how many orders its engine has taken, so that an order
-//! whose answer was lost is never carried out after a newer one. When the
-//! count is not known, the engine's report gives it.
+//! Invariants: an order is sent only while the lease is current by this
+//! instance's own clock. Each order states how many orders its engine has
+//! accepted before, so that an order whose answer was lost is never executed
+//! after a newer one. If that count is unknown, the engine's report gives it.
 
 use std::{cell::RefCell, collections::HashMap, rc::Rc, time::Duration};
 
@@ -19,45 +19,48 @@
 use sedgewall_platform::engine::{self, Holder, OrderAnswer, ReportError};
 use sedgewall_state::id::{EndpointId, Epoch};
 
-use super::{announcements, instance::FleetNode, note_sender::NoteSender};
+use super::{announcements, instance::FleetInstance, note_sender::NoteSender};
 
-/// What must be left of the lease when an order goes out: an order travels,
-/// and its engine may hear it only while the lease holds.
+/// The time that must be left of the lease when an order is sent. The order
+/// takes some time to arrive, and must reach its engine while the lease holds.
 const ORDER_MARGIN: Duration = Duration::from_millis(100);
 
-/// Orders to one engine that belong together: if one fails, those after it
-/// are not sent.
+/// Orders to one engine that depend on each other: if one fails, those after
+/// it are not sent.
 type Batch = (Epoch, Vec<Order>);
 
-/// A report shows orders that are this old. The platform says some hundred
-/// milliseconds.
+/// How old an order must be to show in an engine's report. The platform
+/// specifies some hundred milliseconds.
 const REPORT_LAG: Duration = Duration::from_millis(450);
 
-/// How many orders an engine has taken, as its queue knows it.
+/// How many orders an engine has accepted, as far as its queue knows.
 #[derive(Default)]
-struct OrdersTaken {
+struct AcceptedOrders {
     epoch: Epoch,
     count: Option<u64>,
     last_sent: Option<Instant>,
 }
 
-/// The queues of orders, by engine.
+/// The queues of orders, one for each engine.
 #[derive(Clone)]
-pub(crate) struct Orders {
-    node: Rc<FleetNode>,
+pub(crate) struct OrderQueues {
+    instance: Rc<FleetInstance>,
     sender: Rc<NoteSender>,
-    pub(crate) loader: Rc<RefCell<Option<PlacementPlanner>>>,
+    pub(crate) planner: Rc<RefCell<Option<PlacementPlanner>>>,
     queues: Rc<RefCell<HashMap<EndpointId, mpsc::UnboundedSender<Batch>>>>,
 }
 
-impl Orders {
-    pub(crate) fn new(node: Rc<FleetNode>, sender: Rc<NoteSender>) -> Orders {
-        let (loader, queues) = (Rc::default(), Rc::default());
-        Orders { node, sender, loader, queues }
+impl OrderQueues {
+    pub(crate) fn new(
+        instance: Rc<FleetInstance>,
+        sender: Rc<NoteSender>,
+    ) -> OrderQueues {
+        let (planner, queues) = (Rc::default(), Rc::default());
+        OrderQueues { instance, sender, planner, queues }
     }
 
-    /// Sends orders; those in a row for one engine belong together.
-    pub(crate) fn give(&self, epoch: Epoch, orders: Vec<Order>) {
+    /// Sends orders. Consecutive orders for one engine depend on each other.
+    pub(crate) fn dispatch(&self, epoch: Epoch, orders: Vec<Order>) {
         let mut batches: Vec<Vec<Order>> = Vec::new();
         for order in orders {
             match batches.last_mut() {
@@ -75,9 +78,9 @@
         }
     }
 
-    /// Forgets the queues of engines that are gone.
-    pub(crate) fn forget_gone(&self) {
-        let view = self.node.view.borrow();
+    /// Drops the queues of engines that are gone.
+    pub(crate) fn drop_stale_queues(&self) {
+        let view = self.instance.view.borrow();
         let mut queues = self.queues.borrow_mut();
         queues.retain(|id, _| view.get(id).is_some());
     }
@@ -87,7 +90,7 @@
         let mut queues = self.queues.borrow_mut();
         let tx = queues.entry(id).or_insert_with(|| {
             let (tx, rx) = mpsc::unbounded();
-            compio::runtime::spawn(self.clone().work(rx)).detach();
+            compio::runtime::spawn(self.clone().run_queue(rx)).detach();
             tx
         });
         if tx.unbounded_send(batch).is_err() {
@@ -95,36 +98,38 @@
         }
     }
 
-    async fn work(self, mut rx: mpsc::UnboundedReceiver<Batch>) {
-        let mut taken = OrdersTaken::default();
+    async fn run_queue(self, mut rx: mpsc::UnboundedReceiver<Batch>) {
+        let mut accepted = AcceptedOrders::default();
         while let Some((epoch, batch)) = rx.next().await {
-            if taken.epoch != epoch {
-                taken = OrdersTaken { epoch, ..OrdersTaken::default() };
+            if accepted.epoch != epoch {
+                accepted =
+                    AcceptedOrders { epoch, ..AcceptedOrders::default() };
             }
             let Some(first) = batch.first() else {
                 continue;
             };
             if matches!(first.task, Task::Sync) {
-                self.sync(first, &mut taken).await;
+                self.sync(first, &mut accepted).await;
                 continue;
             }
             for order in batch {
-                let may_send =
-                    self.may_order(epoch) && !self.is_resting(&order.endpoint);
-                let count = taken.count.filter(|_| may_send);
+                let may_send = self.may_order(epoch)
+                    && !self.is_cooling_down(&order.endpoint);
+                let count = accepted.count.filter(|_| may_send);
                 let Some(count) = count else {
-                    taken.count = None;
+                    accepted.count = None;
                     self.drop_order(epoch, &order);
                     continue;
                 };
-                taken.last_sent = Some(Instant::now());
-                taken.count = self.send(epoch, &order, count).await;
+                accepted.last_sent = Some(Instant::now());
+                accepted.count = self.send(epoch, &order, count).await;
             }
         }
     }
 
-    /// An order that cannot go out now. What was planned with it must not be
-    /// believed: the orders that follow would fill places that are taken.
+    /// Drops an order that cannot be sent now and reverts its planned effect.
+    /// Otherwise the orders after it would be planned for places that are
+    /// taken.
     fn drop_order(&self, epoch: Epoch, order: &Order) {
         tracing::info!(
             event = "order_dropped",
@@ -133,18 +138,19 @@
             epoch,
             lease_is_current = self.may_order(epoch),
         );
-        order.revert(&mut self.node.view.borrow_mut());
-        self.forget_load(order);
+        order.revert(&mut self.instance.view.borrow_mut());
+        self.cancel_load(order);
     }
 
-    /// Asks an engine what it holds, once its report shows our last order.
-    async fn sync(&self, order: &Order, taken: &mut OrdersTaken) {
-        if self.is_resting(&order.endpoint) {
+    /// Asks an engine what it holds, once its report must show the last order.
+    async fn sync(&self, order: &Order, accepted: &mut AcceptedOrders) {
+        if self.is_cooling_down(&order.endpoint) {
             return;
         }
-        let since = taken.last_sent.map_or(Duration::MAX, |at| at.elapsed());
+        let since =
+            accepted.last_sent.map_or(Duration::MAX, |at| at.elapsed());
         compio::time::sleep(REPORT_LAG.saturating_sub(since)).await;
-        let report = engine::report(&self.node.pool, order.address).await;
+        let report = engine::report(&self.instance.pool, order.address).await;
         match report {
             Ok(report) if !report.is_busy => {
                 tracing::info!(
@@ -155,10 +161,11 @@
                     born = report.born,
                 );
                 let now = Instant::now();
-                let mut view = self.node.view.borrow_mut();
-                let is_of_this_life =
+                let mut view = self.instance.view.borrow_mut();
+                let is_current_incarnation =
                     view.apply_report(&order.endpoint, &report, now);
-                taken.count = is_of_this_life.then_some(report.orders_taken);
+                accepted.count =
+                    is_current_incarnation.then_some(report.orders_taken);
             }
             Ok(_) => {
                 tracing::info!(
@@ -167,8 +174,8 @@
                 );
             }
             Err(err) => {
-                if let ReportError::Rests(rest) = err {
-                    self.hear_rest(&order.endpoint, rest);
+                if let ReportError::Rests(cooldown) = err {
+                    self.apply_cooldown(&order.endpoint, cooldown);
                 }
                 let (endpoint, cause) = (&order.endpoint, err.to_string());
                 tracing::warn!(event = "report_failed", endpoint, cause);
@@ -176,50 +183,55 @@
         }
     }
 
-    fn is_resting(&self, endpoint: &EndpointId) -> bool {
-        self.node.view.borrow().is_cooling_down(endpoint, Instant::now())
+    fn is_cooling_down(&self, endpoint: &EndpointId) -> bool {
+        self.instance.view.borrow().is_cooling_down(endpoint, Instant::now())
     }
 
-    fn hear_rest(&self, endpoint: &EndpointId, rest: Duration) {
+    fn apply_cooldown(&self, endpoint: &EndpointId, cooldown: Duration) {
         let answered = AnsweredRequest {
             endpoint: endpoint.clone(),
-            born: self.node.view.borrow().incarnation(endpoint),
+            born: self.instance.view.borrow().incarnation(endpoint),
             sent: Instant::now(),
         };
-        announcements::hear_rest(&self.node, &answered, rest, "order");
+        announcements::apply_cooldown(
+            &self.instance,
+            &answered,
+            cooldown,
+            "order",
+        );
     }
 
     fn may_order(&self, epoch: Epoch) -> bool {
         let now = Instant::now();
-        self.node
+        self.instance
             .current_lease(now + ORDER_MARGIN)
             .is_some_and(|held| held.epoch == epoch && now >= held.order_from)
     }
 
-    /// Returns how many orders the engine has taken after this one, or nothing
-    /// if that is not known; then nothing more may be sent.
+    /// Sends an order. Returns how many orders the engine has accepted after
+    /// it, or none if that is unknown; then no further order may be sent.
     async fn send(
         &self,
         epoch: Epoch,
         order: &Order,
-        taken: u64,
+        accepted: u64,
     ) -> Option<u64> {
-        let born = self.node.view.borrow().incarnation(&order.endpoint);
+        let born = self.instance.view.borrow().incarnation(&order.endpoint);
         if let Task::Unload(key) = &order.task {
             let (endpoint, key) = (order.endpoint.clone(), key.clone());
             let removed = Removed { epoch, endpoint, key, born };
-            self.tell_all(Note::Removed(removed));
+            self.broadcast(Note::Removed(removed));
         }
-        let instance = self.node.id().clone();
+        let instance = self.instance.id().clone();
         let holder = Holder { instance, epoch };
         let sent = Instant::now();
         let answer = engine::order(
-            &self.node.pool,
+            &self.instance.pool,
             order.address,
             &order.endpoint,
             &order.task,
             &holder,
-            taken,
+            accepted,
         )
         .await;
         tracing::info!(
@@ -232,21 +244,23 @@
             took_ms = sent.elapsed().as_millis() as u64,
         );
         metrics::counter!("sedgewall_orders_total").increment(1);
-        if self.node.view.borrow().incarnation(&order.endpoint) != born {
-            // Whatever its engine said, it has started again since and forgotten it.
+        if self.instance.view.borrow().incarnation(&order.endpoint) != born {
+            // Whatever the engine answered, it has restarted since and lost
+            // the effect of the order.
             tracing::info!(
                 event = "order_outlived",
                 endpoint = order.endpoint
             );
-            self.forget_load(order);
-            order.revert(&mut self.node.view.borrow_mut());
+            self.cancel_load(order);
+            order.revert(&mut self.instance.view.borrow_mut());
             return None;
         }
         let count = match (&answer, &order.task) {
-            (OrderAnswer::Done, _) => Some(taken + 1),
-            // The place is free only after the runs there have ended.
+            (OrderAnswer::Done, _) => Some(accepted + 1),
+            // The place becomes free only after the requests that use it have
+            // ended.
             (OrderAnswer::Accepted, Task::Unload(_)) => None,
-            (OrderAnswer::Accepted, _) => Some(taken + 1),
+            (OrderAnswer::Accepted, _) => Some(accepted + 1),
             (
                 OrderAnswer::Refused(_)
                 | OrderAnswer::Rests(_)
@@ -256,55 +270,55 @@
         };
         match answer {
             OrderAnswer::Done => {
-                self.note_there(order);
-                self.tell_placed(epoch, order, false);
+                self.record_already_loaded(order);
+                self.broadcast_placement(epoch, order, false);
             }
             OrderAnswer::Accepted => {
-                self.note_taken(order);
-                self.tell_placed(epoch, order, order.is_cold);
+                self.record_load_accepted(order);
+                self.broadcast_placement(epoch, order, order.is_cold);
             }
-            OrderAnswer::Rests(rest) => {
-                self.hear_rest(&order.endpoint, rest);
-                self.forget_load(order);
+            OrderAnswer::Rests(cooldown) => {
+                self.apply_cooldown(&order.endpoint, cooldown);
+                self.cancel_load(order);
             }
             OrderAnswer::Refused(_) | OrderAnswer::Unclear(_) => {
-                self.forget_load(order);
+                self.cancel_load(order);
             }
         }
         if count.is_none() {
-            order.revert(&mut self.node.view.borrow_mut());
+            order.revert(&mut self.instance.view.borrow_mut());
         }
         count
     }
 
-    /// Takes a load out of the count of those on their way.
-    fn forget_load(&self, order: &Order) {
+    /// Removes a load from the loads in flight.
+    fn cancel_load(&self, order: &Order) {
         if let Task::Load(key, _) = &order.task {
-            let mut times = self.node.load_times.borrow_mut();
+            let mut times = self.instance.load_times.borrow_mut();
             times.cancel(&order.endpoint, key);
         }
     }
 
-    /// Notes that an engine has begun a load.
-    fn note_taken(&self, order: &Order) {
+    /// Records that an engine has begun a load.
+    fn record_load_accepted(&self, order: &Order) {
         let Task::Load(key, _) = &order.task else { return };
-        let mut times = self.node.load_times.borrow_mut();
+        let mut times = self.instance.load_times.borrow_mut();
         times.order_accepted(&order.endpoint, key, Instant::now());
     }
 
-    /// Notes that an engine held the adapter already: nothing is loaded, so that
-    /// says nothing of what a load takes.
-    fn note_there(&self, order: &Order) {
+    /// Records that an engine already held the adapter. Nothing is loaded, so
+    /// the answer shows nothing about load times.
+    fn record_already_loaded(&self, order: &Order) {
         let Task::Load(key, _) = &order.task else { return };
-        self.forget_load(order);
-        let mut view = self.node.view.borrow_mut();
+        self.cancel_load(order);
+        let mut view = self.instance.view.borrow_mut();
         view.mark_present(&order.endpoint, key, Instant::now());
     }
 
-    fn tell_placed(&self, epoch: Epoch, order: &Order, is_cold: bool) {
+    fn broadcast_placement(&self, epoch: Epoch, order: &Order, is_cold: bool) {
         let Task::Load(key, version) = &order.task else { return };
         let now = Instant::now();
-        let mut view = self.node.view.borrow_mut();
+        let mut view = self.instance.view.borrow_mut();
         let ready_in = view.order_accepted(&order.endpoint, key, now);
         let born = view.incarnation(&order.endpoint);
         drop(view);
@@ -318,17 +332,18 @@
             is_cold,
             born,
         };
-        let askers = self.node.askers.borrow_mut().remove(key);
-        for peer in askers.into_iter().flatten() {
+        let awaiting =
+            self.instance.awaiting_instances.borrow_mut().remove(key);
+        for peer in awaiting.into_iter().flatten() {
             let note = Note::Placed(placed.clone());
-            self.sender.send_to_peer(&self.node, &peer, &note);
+            self.sender.send_to_peer(&self.instance, &peer, &note);
         }
-        self.tell_all(Note::Placed(placed));
-        self.node.wake(key);
+        self.broadcast(Note::Placed(placed));
+        self.instance.wake(key);
     }
 
-    fn tell_all(&self, note: Note) {
-        self.node.outbox.borrow_mut().push(note);
-        self.node.notify_notes();
+    fn broadcast(&self, note: Note) {
+        self.instance.broadcast_queue.borrow_mut().push(note);
+        self.instance.notify_notes();
     }
 }
--- a/crates/sedgewalld/src/fleet/peers.rs
+++ b/crates/sedgewalld/src/fleet/peers.rs
@@ -1,7 +1,8 @@
-//! The other instances: where they are reached, how many share what all may do, and
-//! to whom a duty falls.
+//! The other instances: their addresses, how many of them share a limit, and
+//! which of them takes on a duty.
 //!
-//! What an entry in the store says of an instance goes before where it was heard from.
+//! The address in an instance's entry in the store takes precedence over the
+//! source address of its notes.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,107 +10,115 @@
 use sedgewall_state::id::InstanceId;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::instance::{FleetNode, Peer};
+use super::instance::{FleetInstance, Peer};
 
-/// An instance that was not heard for this long after its entry was read is
-/// not there.
-const NEW_PEER_FOR: Duration = Duration::from_secs(6);
+/// How long an instance counts as alive after its entry was first read, if no
+/// note of it has come.
+const NEW_PEER_GRACE: Duration = Duration::from_secs(6);
 
-/// An address from which nothing was heard for this long is forgotten: among
-/// many, an instance tells all others every 2.4 s.
-const HEARD_AT_HOLDS: Duration = Duration::from_secs(5);
+/// How long a source address is kept after its last note. With many instances,
+/// each sends a note to all every 2.4 s.
+const ADDRESS_TTL: Duration = Duration::from_secs(5);
 
-/// Where an instance without a known entry was heard from.
+/// The source address of notes from an instance that is not listed.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct HeardAt {
+pub(super) struct ObservedAddress {
     address: SocketAddr,
     at: Instant,
 }
 
-impl FleetNode {
-    /// Notes where an instance's own note came from.
-    pub(crate) fn heard_from(&self, id: &InstanceId, address: SocketAddr) {
+impl FleetInstance {
+    /// Records the source address of an instance's own note.
+    pub(crate) fn record_address(&self, id: &InstanceId, address: SocketAddr) {
         if self.peers.borrow().contains_key(id) || id == self.id() {
             return;
         }
-        let heard = HeardAt { address, at: Instant::now() };
-        let known = self.heard_at.borrow_mut().insert(id.clone(), heard);
+        let observed = ObservedAddress { address, at: Instant::now() };
+        let known =
+            self.observed_addresses.borrow_mut().insert(id.clone(), observed);
         if known.is_none() {
             tracing::info!(event = "unlisted_heard", from = id, %address);
         }
     }
 
-    /// Forgets the addresses of instances that are listed now or silent.
-    pub(crate) fn forget_heard(&self, now: Instant) {
+    /// Drops the addresses of instances that are listed by now or silent.
+    pub(crate) fn drop_stale_addresses(&self, now: Instant) {
         let peers = self.peers.borrow();
-        self.heard_at.borrow_mut().retain(|id, heard| {
-            !peers.contains_key(id) && now - heard.at < HEARD_AT_HOLDS
+        self.observed_addresses.borrow_mut().retain(|id, observed| {
+            !peers.contains_key(id) && now - observed.at < ADDRESS_TTL
         });
     }
 
-    /// Returns where notes to an instance go: as its entry says, or, while that
-    /// is not known, where it was heard from.
+    /// Returns the address for notes to an instance: the one in its entry, or
+    /// the source address of its notes while the entry is unknown.
     pub(crate) fn address_of(&self, id: &InstanceId) -> Option<SocketAddr> {
         let listed = self.peers.borrow().get(id).map(|peer| peer.address);
-        let heard = || self.heard_at.borrow().get(id).map(|h| h.address);
-        listed.or_else(heard)
+        let observed =
+            || self.observed_addresses.borrow().get(id).map(|h| h.address);
+        listed.or_else(observed)
     }
 
-    /// Returns where a note to all goes while no other instance is listed.
-    pub(crate) fn heard_addresses(&self) -> Vec<SocketAddr> {
-        self.heard_at.borrow().values().map(|heard| heard.address).collect()
+    /// Returns the addresses for a note to all while no other instance is
+    /// listed.
+    pub(crate) fn unlisted_addresses(&self) -> Vec<SocketAddr> {
+        self.observed_addresses
+            .borrow()
+            .values()
+            .map(|observed| observed.address)
+            .collect()
     }
 
-    /// Returns how many instances share what all may do together. One more is
-    /// counted for those that we do not hear.
-    pub(crate) fn instances(&self) -> usize {
+    /// Returns how many instances share a common limit. The count includes one
+    /// more for instances that this one has no notes from.
+    pub(crate) fn instance_count(&self) -> usize {
         let known = self.peers.borrow().len();
         let live = self.view.borrow().live_peers(Instant::now());
         known.max(live) + 1
     }
 
-    /// Returns how many of the instances that are there come before this one,
-    /// in an order that the larger ones lead and that a draw shuffles: so a
-    /// duty falls to few, without a word, and to others after each draw.
-    pub(crate) fn rank(&self, draw: u64) -> usize {
-        let own = place(self.id(), self.cpu_percent(), draw);
+    /// Returns how many live instances come before this one in an order by
+    /// size that `seed` shuffles among equals. A duty that falls to the first
+    /// ranks thus goes to few instances without coordination, and to others
+    /// with each new seed.
+    pub(crate) fn rank(&self, seed: u64) -> usize {
+        let own = rank_key(self.id(), self.cpu_percent(), seed);
         let now = Instant::now();
         let peers = self.peers.borrow();
         let before = peers.iter().filter(|(id, peer)| {
-            self.is_there(id, peer, now)
-                && place(id, peer.cpu_percent, draw) < own
+            self.is_live(id, peer, now)
+                && rank_key(id, peer.cpu_percent, seed) < own
         });
         before.count()
     }
 
-    /// Returns the first other instances that are there, in the order of
-    /// [`FleetNode::rank`] without a draw.
+    /// Returns the first live instances other than this one, in the order of
+    /// [`FleetInstance::rank`] with seed 0.
     pub(crate) fn largest_peers(&self, count: usize) -> Vec<InstanceId> {
         let now = Instant::now();
         let peers = self.peers.borrow();
         let mut there: Vec<_> = peers
             .iter()
-            .filter(|(id, peer)| self.is_there(id, peer, now))
-            .map(|(id, peer)| (place(id, peer.cpu_percent, 0), id))
+            .filter(|(id, peer)| self.is_live(id, peer, now))
+            .map(|(id, peer)| (rank_key(id, peer.cpu_percent, 0), id))
             .collect();
         there.sort_unstable();
         there.truncate(count);
         there.into_iter().map(|(_, id)| id.clone()).collect()
     }
 
-    fn is_there(&self, id: &InstanceId, peer: &Peer, now: Instant) -> bool {
-        now - peer.known_since < NEW_PEER_FOR
+    fn is_live(&self, id: &InstanceId, peer: &Peer, now: Instant) -> bool {
+        now - peer.known_since < NEW_PEER_GRACE
             || self.view.borrow().is_live_peer(id, now)
     }
 }
 
-/// Returns an instance's place in an order that larger ones lead and that a draw
-/// shuffles.
-fn place(
+/// Returns the sort key of an instance: by size, the largest first, and
+/// shuffled by `seed` among equals.
+fn rank_key(
     id: &InstanceId,
     cpu_percent: u32,
-    draw: u64,
+    seed: u64,
 ) -> (std::cmp::Reverse<u32>, u64) {
-    let hash = xxh3_64_with_seed(id.as_bytes(), draw);
+    let hash = xxh3_64_with_seed(id.as_bytes(), seed);
     (std::cmp::Reverse(cpu_percent), hash)
 }
--- a/crates/sedgewalld/src/fleet/permits.rs
+++ b/crates/sedgewalld/src/fleet/permits.rs
@@ -1,5 +1,5 @@
-//! The choice of an endpoint that may get a request now, with regard to the limits
-//! that endpoints announce.
+//! The selection of an endpoint for a request under the rate limits that
+//! endpoints announce.
 
 use std::time::Duration;
 
@@ -12,31 +12,33 @@
 use sedgewall_state::id::EndpointId;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::instance::FleetNode;
+use super::instance::FleetInstance;
 
-/// The least time for which an endpoint without room for a request is no place for
-/// what requests wait for.
+/// The minimum time for which an endpoint whose limit denied a request is
+/// reported as saturated, so that the adapters requests wait for are placed
+/// elsewhere.
 const SATURATED_FOR: Duration = Duration::from_secs(1);
 
-/// A choice that keeps to limits.
+/// A selection that respects rate limits.
 pub(crate) struct PermittedChoice {
     pub(crate) choice: Choice,
-    /// When an endpoint that was passed over for its limit may have room again.
+    /// When an endpoint that was skipped because of its limit may have
+    /// capacity again.
     pub(crate) limited_for: Option<Duration>,
 }
 
-/// What one request has asked of the limits of endpoints.
+/// The permits that one request has asked for.
 #[derive(Default)]
 pub(crate) struct Permits {
-    /// Endpoints where the request was counted as demand.
-    wanted: Vec<EndpointId>,
+    /// Endpoints at which the request was counted as demand.
+    counted_as_demand: Vec<EndpointId>,
 }
 
 impl Permits {
-    /// Chooses an endpoint that may get the request now.
+    /// Selects an endpoint that may receive the request now.
     pub(crate) fn choose(
         &mut self,
-        node: &FleetNode,
+        instance: &FleetInstance,
         need: Need<'_>,
         now: Instant,
     ) -> PermittedChoice {
@@ -44,25 +46,25 @@
         let mut limited_for: Option<Duration> = None;
         loop {
             let choice = match denied.is_empty() {
-                true => node.view.borrow().choose(need, now),
+                true => instance.view.borrow().choose(need, now),
                 false => {
                     let exclude = [need.exclude, &denied].concat();
                     let need = Need { exclude: &exclude, ..need };
-                    node.view.borrow().choose(need, now)
+                    instance.view.borrow().choose(need, now)
                 }
             };
             let Choice::Send(target) = &choice else {
                 return PermittedChoice { choice, limited_for };
             };
-            if node.view.borrow().limit_per_s(&target.id).is_none() {
+            if instance.view.borrow().limit_per_s(&target.id).is_none() {
                 return PermittedChoice { choice, limited_for };
             }
             let id = target.id.clone();
-            let instances = node.known_instances();
-            let mut view = node.view.borrow_mut();
-            if !self.wanted.contains(&id) {
+            let instances = instance.known_instance_count();
+            let mut view = instance.view.borrow_mut();
+            if !self.counted_as_demand.contains(&id) {
                 view.record_demand(&id, now);
-                self.wanted.push(id.clone());
+                self.counted_as_demand.push(id.clone());
             }
             let hash = xxh3_64_with_seed(id.as_bytes(), need.draw);
             let request = PermitRequest {
@@ -77,7 +79,7 @@
                     let first = limited_for.unwrap_or(ready_in).min(ready_in);
                     limited_for = Some(first);
                     let until = now + ready_in.max(SATURATED_FOR);
-                    node.saturated.borrow_mut().insert(id.clone(), until);
+                    instance.saturated.borrow_mut().insert(id.clone(), until);
                     denied.push(id);
                 }
             }
@@ -85,31 +87,32 @@
     }
 }
 
-impl FleetNode {
-    /// Returns how many instances share what all may do together; nothing before
-    /// the others are known.
-    fn known_instances(&self) -> Option<usize> {
-        self.has_listed_instances.get().then(|| self.instances())
+impl FleetInstance {
+    /// Returns how many instances share a common limit, or none before the
+    /// other instances are listed.
+    fn known_instance_count(&self) -> Option<usize> {
+        self.has_listed_instances.get().then(|| self.instance_count())
     }
 
-    /// Notes which endpoints that hold an adapter rest, and so need another one beside
-    /// them; returns when the first of them takes requests again.
-    pub(crate) fn note_resting_holders(
+    /// Marks the endpoints that hold an adapter and are cooling down as
+    /// saturated, so that the adapter is also placed elsewhere. Returns when
+    /// the first of them takes requests again.
+    pub(crate) fn mark_holders_cooling_down(
         &self,
         key: &AdapterKey,
         now: Instant,
     ) -> Option<Duration> {
-        let resting = self.view.borrow().holders_cooling_down(key, now);
-        let first = resting.iter().map(|(_, left)| *left).min();
+        let cooling_down = self.view.borrow().holders_cooling_down(key, now);
+        let first = cooling_down.iter().map(|(_, left)| *left).min();
         let mut saturated = self.saturated.borrow_mut();
-        for (id, left) in resting {
+        for (id, left) in cooling_down {
             saturated.insert(id, now + left);
         }
         first
     }
 
-    /// Returns the endpoints that take no more from us, and for how many
-    /// milliseconds.
+    /// Returns the endpoints that take no more requests from this instance,
+    /// and for how many milliseconds.
     pub(crate) fn saturated_for(
         &self,
         now: Instant,
@@ -123,7 +126,7 @@
             .collect()
     }
 
-    /// Forgets endpoints that take requests from us again.
+    /// Drops endpoints that take requests from this instance again.
     pub(crate) fn forget_saturated(&self, now: Instant) {
         self.saturated.borrow_mut().retain(|_, until| now < *until);
     }
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -1,8 +1,9 @@
-//! Requests that end endpoints: what our runs show of them, what others say, and
-//! what is refused for it.
+//! Requests that crash endpoints: evidence from this instance's own runs,
+//! reports of other instances, and the refusal of such requests.
 //!
-//! A connection breaks when its endpoint ends, when it is reset, and when its
-//! answer is spoiled. What tells these apart is whether the endpoint still listens.
+//! A connection breaks when its endpoint crashes, when it is reset, and when
+//! its response is corrupted. To tell these apart, the endpoint is probed for
+//! whether it still listens.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -18,23 +19,25 @@
 use sedgewall_transport::Presence;
 
 use super::{
-    attempt::CallerRequest, instance::FleetNode, refusal::Reason, watch_poison,
+    attempt::CallerRequest, instance::FleetInstance, refusal::Reason,
+    watch_poison,
 };
 
-/// The longest time for an endpoint's machine to say whether it listens: within a
-/// region a connection takes milliseconds.
-const PRESENCE_TIME: Duration = Duration::from_millis(400);
+/// The timeout for an endpoint's machine to answer whether it listens. Within
+/// a region a connection takes milliseconds.
+const ENDPOINT_PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Requests that one line names at most.
-const NAMED_RUNS: usize = 8;
+/// The maximum number of requests that one log line names.
+const MAX_LOGGED_DIGESTS: usize = 8;
 
-/// Returns why a request is not sent on, if it is known to end endpoints.
+/// Returns an error if a request must not be sent because it is known to crash
+/// endpoints.
 pub(crate) fn check(
-    node: &FleetNode,
+    instance: &FleetInstance,
     call: &CallerRequest,
     runs: u32,
 ) -> Result<(), Reason> {
-    let poison = node.poison.borrow();
+    let poison = instance.poison.borrow();
     if !poison.has_suspects() {
         return Ok(());
     }
@@ -57,16 +60,16 @@
         digest = %call.digest(),
         path = call.uri.path(),
         customer = call.customer.as_ref().map(|c| c.name.as_str()),
-        ended = names(&verdict.endpoints),
+        ended = endpoint_names(&verdict.endpoints),
         condemned_ms_ago = verdict.condemned_ago.as_millis() as u64,
         back_in_ms = verdict.released_in.as_millis() as u64,
     );
 }
 
-/// Notes that the connection of a run broke before the end of its answer, and looks
-/// whether its endpoint is still there.
-pub(crate) fn run_broke(
-    node: &Rc<FleetNode>,
+/// Records that the connection of a run broke before the end of its response,
+/// and probes whether the endpoint is still there.
+pub(crate) fn run_broken(
+    instance: &Rc<FleetInstance>,
     call: &CallerRequest,
     target: &Target,
     cause: &str,
@@ -81,56 +84,79 @@
         cause,
         held_ms = call.arrived.elapsed().as_millis() as u64,
     );
-    run_lost(node, call, Loss::Broken);
-    look(node, target.id.clone(), target.address);
+    run_lost(instance, call, Loss::Broken);
+    probe_endpoint(instance, target.id.clone(), target.address);
 }
 
-/// Notes that the last run of a request will bring no answer. It counts if its
-/// endpoint turns out to have ended, and no run of it ended well here lately: what
-/// many callers send alike is at each endpoint that ends. Without that, such a read
-/// was condemned beside a request that ended all three endpoints of a service.
-pub(crate) fn run_lost(node: &FleetNode, call: &CallerRequest, loss: Loss) {
-    if node.recent_successes.borrow().contains(call.hash(&node.hash_key)) {
+/// Records that the last run of a request will bring no response. The run
+/// counts against the request if its endpoint turns out to have crashed.
+///
+/// A request that succeeded here lately is not counted, because requests that
+/// many callers send alike are running at each endpoint that crashes. Without
+/// that, such a read was condemned beside a request that had crashed all three
+/// endpoints of a service.
+pub(crate) fn run_lost(
+    instance: &FleetInstance,
+    call: &CallerRequest,
+    loss: Loss,
+) {
+    if instance
+        .recent_successes
+        .borrow()
+        .contains(call.hash(&instance.hash_key))
+    {
         return;
     }
     let Some(sent) = call.sent_to.borrow().clone() else { return };
-    let life = life_of(node, &sent.endpoint);
+    let incarnation = incarnation_of(instance, &sent.endpoint);
     let now = Instant::now();
-    let mut poison = node.poison.borrow_mut();
-    let crash =
-        poison.record_lost_run(&life, call.digest(), sent.at, loss, now);
+    let mut poison = instance.poison.borrow_mut();
+    let crash = poison.record_lost_run(
+        &incarnation,
+        call.digest(),
+        sent.at,
+        loss,
+        now,
+    );
     drop(poison);
-    tell(node, crash);
+    publish(instance, crash);
 }
 
-/// Notes that a run of a request ended well: it is none that ends endpoints.
-pub(crate) fn ended_well(node: &FleetNode, call: &CallerRequest) {
-    let hash = call.hash(&node.hash_key);
-    node.recent_successes.borrow_mut().record(hash, Instant::now());
-    if !node.poison.borrow().has_suspects() {
+/// Records that a run of a request succeeded, so the request does not crash
+/// endpoints.
+pub(crate) fn run_succeeded(instance: &FleetInstance, call: &CallerRequest) {
+    let hash = call.hash(&instance.hash_key);
+    instance.recent_successes.borrow_mut().record(hash, Instant::now());
+    if !instance.poison.borrow().has_suspects() {
         return;
     }
     let digest = call.digest();
-    if !node.poison.borrow_mut().clear(digest, Instant::now()) {
+    if !instance.poison.borrow_mut().clear(digest, Instant::now()) {
         return;
     }
     let request = &call.facts.request_id;
     tracing::info!(event = "poison_cleared", %digest, request);
-    tell_cleared(node, digest);
-    watch_poison::refute(node, digest);
+    broadcast_clearance(instance, digest);
+    watch_poison::mark_refuted(instance, digest);
 }
 
-/// Looks whether an endpoint is still there, once at a time for each.
-fn look(node: &Rc<FleetNode>, id: EndpointId, address: SocketAddr) {
-    if !node.looked_at.borrow_mut().insert(id.clone()) {
+/// Probes whether an endpoint is still there, with one probe at a time for
+/// each endpoint.
+fn probe_endpoint(
+    instance: &Rc<FleetInstance>,
+    id: EndpointId,
+    address: SocketAddr,
+) {
+    if !instance.probed_endpoints.borrow_mut().insert(id.clone()) {
         return;
     }
-    let node = node.clone();
-    let life = life_of(&node, &id);
+    let instance = instance.clone();
+    let incarnation = incarnation_of(&instance, &id);
     compio::runtime::spawn(async move {
         let began = Instant::now();
-        let presence = node.pool.presence(address, PRESENCE_TIME).await;
-        node.looked_at.borrow_mut().remove(&id);
+        let presence =
+            instance.pool.presence(address, ENDPOINT_PROBE_TIMEOUT).await;
+        instance.probed_endpoints.borrow_mut().remove(&id);
         tracing::info!(
             event = "endpoint_looked_at",
             endpoint = id,
@@ -139,75 +165,84 @@
         );
         match presence {
             Presence::Listens => {
-                let mut poison = node.poison.borrow_mut();
-                poison.endpoint_alive(&life, began);
+                let mut poison = instance.poison.borrow_mut();
+                poison.endpoint_alive(&incarnation, began);
             }
-            Presence::Refuses => life_ended(&node, &life),
-            // Its entry will go, or another instance can tell.
+            Presence::Refuses => incarnation_ended(&instance, &incarnation),
+            // Undecided: the endpoint's entry will disappear, or another
+            // instance finds out.
             Presence::Unknown => {}
         }
     })
     .detach();
 }
 
-/// Notes that an endpoint has ended without a word.
-pub(crate) fn endpoint_ended(node: &FleetNode, id: &EndpointId) {
-    let view = node.view.borrow();
+/// Records that an endpoint has ended without announcing its departure.
+pub(crate) fn endpoint_ended(instance: &FleetInstance, id: &EndpointId) {
+    let view = instance.view.borrow();
     if view.get(id).is_none_or(|state| state.endpoint.is_draining) {
         return;
     }
     drop(view);
-    life_ended(node, &life_of(node, id));
+    incarnation_ended(instance, &incarnation_of(instance, id));
 }
 
-fn life_ended(node: &FleetNode, life: &EndpointIncarnation) {
+fn incarnation_ended(
+    instance: &FleetInstance,
+    incarnation: &EndpointIncarnation,
+) {
     let now = Instant::now();
-    let crash = node.poison.borrow_mut().endpoint_ended(life, now);
-    tell(node, crash);
+    let crash = instance.poison.borrow_mut().endpoint_ended(incarnation, now);
+    publish(instance, crash);
 }
 
-/// Hears which runs of another instance ended with an endpoint.
-pub(crate) fn hear(node: &FleetNode, crash: &Crash) {
-    let ours = node.poison.borrow_mut().record_crash(crash, Instant::now());
-    tell(node, ours);
+/// Records which runs of another instance were lost in a crash of an endpoint.
+pub(crate) fn apply_crash(instance: &FleetInstance, crash: &Crash) {
+    let own_crash =
+        instance.poison.borrow_mut().record_crash(crash, Instant::now());
+    publish(instance, own_crash);
 }
 
-/// Hears that a run of a request ended well elsewhere.
-pub(crate) fn hear_cleared(node: &FleetNode, digest: RequestDigest) {
-    if node.poison.borrow_mut().clear(digest, Instant::now()) {
+/// Records that a run of a request succeeded at another instance.
+pub(crate) fn apply_clearance(
+    instance: &FleetInstance,
+    digest: RequestDigest,
+) {
+    if instance.poison.borrow_mut().clear(digest, Instant::now()) {
         tracing::info!(event = "poison_clearance_heard", %digest);
     }
 }
 
-/// Takes in a request that was condemned elsewhere; one line if that is news.
-pub(crate) fn take_in(
-    node: &FleetNode,
+/// Merges a request that was condemned elsewhere, and logs it if it is new.
+pub(crate) fn merge_condemned(
+    instance: &FleetInstance,
     condemned: &Condemned,
     from: &str,
 ) -> MergeOutcome {
     let now = Instant::now();
-    let taken_in = node.poison.borrow_mut().merge_condemned(condemned, now);
+    let outcome = instance.poison.borrow_mut().merge_condemned(condemned, now);
     let digest = condemned.digest;
-    match taken_in {
+    match outcome {
         MergeOutcome::Added => tracing::info!(
             event = "poison_heard",
             %digest,
-            ended = names(&condemned.endpoints),
+            ended = endpoint_names(&condemned.endpoints),
             condemned_ms_ago = condemned.ms_ago,
             from,
         ),
         MergeOutcome::AlreadyKnown => {}
-        MergeOutcome::Refuted => tell_cleared(node, digest),
+        MergeOutcome::Refuted => broadcast_clearance(instance, digest),
     }
-    taken_in
+    outcome
 }
 
-/// Tells all others which of our runs ended with an endpoint, and says what all of
-/// them condemn together.
-fn tell(node: &FleetNode, crash: Option<Crash>) {
+/// Tells all other instances which runs of this one were lost in a crash of an
+/// endpoint, and logs the requests that are newly condemned by the evidence of
+/// all instances.
+fn publish(instance: &FleetInstance, crash: Option<Crash>) {
     if let Some(crash) = crash {
         metrics::counter!("sedgewall_endpoint_crashes_total").increment(1);
-        let named = crash.runs.iter().take(NAMED_RUNS);
+        let named = crash.runs.iter().take(MAX_LOGGED_DIGESTS);
         let digests: Vec<String> =
             named.map(|run| run.digest.to_string()).collect();
         tracing::warn!(
@@ -216,36 +251,40 @@
             runs = crash.runs.len(),
             digests = digests.join(" "),
         );
-        node.outbox.borrow_mut().push(Note::Crashed(crash));
-        node.notify_notes();
+        instance.broadcast_queue.borrow_mut().push(Note::Crashed(crash));
+        instance.notify_notes();
     }
-    let condemned = node.poison.borrow_mut().take_newly_condemned();
+    let condemned = instance.poison.borrow_mut().take_newly_condemned();
     for digest in &condemned {
-        let verdict = node.poison.borrow().verdict(*digest, Instant::now());
+        let verdict =
+            instance.poison.borrow().verdict(*digest, Instant::now());
         let endpoints = verdict.map_or(Vec::new(), |v| v.endpoints);
         metrics::counter!("sedgewall_poison_requests_total").increment(1);
         tracing::warn!(
             event = "poison_condemned",
             %digest,
-            ended = names(&endpoints),
+            ended = endpoint_names(&endpoints),
         );
     }
     if !condemned.is_empty() {
-        watch_poison::notify(node);
+        watch_poison::wake_record_keeper(instance);
     }
 }
 
-fn tell_cleared(node: &FleetNode, digest: RequestDigest) {
-    node.outbox.borrow_mut().push(Note::Cleared(digest));
-    node.notify_notes();
+fn broadcast_clearance(instance: &FleetInstance, digest: RequestDigest) {
+    instance.broadcast_queue.borrow_mut().push(Note::Cleared(digest));
+    instance.notify_notes();
 }
 
-fn life_of(node: &FleetNode, id: &EndpointId) -> EndpointIncarnation {
-    let born = node.view.borrow().incarnation(id);
+fn incarnation_of(
+    instance: &FleetInstance,
+    id: &EndpointId,
+) -> EndpointIncarnation {
+    let born = instance.view.borrow().incarnation(id);
     EndpointIncarnation { id: id.clone(), born }
 }
 
-fn names(endpoints: &[EndpointIncarnation]) -> String {
+fn endpoint_names(endpoints: &[EndpointIncarnation]) -> String {
     let ids: Vec<&str> = endpoints.iter().map(|e| e.id.as_str()).collect();
     ids.join(" ")
 }
--- a/crates/sedgewalld/src/fleet/relay.rs
+++ b/crates/sedgewalld/src/fleet/relay.rs
@@ -1,8 +1,8 @@
-//! The body of a streamed answer, passed on as it comes.
+//! Forwards the body of a streamed response as it arrives.
 //!
-//! A stream that may be resumed goes on at another engine after its last whole
-//! event when its engine fails; any other ends where it broke, and never looks
-//! complete.
+//! If its engine fails, a resumable stream continues on another engine after
+//! the last complete event. Any other stream ends where it broke, and never
+//! looks complete.
 
 use std::{io, rc::Rc, time::Duration};
 
@@ -15,67 +15,68 @@
 use super::{
     attempt::{CallerRequest, GoodAnswer},
     caller::{self, Progress},
-    in_flight::{OpenRequest, UnderWay},
-    instance::FleetNode,
+    in_flight::{InFlightGuard, OpenRequestGuard},
+    instance::FleetInstance,
     poison, request_log,
 };
 
-/// A caller gives a stream up after a pause of this long at the least.
-const LEAST_PATIENCE: Duration = Duration::from_secs(2);
+/// The minimum idle timeout of a stream.
+const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// It waits this many times its target latency.
-const TARGETS: u32 = 4;
+/// The idle timeout of a stream, in multiples of the route's target latency.
+const IDLE_TIMEOUT_TARGETS: u32 = 4;
 
-/// It waits this many times the longest pause that is in time.
-const GAPS: u32 = 8;
+/// The idle timeout of a stream, in multiples of the longest gap between
+/// events that is in time.
+const IDLE_TIMEOUT_GAPS: u32 = 8;
 
-struct Relay {
-    node: Rc<FleetNode>,
+struct StreamRelay {
+    instance: Rc<FleetInstance>,
     call: Rc<CallerRequest>,
     progress: Progress,
     target: Target,
     body: PooledBody,
-    _under_way: UnderWay,
-    _open: OpenRequest,
-    cutter: Option<EventFramer>,
+    _in_flight_guard: InFlightGuard,
+    _open: OpenRequestGuard,
+    framer: Option<EventFramer>,
     head: Duration,
     bytes: usize,
-    /// When the last bytes came, and the longest time without any.
+    /// When the last bytes arrived, and the longest time between bytes.
     last_bytes: Instant,
     longest_pause: Duration,
     is_over: bool,
 }
 
-/// How a stream stopped before its end.
-enum Stopped {
+/// How a stream failed before its end.
+enum StreamFailure {
     Broken(SendError),
-    Silent,
-    TimeOver,
+    Idle,
+    DeadlinePassed,
 }
 
-/// Returns a body that passes an engine's events on.
+/// Returns a body that forwards an engine's events.
 pub(crate) fn stream(
-    node: Rc<FleetNode>,
+    instance: Rc<FleetInstance>,
     call: Rc<CallerRequest>,
     progress: Progress,
     good: GoodAnswer,
     target: Target,
-    open: OpenRequest,
+    open: OpenRequestGuard,
 ) -> LocalBody {
-    let cutter = call
+    let framer = call
         .route
         .is_resumable
         .then(|| EventFramer::after(call.facts.last_event.clone()));
-    let relay = Relay {
+    let relay = StreamRelay {
         head: call.arrived.elapsed(),
-        node,
+        instance,
         call,
         progress,
         target,
         body: good.answer.body,
-        _under_way: good.under_way,
+        _in_flight_guard: good.in_flight_guard,
         _open: open,
-        cutter,
+        framer,
         bytes: 0,
         last_bytes: Instant::now(),
         longest_pause: Duration::ZERO,
@@ -87,7 +88,7 @@
     }))
 }
 
-impl Relay {
+impl StreamRelay {
     async fn next(&mut self) -> Option<io::Result<Bytes>> {
         if self.is_over {
             return None;
@@ -95,9 +96,9 @@
         loop {
             match self.read().await {
                 Ok(Some(bytes)) => {
-                    self.note_pause();
-                    let whole = match &mut self.cutter {
-                        Some(cutter) => cutter.push(&bytes).into(),
+                    self.record_pause();
+                    let whole = match &mut self.framer {
+                        Some(framer) => framer.push(&bytes).into(),
                         None => bytes,
                     };
                     if !whole.is_empty() {
@@ -106,44 +107,48 @@
                     }
                 }
                 Ok(None) => return self.finish(),
-                Err(stopped) => {
-                    self.note_lost(&stopped);
-                    if !self.resume(&stopped).await {
-                        return Some(Err(self.give_up(&stopped)));
+                Err(failure) => {
+                    self.record_lost_run(&failure);
+                    if !self.resume(&failure).await {
+                        return Some(Err(self.fail(&failure)));
                     }
                 }
             }
         }
     }
 
-    fn note_pause(&mut self) {
+    fn record_pause(&mut self) {
         let now = Instant::now();
         let pause = now - std::mem::replace(&mut self.last_bytes, now);
         self.longest_pause = self.longest_pause.max(pause);
     }
 
-    async fn read(&mut self) -> Result<Option<Bytes>, Stopped> {
+    async fn read(&mut self) -> Result<Option<Bytes>, StreamFailure> {
         let left = self.call.left();
-        let patience = self.patience();
-        let within = patience.min(left);
+        let idle_timeout = self.idle_timeout();
+        let within = idle_timeout.min(left);
         match compio::time::timeout(within, self.body.next()).await {
             Ok(Some(Ok(bytes))) => Ok(Some(bytes)),
-            Ok(Some(Err(err))) => Err(Stopped::Broken(err)),
+            Ok(Some(Err(err))) => Err(StreamFailure::Broken(err)),
             Ok(None) => Ok(None),
-            Err(_) if left <= patience => Err(Stopped::TimeOver),
-            Err(_) => Err(Stopped::Silent),
+            Err(_) if left <= idle_timeout => {
+                Err(StreamFailure::DeadlinePassed)
+            }
+            Err(_) => Err(StreamFailure::Idle),
         }
     }
 
-    fn patience(&self) -> Duration {
+    fn idle_timeout(&self) -> Duration {
         let route = &self.call.route;
         let gap = route.gap.unwrap_or_default();
-        LEAST_PATIENCE.max(route.target_latency * TARGETS).max(gap * GAPS)
+        MIN_IDLE_TIMEOUT
+            .max(route.target_latency * IDLE_TIMEOUT_TARGETS)
+            .max(gap * IDLE_TIMEOUT_GAPS)
     }
 
     fn finish(&mut self) -> Option<io::Result<Bytes>> {
         self.is_over = true;
-        poison::ended_well(&self.node, &self.call);
+        poison::run_succeeded(&self.instance, &self.call);
         request_log::served(
             &self.call,
             &self.progress,
@@ -154,27 +159,30 @@
                 longest_pause: self.longest_pause,
             },
         );
-        let rest = self.cutter.as_mut().map(EventFramer::take_partial)?;
+        let rest = self.framer.as_mut().map(EventFramer::take_partial)?;
         (!rest.is_empty()).then(|| Ok(rest.into()))
     }
 
-    /// Goes on at another engine, if the route and the allowance permit.
-    async fn resume(&mut self, stopped: &Stopped) -> bool {
-        if self.cutter.is_none() || matches!(stopped, Stopped::TimeOver) {
+    /// Continues the stream on another engine, if the route and the retry
+    /// budget allow it. Returns whether it continues.
+    async fn resume(&mut self, failure: &StreamFailure) -> bool {
+        if self.framer.is_none()
+            || matches!(failure, StreamFailure::DeadlinePassed)
+        {
             return false;
         }
         self.progress.runs += 1;
         self.progress.tried.push(self.target.id.clone());
-        self.note_failure();
+        self.record_failure();
         if self.progress.runs >= self.call.route.max_attempts {
             return false;
         }
-        let Some(cutter) = self.cutter.as_mut() else { return false };
-        cutter.discard_partial();
-        let last_event = cutter.last_id().map(str::to_owned);
+        let Some(framer) = self.framer.as_mut() else { return false };
+        framer.discard_partial();
+        let last_event = framer.last_id().map(str::to_owned);
         let call = self.call.clone();
-        let found = caller::obtain(
-            &self.node,
+        let found = caller::send_with_retries(
+            &self.instance,
             &call,
             &mut self.progress,
             last_event.as_deref(),
@@ -191,41 +199,45 @@
             after_event = last_event,
         );
         self.body = good.answer.body;
-        self._under_way = good.under_way;
+        self._in_flight_guard = good.in_flight_guard;
         self.target = target;
         true
     }
 
-    /// Notes the run's end, which may be that of its engine.
-    fn note_lost(&self, stopped: &Stopped) {
-        let (node, call) = (&self.node, &self.call);
-        match stopped {
-            Stopped::Broken(err) => {
+    /// Records the loss of the run, which may be due to a crash of its engine.
+    fn record_lost_run(&self, failure: &StreamFailure) {
+        let (instance, call) = (&self.instance, &self.call);
+        match failure {
+            StreamFailure::Broken(err) => {
                 let cause = err.to_string();
-                poison::run_broke(node, call, &self.target, &cause);
+                poison::run_broken(instance, call, &self.target, &cause);
             }
-            Stopped::Silent | Stopped::TimeOver => {
-                poison::run_lost(node, call, Loss::Broken);
+            StreamFailure::Idle | StreamFailure::DeadlinePassed => {
+                poison::run_lost(instance, call, Loss::Broken);
             }
         }
     }
 
-    fn note_failure(&self) {
-        let mut view = self.node.view.borrow_mut();
+    fn record_failure(&self) {
+        let mut view = self.instance.view.borrow_mut();
         if let Some(state) = view.get_mut(&self.target.id) {
             state.health.failed(Instant::now());
         }
     }
 
-    fn give_up(&mut self, stopped: &Stopped) -> io::Error {
+    fn fail(&mut self, failure: &StreamFailure) -> io::Error {
         self.is_over = true;
-        if self.cutter.is_none() && !matches!(stopped, Stopped::TimeOver) {
-            self.note_failure();
+        if self.framer.is_none()
+            && !matches!(failure, StreamFailure::DeadlinePassed)
+        {
+            self.record_failure();
         }
-        let cause = match stopped {
-            Stopped::Broken(err) => err.to_string(),
-            Stopped::Silent => "no event for too long".to_owned(),
-            Stopped::TimeOver => "the time is over".to_owned(),
+        let cause = match failure {
+            StreamFailure::Broken(err) => err.to_string(),
+            StreamFailure::Idle => {
+                "no bytes within the idle timeout".to_owned()
+            }
+            StreamFailure::DeadlinePassed => "deadline passed".to_owned(),
         };
         metrics::counter!("sedgewall_streams_broken_total").increment(1);
         tracing::warn!(
@@ -240,11 +252,11 @@
     }
 }
 
-impl Drop for Relay {
+impl Drop for StreamRelay {
     fn drop(&mut self) {
         if !self.is_over {
-            request_log::left(&self.call, self.bytes);
-            poison::run_lost(&self.node, &self.call, Loss::CallerLeft);
+            request_log::caller_left(&self.call, self.bytes);
+            poison::run_lost(&self.instance, &self.call, Loss::CallerLeft);
         }
     }
 }
--- a/crates/sedgewalld/src/fleet/request_log.rs
+++ b/crates/sedgewalld/src/fleet/request_log.rs
@@ -1,4 +1,5 @@
-//! One line for each request's end, and for each send that brought no answer.
+//! Log lines: one for the end of each request, and one for each attempt that
+//! brought no response.
 
 use std::{rc::Rc, time::Duration};
 
@@ -7,25 +8,29 @@
 use super::{
     attempt::{AttemptError, CallerRequest},
     caller::Progress,
-    instance::FleetNode,
+    instance::FleetInstance,
     poison,
     refusal::Reason,
 };
 
-/// Watches over a request until it has an answer: a caller that leaves ends the
-/// work on it without another word.
-pub(crate) struct Unanswered {
-    node: Rc<FleetNode>,
+/// Detects a request that is dropped before it has a response: when a caller
+/// leaves, the task that handles its request is dropped.
+pub(crate) struct UnansweredGuard {
+    instance: Rc<FleetInstance>,
     call: Rc<CallerRequest>,
     is_answered: bool,
 }
 
-impl Unanswered {
+impl UnansweredGuard {
     pub(crate) fn begin(
-        node: &Rc<FleetNode>,
+        instance: &Rc<FleetInstance>,
         call: Rc<CallerRequest>,
-    ) -> Unanswered {
-        Unanswered { node: node.clone(), call, is_answered: false }
+    ) -> UnansweredGuard {
+        UnansweredGuard {
+            instance: instance.clone(),
+            call,
+            is_answered: false,
+        }
     }
 
     pub(crate) fn answered(&mut self) {
@@ -33,17 +38,17 @@
     }
 }
 
-impl Drop for Unanswered {
+impl Drop for UnansweredGuard {
     fn drop(&mut self) {
         if !self.is_answered {
-            left(&self.call, 0);
-            poison::run_lost(&self.node, &self.call, Loss::CallerLeft);
+            caller_left(&self.call, 0);
+            poison::run_lost(&self.instance, &self.call, Loss::CallerLeft);
         }
     }
 }
 
-/// One line for each request whose caller left before the end of its answer.
-pub(crate) fn left(call: &CallerRequest, bytes: usize) {
+/// Logs a request whose caller left before the end of its response.
+pub(crate) fn caller_left(call: &CallerRequest, bytes: usize) {
     metrics::counter!("sedgewall_callers_left_total").increment(1);
     tracing::info!(
         event = "caller_left",
@@ -57,8 +62,8 @@
     );
 }
 
-/// One line for each send that did not end with an answer to pass on.
-pub(crate) fn attempt(
+/// Logs an attempt that brought no response to forward.
+pub(crate) fn send_failed(
     call: &CallerRequest,
     progress: &Progress,
     target: &Target,
@@ -77,16 +82,16 @@
     );
 }
 
-/// What a caller got of an endpoint's answer, and when.
+/// What a caller received of an endpoint's response, and when.
 pub(crate) struct Delivered {
-    /// From the request's arrival to the head of the answer.
+    /// The time from the arrival of the request to the response headers.
     pub(crate) head: Duration,
     pub(crate) bytes: usize,
-    /// The longest time without a byte, after the head.
+    /// The longest time without a byte, after the headers.
     pub(crate) longest_pause: Duration,
 }
 
-/// One line for each request that an endpoint served.
+/// Logs a request that an endpoint served.
 pub(crate) fn served(
     call: &CallerRequest,
     progress: &Progress,
@@ -107,7 +112,7 @@
         unread_tokens = target.unread_tokens,
         predicted_ms = target.predicted.map(|p| p.as_millis() as u64),
         prompt_tokens = call.facts.prompt_tokens,
-        engine_ms = progress.engine.as_millis() as u64,
+        engine_ms = progress.engine_time.as_millis() as u64,
         sends = progress.sends,
         waited_ms = progress.waited.as_millis() as u64,
         is_later_try = call.is_later_try,
@@ -122,7 +127,7 @@
     );
 }
 
-/// One line for each request that got an answer of our own.
+/// Logs a request that got a response of this instance's own.
 pub(crate) fn refused(
     call: &CallerRequest,
     progress: &Progress,
--- a/crates/sedgewalld/src/fleet/watch_configuration.rs
+++ b/crates/sedgewalld/src/fleet/watch_configuration.rs
@@ -1,15 +1,16 @@
-//! Follows the configuration and the versions of weights.
+//! Handlers for the configuration and for the versions of weights in the
+//! store.
 //!
-//! The invariant: a configuration is never replaced by an older one.
+//! Invariant: a configuration is never replaced by an older one.
 
 use std::{rc::Rc, time::Duration};
 
 use sedgewall_clock::Instant;
 
 use super::{
-    instance::{FleetNode, Stage},
+    instance::{FleetInstance, Stage},
     keys,
-    list_watch::{Follower, QUIET_WATCH},
+    list_watch::{DEFAULT_WATCH_TIMEOUT, ObjectHandler},
     notify::Notify,
 };
 use sedgewall_fleet::route::RoutingConfiguration;
@@ -20,21 +21,23 @@
     store::{Change, Freshness, Listing, StoredObject},
 };
 
-/// Takes in the operator's configuration.
-pub(crate) struct Configuration(pub(crate) Rc<FleetNode>);
+/// Handles the operator's configuration.
+pub(crate) struct Configuration(pub(crate) Rc<FleetInstance>);
 
-/// Takes in named versions of weights.
-pub(crate) struct Versions(pub(crate) Rc<FleetNode>);
+/// Handles the announced versions of weights.
+pub(crate) struct Versions(pub(crate) Rc<FleetInstance>);
 
-impl Follower for Configuration {
+impl ObjectHandler for Configuration {
     const KIND: &'static str = CONFIG_KIND;
-    /// An older configuration must not be in force after a newer one.
-    const FIRST_LIST: Freshness = Freshness::Newest;
-    const WATCH: Duration = QUIET_WATCH;
-    /// Without the newest one, requests are refused.
-    const TRIES_FIRST: bool = true;
-
-    fn notify(&self) -> Rc<Notify> {
+    /// The first list must be the newest, because an older configuration must
+    /// not come into force after a newer one.
+    const FIRST_LIST_FRESHNESS: Freshness = Freshness::Newest;
+    const WATCH_TIMEOUT: Duration = DEFAULT_WATCH_TIMEOUT;
+    /// Retried first, because requests are refused while the newest
+    /// configuration is missing.
+    const RETRIES_EARLY: bool = true;
+
+    fn relist_notify(&self) -> Rc<Notify> {
         self.0.configuration_notify.clone()
     }
 
@@ -42,14 +45,14 @@
         self.0.is_configuration_behind.take()
     }
 
-    /// Where keys must stop in time, a few instances watch for the newest, and the
-    /// others ask these.
-    fn own_watch(&self) -> Option<(Freshness, Duration)> {
-        let wait = keys::own_watch(&self.0)?;
+    /// Where revoked keys must stop working within a time limit, a few
+    /// instances watch for the newest configuration, and the others ask these.
+    fn watch_override(&self) -> Option<(Freshness, Duration)> {
+        let wait = keys::watch_timeout(&self.0)?;
         Some((Freshness::Newest, wait))
     }
 
-    fn was_read(&self, sent: Instant) {
+    fn record_read(&self, sent: Instant) {
         let read = &self.0.configuration_read;
         read.set(read.get().max(Some(sent)));
     }
@@ -60,41 +63,41 @@
         }
     }
 
-    fn list(&self, listing: Listing) {
+    fn handle_list(&self, listing: Listing) {
         for object in listing.objects {
-            self.take(&object);
+            self.apply(&object);
         }
     }
 
-    fn change(&self, change: Change) {
-        // A configuration that is gone stays in force.
+    fn handle_change(&self, change: Change) {
+        // A configuration stays in force when its object is deleted.
         if !change.is_deleted {
-            self.take(&change.object);
+            self.apply(&change.object);
         }
     }
 }
 
 impl Configuration {
-    fn take(&self, object: &StoredObject) {
+    fn apply(&self, object: &StoredObject) {
         if object.name != CONFIG_NAME {
             return;
         }
-        let node = &self.0;
+        let instance = &self.0;
         let routing = match decode_config(&object.spec) {
             Ok(routing) => routing,
             Err(err) => {
                 let cause = err.to_string();
                 tracing::error!(event = "configuration_unreadable", cause);
-                node.is_configuration_unreadable.set(true);
+                instance.is_configuration_unreadable.set(true);
                 return;
             }
         };
-        node.is_configuration_unreadable.set(false);
-        put_in_force(node, routing, Source::Store);
+        instance.is_configuration_unreadable.set(false);
+        put_in_force(instance, routing, Source::Store);
     }
 }
 
-/// Where a configuration comes from.
+/// The origin of a configuration.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Source {
     Store,
@@ -111,13 +114,13 @@
     }
 }
 
-/// Puts a configuration in force if it is newer than the one that is.
+/// Puts a configuration in force if it is newer than the current one.
 pub(crate) fn put_in_force(
-    node: &FleetNode,
+    instance: &FleetInstance,
     routing: RoutingConfiguration,
     source: Source,
 ) {
-    let known = node.configuration_version().unwrap_or(0);
+    let known = instance.configuration_version().unwrap_or(0);
     if routing.version <= known {
         return;
     }
@@ -128,20 +131,20 @@
         replaces = known,
         from = source.name(),
     );
-    *node.routing.borrow_mut() = Some(Rc::new(routing));
-    node.forget_patience();
-    if node.stage.get() == Stage::Starting {
-        node.stage.set(Stage::Ready);
+    *instance.routing.borrow_mut() = Some(Rc::new(routing));
+    instance.clear_time_limits();
+    if instance.stage.get() == Stage::Starting {
+        instance.stage.set(Stage::Ready);
     }
-    node.wake_all();
-    node.wake_for_configuration();
+    instance.wake_all();
+    instance.wake_configuration_waiters();
 }
 
-impl Follower for Versions {
+impl ObjectHandler for Versions {
     const KIND: &'static str = VERSIONS_KIND;
-    const WATCH: Duration = QUIET_WATCH;
+    const WATCH_TIMEOUT: Duration = DEFAULT_WATCH_TIMEOUT;
 
-    fn notify(&self) -> Rc<Notify> {
+    fn relist_notify(&self) -> Rc<Notify> {
         self.0.versions_notify.clone()
     }
 
@@ -149,21 +152,21 @@
         self.0.is_versions_behind.take()
     }
 
-    fn list(&self, listing: Listing) {
+    fn handle_list(&self, listing: Listing) {
         for object in listing.objects {
-            self.take(&object);
+            self.apply(&object);
         }
     }
 
-    fn change(&self, change: Change) {
+    fn handle_change(&self, change: Change) {
         if !change.is_deleted {
-            self.take(&change.object);
+            self.apply(&change.object);
         }
     }
 }
 
 impl Versions {
-    fn take(&self, object: &StoredObject) {
+    fn apply(&self, object: &StoredObject) {
         match decode_version(&object.name, &object.spec) {
             Ok((key, version)) => self.0.name_version(&key, version),
             Err(err) => {
--- a/crates/sedgewalld/src/fleet/watch_endpoints.rs
+++ b/crates/sedgewalld/src/fleet/watch_endpoints.rs
@@ -1,8 +1,8 @@
-//! Follows the platform's list of endpoints.
+//! Handler for the platform's list of endpoints.
 //!
-//! The invariant: an endpoint that the store shows as leaving or gone, to us or
-//! to any instance that we hear, gets no new work, but for the time after an
-//! outage in which entries that lapsed come back.
+//! Invariant: an endpoint that the store shows as leaving or gone, to this
+//! instance or to any instance that it has notes from, gets no new requests.
+//! The exception is a time after an outage in which lapsed entries come back.
 
 use std::{
     cell::RefCell,
@@ -20,58 +20,59 @@
 use sedgewall_state::id::EndpointId;
 
 use super::{
-    instance::FleetNode, list_watch::Follower, notify::Notify, poison,
+    instance::FleetInstance, list_watch::ObjectHandler, notify::Notify, poison,
 };
 
-/// How long a watch of endpoints waits for a change. A channel that went dead
-/// without a word is noticed after this time; then all is listed anew.
-const ENDPOINTS_WATCH: Duration = Duration::from_secs(4);
+/// The timeout of a watch of endpoints. A connection that died silently is
+/// detected after this time, and then all endpoints are listed again.
+const ENDPOINTS_WATCH_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// The pause between two watches of endpoints, so that many changes come in
-/// one call. A leaving endpoint may get work for 2 s after the store has taken
-/// its word.
+/// The pause between two watches of endpoints, so that one call brings many
+/// changes. A leaving endpoint may get requests for 2 s after the store has
+/// acknowledged that it leaves.
 const ENDPOINTS_PAUSE: Duration = Duration::from_millis(650);
 
-/// What each instance adds to this pause: the first one that sees an endpoint
-/// leave tells all others.
+/// The minimum pause per other instance. With many instances each may pause
+/// for longer, because the first one that sees an endpoint leave tells all
+/// others.
 const PAUSE_PER_INSTANCE: Duration = Duration::from_millis(40);
 
-/// The longest pause between two watches of endpoints.
-const LONGEST_PAUSE: Duration = Duration::from_millis(2_500);
+/// The maximum pause between two watches of endpoints.
+const MAX_PAUSE: Duration = Duration::from_millis(2_500);
 
-/// An entry that is missing so soon after the store was regained may have lapsed
-/// while it was out: twice what a lapsed one takes to be back.
-const IN_DOUBT_FOR: Duration = Duration::from_secs(4);
+/// How long after the store came back a missing entry may have lapsed in the
+/// outage: twice the time that a lapsed entry takes to come back.
+const LAPSE_DOUBT_WINDOW: Duration = Duration::from_secs(4);
 
-/// Takes in the entries of endpoints.
+/// Handles the entries of endpoints.
 pub(crate) struct Endpoints {
-    node: Rc<FleetNode>,
-    /// Endpoints whose entries are gone, and may be back soon, with the revision
-    /// at which they were missing.
+    instance: Rc<FleetInstance>,
+    /// Endpoints whose entries lapsed and may come back soon, with the
+    /// revision at which they were missing.
     lapsed: Rc<RefCell<HashMap<EndpointId, Revision>>>,
 }
 
-impl Follower for Endpoints {
+impl ObjectHandler for Endpoints {
     const KIND: &'static str = ENDPOINTS_KIND;
-    const WATCH: Duration = ENDPOINTS_WATCH;
+    const WATCH_TIMEOUT: Duration = ENDPOINTS_WATCH_TIMEOUT;
 
     fn pause(&self) -> Duration {
-        let peers = self.node.peers.borrow().len() as u32;
-        ENDPOINTS_PAUSE.max(PAUSE_PER_INSTANCE * peers).min(LONGEST_PAUSE)
+        let peers = self.instance.peers.borrow().len() as u32;
+        ENDPOINTS_PAUSE.max(PAUSE_PER_INSTANCE * peers).min(MAX_PAUSE)
     }
 
-    fn notify(&self) -> Rc<Notify> {
-        self.node.endpoints_notify.clone()
+    fn relist_notify(&self) -> Rc<Notify> {
+        self.instance.endpoints_notify.clone()
     }
 
-    fn list(&self, listing: Listing) {
+    fn handle_list(&self, listing: Listing) {
         let read: Vec<Endpoint> =
             listing.objects.iter().filter_map(decoded).collect();
         let listed: HashSet<&EndpointId> =
             read.iter().map(|endpoint| &endpoint.id).collect();
-        // A list that is seconds old does not show what is newer.
+        // A list that may be seconds old does not show newer entries.
         let known: Vec<EndpointId> = self
-            .node
+            .instance
             .view
             .borrow()
             .endpoints()
@@ -79,43 +80,44 @@
             .map(|state| state.id().clone())
             .collect();
         for id in known.iter().filter(|id| !listed.contains(id)) {
-            self.entry_gone(id, listing.revision);
+            self.entry_missing(id, listing.revision);
         }
         for endpoint in read {
-            self.take(endpoint);
+            self.apply(endpoint);
         }
-        tell_departures(&self.node);
-        self.node.wake_all();
-        self.node.notify_loader();
+        broadcast_departures(&self.instance);
+        self.instance.wake_all();
+        self.instance.notify_planner();
     }
 
-    fn change(&self, change: Change) {
+    fn handle_change(&self, change: Change) {
         let Change { object, is_deleted } = change;
         if is_deleted {
-            self.entry_gone(&object.name, object.revision);
-            tell_departures(&self.node);
+            self.entry_missing(&object.name, object.revision);
+            broadcast_departures(&self.instance);
             return;
         }
         match decoded(&object) {
-            Some(endpoint) => self.take(endpoint),
-            // It names no endpoint now, whatever it named before.
-            None => self.entry_gone(&object.name, object.revision),
+            Some(endpoint) => self.apply(endpoint),
+            // The entry no longer describes an endpoint, whatever it described
+            // before.
+            None => self.entry_missing(&object.name, object.revision),
         }
-        tell_departures(&self.node);
-        self.node.wake_all();
+        broadcast_departures(&self.instance);
+        self.instance.wake_all();
     }
 }
 
 impl Endpoints {
-    pub(crate) fn new(node: &Rc<FleetNode>) -> Endpoints {
-        Endpoints { node: node.clone(), lapsed: Rc::default() }
+    pub(crate) fn new(instance: &Rc<FleetInstance>) -> Endpoints {
+        Endpoints { instance: instance.clone(), lapsed: Rc::default() }
     }
 
-    /// Takes in an entry.
-    fn take(&self, endpoint: Endpoint) {
-        let mut view = self.node.view.borrow_mut();
-        // One that is there again belongs to the same life of its endpoint, but
-        // what that holds is asked for anew.
+    /// Applies an entry.
+    fn apply(&self, endpoint: Endpoint) {
+        let mut view = self.instance.view.borrow_mut();
+        // An entry that comes back belongs to the same incarnation of the
+        // endpoint, but the engine must report again what it holds.
         if self.lapsed.borrow_mut().remove(&endpoint.id).is_some() {
             view.invalidate_contents(&endpoint.id);
         }
@@ -135,22 +137,22 @@
         view.apply_entry(endpoint, Instant::now());
     }
 
-    /// Takes an endpoint out whose entry was missing at a revision of the store.
-    /// Just after an outage it may have lapsed meanwhile, and is waited for: a
-    /// live endpoint writes it again.
-    fn entry_gone(&self, id: &EndpointId, revision: Revision) {
+    /// Removes an endpoint whose entry was missing at a revision of the store.
+    /// Just after an outage the entry may only have lapsed, so the removal is
+    /// delayed: a live endpoint writes its entry again.
+    fn entry_missing(&self, id: &EndpointId, revision: Revision) {
         let now = Instant::now();
-        let contact = self.node.store_contact.borrow();
-        let left = contact.missing_entry_grace(now);
+        let reachability = self.instance.store_reachability.borrow();
+        let left = reachability.missing_entry_grace(now);
         if left.is_zero() {
-            take_out(&self.node, id, revision);
+            remove_endpoint(&self.instance, id, revision);
             return;
         }
         if self.lapsed.borrow().contains_key(id) {
             return;
         }
         self.lapsed.borrow_mut().insert(id.clone(), revision);
-        let last = contact.last_failure();
+        let last = reachability.last_failure();
         let ms_ago = |at: Instant| (now - at).as_millis() as u64;
         tracing::info!(
             event = "endpoint_lapsed",
@@ -159,42 +161,51 @@
             left_ms = left.as_millis() as u64,
             known_out_ms_ago = last.map(|last| ms_ago(last.unreachable_at())),
         );
-        let (node, lapsed) = (self.node.clone(), self.lapsed.clone());
+        let (instance, lapsed) = (self.instance.clone(), self.lapsed.clone());
         let id = id.clone();
         compio::runtime::spawn(async move {
             compio::time::sleep(left).await;
-            // One that came back and lapsed again has a wait of its own.
+            // The entry came back, or came back and lapsed again, which has a
+            // delay of its own.
             if lapsed.borrow().get(&id) != Some(&revision) {
                 return;
             }
             lapsed.borrow_mut().remove(&id);
-            take_out(&node, &id, revision);
-            tell_departures(&node);
+            remove_endpoint(&instance, &id, revision);
+            broadcast_departures(&instance);
         })
         .detach();
     }
 }
 
-fn take_out(node: &FleetNode, id: &EndpointId, revision: Revision) {
+fn remove_endpoint(
+    instance: &FleetInstance,
+    id: &EndpointId,
+    revision: Revision,
+) {
     let now = Instant::now();
-    let contact = node.store_contact.borrow();
-    let is_sure = !contact.was_unreachable_within(IN_DOUBT_FOR, now);
+    let reachability = instance.store_reachability.borrow();
+    let is_sure =
+        !reachability.was_unreachable_within(LAPSE_DOUBT_WINDOW, now);
     tracing::info!(event = "endpoint_gone", endpoint = id, revision, is_sure);
     if is_sure {
-        poison::endpoint_ended(node, id);
+        poison::endpoint_ended(instance, id);
     }
-    node.view.borrow_mut().remove_entry(id, revision, is_sure, now);
+    instance.view.borrow_mut().remove_entry(id, revision, is_sure, now);
 }
 
-/// Tells all others of endpoints that we saw leave: their watches may be late,
-/// or their way to the store cut.
-pub(crate) fn tell_departures(node: &FleetNode) {
-    let untold = node.view.borrow_mut().take_unsent_departures();
-    if untold.is_empty() {
+/// Tells all other instances of endpoints that this one has seen leave. Their
+/// watches may be late, or their path to the store cut.
+pub(crate) fn broadcast_departures(instance: &FleetInstance) {
+    let unsent = instance.view.borrow_mut().take_unsent_departures();
+    if unsent.is_empty() {
         return;
     }
-    node.outbox.borrow_mut().extend(untold.into_iter().map(Note::Departed));
-    node.notify_notes();
+    instance
+        .broadcast_queue
+        .borrow_mut()
+        .extend(unsent.into_iter().map(Note::Departed));
+    instance.notify_notes();
 }
 
 fn adapter_count(endpoint: &Endpoint) -> usize {
--- a/crates/sedgewalld/src/fleet/watch_instances.rs
+++ b/crates/sedgewalld/src/fleet/watch_instances.rs
@@ -1,4 +1,5 @@
-//! Follows the entries of the other instances, and writes our own.
+//! Handler for the entries of the other instances, and the task that writes
+//! this instance's own entry.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -12,51 +13,52 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    instance::{FleetNode, Peer},
-    list_watch::{Follower, QUIET_WATCH},
+    instance::{FleetInstance, Peer},
+    list_watch::{DEFAULT_WATCH_TIMEOUT, ObjectHandler},
     notify::Notify,
 };
 
-/// The kind of our own instances' entries.
+/// The kind of instance entries in the store.
 pub(crate) const INSTANCES_KIND: &str = "sedgewall-instances";
 
-/// The pause between two watches of instances: all write their entries when
-/// all start, and each that is watched would wake all others.
+/// The pause between two watches of instances. At a start of the system all
+/// instances write their entries, and each write would otherwise wake the
+/// watches of all others.
 const INSTANCES_PAUSE: Duration = Duration::from_millis(1_500);
 
 /// How long an instance waits for the first list before it writes its entry.
-const FIRST_LIST_TIME: Duration = Duration::from_millis(400);
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How often it looks whether the list is there.
-const FIRST_LIST_LOOK: Duration = Duration::from_millis(20);
+/// The interval at which it checks for that list.
+const FIRST_LIST_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What an instance tells the others about itself.
+/// The entry of an instance in the store.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct InstanceEntry {
-    /// Where its notes go.
+    /// The address that its notes are sent to.
     notes_address: SocketAddr,
-    /// Where it is.
+    /// Its availability zone.
     zone: ZoneName,
-    /// The part of a processor that it has, in hundredths.
+    /// The share of a processor core that it has, in percent.
     cpu_percent: u32,
 }
 
-/// Takes in the entries of the other instances.
-pub(crate) struct Instances(pub(crate) Rc<FleetNode>);
+/// Handles the entries of the other instances.
+pub(crate) struct Instances(pub(crate) Rc<FleetInstance>);
 
-impl Follower for Instances {
+impl ObjectHandler for Instances {
     const KIND: &'static str = INSTANCES_KIND;
-    const WATCH: Duration = QUIET_WATCH;
+    const WATCH_TIMEOUT: Duration = DEFAULT_WATCH_TIMEOUT;
 
     fn pause(&self) -> Duration {
         INSTANCES_PAUSE
     }
 
-    fn notify(&self) -> Rc<Notify> {
+    fn relist_notify(&self) -> Rc<Notify> {
         self.0.instances_notify.clone()
     }
 
-    fn list(&self, listing: Listing) {
+    fn handle_list(&self, listing: Listing) {
         let objects = listing.objects;
         let own = objects.iter().find(|object| object.name == *self.0.id());
         *self.0.own_entry.borrow_mut() = own.map(|object| object.spec.clone());
@@ -65,21 +67,21 @@
             |id: &String| objects.iter().any(|object| object.name == *id);
         self.0.peers.borrow_mut().retain(|id, _| is_listed(id));
         for object in objects {
-            self.take(&object);
+            self.apply(&object);
         }
     }
 
-    fn change(&self, change: Change) {
+    fn handle_change(&self, change: Change) {
         if change.is_deleted {
             self.0.peers.borrow_mut().remove(&change.object.name);
         } else {
-            self.take(&change.object);
+            self.apply(&change.object);
         }
     }
 }
 
 impl Instances {
-    fn take(&self, object: &StoredObject) {
+    fn apply(&self, object: &StoredObject) {
         if object.name == *self.0.id() {
             return;
         }
@@ -104,25 +106,25 @@
     }
 }
 
-/// Writes our own entry, until the store has it.
-pub(crate) async fn announce(node: Rc<FleetNode>) {
+/// Writes this instance's own entry, with retries until the store has it.
+pub(crate) async fn register(instance: Rc<FleetInstance>) {
     let entry = InstanceEntry {
-        notes_address: node.settings.peer_listen,
-        zone: node.settings.zone.clone(),
-        cpu_percent: node.cpu_percent(),
+        notes_address: instance.settings.peer_listen,
+        zone: instance.settings.zone.clone(),
+        cpu_percent: instance.cpu_percent(),
     };
     let Ok(spec) = serde_json::to_value(&entry) else { return };
-    // An instance that starts again at its address finds its entry in the first
-    // list; the write would change nothing, and has the price of a call.
-    let until = Instant::now() + FIRST_LIST_TIME;
-    while !node.has_listed_instances.get() && Instant::now() < until {
-        compio::time::sleep(FIRST_LIST_LOOK).await;
+    // An instance that restarts at the same address finds its entry in the
+    // first list. Writing it again would change nothing and still be billed.
+    let until = Instant::now() + FIRST_LIST_TIMEOUT;
+    while !instance.has_listed_instances.get() && Instant::now() < until {
+        compio::time::sleep(FIRST_LIST_POLL_INTERVAL).await;
     }
-    if node.own_entry.take().is_some_and(|known| known == spec) {
+    if instance.own_entry.take().is_some_and(|known| known == spec) {
         return;
     }
     let mut back_off = BackOff::default();
-    while let Err(err) = write_entry(&node, &spec).await {
+    while let Err(err) = write_entry(&instance, &spec).await {
         let cause = err.to_string();
         tracing::warn!(event = "announce_failed", cause);
         compio::time::sleep(back_off.failed(CallKind::Watcher, true)).await;
@@ -130,19 +132,24 @@
 }
 
 async fn write_entry(
-    node: &FleetNode,
+    instance: &FleetInstance,
     spec: &serde_json::Value,
 ) -> Result<(), StoreError> {
-    let written = node.store.create(INSTANCES_KIND, node.id(), spec).await;
+    let written =
+        instance.store.create(INSTANCES_KIND, instance.id(), spec).await;
     match written {
-        // A start at the same address changes nothing.
+        // A restart at the same address changes nothing.
         Err(StoreError::Conflict(Some(known))) if known.spec == *spec => {
             Ok(())
         }
         Err(StoreError::Conflict(Some(known))) => {
             let revision = known.revision;
-            let (kind, name) = (INSTANCES_KIND, node.id());
-            node.store.replace(kind, name, revision, spec).await.map(|_| ())
+            let (kind, name) = (INSTANCES_KIND, instance.id());
+            instance
+                .store
+                .replace(kind, name, revision, spec)
+                .await
+                .map(|_| ())
         }
         written => written.map(|_| ()),
     }
--- a/crates/sedgewalld/src/fleet/watch_poison.rs
+++ b/crates/sedgewalld/src/fleet/watch_poison.rs
@@ -1,8 +1,10 @@
-//! Keeps condemned requests in the platform's store, and follows what stands there.
+//! Keeps the records of condemned requests in the platform's store, and
+//! handles changes of them.
 //!
-//! What instances know ends with them, and one that hears no other learns it from
-//! the store alone. Each condemned request is an object named by its digest; an
-//! operator who deletes one lets its request go.
+//! The instances' own knowledge ends with their processes, and an instance
+//! that gets no notes learns of condemned requests from the store alone. Each
+//! condemned request is an object that is named by its digest. An operator
+//! releases a request by deleting its object.
 
 use std::{
     cell::Cell,
@@ -25,98 +27,99 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    instance::FleetNode,
-    list_watch::{FRESH_WATCHERS, Follower, QUIET_WATCH},
+    instance::FleetInstance,
+    list_watch::{DEFAULT_WATCH_TIMEOUT, FRESH_WATCHERS, ObjectHandler},
     notify::Notify,
     poison,
 };
 
-/// The kind of condemned requests.
+/// The kind of records of condemned requests in the store.
 const POISON_KIND: &str = "sedgewall-poison-requests";
 
-/// What each instance that comes before this one adds to the time after which it
-/// writes what another one may write, so that one of them does.
-const WRITE_AFTER: Duration = Duration::from_millis(250);
+/// The delay per rank before an instance writes a record, so that only one
+/// instance writes it.
+const WRITE_DELAY_PER_RANK: Duration = Duration::from_millis(250);
 
-/// How long an instance that does not watch for the others waits before it lists the
-/// records again. It hears of them in notes; a list repairs what notes lost. Where
-/// all watch, as they do for the configuration, calls to the store are 11 of 100 more
-/// with 79 instances.
-const OTHERS_LIST_EVERY: Duration = Duration::from_secs(60);
+/// The interval at which an instance that does not watch the records lists
+/// them. It learns of them from notes; the list makes up for lost notes. If
+/// all instances watched them, as they do the configuration, there would be 11
+/// of 100 more calls to the store with 79 instances.
+const RELIST_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Until it has listed the others, each instance takes itself for the first. Those
-/// that start together find each other's entries 1.5 s later; 79 that all began with a
+/// The delay before the first watch. Until an instance has listed the others,
+/// it ranks itself first; instances that start together find each other's
+/// entries 1.5 s later. Without the delay, 79 instances that each began with a
 /// watch of their own made 74 calls more.
-const FIRST_WATCH_AFTER: Duration = Duration::from_secs(2);
+const FIRST_WATCH_DELAY: Duration = Duration::from_secs(2);
 
-/// How often it is looked for records that are over.
-const LOOK_EVERY: Duration = Duration::from_secs(30);
+/// The interval at which expired records are looked for.
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_secs(30);
 
-/// How long a record that is over stays beyond its time: clocks of instances differ
-/// by seconds.
-const RECORD_MARGIN: Duration = Duration::from_secs(60);
+/// How long a record is kept after it expires, because the clocks of instances
+/// differ by seconds.
+const EXPIRY_MARGIN: Duration = Duration::from_secs(60);
 
-/// What stands in the store of one condemned request.
+/// The record of one condemned request in the store.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct PoisonRecord {
-    /// The endpoints that ended under it.
+    /// The endpoints that crashed under the request.
     endpoints: Vec<EndpointIncarnation>,
     /// When it was condemned, in milliseconds of Unix time.
     condemned_unix_ms: u64,
 }
 
-/// The records in the store, as far as they are known.
+/// The known records in the store.
 #[derive(Debug, Default)]
 pub(crate) struct PoisonRecords(HashMap<RequestDigest, KnownRecord>);
 
 #[derive(Clone, Copy, Debug)]
 struct KnownRecord {
     revision: Revision,
-    /// When it is over.
-    over_at: Instant,
-    /// Whether a run of the request has ended well since.
+    /// When the record may be deleted.
+    expires_at: Instant,
+    /// Whether a run of the request has succeeded since.
     is_refuted: bool,
 }
 
-/// What is to be done in the store.
-enum Task {
+/// A pending change of the records in the store.
+enum RecordChange {
     Write(Condemned),
     Delete(RequestDigest, Revision),
 }
 
-/// Takes in the records of condemned requests.
+/// Handles the records of condemned requests.
 pub(crate) struct PoisonRequests {
-    node: Rc<FleetNode>,
-    /// Whether it has not paused yet.
+    instance: Rc<FleetInstance>,
+    /// Whether the first pause is still to come.
     is_first: Cell<bool>,
 }
 
-impl Follower for PoisonRequests {
+impl ObjectHandler for PoisonRequests {
     const KIND: &'static str = POISON_KIND;
-    const WATCH: Duration = QUIET_WATCH;
+    const WATCH_TIMEOUT: Duration = DEFAULT_WATCH_TIMEOUT;
 
     fn pause(&self) -> Duration {
         if self.is_first.take() {
-            return FIRST_WATCH_AFTER;
+            return FIRST_WATCH_DELAY;
         }
-        match is_watcher(&self.node) {
+        match is_watcher(&self.instance) {
             true => Duration::ZERO,
-            false => OTHERS_LIST_EVERY,
+            false => RELIST_INTERVAL,
         }
     }
 
-    fn notify(&self) -> Rc<Notify> {
-        self.node.poison_notify.clone()
+    fn relist_notify(&self) -> Rc<Notify> {
+        self.instance.poison_notify.clone()
     }
 
-    fn list(&self, listing: Listing) {
+    fn handle_list(&self, listing: Listing) {
         let is_listed = |digest: &RequestDigest| {
             let name = digest.to_string();
             listing.objects.iter().any(|object| object.name == name)
         };
-        // A list that is seconds old does not show what is newer.
+        // A list that may be seconds old does not show newer records.
         let gone: Vec<RequestDigest> = self
-            .node
+            .instance
             .poison_records
             .borrow()
             .0
@@ -129,13 +132,13 @@
             self.record_gone(digest);
         }
         for object in &listing.objects {
-            self.take(object);
+            self.apply(object);
         }
     }
 
-    fn change(&self, change: Change) {
+    fn handle_change(&self, change: Change) {
         if !change.is_deleted {
-            return self.take(&change.object);
+            return self.apply(&change.object);
         }
         if let Some(digest) = RequestDigest::parse(&change.object.name) {
             self.record_gone(digest);
@@ -144,11 +147,14 @@
 }
 
 impl PoisonRequests {
-    pub(crate) fn new(node: &Rc<FleetNode>) -> PoisonRequests {
-        PoisonRequests { node: node.clone(), is_first: Cell::new(true) }
+    pub(crate) fn new(instance: &Rc<FleetInstance>) -> PoisonRequests {
+        PoisonRequests {
+            instance: instance.clone(),
+            is_first: Cell::new(true),
+        }
     }
 
-    fn take(&self, object: &StoredObject) {
+    fn apply(&self, object: &StoredObject) {
         let Some(digest) = RequestDigest::parse(&object.name) else {
             let name = &object.name;
             tracing::error!(event = "poison_record_unreadable", name);
@@ -167,67 +173,81 @@
         let left = CONDEMNED_FOR.saturating_sub(ago);
         let endpoints = record.endpoints;
         let condemned = Condemned { digest, ms_ago, endpoints };
-        let taken_in = poison::take_in(&self.node, &condemned, "store");
+        let outcome =
+            poison::merge_condemned(&self.instance, &condemned, "store");
         let known = KnownRecord {
             revision: object.revision,
-            over_at: Instant::now() + left + RECORD_MARGIN,
-            is_refuted: taken_in == MergeOutcome::Refuted,
+            expires_at: Instant::now() + left + EXPIRY_MARGIN,
+            is_refuted: outcome == MergeOutcome::Refuted,
         };
-        self.node.poison_records.borrow_mut().0.insert(digest, known);
-        notify(&self.node);
+        self.instance.poison_records.borrow_mut().0.insert(digest, known);
+        wake_record_keeper(&self.instance);
     }
 
-    /// Lets a request go whose record was deleted: it is over, or an operator says
-    /// so.
+    /// Releases a request whose record was deleted, because it expired or by
+    /// an operator.
     fn record_gone(&self, digest: RequestDigest) {
-        if self.node.poison_records.borrow_mut().0.remove(&digest).is_none() {
+        if self
+            .instance
+            .poison_records
+            .borrow_mut()
+            .0
+            .remove(&digest)
+            .is_none()
+        {
             return;
         }
         tracing::info!(event = "poison_released", %digest);
-        self.node.poison.borrow_mut().release(digest, Instant::now());
+        self.instance.poison.borrow_mut().release(digest, Instant::now());
     }
 }
 
-fn is_watcher(node: &FleetNode) -> bool {
-    node.rank(0) < FRESH_WATCHERS
+fn is_watcher(instance: &FleetInstance) -> bool {
+    instance.rank(0) < FRESH_WATCHERS
 }
 
-/// Begins to watch the records if that has become this instance's part: those before
-/// it have left, or it hears them no longer.
-pub(crate) fn note_rank(node: &FleetNode) {
-    let is_watcher = is_watcher(node);
-    if is_watcher && !node.watches_poison.replace(is_watcher) {
-        node.poison_notify.notify();
+/// Updates whether this instance watches the records for all instances, and
+/// starts to watch if it newly does, because the instances that came before it
+/// have left or are silent.
+pub(crate) fn update_watcher_role(instance: &FleetInstance) {
+    let is_watcher = is_watcher(instance);
+    if is_watcher && !instance.is_poison_watcher.replace(is_watcher) {
+        instance.poison_notify.notify();
     }
-    node.watches_poison.set(is_watcher);
+    instance.is_poison_watcher.set(is_watcher);
 }
 
-/// Notes that a run of a request ended well: its record is to go.
-pub(crate) fn refute(node: &FleetNode, digest: RequestDigest) {
-    if let Some(known) = node.poison_records.borrow_mut().0.get_mut(&digest) {
+/// Marks the record of a request for deletion, because a run of the request
+/// succeeded.
+pub(crate) fn mark_refuted(instance: &FleetInstance, digest: RequestDigest) {
+    if let Some(known) =
+        instance.poison_records.borrow_mut().0.get_mut(&digest)
+    {
         known.is_refuted = true;
     }
-    notify(node);
+    wake_record_keeper(instance);
 }
 
-/// Wakes the part that keeps the records.
-pub(crate) fn notify(node: &FleetNode) {
-    node.poison_records_notify.notify();
+/// Wakes the task that keeps the records.
+pub(crate) fn wake_record_keeper(instance: &FleetInstance) {
+    instance.poison_records_notify.notify();
 }
 
-/// Writes what is condemned and not in the store, and deletes what is over, for ever.
-pub(crate) async fn keep_records(node: Rc<FleetNode>) {
+/// Writes missing records of condemned requests, and deletes expired ones.
+/// Never returns.
+pub(crate) async fn keep_records(instance: Rc<FleetInstance>) {
     let mut back_off = BackOff::default();
     loop {
-        node.poison_records_notify.wait(LOOK_EVERY).await;
-        while let Some(task) = next_task(&node) {
-            // Whoever comes first does it, and tells the others by it.
-            let rank = node.rank(0) as u32;
-            compio::time::sleep(WRITE_AFTER * rank).await;
-            if !is_still_due(&node, &task) {
+        instance.poison_records_notify.wait(EXPIRY_CHECK_INTERVAL).await;
+        while let Some(pending) = next_change(&instance) {
+            // The instance of the first rank makes the change, which the
+            // others then see in the store.
+            let rank = instance.rank(0) as u32;
+            compio::time::sleep(WRITE_DELAY_PER_RANK * rank).await;
+            if !is_still_due(&instance, &pending) {
                 continue;
             }
-            match carry_out(&node, &task).await {
+            match make_change(&instance, &pending).await {
                 Ok(()) => back_off.answered(),
                 Err(err) => {
                     let cause = err.to_string();
@@ -240,48 +260,52 @@
     }
 }
 
-fn next_task(node: &FleetNode) -> Option<Task> {
+fn next_change(instance: &FleetInstance) -> Option<RecordChange> {
     let now = Instant::now();
-    let records = node.poison_records.borrow();
-    let condemned = node.poison.borrow().condemned(now);
+    let records = instance.poison_records.borrow();
+    let condemned = instance.poison.borrow().condemned(now);
     let unwritten =
         condemned.into_iter().find(|c| !records.0.contains_key(&c.digest));
     if let Some(unwritten) = unwritten {
-        return Some(Task::Write(unwritten));
+        return Some(RecordChange::Write(unwritten));
     }
-    let verdict = |digest| node.poison.borrow().verdict(digest, now);
+    let verdict = |digest| instance.poison.borrow().verdict(digest, now);
     let needless = records.0.iter().find(|(digest, known)| {
-        (known.is_refuted || now >= known.over_at)
+        (known.is_refuted || now >= known.expires_at)
             && verdict(**digest).is_none()
     });
-    needless.map(|(digest, known)| Task::Delete(*digest, known.revision))
+    needless
+        .map(|(digest, known)| RecordChange::Delete(*digest, known.revision))
 }
 
-fn is_still_due(node: &FleetNode, task: &Task) -> bool {
-    let digest = match task {
-        Task::Write(condemned) => condemned.digest,
-        Task::Delete(digest, _) => *digest,
+fn is_still_due(instance: &FleetInstance, pending: &RecordChange) -> bool {
+    let digest = match pending {
+        RecordChange::Write(condemned) => condemned.digest,
+        RecordChange::Delete(digest, _) => *digest,
     };
-    let is_known = node.poison_records.borrow().0.contains_key(&digest);
-    let verdict = node.poison.borrow().verdict(digest, Instant::now());
-    match task {
-        Task::Write(_) => !is_known && verdict.is_some(),
-        Task::Delete(..) => is_known && verdict.is_none(),
+    let is_known = instance.poison_records.borrow().0.contains_key(&digest);
+    let verdict = instance.poison.borrow().verdict(digest, Instant::now());
+    match pending {
+        RecordChange::Write(_) => !is_known && verdict.is_some(),
+        RecordChange::Delete(..) => is_known && verdict.is_none(),
     }
 }
 
-async fn carry_out(node: &FleetNode, task: &Task) -> Result<(), StoreError> {
-    match task {
-        Task::Write(condemned) => write(node, condemned).await,
-        Task::Delete(digest, revision) => {
+async fn make_change(
+    instance: &FleetInstance,
+    pending: &RecordChange,
+) -> Result<(), StoreError> {
+    match pending {
+        RecordChange::Write(condemned) => write(instance, condemned).await,
+        RecordChange::Delete(digest, revision) => {
             let name = digest.to_string();
             let deleted =
-                node.store.delete(POISON_KIND, &name, *revision).await;
+                instance.store.delete(POISON_KIND, &name, *revision).await;
             match deleted {
                 Err(StoreError::Missing | StoreError::Conflict(_)) => {}
                 deleted => deleted?,
             }
-            node.poison_records.borrow_mut().0.remove(digest);
+            instance.poison_records.borrow_mut().0.remove(digest);
             tracing::info!(event = "poison_record_deleted", %digest);
             Ok(())
         }
@@ -289,7 +313,7 @@
 }
 
 async fn write(
-    node: &FleetNode,
+    instance: &FleetInstance,
     condemned: &Condemned,
 ) -> Result<(), StoreError> {
     let Condemned { digest, ms_ago, endpoints } = condemned;
@@ -300,18 +324,20 @@
     let spec = serde_json::to_value(&record)
         .map_err(|err| StoreError::Unclear(err.to_string()))?;
     let name = digest.to_string();
-    let revision = match node.store.create(POISON_KIND, &name, &spec).await {
+    let revision = match instance.store.create(POISON_KIND, &name, &spec).await
+    {
         Ok(object) => object.revision,
-        // Another instance has written it; until it is read, no list shows that it
+        // Another instance has written the record. Its revision is unknown
+        // until it is read, and until then no list counts as showing that it
         // is gone.
         Err(StoreError::Conflict(known)) => {
             known.map_or(Revision::MAX, |object| object.revision)
         }
         Err(err) => return Err(err),
     };
-    let over_at = Instant::now() + CONDEMNED_FOR + RECORD_MARGIN;
-    let known = KnownRecord { revision, over_at, is_refuted: false };
-    node.poison_records.borrow_mut().0.insert(*digest, known);
+    let expires_at = Instant::now() + CONDEMNED_FOR + EXPIRY_MARGIN;
+    let known = KnownRecord { revision, expires_at, is_refuted: false };
+    instance.poison_records.borrow_mut().0.insert(*digest, known);
     tracing::info!(event = "poison_record_written", %digest, revision);
     Ok(())
 }
