--- a/crates/coordination/src/config_version.rs
+++ b/crates/coordination/src/config_version.rs
@@ -111,17 +111,18 @@
     /// encoded.
     pub fn from_config(config: &Config) -> Result<ChunkedConfig, ConfigError> {
         let mut buckets: BTreeMap<u64, Vec<&AdapterConfig>> = BTreeMap::new();
-        let chunks_len = adapter_chunks(config.adapters.len());
+        let chunk_count = adapter_chunk_count(config.adapters.len());
         for adapter in &config.adapters {
-            let idx = xxh3_64(adapter.name.as_bytes()) % chunks_len;
+            let idx = xxh3_64(adapter.name.as_bytes()) % chunk_count;
             buckets.entry(idx).or_default().push(adapter);
         }
-        let rest = Config { adapters: Vec::new(), ..clone_rest(config) };
-        let base = chunk(&rest)?;
+        let base_config =
+            Config { adapters: Vec::new(), ..clone_without_adapters(config) };
+        let base = encode_chunk(&base_config)?;
         let mut adapters = BTreeMap::new();
         for (idx, mut members) in buckets {
             members.sort_by(|a, b| a.name.cmp(&b.name));
-            adapters.insert(idx, chunk(&members)?);
+            adapters.insert(idx, encode_chunk(&members)?);
         }
         Ok(ChunkedConfig { base, adapters })
     }
@@ -218,8 +219,8 @@
             chunks.insert(chunk.hash, chunk.content);
         }
         let config = assemble(&head, &chunks)?;
-        let wanted: HashSet<&ChunkHash> = head.chunks().collect();
-        chunks.retain(|hash, _| wanted.contains(hash));
+        let referenced: HashSet<&ChunkHash> = head.chunks().collect();
+        chunks.retain(|hash, _| referenced.contains(hash));
         self.chunks = chunks;
         self.head = head;
         Ok(Some(config))
@@ -253,12 +254,12 @@
 
 /// A power of two, so that the chunks of a growing configuration change
 /// seldom.
-fn adapter_chunks(adapters_len: usize) -> u64 {
-    let wanted = (adapters_len as u64).div_ceil(ADAPTERS_PER_CHUNK).max(1);
-    wanted.next_power_of_two().min(MAX_ADAPTER_CHUNKS)
+fn adapter_chunk_count(adapters_len: usize) -> u64 {
+    let min_count = (adapters_len as u64).div_ceil(ADAPTERS_PER_CHUNK).max(1);
+    min_count.next_power_of_two().min(MAX_ADAPTER_CHUNKS)
 }
 
-fn clone_rest(config: &Config) -> Config {
+fn clone_without_adapters(config: &Config) -> Config {
     Config {
         base_models: config.base_models.clone(),
         adapters: Vec::new(),
@@ -270,7 +271,7 @@
     }
 }
 
-fn chunk<T: Serialize>(value: &T) -> Result<Chunk, ConfigError> {
+fn encode_chunk<T: Serialize>(value: &T) -> Result<Chunk, ConfigError> {
     let content = serde_json::to_vec(value).map_err(ConfigError::Encode)?;
     let hash = content_hash(&content);
     if content.len() > MAX_VALUE_LEN {
--- a/crates/coordination/src/handover.rs
+++ b/crates/coordination/src/handover.rs
@@ -54,7 +54,7 @@
         let order_from = match before {
             Some(before) if taken.is_handover_pending => {
                 match before.holder == taken.holder {
-                    true => self.due(before.epoch, now),
+                    true => self.first_order_at(before.epoch, now),
                     false => ended + self.delay,
                 }
             }
@@ -65,7 +65,7 @@
     }
 
     /// Returns when the first order of a lease of ours was due.
-    fn due(&self, epoch: Epoch, now: Instant) -> Instant {
+    fn first_order_at(&self, epoch: Epoch, now: Instant) -> Instant {
         let known = self.last.filter(|(known, _)| *known == epoch);
         known.map_or(now + self.delay, |(_, order_from)| order_from)
     }
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -61,11 +61,11 @@
     /// Whether endpoints may still hear the holder before this one: the turn
     /// between the two has not passed. A record of a release that did not say
     /// so makes its own holder wait once more.
-    #[serde(rename = "is_turn_pending", default = "unknown_is_pending")]
+    #[serde(rename = "is_turn_pending", default = "default_handover_pending")]
     pub is_handover_pending: bool,
 }
 
-fn unknown_is_pending() -> bool {
+fn default_handover_pending() -> bool {
     true
 }
 
@@ -130,14 +130,14 @@
 pub struct Held {
     record: LeaseRecord,
     version: ObjectVersion,
-    renewed: Instant,
+    renewed_at: Instant,
 }
 
 /// A lease in one of its states.
 #[derive(Clone, Debug)]
 pub struct Lease<S> {
     state: S,
-    times: LeaseTiming,
+    timing: LeaseTiming,
 }
 
 /// What became of an attempt to take a lease.
@@ -174,9 +174,9 @@
 
 impl Lease<Watching> {
     /// Returns a lease of which nothing is known.
-    pub fn new(shard: ShardId, times: LeaseTiming) -> Lease<Watching> {
+    pub fn new(shard: ShardId, timing: LeaseTiming) -> Lease<Watching> {
         let state = Watching { shard, seen: None, unchanged_since: None };
-        Lease { state, times }
+        Lease { state, timing }
     }
 
     /// Takes in what the platform holds now.
@@ -209,8 +209,8 @@
         if stored.record.is_released {
             return true;
         }
-        let patience = self.times.time_to_live + self.times.margin;
-        now.saturating_duration_since(since) >= patience
+        let required_wait = self.timing.time_to_live + self.timing.margin;
+        now.saturating_duration_since(since) >= required_wait
     }
 
     /// Returns when the lease that was seen last has ended at the latest, on
@@ -218,14 +218,17 @@
     /// or sooner if its holder said so of just this renewal.
     pub fn latest_expiry(
         &self,
-        noted: Option<AnnouncedLease>,
+        announced: Option<AnnouncedLease>,
     ) -> Option<Instant> {
         let record = &self.state.seen.as_ref()?.record;
-        let seen = self.state.unchanged_since? + self.times.time_to_live;
-        let noted = noted.filter(|noted| {
-            (noted.epoch, noted.renewal) == (record.epoch, record.renewal)
+        let seen = self.state.unchanged_since? + self.timing.time_to_live;
+        let announced = announced.filter(|announced| {
+            (announced.epoch, announced.renewal)
+                == (record.epoch, record.renewal)
         });
-        Some(noted.map_or(seen, |noted| noted.expires_by.min(seen)))
+        Some(
+            announced.map_or(seen, |announced| announced.expires_by.min(seen)),
+        )
     }
 
     /// Tries to take a free lease.
@@ -252,7 +255,7 @@
         };
         let expected = seen.map(|stored| stored.version);
         let write = LeaseWrite { record, expected };
-        Lease { state: Acquiring { write, sent: now }, times: self.times }
+        Lease { state: Acquiring { write, sent: now }, timing: self.timing }
     }
 }
 
@@ -290,10 +293,10 @@
         stored: Option<StoredLease>,
         now: Instant,
     ) -> AcquireOutcome {
-        let is_ours = stored
-            .as_ref()
-            .is_some_and(|s| is_same_holding(&s.record, self.own()));
-        if let (true, Some(stored)) = (is_ours, &stored) {
+        let is_own_record = stored.as_ref().is_some_and(|s| {
+            is_same_holder_and_epoch(&s.record, self.attempted_record())
+        });
+        if let (true, Some(stored)) = (is_own_record, &stored) {
             return AcquireOutcome::Held(self.into_held(stored.version));
         }
         let mut watching = self.into_watching(now);
@@ -301,7 +304,7 @@
         AcquireOutcome::Lost(watching)
     }
 
-    fn own(&self) -> &LeaseRecord {
+    fn attempted_record(&self) -> &LeaseRecord {
         &self.state.write.record
     }
 
@@ -309,14 +312,14 @@
         let state = Held {
             record: self.state.write.record,
             version,
-            renewed: self.state.sent,
+            renewed_at: self.state.sent,
         };
-        Lease { state, times: self.times }
+        Lease { state, timing: self.timing }
     }
 
     fn into_watching(self, now: Instant) -> Lease<Watching> {
         let _ = now;
-        Lease::new(self.state.write.record.shard, self.times)
+        Lease::new(self.state.write.record.shard, self.timing)
     }
 }
 
@@ -335,14 +338,14 @@
     ///
     /// Ask this before each order to an endpoint that does not check fences.
     pub fn is_current(&self, now: Instant) -> bool {
-        let elapsed = now.saturating_duration_since(self.state.renewed);
-        elapsed < self.times.time_to_live
+        let elapsed = now.saturating_duration_since(self.state.renewed_at);
+        elapsed < self.timing.time_to_live
     }
 
     /// Returns whether a renewal is due.
     pub fn is_renewal_due(&self, now: Instant) -> bool {
-        let elapsed = now.saturating_duration_since(self.state.renewed);
-        elapsed >= self.times.renew_every
+        let elapsed = now.saturating_duration_since(self.state.renewed_at);
+        elapsed >= self.timing.renew_every
     }
 
     /// Notes that the turn after the holder before has passed, so that the next
@@ -380,7 +383,7 @@
             WriteAnswer::Done(version) => {
                 self.state.record = write.record;
                 self.state.version = version;
-                self.state.renewed = sent;
+                self.state.renewed_at = sent;
                 RenewOutcome::Held(self)
             }
             WriteAnswer::Unclear => RenewOutcome::Held(self),
@@ -401,8 +404,10 @@
     ) -> RenewOutcome {
         match stored {
             Some(stored)
-                if is_same_holding(&stored.record, &self.state.record)
-                    && !stored.record.is_released =>
+                if is_same_holder_and_epoch(
+                    &stored.record,
+                    &self.state.record,
+                ) && !stored.record.is_released =>
             {
                 self.state.record = stored.record;
                 self.state.version = stored.version;
@@ -419,11 +424,11 @@
     /// Gives up a lease that has lapsed or was released.
     pub fn into_watching(self, now: Instant) -> Lease<Watching> {
         let _ = now;
-        Lease::new(self.state.record.shard, self.times)
+        Lease::new(self.state.record.shard, self.timing)
     }
 }
 
-fn is_same_holding(a: &LeaseRecord, b: &LeaseRecord) -> bool {
+fn is_same_holder_and_epoch(a: &LeaseRecord, b: &LeaseRecord) -> bool {
     a.holder == b.holder
         && a.incarnation == b.incarnation
         && a.epoch == b.epoch
--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -138,15 +138,19 @@
 /// All of our own instances, as one of them sees it.
 #[derive(Clone, Debug)]
 pub struct Membership {
-    times: MembershipTimeouts,
+    timeouts: MembershipTimeouts,
     peers: BTreeMap<InstanceId, Peer>,
     listed: BTreeMap<InstanceId, ListedInstance>,
 }
 
 impl Membership {
     /// Returns a membership that knows nobody.
-    pub fn new(times: MembershipTimeouts) -> Membership {
-        Membership { times, peers: BTreeMap::new(), listed: BTreeMap::new() }
+    pub fn new(timeouts: MembershipTimeouts) -> Membership {
+        Membership {
+            timeouts,
+            peers: BTreeMap::new(),
+            listed: BTreeMap::new(),
+        }
     }
 
     /// Takes in the platform's list.
@@ -165,7 +169,7 @@
         heartbeat: Heartbeat,
         now: Instant,
     ) -> bool {
-        let silent_after = self.times.silent_after;
+        let silent_after = self.timeouts.silent_after;
         let Some(peer) = self.peers.get_mut(&heartbeat.instance) else {
             self.insert(heartbeat, now);
             return true;
@@ -191,7 +195,7 @@
     pub fn is_live(&self, instance: &str, now: Instant) -> bool {
         let Some(peer) = self.peers.get(instance) else { return false };
         let silence = now.saturating_duration_since(peer.last_heard);
-        silence <= self.times.silent_after
+        silence <= self.timeouts.silent_after
             && !peer.last_heartbeat.is_leaving
             && !self.is_listed_leaving(instance)
     }
@@ -200,8 +204,9 @@
     /// for long enough after its recent absences.
     pub fn is_stable(&self, instance: &str, now: Instant) -> bool {
         let Some(peer) = self.peers.get(instance) else { return false };
-        let lived = now.saturating_duration_since(peer.live_since);
-        self.is_live(instance, now) && lived >= self.times.damping * peer.flaps
+        let live_for = now.saturating_duration_since(peer.live_since);
+        self.is_live(instance, now)
+            && live_for >= self.timeouts.damping * peer.flaps
     }
 
     /// Returns the names of the steady instances, in order.
@@ -225,9 +230,10 @@
 
     /// Returns where an instance is reached, heard of or listed.
     pub fn url_of(&self, id: &str) -> Option<&str> {
-        let heard =
+        let heartbeat_value =
             self.peers.get(id).map(|p| p.last_heartbeat.peer_url.as_str());
-        heard.or_else(|| self.listed.get(id).map(|l| l.address.as_str()))
+        heartbeat_value
+            .or_else(|| self.listed.get(id).map(|l| l.address.as_str()))
     }
 
     /// Returns where all known instances are reached, heard of or listed.
@@ -281,9 +287,10 @@
 
     /// Returns the availability zone of an instance, heard of or listed.
     pub fn zone_of(&self, id: &str) -> Option<&str> {
-        let heard =
+        let heartbeat_value =
             self.peers.get(id).map(|peer| peer.last_heartbeat.zone.as_str());
-        heard.or_else(|| self.listed.get(id).map(|l| l.zone.as_str()))
+        heartbeat_value
+            .or_else(|| self.listed.get(id).map(|l| l.zone.as_str()))
     }
 
     /// Returns whom to send heartbeats to.
@@ -315,7 +322,7 @@
 
     /// Forgets peers that have been absent for long and are not listed.
     pub fn remove_expired(&mut self, now: Instant) {
-        let forget_after = self.times.forget_after;
+        let forget_after = self.timeouts.forget_after;
         let listed = &self.listed;
         self.peers.retain(|id, peer| {
             let silence = now.saturating_duration_since(peer.last_heard);
--- a/crates/coordination/src/rendezvous.rs
+++ b/crates/coordination/src/rendezvous.rs
@@ -7,25 +7,27 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Returns how much a node prefers to own a key.
-pub fn score(node: &str, key: &str) -> u64 {
+pub fn score(member: &str, key: &str) -> u64 {
     let seed = xxh3_64_with_seed(key.as_bytes(), 0);
-    xxh3_64_with_seed(node.as_bytes(), seed)
+    xxh3_64_with_seed(member.as_bytes(), seed)
 }
 
 /// Returns the node that prefers most to own a key.
 pub fn owner<'a>(
-    nodes: impl IntoIterator<Item = &'a str>,
+    members: impl IntoIterator<Item = &'a str>,
     key: &str,
 ) -> Option<&'a str> {
-    nodes.into_iter().max_by_key(|node| (score(node, key), *node))
+    members.into_iter().max_by_key(|member| (score(member, key), *member))
 }
 
 /// Returns the nodes in order of preference for a key.
 pub fn ranking<'a>(
-    nodes: impl IntoIterator<Item = &'a str>,
+    members: impl IntoIterator<Item = &'a str>,
     key: &str,
 ) -> Vec<&'a str> {
-    let mut ranked: Vec<&str> = nodes.into_iter().collect();
-    ranked.sort_by_key(|node| std::cmp::Reverse((score(node, key), *node)));
+    let mut ranked: Vec<&str> = members.into_iter().collect();
+    ranked.sort_by_key(|member| {
+        std::cmp::Reverse((score(member, key), *member))
+    });
     ranked
 }
--- a/crates/coordination/src/timeline.rs
+++ b/crates/coordination/src/timeline.rs
@@ -145,8 +145,8 @@
 }
 
 /// Merges the time lines of several processes, causes first.
-pub fn merge(lines: Vec<Vec<Event>>) -> Vec<Event> {
-    let mut events: Vec<Event> = lines.into_iter().flatten().collect();
+pub fn merge(timelines: Vec<Vec<Event>>) -> Vec<Event> {
+    let mut events: Vec<Event> = timelines.into_iter().flatten().collect();
     events.sort_by(|a, b| (a.stamp, &a.instance).cmp(&(b.stamp, &b.instance)));
     events
 }
