--- a/crates/protocol/src/caller.rs
+++ b/crates/protocol/src/caller.rs
@@ -139,7 +139,7 @@
         headers: &HeaderMap,
     ) -> Result<CallOptions, CallerError> {
         Ok(CallOptions {
-            caller: text(headers, CALLER_HEADER).map(str::to_owned),
+            caller: header_str(headers, CALLER_HEADER).map(str::to_owned),
             priority: urgency(headers)?.map(Priority::from_urgency),
             deadline: deadline(headers)?,
             is_repeatable: repeatable(headers)?,
@@ -168,12 +168,14 @@
     pub data: Vec<ModelEntry>,
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_str<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
 fn urgency(headers: &HeaderMap) -> Result<Option<u8>, CallerError> {
-    let Some(value) = text(headers, PRIORITY_HEADER) else { return Ok(None) };
+    let Some(value) = header_str(headers, PRIORITY_HEADER) else {
+        return Ok(None);
+    };
     let param = value
         .split(',')
         .map(str::trim)
@@ -186,13 +188,15 @@
 }
 
 fn deadline(headers: &HeaderMap) -> Result<Option<Duration>, CallerError> {
-    if let Some(value) = text(headers, DEADLINE_HEADER) {
+    if let Some(value) = header_str(headers, DEADLINE_HEADER) {
         let parsed = value.trim().parse::<u64>();
         return parsed.map(|ms| Some(Duration::from_millis(ms))).map_err(
             |_| header_error(DEADLINE_HEADER, value, "milliseconds"),
         );
     }
-    let Some(value) = text(headers, PREFER_HEADER) else { return Ok(None) };
+    let Some(value) = header_str(headers, PREFER_HEADER) else {
+        return Ok(None);
+    };
     let wait = value
         .split(',')
         .map(str::trim)
@@ -204,7 +208,7 @@
 }
 
 fn repeatable(headers: &HeaderMap) -> Result<Option<bool>, CallerError> {
-    match text(headers, REPEATABLE_HEADER) {
+    match header_str(headers, REPEATABLE_HEADER) {
         None => Ok(None),
         Some("?1") => Ok(Some(true)),
         Some("?0") => Ok(Some(false)),
--- a/crates/protocol/src/file.rs
+++ b/crates/protocol/src/file.rs
@@ -84,7 +84,7 @@
     let mut files = Vec::new();
     let mut diagnostics = Vec::new();
     for path in paths {
-        match expand(path) {
+        match read_path(path) {
             Ok(found) => files.extend(found),
             Err(err) => diagnostics.push(FileDiagnostic {
                 file: path.display().to_string(),
@@ -101,7 +101,7 @@
     }
 }
 
-fn expand(path: &Path) -> std::io::Result<Vec<SourceFile>> {
+fn read_path(path: &Path) -> std::io::Result<Vec<SourceFile>> {
     if !path.is_dir() {
         return Ok(vec![read_file(path)?]);
     }
@@ -127,13 +127,13 @@
 ///
 /// With every fault that was found, in all files.
 pub fn parse(files: &[SourceFile]) -> Result<Config, FileError> {
-    let mut reader = Reader::default();
+    let mut reader = ConfigReader::default();
     for file in files {
         reader.read(file);
     }
-    let Reader { config, mut diagnostics, places, .. } = reader;
+    let ConfigReader { config, mut diagnostics, locations, .. } = reader;
     for error in config.validation_errors() {
-        diagnostics.push(place_fault(&places, &error.path, error.cause));
+        diagnostics.push(locate_error(&locations, &error.path, error.cause));
     }
     if diagnostics.is_empty() {
         Ok(config)
@@ -144,21 +144,21 @@
 
 /// Where a field of the merged configuration came from.
 #[derive(Clone, Debug)]
-struct Place {
+struct SourceLocation {
     file: String,
     line: u64,
     field: String,
 }
 
-fn place_fault(
-    places: &HashMap<String, Place>,
+fn locate_error(
+    locations: &HashMap<String, SourceLocation>,
     path: &str,
     cause: String,
 ) -> FileDiagnostic {
     let item = path.split_once(']').map(|(head, _)| format!("{head}]"));
-    let exact = places.get(path);
-    let found = exact.or_else(|| places.get(&item?));
-    let Some(place) = found else {
+    let exact = locations.get(path);
+    let found = exact.or_else(|| locations.get(&item?));
+    let Some(location) = found else {
         return FileDiagnostic {
             file: "(all files)".to_owned(),
             line: 0,
@@ -167,10 +167,15 @@
         };
     };
     let field = match (exact, path.split_once(']')) {
-        (None, Some((_, rest))) => format!("{}{rest}", place.field),
-        _ => place.field.clone(),
+        (None, Some((_, rest))) => format!("{}{rest}", location.field),
+        _ => location.field.clone(),
     };
-    FileDiagnostic { file: place.file.clone(), line: place.line, field, cause }
+    FileDiagnostic {
+        file: location.file.clone(),
+        line: location.line,
+        field,
+        cause,
+    }
 }
 
 type Fields = BTreeMap<String, Spanned<Value>>;
@@ -183,7 +188,7 @@
     unknown: Vec<String>,
 }
 
-const LISTS: [&str; 5] = [
+const LIST_SECTIONS: [&str; 5] = [
     "base_models",
     "adapters",
     "endpoint_groups",
@@ -191,7 +196,7 @@
     "expected_spikes",
 ];
 
-const MAPS: [&str; 2] = ["weight_store", "policy"];
+const MAP_SECTIONS: [&str; 2] = ["weight_store", "policy"];
 
 impl<'de> Deserialize<'de> for Sections {
     fn deserialize<D: Deserializer<'de>>(
@@ -216,10 +221,10 @@
     ) -> Result<Sections, A::Error> {
         let mut sections = Sections::default();
         while let Some(name) = map.next_key::<String>()? {
-            if LISTS.contains(&name.as_str()) {
+            if LIST_SECTIONS.contains(&name.as_str()) {
                 let items = map.next_value()?;
                 sections.lists.push((name, items));
-            } else if MAPS.contains(&name.as_str()) {
+            } else if MAP_SECTIONS.contains(&name.as_str()) {
                 let fields = map.next_value()?;
                 sections.maps.push((name, fields));
             } else {
@@ -232,23 +237,23 @@
 }
 
 #[derive(Default)]
-struct Reader {
+struct ConfigReader {
     config: Config,
     diagnostics: Vec<FileDiagnostic>,
-    places: HashMap<String, Place>,
+    locations: HashMap<String, SourceLocation>,
 }
 
-impl Reader {
+impl ConfigReader {
     fn read(&mut self, file: &SourceFile) {
         let sections: Sections = match serde_saphyr::from_str_with_options(
             &file.text,
             yaml_options(),
         ) {
             Ok(sections) => sections,
-            Err(err) => return self.syntax_fault(file, &err),
+            Err(err) => return self.report_syntax_error(file, &err),
         };
         for name in sections.unknown {
-            let known = LISTS.iter().chain(&MAPS).copied();
+            let known = LIST_SECTIONS.iter().chain(&MAP_SECTIONS).copied();
             let known: Vec<&str> = known.collect();
             self.diagnostics.push(FileDiagnostic {
                 file: file.name.clone(),
@@ -270,8 +275,12 @@
         }
     }
 
-    fn syntax_fault(&mut self, file: &SourceFile, err: &serde_saphyr::Error) {
-        let line = err.location().map_or(0, |place| place.line());
+    fn report_syntax_error(
+        &mut self,
+        file: &SourceFile,
+        err: &serde_saphyr::Error,
+    ) {
+        let line = err.location().map_or(0, |location| location.line());
         let text = err.to_string();
         let cause = text.lines().next().unwrap_or("cannot be read");
         self.diagnostics.push(FileDiagnostic {
@@ -290,8 +299,8 @@
         item: Spanned<Fields>,
     ) {
         let field = format!("{section}[{idx}]");
-        let merged = format!("{section}[{}]", self.len_of(section));
-        self.note_places(file, &field, &merged, &item);
+        let merged_path = format!("{section}[{}]", self.section_len(section));
+        self.record_locations(file, &field, &merged_path, &item);
         let mut fields =
             FieldReader::new(file, field, item, &mut self.diagnostics);
         match section {
@@ -324,7 +333,7 @@
         section: &str,
         item: Spanned<Fields>,
     ) {
-        if self.places.contains_key(section) {
+        if self.locations.contains_key(section) {
             self.diagnostics.push(FileDiagnostic {
                 file: file.name.clone(),
                 line: item.referenced.line(),
@@ -333,7 +342,7 @@
             });
             return;
         }
-        self.note_places(file, section, section, &item);
+        self.record_locations(file, section, section, &item);
         let mut fields = FieldReader::new(
             file,
             section.to_owned(),
@@ -352,7 +361,7 @@
         }
     }
 
-    fn len_of(&self, section: &str) -> usize {
+    fn section_len(&self, section: &str) -> usize {
         match section {
             "base_models" => self.config.base_models.len(),
             "adapters" => self.config.adapters.len(),
@@ -362,26 +371,26 @@
         }
     }
 
-    fn note_places(
+    fn record_locations(
         &mut self,
         file: &SourceFile,
         field: &str,
-        merged: &str,
+        merged_path: &str,
         item: &Spanned<Fields>,
     ) {
-        let place = |line, field: String| Place {
+        let location = |line, field: String| SourceLocation {
             file: file.name.clone(),
             line,
             field,
         };
-        self.places.insert(
-            merged.to_owned(),
-            place(item.referenced.line(), field.to_owned()),
+        self.locations.insert(
+            merged_path.to_owned(),
+            location(item.referenced.line(), field.to_owned()),
         );
         for (name, value) in &item.value {
-            self.places.insert(
-                format!("{merged}.{name}"),
-                place(value.referenced.line(), format!("{field}.{name}")),
+            self.locations.insert(
+                format!("{merged_path}.{name}"),
+                location(value.referenced.line(), format!("{field}.{name}")),
             );
         }
     }
@@ -389,18 +398,18 @@
 
 /// A configuration as files write it.
 #[derive(Serialize)]
-struct FileForm<'a> {
+struct FileDocument<'a> {
     base_models: &'a [BaseModel],
     endpoint_groups: &'a [EndpointGroup],
     regions: &'a [Region],
     weight_store: WeightStore,
     policy: Policy,
-    expected_spikes: Vec<SpikeForm<'a>>,
+    expected_spikes: Vec<SpikeDocument<'a>>,
     adapters: &'a [AdapterConfig],
 }
 
 #[derive(Serialize)]
-struct SpikeForm<'a> {
+struct SpikeDocument<'a> {
     adapter: &'a str,
     version: &'a str,
     rate_per_s: f64,
@@ -414,14 +423,14 @@
 ///
 /// When the YAML library fails, which it does for no configuration of ours.
 pub fn to_yaml(config: &Config) -> Result<String, FileError> {
-    let spikes = config.expected_spikes.iter().map(|spike| SpikeForm {
+    let spikes = config.expected_spikes.iter().map(|spike| SpikeDocument {
         adapter: &spike.adapter,
         version: &spike.version,
         rate_per_s: spike.rate_per_s,
         starts: humantime::format_rfc3339(spike.starts).to_string(),
         lasts_s: spike.lasts.as_secs(),
     });
-    let form = FileForm {
+    let document = FileDocument {
         base_models: &config.base_models,
         endpoint_groups: &config.endpoint_groups,
         regions: &config.regions,
@@ -430,7 +439,7 @@
         expected_spikes: spikes.collect(),
         adapters: &config.adapters,
     };
-    serde_saphyr::to_string(&form).map_err(|err| FileError {
+    serde_saphyr::to_string(&document).map_err(|err| FileError {
         diagnostics: vec![FileDiagnostic {
             file: "(configuration in force)".to_owned(),
             line: 0,
@@ -468,7 +477,7 @@
     line: u64,
     fields: Fields,
     diagnostics: &'a mut Vec<FileDiagnostic>,
-    is_sound: bool,
+    is_valid: bool,
 }
 
 impl<'a> FieldReader<'a> {
@@ -484,7 +493,7 @@
             line: item.referenced.line(),
             fields: item.value,
             diagnostics,
-            is_sound: true,
+            is_valid: true,
         }
     }
 
@@ -618,11 +627,11 @@
             let line = value.referenced.line();
             self.report(&name, line, "no such field".to_owned());
         }
-        self.is_sound.then_some(item)
+        self.is_valid.then_some(item)
     }
 
     fn report(&mut self, name: &str, line: u64, cause: String) {
-        self.is_sound = false;
+        self.is_valid = false;
         self.diagnostics.push(FileDiagnostic {
             file: self.file.to_owned(),
             line,
--- a/crates/protocol/src/problem.rs
+++ b/crates/protocol/src/problem.rs
@@ -74,7 +74,7 @@
 
     /// Returns the problem that tells a refusal.
     pub fn from_refusal(refusal: &Refusal) -> Problem {
-        let (status, detail) = describe(refusal.reason);
+        let (status, detail) = status_and_detail(refusal.reason);
         let kind = refusal.reason.as_str();
         let problem = Problem::new(status, kind, RunState::NotRun, detail);
         if refusal.reason == RefusalReason::UnknownAdapter {
@@ -107,36 +107,36 @@
     }
 }
 
-fn describe(reason: RefusalReason) -> (StatusCode, &'static str) {
-    let busy = StatusCode::SERVICE_UNAVAILABLE;
+fn status_and_detail(reason: RefusalReason) -> (StatusCode, &'static str) {
+    let unavailable = StatusCode::SERVICE_UNAVAILABLE;
     match reason {
         RefusalReason::DeadlineUnreachable => {
-            (busy, "the expected wait is longer than the deadline")
+            (unavailable, "the expected wait is longer than the deadline")
         }
         RefusalReason::DeadlinePassed => {
             (StatusCode::GATEWAY_TIMEOUT, "the deadline passed in the queue")
         }
-        RefusalReason::QueueFull => (busy, "the queue is full"),
+        RefusalReason::QueueFull => (unavailable, "the queue is full"),
         RefusalReason::Shed => {
-            (busy, "the request made room for one of higher priority")
+            (unavailable, "the request made room for one of higher priority")
         }
         RefusalReason::CallerShare => (
             StatusCode::TOO_MANY_REQUESTS,
             "the caller has its share of the queue",
         ),
-        RefusalReason::NoEngine => (busy, "no engine takes work"),
+        RefusalReason::NoEngine => (unavailable, "no engine takes work"),
         RefusalReason::UnknownAdapter => (
             StatusCode::NOT_FOUND,
             "the configuration names no such adapter and version",
         ),
         RefusalReason::NotLeader | RefusalReason::NoLeader => {
-            (busy, "the shard has no leader at the moment")
+            (unavailable, "the shard has no leader at the moment")
         }
         RefusalReason::EntryFull => {
-            (busy, "the instance holds as many requests as it may")
+            (unavailable, "the instance holds as many requests as it may")
         }
         RefusalReason::RetriesSpent => {
-            (busy, "the request was turned down by engines too often")
+            (unavailable, "the request was turned down by engines too often")
         }
     }
 }
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -67,7 +67,7 @@
     pub revoke_within_ms: Option<u64>,
     /// A change that the store has acknowledged must be in force within this time,
     /// in milliseconds.
-    #[serde(default = "two_seconds_ms")]
+    #[serde(default = "default_in_force_within_ms")]
     pub in_force_within_ms: u64,
     /// A planned stop is cut off after this long, in seconds.
     pub grace_s: f64,
@@ -76,7 +76,7 @@
     pub metrics_listen: Option<SocketAddr>,
     /// This instance's part of a processor core; a larger one takes the lease
     /// on orders first.
-    #[serde(default = "whole_core")]
+    #[serde(default = "default_cpu_share")]
     pub cpu_share: f64,
     /// Whether the system has run before this start. Then an earlier life may
     /// have used what all instances may do together.
@@ -84,11 +84,11 @@
     pub has_run_before: bool,
 }
 
-fn two_seconds_ms() -> u64 {
+fn default_in_force_within_ms() -> u64 {
     2_000
 }
 
-fn whole_core() -> f64 {
+fn default_cpu_share() -> f64 {
     1.0
 }
 
@@ -192,12 +192,12 @@
         /// Line, column and cause.
         message: String,
     },
-    /// {file}: {faults}
+    /// {file}: {errors}
     Invalid {
         /// The file.
         file: String,
         /// All faults, each with its field.
-        faults: String,
+        errors: String,
     },
 }
 
@@ -242,12 +242,12 @@
     ///
     /// With all broken rules at once.
     pub fn check(&self, file: &str) -> Result<(), SettingsError> {
-        let faults = self.faults();
-        if faults.is_empty() {
+        let errors = self.validation_errors();
+        if errors.is_empty() {
             return Ok(());
         }
-        let faults = faults.join("; ");
-        Err(SettingsError::Invalid { file: file.to_owned(), faults })
+        let errors = errors.join("; ");
+        Err(SettingsError::Invalid { file: file.to_owned(), errors })
     }
 
     /// Returns the settings as YAML.
@@ -261,66 +261,66 @@
         format!("tcp://{address}")
     }
 
-    fn faults(&self) -> Vec<String> {
-        let mut faults = Vec::new();
-        let mut rule = |is_kept: bool, text: &str| {
-            if !is_kept {
-                faults.push(text.to_owned());
+    fn validation_errors(&self) -> Vec<String> {
+        let mut errors = Vec::new();
+        let mut require = |holds: bool, text: &str| {
+            if !holds {
+                errors.push(text.to_owned());
             }
         };
-        rule(!self.instance.is_empty(), "instance: must not be empty");
-        rule(!self.zone.is_empty(), "zone: must not be empty");
-        rule(
+        require(!self.instance.is_empty(), "instance: must not be empty");
+        require(!self.zone.is_empty(), "zone: must not be empty");
+        require(
             self.platform_url.starts_with("http://"),
             "platform_url: must start with http://",
         );
         let lease = &self.lease;
-        rule(
+        require(
             lease.renew_every_ms * 2 < lease.time_to_live_ms,
             "lease.renew_every_ms: must be less than half of \
              lease.time_to_live_ms",
         );
-        rule(lease.margin_ms > 0, "lease.margin_ms: must be above 0");
+        require(lease.margin_ms > 0, "lease.margin_ms: must be above 0");
         let limits = &self.limits;
-        rule(limits.requests > 0, "limits.requests: must be above 0");
-        rule(limits.connections > 0, "limits.connections: must be above 0");
-        rule(limits.body_bytes > 0, "limits.body_bytes: must be above 0");
-        rule(
+        require(limits.requests > 0, "limits.requests: must be above 0");
+        require(limits.connections > 0, "limits.connections: must be above 0");
+        require(limits.body_bytes > 0, "limits.body_bytes: must be above 0");
+        require(
             limits.deadline_ms <= limits.max_deadline_ms,
             "limits.deadline_ms: must not exceed limits.max_deadline_ms",
         );
-        rule(
+        require(
             (0.0..=1.0).contains(&limits.retry_share),
             "limits.retry_share: must be between 0 and 1",
         );
         if let Some(fleet) = &self.fleet {
-            rule(
+            require(
                 (0.0..=1.0).contains(&fleet.retry_share),
                 "fleet.retry_share: must be between 0 and 1",
             );
-            rule(
+            require(
                 fleet.retry_slack >= 0.0,
                 "fleet.retry_slack: must not be negative",
             );
-            rule(
+            require(
                 fleet.retry_window_s > 0.0,
                 "fleet.retry_window_s: must be above 0",
             );
-            rule(
+            require(
                 fleet.store_window_s > 0.0,
                 "fleet.store_window_s: must be above 0",
             );
-            rule(fleet.grace_s > 0.0, "fleet.grace_s: must be above 0");
-            rule(
+            require(fleet.grace_s > 0.0, "fleet.grace_s: must be above 0");
+            require(
                 fleet.in_force_within_ms > 0,
                 "fleet.in_force_within_ms: must be above 0",
             );
         }
-        rule(
+        require(
             self.log_level.parse::<LogLevel>().is_ok(),
             "log_level: must be error, warn, info or debug",
         );
-        faults
+        errors
     }
 }
 
