--- a/crates/coordination/tests/claim_rules.rs
+++ b/crates/coordination/tests/claim_rules.rs
@@ -14,7 +14,7 @@
 enum Step {
     Claim { claimer: usize, key: u128, request: u128 },
     Release { claimer: usize, key: u128, request: u128 },
-    Write { claimer: usize, loses_answer: bool, is_out: bool },
+    Write { claimer: usize, loses_answer: bool, is_unreachable: bool },
     Restart(usize),
     Trim(usize),
 }
@@ -29,8 +29,8 @@
             |(claimer, key, request)| Step::Release { claimer, key, request }
         ),
         6 => (claimer(), prop::bool::weighted(0.2), prop::bool::weighted(0.1))
-            .prop_map(|(claimer, loses_answer, is_out)| Step::Write {
-                claimer, loses_answer, is_out
+            .prop_map(|(claimer, loses_answer, is_unreachable)| Step::Write {
+                claimer, loses_answer, is_unreachable
             }),
         1 => claimer().prop_map(Step::Restart),
         1 => claimer().prop_map(Step::Trim),
@@ -65,9 +65,9 @@
         log.finish_recovery()
     }
 
-    fn note(
+    fn record(
         &mut self,
-        key_of: &HashMap<u128, u128>,
+        keys: &HashMap<u128, u128>,
         answers: Vec<AnsweredClaim>,
     ) {
         for answered in answers {
@@ -76,7 +76,7 @@
             {
                 continue;
             }
-            let key = key_of[&answered.request];
+            let key = keys[&answered.request];
             self.granted.entry(key).or_default().insert(answered.request);
         }
     }
@@ -91,12 +91,12 @@
     ) {
         let mut world = World::new();
         // A request has one key for ever.
-        let mut key_of: HashMap<u128, u128> = HashMap::new();
+        let mut keys: HashMap<u128, u128> = HashMap::new();
         for step in steps {
             world.time += 1;
             match step {
                 Step::Claim { claimer, key, request } => {
-                    let key = *key_of.entry(request).or_insert(key);
+                    let key = *keys.entry(request).or_insert(key);
                     if world.released.contains(&request) {
                         continue;
                     }
@@ -104,32 +104,32 @@
                     let answer = world.claimers[claimer].claim(claim);
                     if let Some(answer) = answer {
                         let answers = vec![AnsweredClaim { request, answer }];
-                        world.note(&key_of, answers);
+                        world.record(&keys, answers);
                     }
                 }
                 Step::Release { claimer, key, request } => {
-                    let key = *key_of.entry(request).or_insert(key);
-                    let has_run = world
+                    let key = *keys.entry(request).or_insert(key);
+                    let is_granted = world
                         .granted
                         .get(&key)
                         .is_some_and(|all| all.contains(&request));
-                    if has_run {
+                    if is_granted {
                         continue;
                     }
                     world.released.insert(request);
                     let claim = Claim { key, request };
                     world.claimers[claimer].release(claim);
                 }
-                Step::Write { claimer, loses_answer, is_out } => {
+                Step::Write { claimer, loses_answer, is_unreachable } => {
                     let answers = world.recover(claimer);
-                    world.note(&key_of, answers);
+                    world.record(&keys, answers);
                     let log = &mut world.claimers[claimer];
                     let write = match log.unresolved_write() {
                         Some(write) => Some(write.clone()),
                         None => log.next_write(world.time),
                     };
                     let Some(write) = write else { continue };
-                    let answer = if is_out {
+                    let answer = if is_unreachable {
                         SegmentAnswer::Unclear
                     } else if let Some(found) = world.log.get(&write.idx) {
                         SegmentAnswer::Exists(found.clone())
@@ -141,7 +141,7 @@
                         }
                     };
                     let answers = world.claimers[claimer].complete_write(answer);
-                    world.note(&key_of, answers);
+                    world.record(&keys, answers);
                 }
                 Step::Restart(claimer) => {
                     world.claimers[claimer] = ClaimLog::default();
--- a/crates/coordination/tests/config_rules.rs
+++ b/crates/coordination/tests/config_rules.rs
@@ -12,11 +12,11 @@
     config::{AdapterConfig, BaseModel, Config},
 };
 
-fn config(adapters: usize, mark: &str) -> Config {
+fn config(adapters: usize, version: &str) -> Config {
     let adapters = (0..adapters).map(|idx| AdapterConfig {
         name: format!("a{idx}"),
         base_model: "m".to_owned(),
-        versions: vec![if idx == 3 { mark.to_owned() } else { "1".into() }],
+        versions: vec![if idx == 3 { version.to_owned() } else { "1".into() }],
         priority: Priority::Normal,
     });
     let model = BaseModel { name: "m".to_owned(), shards_per_region: 1 };
--- a/crates/coordination/tests/handover_rules.rs
+++ b/crates/coordination/tests/handover_rules.rs
@@ -13,12 +13,12 @@
     },
 };
 
-const PLAYERS: usize = 3;
+const INSTANCES: usize = 3;
 
 /// Longer than the lease, so that it can lapse before a first order.
-const TURN: Duration = Duration::from_millis(3_200);
+const HANDOVER_DELAY: Duration = Duration::from_millis(3_200);
 
-const TIMES: LeaseTiming = LeaseTiming {
+const TIMING: LeaseTiming = LeaseTiming {
     time_to_live: Duration::from_millis(1_300),
     renew_every: Duration::from_millis(450),
     margin: Duration::from_millis(250),
@@ -50,15 +50,15 @@
                 self.write(write);
                 WriteAnswer::Unclear
             }
-            Fault::Late => {
+            Fault::Delayed => {
                 self.late.push(write.clone());
                 WriteAnswer::Unclear
             }
-            Fault::Out => WriteAnswer::Unclear,
+            Fault::Unreachable => WriteAnswer::Unclear,
         }
     }
 
-    fn do_late_writes(&mut self) {
+    fn apply_late_writes(&mut self) {
         for write in std::mem::take(&mut self.late) {
             self.write(&write);
         }
@@ -69,8 +69,8 @@
 enum Fault {
     None,
     AnswerLost,
-    Late,
-    Out,
+    Delayed,
+    Unreachable,
 }
 
 #[derive(Clone, Debug)]
@@ -80,7 +80,7 @@
     /// It gives an order if it may.
     Order(usize),
     /// Time passes; instances that do not act are frozen.
-    Pass(u64),
+    AdvanceClock(u64),
     /// It is killed and starts again.
     Restart(usize),
     /// It gives the lease up.
@@ -93,21 +93,21 @@
     let fault = prop_oneof![
         12 => Just(Fault::None),
         1 => Just(Fault::AnswerLost),
-        1 => Just(Fault::Late),
-        1 => Just(Fault::Out),
+        1 => Just(Fault::Delayed),
+        1 => Just(Fault::Unreachable),
     ];
     prop_oneof![
-        10 => (0..PLAYERS, fault).prop_map(|(player, f)| Step::Act(player, f)),
-        8 => (0..PLAYERS).prop_map(Step::Order),
-        8 => (1u64..900).prop_map(Step::Pass),
-        1 => (0..PLAYERS).prop_map(Step::Restart),
-        1 => (0..PLAYERS).prop_map(Step::Release),
+        10 => (0..INSTANCES, fault).prop_map(|(instance, f)| Step::Act(instance, f)),
+        8 => (0..INSTANCES).prop_map(Step::Order),
+        8 => (1u64..900).prop_map(Step::AdvanceClock),
+        1 => (0..INSTANCES).prop_map(Step::Restart),
+        1 => (0..INSTANCES).prop_map(Step::Release),
         1 => Just(Step::LateWrites),
     ]
 }
 
 /// What an instance of the fleet does with the lease on orders.
-struct Player {
+struct LeaseClient {
     candidate: Candidate,
     handover_delay: HandoverDelay,
     watching: Lease<Watching>,
@@ -115,18 +115,23 @@
 }
 
 fn new_lease() -> Lease<Watching> {
-    Lease::new("orders".to_owned(), TIMES)
+    Lease::new("orders".to_owned(), TIMING)
 }
 
-impl Player {
-    fn start(instance: usize, incarnation: u64) -> Player {
+impl LeaseClient {
+    fn start(idx: usize, incarnation: u64) -> LeaseClient {
         let candidate = Candidate {
-            instance: format!("i{instance}"),
+            instance: format!("i{idx}"),
             incarnation,
             peer_url: String::new(),
         };
-        let handover_delay = HandoverDelay::new(TURN);
-        Player { candidate, handover_delay, watching: new_lease(), held: None }
+        let handover_delay = HandoverDelay::new(HANDOVER_DELAY);
+        LeaseClient {
+            candidate,
+            handover_delay,
+            watching: new_lease(),
+            held: None,
+        }
     }
 
     fn act(&mut self, store: &mut Store, fault: Fault, now: Instant) {
@@ -135,7 +140,7 @@
                 self.renew(lease, from, store, fault, now);
             }
             Some(_) => self.watching = new_lease(),
-            None if fault == Fault::Out => {}
+            None if fault == Fault::Unreachable => {}
             None => self.take(store, fault, now),
         }
     }
@@ -194,7 +199,8 @@
         let answer = store.send(&write, fault);
         let renewed = match lease.complete_renewal(write, answer, now, now) {
             RenewOutcome::Held(lease)
-                if answer == WriteAnswer::Unclear && fault != Fault::Out =>
+                if answer == WriteAnswer::Unclear
+                    && fault != Fault::Unreachable =>
             {
                 lease.reconcile(store.stored.clone(), now)
             }
@@ -229,33 +235,33 @@
     ) {
         let mut now = Instant::now();
         let mut store = Store::default();
-        let mut players: Vec<Player> =
-            (0..PLAYERS).map(|n| Player::start(n, n as u64)).collect();
-        let mut lives = PLAYERS as u64;
+        let mut instances: Vec<LeaseClient> =
+            (0..INSTANCES).map(|n| LeaseClient::start(n, n as u64)).collect();
+        let mut last_incarnation = INSTANCES as u64;
         let mut last: Option<(usize, Instant)> = None;
         for step in steps {
             match step {
-                Step::Act(player, fault) => {
-                    players[player].act(&mut store, fault, now);
+                Step::Act(instance, fault) => {
+                    instances[instance].act(&mut store, fault, now);
                 }
-                Step::Order(player) if players[player].may_order(now) => {
-                    if let Some((other, at)) = last && other != player {
+                Step::Order(instance) if instances[instance].may_order(now) => {
+                    if let Some((other, at)) = last && other != instance {
                         prop_assert!(
-                            now - at >= TURN,
+                            now - at >= HANDOVER_DELAY,
                             "i{} ordered {:?} after i{}",
-                            player, now - at, other,
+                            instance, now - at, other,
                         );
                     }
-                    last = Some((player, now));
+                    last = Some((instance, now));
                 }
                 Step::Order(_) => {}
-                Step::Pass(ms) => now += Duration::from_millis(ms),
-                Step::Restart(player) => {
-                    lives += 1;
-                    players[player] = Player::start(player, lives);
+                Step::AdvanceClock(ms) => now += Duration::from_millis(ms),
+                Step::Restart(instance) => {
+                    last_incarnation += 1;
+                    instances[instance] = LeaseClient::start(instance, last_incarnation);
                 }
-                Step::Release(player) => players[player].release(&mut store),
-                Step::LateWrites => store.do_late_writes(),
+                Step::Release(instance) => instances[instance].release(&mut store),
+                Step::LateWrites => store.apply_late_writes(),
             }
         }
     }
@@ -263,15 +269,15 @@
 
 /// Two instances, of which the second has just taken the lapsed lease of the
 /// first, whose last order is as old as the lease.
-fn taken_over() -> (Store, Player, Instant) {
+fn taken_over() -> (Store, LeaseClient, Instant) {
     let start = Instant::now();
     let mut store = Store::default();
-    let mut first = Player::start(1, 1);
+    let mut first = LeaseClient::start(1, 1);
     first.act(&mut store, Fault::None, start);
     assert!(first.may_order(start));
-    let mut second = Player::start(2, 2);
+    let mut second = LeaseClient::start(2, 2);
     second.act(&mut store, Fault::None, start);
-    let lapsed = start + TIMES.time_to_live + TIMES.margin;
+    let lapsed = start + TIMING.time_to_live + TIMING.margin;
     second.act(&mut store, Fault::None, lapsed);
     assert!(second.held.is_some() && !second.may_order(lapsed));
     (store, second, lapsed)
@@ -285,15 +291,15 @@
 #[test]
 fn a_turn_outlasts_the_restart_of_a_holder() {
     let (mut store, _, taken) = taken_over();
-    let mut again = Player::start(2, 3);
+    let mut again = LeaseClient::start(2, 3);
     let back = taken + Duration::from_millis(300);
     again.act(&mut store, Fault::None, back);
     assert!(again.held.is_some() && !again.may_order(back));
     let mut now = back;
-    while now < back + TURN {
+    while now < back + HANDOVER_DELAY {
         assert!(!again.may_order(now));
         again.act(&mut store, Fault::None, now);
-        now += TIMES.renew_every;
+        now += TIMING.renew_every;
     }
     again.act(&mut store, Fault::None, now);
     assert!(again.may_order(now));
@@ -306,11 +312,11 @@
     let (mut store, mut second, taken) = taken_over();
     let mut now = taken;
     while !second.may_order(now) {
-        now += TIMES.renew_every;
+        now += TIMING.renew_every;
         second.act(&mut store, Fault::None, now);
     }
     second.act(&mut store, Fault::None, now);
-    let mut again = Player::start(2, 3);
+    let mut again = LeaseClient::start(2, 3);
     again.act(&mut store, Fault::None, now);
     assert!(again.may_order(now));
 }
@@ -321,7 +327,7 @@
 fn a_lapse_does_not_lengthen_a_turn() {
     let (mut store, mut second, taken) = taken_over();
     let (_, due) = *second.held.as_ref().expect("a lease");
-    let lapsed = taken + TIMES.time_to_live;
+    let lapsed = taken + TIMING.time_to_live;
     second.act(&mut store, Fault::None, lapsed);
     assert!(second.held.is_none());
     second.act(&mut store, Fault::None, lapsed);
--- a/crates/coordination/tests/lease_rules.rs
+++ b/crates/coordination/tests/lease_rules.rs
@@ -11,7 +11,7 @@
     WriteAnswer,
 };
 
-const PLAYERS: usize = 3;
+const INSTANCES: usize = 3;
 
 /// The platform's one object, with exact conditional updates.
 #[derive(Default)]
@@ -45,42 +45,42 @@
 #[derive(Clone, Debug)]
 enum Step {
     /// A player looks at the record and takes it if it is free.
-    Act { player: usize, loses_answer: bool, is_out: bool },
+    Act { instance: usize, loses_answer: bool, is_unreachable: bool },
     /// Time passes for all; players that do not act are paused.
-    Pass(u64),
+    AdvanceClock(u64),
     /// A player gives the lease up.
     Release(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        8 => (0..PLAYERS, prop::bool::weighted(0.15), prop::bool::weighted(0.1))
-            .prop_map(|(player, loses_answer, is_out)| Step::Act {
-                player, loses_answer, is_out
+        8 => (0..INSTANCES, prop::bool::weighted(0.15), prop::bool::weighted(0.1))
+            .prop_map(|(instance, loses_answer, is_unreachable)| Step::Act {
+                instance, loses_answer, is_unreachable
             }),
-        4 => (1u64..700).prop_map(Step::Pass),
-        1 => (0..PLAYERS).prop_map(Step::Release),
+        4 => (1u64..700).prop_map(Step::AdvanceClock),
+        1 => (0..INSTANCES).prop_map(Step::Release),
     ]
 }
 
-fn candidate(player: usize) -> Candidate {
+fn candidate(instance: usize) -> Candidate {
     Candidate {
-        instance: format!("i{player}"),
-        incarnation: player as u64,
+        instance: format!("i{instance}"),
+        incarnation: instance as u64,
         peer_url: String::new(),
     }
 }
 
 fn act(
     state: State,
-    player: usize,
+    instance: usize,
     platform: &mut Platform,
     now: Instant,
     loses_answer: bool,
-    is_out: bool,
+    is_unreachable: bool,
 ) -> State {
     let send = |platform: &mut Platform, write: &LeaseWrite| {
-        if is_out {
+        if is_unreachable {
             return WriteAnswer::Unclear;
         }
         let answer = platform.write(write);
@@ -88,14 +88,14 @@
     };
     match state {
         State::Watching(mut watching) => {
-            if is_out {
+            if is_unreachable {
                 return State::Watching(watching);
             }
             watching.observe(platform.stored.clone(), now);
             if !watching.is_free(now) {
                 return State::Watching(watching);
             }
-            let acquiring = watching.acquire(&candidate(player), now);
+            let acquiring = watching.acquire(&candidate(instance), now);
             let answer = send(platform, acquiring.write());
             match acquiring.complete_acquire(answer, now) {
                 AcquireOutcome::Held(held) => State::Held(held),
@@ -106,7 +106,7 @@
             }
         }
         State::Unclear(acquiring) => {
-            if is_out {
+            if is_unreachable {
                 return State::Unclear(acquiring);
             }
             match acquiring.resolve(platform.stored.clone(), now) {
@@ -122,7 +122,7 @@
             let answer = send(platform, &write);
             match held.complete_renewal(write, answer, now, now) {
                 RenewOutcome::Held(held) if answer == WriteAnswer::Unclear => {
-                    if is_out {
+                    if is_unreachable {
                         return State::Held(held);
                     }
                     match held.reconcile(platform.stored.clone(), now) {
@@ -147,27 +147,27 @@
     fn one_current_holder_at_a_time(
         steps in prop::collection::vec(step(), 1..200)
     ) {
-        let times = LeaseTiming::default();
+        let timing = LeaseTiming::default();
         let mut now = Instant::now();
         let mut platform = Platform::default();
-        let mut states: Vec<State> = (0..PLAYERS)
-            .map(|_| State::Watching(Lease::new("s".to_owned(), times)))
+        let mut states: Vec<State> = (0..INSTANCES)
+            .map(|_| State::Watching(Lease::new("s".to_owned(), timing)))
             .collect();
         for step in steps {
             match step {
-                Step::Act { player, loses_answer, is_out } => {
+                Step::Act { instance, loses_answer, is_unreachable } => {
                     let state =
-                        std::mem::replace(&mut states[player], State::Gone);
-                    states[player] = act(
-                        state, player, &mut platform, now, loses_answer,
-                        is_out,
+                        std::mem::replace(&mut states[instance], State::Gone);
+                    states[instance] = act(
+                        state, instance, &mut platform, now, loses_answer,
+                        is_unreachable,
                     );
                 }
-                Step::Pass(ms) => now += Duration::from_millis(ms),
-                Step::Release(player) => {
+                Step::AdvanceClock(ms) => now += Duration::from_millis(ms),
+                Step::Release(instance) => {
                     let state =
-                        std::mem::replace(&mut states[player], State::Gone);
-                    states[player] = match state {
+                        std::mem::replace(&mut states[instance], State::Gone);
+                    states[instance] = match state {
                         State::Held(held) => {
                             platform.write(&held.release());
                             State::Watching(held.into_watching(now))
@@ -196,16 +196,16 @@
 
 #[test]
 fn a_paused_holder_changes_nothing_when_it_wakes() {
-    let times = LeaseTiming::default();
+    let timing = LeaseTiming::default();
     let now = Instant::now();
     let mut platform = Platform::default();
-    let first = State::Watching(Lease::new("s".to_owned(), times));
+    let first = State::Watching(Lease::new("s".to_owned(), timing));
     let first = act(first, 0, &mut platform, now, false, false);
     let State::Held(paused) = first else { panic!("the lease was free") };
 
-    let mut second = State::Watching(Lease::new("s".to_owned(), times));
+    let mut second = State::Watching(Lease::new("s".to_owned(), timing));
     second = act(second, 1, &mut platform, now, false, false);
-    let later = now + times.time_to_live + times.margin;
+    let later = now + timing.time_to_live + timing.margin;
     second = act(second, 1, &mut platform, later, false, false);
     assert!(matches!(second, State::Held(_)), "the lease has lapsed");
 
@@ -219,17 +219,17 @@
 
 #[test]
 fn a_lost_answer_is_settled_by_reading_back() {
-    let times = LeaseTiming::default();
+    let timing = LeaseTiming::default();
     let now = Instant::now();
     let mut platform = Platform::default();
-    let state = State::Watching(Lease::new("s".to_owned(), times));
+    let state = State::Watching(Lease::new("s".to_owned(), timing));
     let state = act(state, 0, &mut platform, now, true, false);
     assert!(matches!(state, State::Unclear(_)));
     let state = act(state, 0, &mut platform, now, false, false);
     assert!(matches!(state, State::Held(_)));
 }
 
-const TIMES: LeaseTiming = LeaseTiming {
+const TIMING: LeaseTiming = LeaseTiming {
     time_to_live: Duration::from_millis(1_300),
     renew_every: Duration::from_millis(450),
     margin: Duration::from_millis(250),
@@ -237,7 +237,7 @@
 
 /// A lease whose record of the sixth renewal in epoch 3 was read now.
 fn watched(now: Instant) -> Lease<Watching> {
-    let mut watching = Lease::new("orders".to_owned(), TIMES);
+    let mut watching = Lease::new("orders".to_owned(), TIMING);
     let record = LeaseRecord {
         shard: "orders".to_owned(),
         holder: "i1".to_owned(),
@@ -256,15 +256,15 @@
 fn a_watched_lease_has_ended_a_time_to_live_after_its_record_was_seen() {
     let now = Instant::now();
     let ended = watched(now).latest_expiry(None);
-    assert_eq!(ended, Some(now + TIMES.time_to_live));
+    assert_eq!(ended, Some(now + TIMING.time_to_live));
 }
 
 #[test]
 fn what_its_holder_said_ends_a_lease_sooner() {
     let now = Instant::now();
     let expires_by = now + Duration::from_millis(400);
-    let noted = AnnouncedLease { epoch: 3, renewal: 6, expires_by };
-    assert_eq!(watched(now).latest_expiry(Some(noted)), Some(expires_by));
+    let announced = AnnouncedLease { epoch: 3, renewal: 6, expires_by };
+    assert_eq!(watched(now).latest_expiry(Some(announced)), Some(expires_by));
 }
 
 /// The holder has renewed since, and may believe in that.
@@ -273,8 +273,8 @@
     let now = Instant::now();
     let expires_by = now + Duration::from_millis(400);
     for (epoch, renewal) in [(3, 5), (2, 6), (3, 7)] {
-        let noted = AnnouncedLease { epoch, renewal, expires_by };
-        let ended = watched(now).latest_expiry(Some(noted));
-        assert_eq!(ended, Some(now + TIMES.time_to_live));
+        let announced = AnnouncedLease { epoch, renewal, expires_by };
+        let ended = watched(now).latest_expiry(Some(announced));
+        assert_eq!(ended, Some(now + TIMING.time_to_live));
     }
 }
--- a/crates/coordination/tests/membership_rules.rs
+++ b/crates/coordination/tests/membership_rules.rs
@@ -71,30 +71,30 @@
 #[test]
 fn a_flapping_instance_waits_longer_to_be_preferred() {
     let mut now = Instant::now();
-    let times = MembershipTimeouts::default();
-    let mut membership = Membership::new(times);
+    let timeouts = MembershipTimeouts::default();
+    let mut membership = Membership::new(timeouts);
     membership.record_heartbeat(heartbeat("a", 1), now);
     assert!(membership.is_stable("a", now));
     for flap in 1..4u32 {
-        now += times.silent_after * 2;
+        now += timeouts.silent_after * 2;
         membership.record_heartbeat(heartbeat("a", 1), now);
         assert!(membership.is_live("a", now));
         assert!(!membership.is_stable("a", now));
         let mut waited = Duration::ZERO;
         while !membership.is_stable("a", now) {
-            now += times.silent_after / 2;
-            waited += times.silent_after / 2;
+            now += timeouts.silent_after / 2;
+            waited += timeouts.silent_after / 2;
             membership.record_heartbeat(heartbeat("a", 1), now);
         }
-        assert_eq!(waited, times.damping * flap);
+        assert_eq!(waited, timeouts.damping * flap);
     }
 }
 
 #[test]
 fn heartbeats_of_a_node_stay_flat_as_nodes_are_added() {
-    let targets = |nodes: usize| {
+    let targets = |instances: usize| {
         let mut membership = Membership::new(MembershipTimeouts::default());
-        let names = (0..nodes).map(|idx| format!("i{idx}"));
+        let names = (0..instances).map(|idx| format!("i{idx}"));
         membership.observe_list(&list(names));
         membership.heartbeat_targets("i0", |id| id == "i5").len()
     };
