--- a/crates/coordination/tests/claim_rules.rs
+++ b/crates/coordination/tests/claim_rules.rs
@@ -165,7 +165,7 @@
 /// Found by the property: a claim that came before a restarted claimer had
 /// read the log was granted although the log held the key.
 #[test]
-fn a_claim_that_waits_for_recovery_is_checked_against_the_log() {
+fn claims_pending_recovery_are_checked_against_the_log() {
     let mut log = ClaimLog::default();
     let claim = Claim { key: 2, request: 1 };
     assert_eq!(log.claim(claim), None);
--- a/crates/coordination/tests/config_rules.rs
+++ b/crates/coordination/tests/config_rules.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_configuration_survives_its_chunks() {
+fn a_configuration_round_trips_through_chunks() {
     let config = config(500, "7");
     let chunked = ChunkedConfig::from_config(&config).unwrap();
     let head = chunked.head(1, "x", 1);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_damaged_chunk_is_refused_and_changes_nothing() {
+fn a_corrupt_chunk_is_rejected_without_effect() {
     let chunked = ChunkedConfig::from_config(&config(8, "1")).unwrap();
     let mut chunks: Vec<_> = chunked.chunks().cloned().collect();
     chunks[0].content.push(b' ');
--- a/crates/coordination/tests/handover_rules.rs
+++ b/crates/coordination/tests/handover_rules.rs
@@ -230,7 +230,7 @@
     #![proptest_config(ProptestConfig::with_cases(600))]
 
     #[test]
-    fn no_two_instances_order_within_a_turn(
+    fn no_two_instances_order_within_a_handover_delay(
         steps in prop::collection::vec(step(), 1..300)
     ) {
         let mut now = Instant::now();
@@ -289,7 +289,7 @@
 /// again and finds its own record.
 /// Cause: the process that knew of the turn is gone.
 #[test]
-fn a_turn_outlasts_the_restart_of_a_holder() {
+fn the_handover_delay_survives_a_restart_of_the_holder() {
     let (mut store, _, taken) = taken_over();
     let mut again = LeaseClient::start(2, 3);
     let back = taken + Duration::from_millis(300);
@@ -308,7 +308,7 @@
 /// A holder that has given orders is the same one after its restart; waiting
 /// would only stop loads.
 #[test]
-fn a_holder_whose_turn_has_passed_orders_at_once_after_a_restart() {
+fn a_holder_past_its_handover_delay_orders_at_once_after_a_restart() {
     let (mut store, mut second, taken) = taken_over();
     let mut now = taken;
     while !second.may_order(now) {
@@ -324,7 +324,7 @@
 /// A lease that lapsed and was taken again by the same process waits no longer
 /// than for the rest of the turn.
 #[test]
-fn a_lapse_does_not_lengthen_a_turn() {
+fn reacquiring_an_expired_lease_keeps_the_handover_deadline() {
     let (mut store, mut second, taken) = taken_over();
     let (_, due) = *second.held.as_ref().expect("a lease");
     let lapsed = taken + TIMING.time_to_live;
--- a/crates/coordination/tests/lease_rules.rs
+++ b/crates/coordination/tests/lease_rules.rs
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_paused_holder_changes_nothing_when_it_wakes() {
+fn a_resumed_holder_cannot_overwrite_its_successor() {
     let timing = LeaseTiming::default();
     let now = Instant::now();
     let mut platform = Platform::default();
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn a_lost_answer_is_settled_by_reading_back() {
+fn a_lost_answer_is_resolved_by_reading_back() {
     let timing = LeaseTiming::default();
     let now = Instant::now();
     let mut platform = Platform::default();
@@ -253,14 +253,14 @@
 }
 
 #[test]
-fn a_watched_lease_has_ended_a_time_to_live_after_its_record_was_seen() {
+fn a_watched_lease_expires_a_time_to_live_after_its_record_was_read() {
     let now = Instant::now();
     let ended = watched(now).latest_expiry(None);
     assert_eq!(ended, Some(now + TIMING.time_to_live));
 }
 
 #[test]
-fn what_its_holder_said_ends_a_lease_sooner() {
+fn an_announced_expiry_ends_a_watched_lease_sooner() {
     let now = Instant::now();
     let expires_by = now + Duration::from_millis(400);
     let announced = AnnouncedLease { epoch: 3, renewal: 6, expires_by };
@@ -269,7 +269,7 @@
 
 /// The holder has renewed since, and may believe in that.
 #[test]
-fn what_was_said_of_another_renewal_ends_nothing() {
+fn an_announcement_of_another_renewal_is_ignored() {
     let now = Instant::now();
     let expires_by = now + Duration::from_millis(400);
     for (epoch, renewal) in [(3, 5), (2, 6), (3, 7)] {
--- a/crates/coordination/tests/membership_rules.rs
+++ b/crates/coordination/tests/membership_rules.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn who_leaves_is_not_live_again_in_the_same_incarnation() {
+fn a_leaving_instance_is_not_live_again_in_the_same_incarnation() {
     let now = Instant::now();
     let mut membership = Membership::new(MembershipTimeouts::default());
     membership.record_heartbeat(heartbeat("a", 1), now);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_flapping_instance_waits_longer_to_be_preferred() {
+fn a_flapping_instance_needs_longer_to_become_stable() {
     let mut now = Instant::now();
     let timeouts = MembershipTimeouts::default();
     let mut membership = Membership::new(timeouts);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn heartbeats_of_a_node_stay_flat_as_nodes_are_added() {
+fn heartbeat_targets_stay_bounded_as_instances_are_added() {
     let targets = |instances: usize| {
         let mut membership = Membership::new(MembershipTimeouts::default());
         let names = (0..instances).map(|idx| format!("i{idx}"));
@@ -108,7 +108,7 @@
 /// each of 24 instances took itself for a candidate of the shard and read its
 /// lease, 48 reads a second.
 #[test]
-fn instances_that_do_not_hear_each_other_agree_on_candidates() {
+fn instances_in_a_partial_mesh_agree_on_candidates() {
     let now = Instant::now();
     let names = || (0..24).map(|idx| format!("i{idx}"));
     let mut ranked = Vec::new();
--- a/crates/protocol/tests/callers.rs
+++ b/crates/protocol/tests/callers.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_wrong_header_is_named() {
+fn an_invalid_header_is_named_in_the_error() {
     let wrong = [
         ("priority", "u=9"),
         ("sedgewall-deadline-ms", "soon"),
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn every_refusal_says_not_run_and_when_to_come_back() {
+fn every_refusal_states_not_run_and_a_retry_delay() {
     let reasons = [
         RefusalReason::DeadlineUnreachable,
         RefusalReason::DeadlinePassed,
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn settings_report_all_faults() {
+fn settings_report_all_errors() {
     let text = "\
 instance: ''
 zone: leuven
@@ -115,7 +115,7 @@
 
 proptest! {
     #[test]
-    fn bytes_that_are_no_message_are_refused(
+    fn decoding_arbitrary_bytes_does_not_panic(
         bytes in prop::collection::vec(any::<u8>(), 0..300)
     ) {
         // Must not panic; a random message that decodes must encode again.
--- a/crates/protocol/tests/files.rs
+++ b/crates/protocol/tests/files.rs
@@ -2,7 +2,7 @@
 
 use sedgewall_protocol::file::{SourceFile, parse, to_yaml};
 
-fn faults(text: &str) -> Vec<String> {
+fn diagnostics(text: &str) -> Vec<String> {
     let file =
         SourceFile { name: "halls.yaml".to_owned(), text: text.to_owned() };
     match parse(&[file]) {
@@ -11,7 +11,7 @@
     }
 }
 
-const SOUND: &str = "\
+const VALID: &str = "\
 base_models:
   - name: m
 endpoint_groups:
@@ -27,8 +27,8 @@
 ";
 
 #[test]
-fn a_sound_file_is_read_and_written_back() {
-    let file = SourceFile { name: "x".to_owned(), text: SOUND.to_owned() };
+fn a_valid_file_round_trips() {
+    let file = SourceFile { name: "x".to_owned(), text: VALID.to_owned() };
     let config = parse(&[file]).unwrap();
     let text = to_yaml(&config).unwrap();
     let again = parse(&[SourceFile { name: "y".to_owned(), text }]).unwrap();
@@ -38,15 +38,15 @@
 #[test]
 fn a_dangling_reference_names_file_line_field_and_cause() {
     let text =
-        SOUND.replace("base_model: m, versions", "base_model: n, versions");
+        VALID.replace("base_model: m, versions", "base_model: n, versions");
     assert_eq!(
-        faults(&text),
+        diagnostics(&text),
         ["halls.yaml:9: adapters[0].base_model: no base model is named \"n\""]
     );
 }
 
 #[test]
-fn all_faults_are_reported_at_once() {
+fn all_errors_are_reported_at_once() {
     let text = "\
 base_models:
   - name: m
@@ -58,8 +58,8 @@
   - {base_model: m, versions: [\"1\"], priority: urgent}
 shards: 3
 ";
-    let found = faults(text);
-    let has = |part: &str| found.iter().any(|fault| fault.contains(part));
+    let found = diagnostics(text);
+    let has = |part: &str| found.iter().any(|line| line.contains(part));
     assert!(has("halls.yaml:3: base_models[0].colour: no such field"));
     assert!(has(":4: base_models[1].name: \"bad name\" may hold only"));
     assert!(has(":6: adapters[0].versions: an adapter needs at least one"));
@@ -70,25 +70,25 @@
 }
 
 #[test]
-fn numbers_out_of_range_are_refused() {
-    let text = SOUND.replace("rate_per_s: 9", "rate_per_s: -1");
+fn numbers_out_of_range_are_rejected() {
+    let text = VALID.replace("rate_per_s: 9", "rate_per_s: -1");
     assert_eq!(
-        faults(&text),
+        diagnostics(&text),
         ["halls.yaml:11: weight_store.rate_per_s: -1 is not above zero"]
     );
 }
 
 #[test]
 fn a_syntax_error_names_its_line() {
-    let found = faults("base_models:\n  - name: [\n");
+    let found = diagnostics("base_models:\n  - name: [\n");
     assert_eq!(found.len(), 1);
     assert!(found[0].starts_with("halls.yaml:"), "{found:?}");
 }
 
 #[test]
-fn over_long_names_are_refused() {
+fn names_over_the_length_limit_are_rejected() {
     let long = "x".repeat(200);
-    let text = SOUND.replace("name: a,", &format!("name: {long},"));
-    let found = faults(&text);
+    let text = VALID.replace("name: a,", &format!("name: {long},"));
+    let found = diagnostics(&text);
     assert!(found[0].contains("is longer than 120 bytes"), "{found:?}");
 }
