--- a/crates/coordination/src/handover.rs
+++ b/crates/coordination/src/handover.rs
@@ -1,11 +1,12 @@
-//! Turns between two holders of a lease.
+//! The handover delay between two holders of a lease.
 //!
-//! Endpoints that do not check epochs must hear one holder at a time, so a new
-//! holder lets a whole turn pass after the lease of the one before has ended.
-//! The invariant: two instances never give orders within one turn, whatever
-//! lapses, restarts or is taken over meanwhile. What a holder still has to wait
-//! for stands in its record ([`LeaseRecord::is_handover_pending`]), because the
-//! process that took the lease may be gone before its first order.
+//! Endpoints that do not check epochs must receive orders of one holder at a
+//! time, so a new holder waits for the handover delay (setting
+//! `order_turn_ms`) after its predecessor's lease has expired. The invariant:
+//! orders of two instances are at least one handover delay apart, also across
+//! expiries, restarts and takeovers. The lease record says whether the delay
+//! is still pending ([`LeaseRecord::is_handover_pending`]), because the
+//! process that acquired the lease may terminate before its first order.
 
 use std::time::Duration;
 
@@ -14,37 +15,40 @@
 
 use crate::lease::LeaseRecord;
 
-/// A lease that was just taken, and what stood there before.
+/// A lease that was just acquired, and the record that it replaced.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseTakeover<'a> {
-    /// Our record, as it was written.
+    /// The record that this instance wrote.
     pub taken: &'a LeaseRecord,
-    /// The record that it replaced.
+    /// The record that was replaced, if there was one.
     pub before: Option<&'a LeaseRecord>,
-    /// When the lease of the record before had ended at the latest.
+    /// The latest time at which the replaced lease expired.
     pub ended: Instant,
 }
 
-/// Knows from when on one instance may give orders.
+/// Determines when an instance that acquired the lease may send its first
+/// order.
 #[derive(Clone, Debug)]
 pub struct HandoverDelay {
     delay: Duration,
-    /// The last lease that we took, and when its first order was due.
+    /// The epoch of the lease that this process acquired last, and the
+    /// earliest time of its first order.
     last: Option<(Epoch, Instant)>,
 }
 
 impl HandoverDelay {
-    /// Returns the turns of an instance that has held nothing yet.
+    /// Returns the state of a process that has not held the lease yet.
     pub fn new(delay: Duration) -> HandoverDelay {
         HandoverDelay { delay, last: None }
     }
 
-    /// Takes in that the lease was taken; returns when its first order is due.
+    /// Records that the lease was acquired, and returns the earliest time of
+    /// the first order.
     ///
-    /// An instance that finds its own record is the same holder to the
-    /// endpoints. Whether the turn after the holder before it had passed is
-    /// told by that record; how much of it is left, only by the process that
-    /// wrote it. Any other process waits for a whole turn.
+    /// To the endpoints, an instance that replaces its own record remains the
+    /// same holder. The replaced record says whether the handover delay was
+    /// still pending; only the process that wrote the record knows how much of
+    /// the delay is left. Any other process waits for the whole delay.
     pub fn record_takeover(
         &mut self,
         takeover: LeaseTakeover<'_>,
@@ -64,7 +68,8 @@
         order_from
     }
 
-    /// Returns when the first order of a lease of ours was due.
+    /// Returns the earliest time of the first order under an epoch that this
+    /// instance held; a whole delay from now if another process acquired it.
     fn first_order_at(&self, epoch: Epoch, now: Instant) -> Instant {
         let known = self.last.filter(|(known, _)| *known == epoch);
         known.map_or(now + self.delay, |(_, order_from)| order_from)
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,12 +1,13 @@
-//! What the instances agree on, and how: leases, membership, configuration
-//! versions and claims of idempotency keys.
+//! Agreement between instances: leases, membership, configuration versions
+//! and claims of idempotency keys.
 //!
-//! Everything here is pure: the platform's answers and the peers' messages
-//! come in, requests to the platform and messages to peers go out. Agreement
-//! rests on one thing only, the conditional update of the platform's object
-//! API; no two of our own processes ever decide anything by themselves.
+//! This crate performs no I/O. Its types take responses of the platform and
+//! messages of peers as input, and return the requests and messages to send.
+//! Agreement relies only on conditional updates (compare-and-swap) in the
+//! platform's object API; instances run no consensus protocol among
+//! themselves.
 //!
-//! Decisions about placement and queues belong to `sedgewall-state`.
+//! Placement and queueing are decided in `sedgewall-state`.
 
 pub mod claim;
 pub mod config_version;
--- a/crates/coordination/src/rendezvous.rs
+++ b/crates/coordination/src/rendezvous.rs
@@ -1,18 +1,20 @@
-//! Rendezvous hashing: who prefers to own what.
+//! Rendezvous (highest-random-weight) hashing of keys to members.
 //!
-//! Every instance computes the same order from the same names, so a failover
-//! needs no election. The module decides preference only; safety rests on the
+//! Every instance computes the same ranking from the same names, so a failover
+//! needs no election. The ranking is only a preference: safety rests on the
 //! platform's conditional updates.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Returns how much a node prefers to own a key.
+/// Returns the weight of a member for a key; the member with the highest
+/// weight owns the key.
 pub fn score(member: &str, key: &str) -> u64 {
     let seed = xxh3_64_with_seed(key.as_bytes(), 0);
     xxh3_64_with_seed(member.as_bytes(), seed)
 }
 
-/// Returns the node that prefers most to own a key.
+/// Returns the member with the highest weight for a key, or `None` if there
+/// are no members.
 pub fn owner<'a>(
     members: impl IntoIterator<Item = &'a str>,
     key: &str,
@@ -20,7 +22,7 @@
     members.into_iter().max_by_key(|member| (score(member, key), *member))
 }
 
-/// Returns the nodes in order of preference for a key.
+/// Returns the members in descending order of their weight for a key.
 pub fn ranking<'a>(
     members: impl IntoIterator<Item = &'a str>,
     key: &str,
--- a/crates/coordination/src/timeline.rs
+++ b/crates/coordination/src/timeline.rs
@@ -1,8 +1,8 @@
-//! The time line: what happened in each process, in a bounded ring.
+//! A timeline of the events of each process, kept in a bounded ring buffer.
 //!
-//! Events carry a hybrid stamp: wall-clock milliseconds that never go back and
-//! never fall behind a stamp that was received, then a counter. Sorting by the
-//! stamp keeps every cause before its effect, over all processes.
+//! Events carry a hybrid logical timestamp: wall-clock milliseconds that never
+//! decrease and never fall behind a received timestamp, and a counter. Sorting
+//! by it places every cause before its effects, across all processes.
 
 use std::{
     collections::VecDeque,
@@ -12,7 +12,8 @@
 use sedgewall_state::{InstanceId, RequestId};
 use serde::{Deserialize, Serialize};
 
-/// A hybrid stamp: orders events of all processes, causes first.
+/// A hybrid logical timestamp, which orders the events of all processes
+/// consistently with causality.
 #[derive(
     Clone,
     Copy,
@@ -26,20 +27,21 @@
     Serialize,
 )]
 pub struct Stamp {
-    /// Milliseconds since the Unix epoch, or later if a peer was ahead.
+    /// Milliseconds since the Unix epoch, or a later value received from a
+    /// peer whose clock is ahead.
     pub wall_ms: u64,
-    /// Orders events of the same millisecond.
+    /// A counter that orders events with the same `wall_ms`.
     pub count: u32,
 }
 
-/// A source of stamps.
+/// A hybrid logical clock, which issues the timestamps of one process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HybridLogicalClock {
     last: Stamp,
 }
 
 impl HybridLogicalClock {
-    /// Returns the stamp of a new event.
+    /// Returns the timestamp of a new event at the given wall-clock time.
     pub fn tick(&mut self, wall: SystemTime) -> Stamp {
         let wall_ms = unix_ms(wall);
         self.last = if wall_ms > self.last.wall_ms {
@@ -50,74 +52,75 @@
         self.last
     }
 
-    /// Takes in the stamp of a message.
+    /// Advances the clock to the timestamp of a received message, if that is
+    /// later.
     pub fn receive(&mut self, stamp: Stamp) {
         self.last = self.last.max(stamp);
     }
 }
 
-/// What an event is about.
+/// The kind of an event.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EventKind {
-    /// A request came in.
+    /// A request was received.
     Request,
-    /// A request was given a seat.
+    /// A request was granted a seat, one place in an engine's batch.
     Grant,
     /// A request was sent to an endpoint.
     Call,
-    /// The first bytes of an answer went to the caller.
+    /// The first bytes of a response were sent to the caller.
     FirstToken,
     /// A request ended.
     End,
-    /// A request was refused.
+    /// A request was rejected.
     Refusal,
-    /// A request was tried again.
+    /// A request was retried.
     Retry,
-    /// A load was ordered.
+    /// An engine was ordered to load an adapter.
     Load,
-    /// A load ended.
+    /// An engine finished loading an adapter.
     Loaded,
-    /// A load failed.
+    /// An engine failed to load an adapter.
     LoadFailed,
-    /// An adapter left an engine.
+    /// An adapter was unloaded from an engine.
     Unload,
-    /// A lease was taken, lost or released.
+    /// A lease was acquired, lost or released.
     Lease,
-    /// A configuration came into force.
+    /// A configuration version took effect.
     Config,
-    /// An instance or endpoint came, went or changed its state.
+    /// An instance or endpoint joined, left or changed its state.
     Member,
     /// An idempotency key was claimed.
     Claim,
-    /// The platform went out of reach or came back.
+    /// The platform became unreachable or reachable again.
     Platform,
 }
 
-/// One event.
+/// One event on a timeline.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Event {
-    /// When, in the order of causes.
+    /// The hybrid logical timestamp of the event.
     pub stamp: Stamp,
-    /// The process that saw it.
+    /// The instance that recorded the event.
     pub instance: InstanceId,
-    /// What it is about.
+    /// The kind of the event.
     pub kind: EventKind,
-    /// The request, if there is one.
+    /// The request that the event concerns, if any; hex in JSON.
     #[serde(with = "request_hex", skip_serializing_if = "Option::is_none")]
     #[serde(default)]
     pub request: Option<RequestId>,
-    /// The adapter and version, or the shard, if there is one.
+    /// The adapter and version, or the shard; empty if neither applies.
     #[serde(skip_serializing_if = "String::is_empty", default)]
     pub subject: String,
-    /// The endpoint, if there is one.
+    /// The endpoint that the event concerns; empty if there is none.
     #[serde(skip_serializing_if = "String::is_empty", default)]
     pub endpoint: String,
-    /// What happened, in a few words.
+    /// A short description for operators.
     pub detail: String,
 }
 
-/// The events of one process.
+/// A ring buffer with the latest events of one process.
 #[derive(Clone, Debug)]
 pub struct Timeline {
     events: VecDeque<Event>,
@@ -125,12 +128,13 @@
 }
 
 impl Timeline {
-    /// Returns an empty ring that keeps the last `capacity` events.
+    /// Returns an empty timeline that keeps the last `capacity` events, and
+    /// at least one.
     pub fn new(capacity: usize) -> Timeline {
         Timeline { events: VecDeque::new(), capacity: capacity.max(1) }
     }
 
-    /// Adds an event; the oldest one goes when the ring is full.
+    /// Appends an event, and drops the oldest one if the buffer is full.
     pub fn push(&mut self, event: Event) {
         if self.events.len() == self.capacity {
             self.events.pop_front();
@@ -138,27 +142,30 @@
         self.events.push_back(event);
     }
 
-    /// Returns the events, oldest first.
+    /// Returns the buffered events, oldest first.
     pub fn events(&self) -> impl Iterator<Item = &Event> {
         self.events.iter()
     }
 }
 
-/// Merges the time lines of several processes, causes first.
+/// Merges the timelines of several processes, in the order of their
+/// timestamps.
 pub fn merge(timelines: Vec<Vec<Event>>) -> Vec<Event> {
     let mut events: Vec<Event> = timelines.into_iter().flatten().collect();
     events.sort_by(|a, b| (a.stamp, &a.instance).cmp(&(b.stamp, &b.instance)));
     events
 }
 
-/// Returns milliseconds since the Unix epoch.
+/// Returns a wall-clock time as milliseconds since the Unix epoch, or 0 for
+/// an earlier time.
 pub fn unix_ms(wall: SystemTime) -> u64 {
     wall.duration_since(UNIX_EPOCH)
         .map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
 
 mod request_hex {
-    //! Request ids are hex in JSON, whose numbers cannot hold 128 bits.
+    //! Serializes request ids as hex strings, because JSON numbers cannot
+    //! hold 128 bits.
 
     use sedgewall_state::RequestId;
     use serde::{Deserialize, Deserializer, Serializer, de::Error};
