--- a/crates/coordination/src/claim.rs
+++ b/crates/coordination/src/claim.rs
@@ -1,14 +1,15 @@
-//! Claims of idempotency keys: a request that is not repeatable runs at most
-//! once, even when its key is sent to two instances.
+//! Claims of idempotency keys: a non-repeatable request runs at most once,
+//! even when its key is sent to two instances.
 //!
-//! Keys are divided into partitions. Each partition is a log of segments in
-//! the object API: segment `n + 1` is *created only if it does not exist*, so
-//! two claimers can never both write it, whatever their clocks or leases say.
-//! A claimer writes many claims in one segment; a claimer whose segment is
-//! already there reads it, learns its claims and tries the next number.
+//! Keys are hashed into partitions. Each partition is an append-only log of
+//! segments in the object API. A segment is *created only if it does not
+//! exist*, so two claimers can never both write segment `n + 1`, whatever
+//! their clocks or leases say. A claimer batches many claims into one segment.
+//! If its segment already exists, it reads that segment, applies its claims
+//! and retries with the next number.
 //!
-//! The invariant: a key is granted to a request only after a segment that
-//! holds the claim, and no earlier segment that holds the key, is in the log.
+//! The invariant: a key is granted to a request only once the log holds a
+//! segment with that claim and no earlier segment with the same key.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -16,22 +17,23 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_128};
 
-/// Into how many logs the keys are divided.
+/// The number of partitions, each with a log of its own.
 pub const PARTITIONS: u64 = 4;
 
-/// The most claims in one segment, which bounds its value to about 350 KB.
+/// The maximum number of claims in one segment, which bounds the size of its
+/// object to about 350 KB.
 pub const MAX_SEGMENT_CLAIMS: usize = 8_192;
 
-/// A hash of caller and idempotency key.
+/// The hash of a caller's name together with an idempotency key.
 pub type KeyHash = u128;
 
-/// The number of a partition.
+/// The index of a partition, below [`PARTITIONS`].
 pub type PartitionIdx = u64;
 
-/// The position of a segment in its log, from 0.
+/// The position of a segment in its log, counted from 0.
 pub type SegmentIdx = u64;
 
-/// Returns the hash of one caller's key.
+/// Returns the hash of an idempotency key of one caller.
 pub fn key_hash(caller: &str, key: &str) -> KeyHash {
     let mut bytes = Vec::with_capacity(caller.len() + key.len() + 1);
     bytes.extend_from_slice(caller.as_bytes());
@@ -40,88 +42,88 @@
     xxh3_128(&bytes)
 }
 
-/// Returns the partition of a key.
+/// Returns the partition that holds the claims of a key.
 pub fn partition(key: KeyHash) -> PartitionIdx {
     xxh3_64(&key.to_le_bytes()) % PARTITIONS
 }
 
-/// One claim: this request alone may run for this key.
+/// A claim that only this request may run for this key.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Claim {
-    /// The key.
+    /// The hash of the caller and the idempotency key.
     pub key: KeyHash,
     /// The request that claims it.
     pub request: RequestId,
 }
 
-/// One segment of a log.
+/// One segment of a partition's log.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Segment {
-    /// When it was written, in milliseconds since the Unix epoch on the
-    /// claimer's clock; only trimming reads it.
+    /// The time of writing, in milliseconds since the Unix epoch on the
+    /// claimer's clock; used only for trimming.
     pub written_ms: u64,
-    /// Claims that are given up, because their requests were not run.
+    /// Claims that are released because their requests were not run.
     pub releases: Vec<Claim>,
-    /// Claims, all new to the log after the releases.
+    /// New claims, which take effect after the releases.
     pub claims: Vec<Claim>,
 }
 
-/// What a claimer answers.
+/// The answer of a claimer to a claim.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimAnswer {
-    /// The key is this request's; it may run once.
+    /// The request owns the key and may run once.
     Granted,
-    /// Another request has the key; this one was not run.
+    /// Another request owns the key; this request was not run.
     Taken,
-    /// The log cannot be written; this request was not run.
+    /// The log could not be written; this request was not run.
     Unavailable,
 }
 
-/// An answer for one request.
+/// A request together with the answer to its claim.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct AnsweredClaim {
     /// The request.
     pub request: RequestId,
-    /// Its answer.
+    /// The answer to the claim.
     pub answer: ClaimAnswer,
 }
 
-/// A segment to be created, if it does not exist.
+/// A segment to create if no object exists at its position.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SegmentWrite {
-    /// Its position.
+    /// The position in the log.
     pub idx: SegmentIdx,
-    /// Its content.
+    /// The content of the segment.
     pub segment: Segment,
 }
 
-/// The platform's answer to the creation of a segment.
+/// The outcome of an attempt to create a segment.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum SegmentAnswer {
-    /// It was created.
+    /// The segment was created.
     Created,
-    /// It was there already, with this content.
+    /// A segment with this content already exists at the position.
     Exists(Segment),
-    /// Nobody knows.
+    /// The outcome is unknown, for instance because the response was lost.
     Unclear,
 }
 
-/// Who has a key, and since which segment.
+/// The request that owns a key, and the segment that holds its claim.
 #[derive(Clone, Copy, Debug)]
 struct Owner {
     request: RequestId,
     segment: SegmentIdx,
 }
 
-/// A segment that is in the log.
+/// The position and time of a segment that the log holds.
 #[derive(Clone, Copy, Debug)]
 struct LoggedSegment {
     idx: SegmentIdx,
     written_ms: u64,
 }
 
-/// One partition's log, as one claimer sees it.
+/// A claimer's view of the log of one partition.
 #[derive(Clone, Debug, Default)]
 pub struct ClaimLog {
     owners: HashMap<KeyHash, Owner>,
@@ -134,22 +136,22 @@
 }
 
 impl ClaimLog {
-    /// Returns whether the log was read to its end.
+    /// Returns whether the log has been read to its end.
     pub fn is_recovered(&self) -> bool {
         self.is_recovered
     }
 
-    /// Returns the number of keys that are known.
+    /// Returns the number of keys with a known owner.
     pub fn len(&self) -> usize {
         self.owners.len()
     }
 
-    /// Returns whether no key is known.
+    /// Returns whether no key has a known owner.
     pub fn is_empty(&self) -> bool {
         self.owners.is_empty()
     }
 
-    /// Returns the number of claims that wait for a segment.
+    /// Returns the number of claims that are queued for a segment.
     pub fn pending_len(&self) -> usize {
         self.pending.len()
     }
@@ -159,7 +161,7 @@
         self.next
     }
 
-    /// Takes in a segment that was found in the log.
+    /// Applies a segment that was read from the log or appended to it.
     pub fn apply_segment(&mut self, idx: SegmentIdx, segment: &Segment) {
         for claim in &segment.releases {
             if self.owner(claim.key) == Some(claim.request) {
@@ -177,14 +179,15 @@
         }
     }
 
-    /// Notes that the log was read to its end, and answers what waited for
-    /// that and is known now.
+    /// Marks the log as read to its end, and returns the answers to queued
+    /// claims that the log already decides.
     pub fn finish_recovery(&mut self) -> Vec<AnsweredClaim> {
         self.is_recovered = true;
         self.answer_decided()
     }
 
-    /// Takes in a claim; the answer comes now or with a later segment.
+    /// Adds a claim. Returns the answer if the key already has an owner;
+    /// otherwise the claim is queued and answered after a later segment.
     pub fn claim(&mut self, claim: Claim) -> Option<ClaimAnswer> {
         if let Some(answer) = self.decided_answer(claim) {
             return Some(answer);
@@ -193,19 +196,20 @@
         None
     }
 
-    /// Gives a claim up, because its request was not run and never will be.
+    /// Releases a claim whose request was not run and never will be.
     ///
-    /// Only the entry that made the request may say so.
+    /// Only the entry instance of the request may call for this.
     pub fn release(&mut self, claim: Claim) {
         self.pending.retain(|pending| pending.request != claim.request);
         self.releases.push(claim);
     }
 
-    /// Returns the oldest segment if it was written before a time and is not
-    /// the last, and forgets its keys.
+    /// Removes the oldest segment and its keys if it was written before
+    /// `before_ms` and is not the last one. Returns its position, for the
+    /// caller to delete the object.
     ///
-    /// The last segment always stays: a claimer that found none would start
-    /// the log again from 0 beside one that goes on.
+    /// The last segment is never removed: a claimer that found an empty log
+    /// would restart it from 0 while another claimer continues the old one.
     pub fn trim(&mut self, before_ms: u64) -> Option<SegmentIdx> {
         if self.segments.len() < 2 {
             return None;
@@ -219,8 +223,8 @@
         Some(oldest.idx)
     }
 
-    /// Forgets everything but what waits, because the log may have been
-    /// written and trimmed by others meanwhile.
+    /// Discards the view of the log, because other claimers may have appended
+    /// to it and trimmed it meanwhile. Queued claims and releases are kept.
     pub fn reset(&mut self) {
         self.owners.clear();
         self.segments.clear();
@@ -232,7 +236,8 @@
         }
     }
 
-    /// Returns the next segment to create, unless one is under way.
+    /// Returns the next segment to create, or `None` if there is nothing to
+    /// write, a write is in flight, or the log has not been read to its end.
     pub fn next_write(&mut self, now_ms: u64) -> Option<SegmentWrite> {
         if !self.is_recovered || self.in_flight.is_some() {
             return None;
@@ -243,7 +248,8 @@
         let mut keys = HashMap::new();
         while segment.claims.len() < MAX_SEGMENT_CLAIMS {
             let Some(claim) = self.pending.pop_front() else { break };
-            // A second request for a key waits for the first one's answer.
+            // A second claim of the same key is decided by the next segment,
+            // after the first claim has its answer.
             if keys.insert(claim.key, claim.request).is_none() {
                 segment.claims.push(claim);
             } else {
@@ -259,12 +265,13 @@
         Some(write)
     }
 
-    /// Takes in the answer to the creation of a segment.
+    /// Applies the outcome of the segment write in flight, and returns the
+    /// claims that it decides.
     ///
-    /// An unclear answer is settled by creating the same segment again: either
-    /// it is created now, or the content that is there tells whose it is. The
-    /// claims wait meanwhile, and are answered `Unavailable` only by
-    /// [`ClaimLog::abandon`].
+    /// An unknown outcome is resolved by creating the same segment again:
+    /// either it is created now, or the content found there shows which
+    /// claimer wrote it. Its claims stay in flight meanwhile and get no
+    /// answer; a caller that stops waiting calls [`ClaimLog::abandon`].
     pub fn complete_write(
         &mut self,
         answer: SegmentAnswer,
@@ -285,15 +292,17 @@
         }
     }
 
-    /// Returns the segment whose answer was unclear, to be sent again.
+    /// Returns the segment write in flight, to be sent again after an unknown
+    /// outcome.
     pub fn unresolved_write(&self) -> Option<&SegmentWrite> {
         self.in_flight.as_ref()
     }
 
-    /// Answers a request that waited too long.
+    /// Removes the queued claim of a request that waited too long, and returns
+    /// whether there was one.
     ///
-    /// Its claim may still enter the log; that only keeps the key from running
-    /// later, which is safe.
+    /// A claim that is already in flight may still enter the log; it then only
+    /// prevents later requests with this key from running, which is safe.
     pub fn abandon(&mut self, request: RequestId) -> bool {
         let before = self.pending.len();
         self.pending.retain(|claim| claim.request != request);
@@ -302,7 +311,8 @@
 
     fn commit(&mut self, write: SegmentWrite) -> Vec<AnsweredClaim> {
         self.apply_segment(write.idx, &write.segment);
-        // By who has the key, not by who wrote: an earlier segment decides.
+        // The owner of the key decides, not the writer of this segment: an
+        // earlier segment may hold the key.
         let mut answers: Vec<AnsweredClaim> = write
             .segment
             .claims
@@ -324,7 +334,8 @@
         self.apply_segment(write.idx, found);
         self.releases.extend(write.segment.releases);
         for claim in write.segment.claims.into_iter().rev() {
-            // What was released meanwhile must not be claimed after all.
+            // A claim that was released while the write was in flight must
+            // not be claimed again.
             if !self.releases.contains(&claim) {
                 self.pending.push_front(claim);
             }
@@ -332,7 +343,8 @@
         self.answer_decided()
     }
 
-    /// Answers what waits and is now known.
+    /// Removes the queued claims whose keys have an owner, and returns their
+    /// answers.
     fn answer_decided(&mut self) -> Vec<AnsweredClaim> {
         let pending = std::mem::take(&mut self.pending);
         let mut answers = Vec::new();
@@ -352,7 +364,7 @@
 
     fn decided_answer(&self, claim: Claim) -> Option<ClaimAnswer> {
         let owner = self.owner(claim.key)?;
-        // A claim that is sent again after a lost answer is the same claim.
+        // A claim that is resent after a lost answer is the same claim.
         Some(if owner == claim.request {
             ClaimAnswer::Granted
         } else {
--- a/crates/coordination/src/config_version.rs
+++ b/crates/coordination/src/config_version.rs
@@ -1,10 +1,9 @@
-//! Versions of the configuration: chunks, heads, and adoption that never goes
-//! back.
+//! Versions of the configuration, stored as content-addressed chunks.
 //!
-//! A configuration is stored as chunks named by their content, and one head
-//! object that lists them. A change of a few adapters changes a few chunks.
-//! The module keeps one invariant: [`ConfigTracker::adopt`] only ever raises
-//! the version, whatever order answers arrive in.
+//! A configuration is stored as chunks named by the hash of their content, and
+//! one head object that lists them. A change of a few adapters changes a few
+//! chunks. The invariant: [`ConfigTracker::adopt`] only ever raises the
+//! version, in whatever order responses arrive.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -15,100 +14,101 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_128};
 
-/// Adapters are spread over at most this many chunks by a hash of their names.
+/// The maximum number of chunks over which adapters are distributed, by a hash
+/// of their names.
 ///
-/// 24,000 adapters of some 90 bytes make chunks of about 34 KB, far below the
-/// platform's 1 MB, and a change of one adapter moves one chunk.
+/// 24,000 adapters of about 90 bytes give chunks of about 34 KB, far below the
+/// platform's limit of 1 MB, and a change of one adapter transfers one chunk.
 pub const MAX_ADAPTER_CHUNKS: u64 = 64;
 
-/// Adapters in one chunk, as long as there are fewer chunks than the most.
+/// The target number of adapters per chunk, below [`MAX_ADAPTER_CHUNKS`].
 ///
-/// An instance that starts reads every chunk, so few adapters must not make
-/// many.
+/// A starting instance reads every chunk, so a small configuration must not be
+/// split into many.
 const ADAPTERS_PER_CHUNK: u64 = 375;
 
-/// The largest value that the platform holds, in bytes.
+/// The largest value that the platform's object API accepts, in bytes.
 pub const MAX_VALUE_LEN: usize = 1_000_000;
 
-/// The name of a chunk: the hash of its content, in hex.
+/// The name of a chunk, which is the hash of its content in hex.
 pub type ChunkHash = String;
 
-/// The object that says which configuration is in force.
+/// The object that identifies the configuration in force.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ConfigHead {
-    /// The version; each accepted apply raises it by one.
+    /// The configuration version; each accepted apply raises it by one.
     pub version: ConfigVersion,
-    /// The chunk that holds everything but adapters.
+    /// The chunk that holds everything except adapters.
     pub base: ChunkHash,
-    /// The chunks of adapters, by bucket; empty buckets have none.
+    /// The chunks of adapters, by hash bucket; empty buckets have no chunk.
     pub adapters: BTreeMap<u64, ChunkHash>,
-    /// Who applied it, as told by the command line.
+    /// The person or system that applied it, as given on the command line.
     pub applied_by: String,
-    /// A number drawn for this apply, by which a lost answer is recognised.
+    /// A random number that identifies this apply, so that a client that lost
+    /// the response can recognise its own head.
     pub nonce: u64,
 }
 
 impl ConfigHead {
-    /// Returns the names of all chunks.
+    /// Returns the names of all chunks that the head lists.
     pub fn chunks(&self) -> impl Iterator<Item = &ChunkHash> {
         std::iter::once(&self.base).chain(self.adapters.values())
     }
 }
 
-/// A chunk with its name.
+/// A part of an encoded configuration together with its name.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Chunk {
-    /// The hash of the content.
+    /// The name of the chunk, the hash of its content.
     pub hash: ChunkHash,
-    /// The content.
+    /// The encoded part of the configuration, as JSON.
     pub content: Vec<u8>,
 }
 
-/// A configuration cut into chunks, without a version yet.
+/// A configuration split into chunks, without a version yet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChunkedConfig {
-    /// The chunk that holds everything but adapters.
+    /// The chunk that holds everything except adapters.
     pub base: Chunk,
-    /// The chunks of adapters, by bucket.
+    /// The chunks of adapters, by hash bucket.
     pub adapters: BTreeMap<u64, Chunk>,
 }
 
-/// Error of putting a configuration together or apart.
+/// An error of splitting a configuration into chunks or assembling it.
 #[derive(Debug, displaydoc::Display)]
 pub enum ConfigError {
     /// cannot encode the configuration: {0}
     Encode(serde_json::Error),
     /// cannot decode chunk {hash}: {source}
     Decode {
-        /// The chunk.
+        /// The name of the chunk.
         hash: ChunkHash,
-        /// The cause.
+        /// The decoder's error.
         source: serde_json::Error,
     },
     /// chunk {0} is missing
     MissingChunk(ChunkHash),
-    /// chunk {hash} holds {len} bytes; the platform takes {max_len}
+    /// chunk {hash} has {len} bytes; the platform accepts at most {max_len}
     ChunkTooLarge {
-        /// The chunk.
+        /// The name of the chunk.
         hash: ChunkHash,
-        /// Its length in bytes.
+        /// The length of the chunk in bytes.
         len: usize,
         /// The platform's limit in bytes.
         max_len: usize,
     },
-    /// chunk {0} does not hold what its name says
+    /// chunk {0} is corrupt: its content does not match its hash
     WrongContent(ChunkHash),
 }
 
 impl std::error::Error for ConfigError {}
 
 impl ChunkedConfig {
-    /// Cuts a configuration into chunks.
+    /// Splits a configuration into chunks.
     ///
     /// # Errors
     ///
-    /// When a chunk is larger than the platform's values, or cannot be
-    /// encoded.
+    /// When a chunk cannot be encoded or exceeds [`MAX_VALUE_LEN`].
     pub fn from_config(config: &Config) -> Result<ChunkedConfig, ConfigError> {
         let mut buckets: BTreeMap<u64, Vec<&AdapterConfig>> = BTreeMap::new();
         let chunk_count = adapter_chunk_count(config.adapters.len());
@@ -127,7 +127,7 @@
         Ok(ChunkedConfig { base, adapters })
     }
 
-    /// Returns the head that puts these chunks in force.
+    /// Returns a head that lists these chunks as the given version.
     pub fn head(
         &self,
         version: ConfigVersion,
@@ -147,13 +147,14 @@
         }
     }
 
-    /// Returns all chunks.
+    /// Returns the chunks, the base chunk first.
     pub fn chunks(&self) -> impl Iterator<Item = &Chunk> {
         std::iter::once(&self.base).chain(self.adapters.values())
     }
 }
 
-/// The configuration in force at one instance, and how it gets newer.
+/// The configuration in force at one instance, which only moves to newer
+/// versions.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigTracker {
     head: ConfigHead,
@@ -161,12 +162,12 @@
 }
 
 impl ConfigTracker {
-    /// Returns the version in force; 0 before the first.
+    /// Returns the version in force, or 0 before the first one.
     pub fn version(&self) -> ConfigVersion {
         self.head.version
     }
 
-    /// Returns the head in force.
+    /// Returns the head of the configuration in force.
     pub fn head(&self) -> &ConfigHead {
         &self.head
     }
@@ -176,13 +177,13 @@
         self.chunks.get(hash).map(Vec::as_slice)
     }
 
-    /// Returns the bytes that all chunks hold.
+    /// Returns the total length of all chunks in bytes.
     pub fn chunks_len(&self) -> usize {
         self.chunks.values().map(Vec::len).sum()
     }
 
-    /// Returns the chunks that a newer head needs and we lack; none if the
-    /// head is not newer.
+    /// Returns the chunks that a newer head lists and this instance lacks, or
+    /// `None` if the head is not newer than the one in force.
     pub fn missing(&self, head: &ConfigHead) -> Option<Vec<ChunkHash>> {
         if head.version <= self.head.version {
             return None;
@@ -195,14 +196,14 @@
         Some(missing)
     }
 
-    /// Puts a newer head in force and returns the whole configuration.
+    /// Adopts a newer head and returns the whole configuration.
     ///
     /// Returns `None` and changes nothing if the head is not newer than the
     /// one in force.
     ///
     /// # Errors
     ///
-    /// When a chunk is missing or damaged; nothing is changed then.
+    /// When a chunk is missing or corrupt; nothing is changed then.
     pub fn adopt(
         &mut self,
         head: ConfigHead,
@@ -227,7 +228,7 @@
     }
 }
 
-/// Puts a configuration together from its chunks.
+/// Assembles a configuration from the chunks that its head lists.
 ///
 /// # Errors
 ///
@@ -247,13 +248,15 @@
     Ok(config)
 }
 
-/// Returns the name of a chunk with this content.
+/// Returns the hash of a chunk's content, which is the chunk's name.
 pub fn content_hash(content: &[u8]) -> ChunkHash {
     format!("{:032x}", xxh3_128(content))
 }
 
-/// A power of two, so that the chunks of a growing configuration change
-/// seldom.
+/// Returns the number of chunks for this many adapters.
+///
+/// It is a power of two, so that a growing configuration is rarely
+/// redistributed over its chunks.
 fn adapter_chunk_count(adapters_len: usize) -> u64 {
     let min_count = (adapters_len as u64).div_ceil(ADAPTERS_PER_CHUNK).max(1);
     min_count.next_power_of_two().min(MAX_ADAPTER_CHUNKS)
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -1,14 +1,16 @@
-//! Leases on shards, as a typestate.
+//! Leases on shards, modelled as a typestate.
 //!
-//! A lease is a record in the platform's object API, changed only by
-//! conditional update. Its life here is [`Watching`] (somebody else's, or
-//! nobody's), [`Acquiring`] (our update is out) and [`Held`] (ours). The
-//! invariants: an epoch never has two holders, and a holder treats the lease as
-//! lost before anybody else may take it.
+//! A lease is a record in the platform's object API that changes only by
+//! conditional update. An instance's view of it is in one of three states:
+//! [`Watching`] (another instance or none holds it), [`Acquiring`] (this
+//! instance sent an update that acquires it) and [`Held`] (this instance holds
+//! it). The invariants: an epoch never has two holders, and a holder treats
+//! the lease as lost before any other instance may acquire it.
 //!
-//! No clock is shared. A challenger waits until it has itself seen the record
-//! unchanged for the time to live plus a margin, on its own monotonic clock;
-//! the holder counts the time to live from *before* it sent its last renewal.
+//! Instances share no clock. A challenger waits until it has itself observed
+//! the record unchanged for the time to live plus a margin, on its own
+//! monotonic clock. The holder counts the time to live from *before* it sent
+//! its last renewal.
 
 use std::time::Duration;
 
@@ -16,18 +18,18 @@
 use sedgewall_state::{Epoch, Incarnation, InstanceId, ShardId};
 use serde::{Deserialize, Serialize};
 
-/// The version that the platform gives to each state of an object.
+/// The version that the platform assigns to each state of an object.
 pub type ObjectVersion = u64;
 
-/// The times of leases.
+/// The durations that govern a lease.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseTiming {
-    /// How long a lease holds after its last renewal.
+    /// How long a lease is valid after its last renewal was sent.
     pub time_to_live: Duration,
-    /// How often the holder renews it.
+    /// The interval between renewals.
     pub renew_every: Duration,
-    /// What a challenger waits beyond the time to live, for clocks that run at
-    /// different speeds.
+    /// How long a challenger waits beyond the time to live, to allow for
+    /// clocks that run at different rates.
     pub margin: Duration,
 }
 
@@ -41,26 +43,28 @@
     }
 }
 
-/// The record in the object API.
+/// The lease record as stored in the object API.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LeaseRecord {
-    /// The shard.
+    /// The shard that the lease is for.
     pub shard: ShardId,
-    /// The holder.
+    /// The instance that holds the lease.
     pub holder: InstanceId,
     /// The holder's incarnation; a restarted instance is another holder.
     pub incarnation: Incarnation,
-    /// Where the holder's peers reach it.
+    /// The URL at which peers reach the holder.
     pub peer_url: String,
-    /// The epoch; it rises with each new holder.
+    /// The epoch, which rises with each new holder.
     pub epoch: Epoch,
-    /// Rises with each renewal, so that a challenger can see it live.
+    /// A counter that rises with each renewal, by which a challenger sees that
+    /// the holder is alive.
     pub renewal: u64,
-    /// Whether the holder gave it up.
+    /// Whether the holder released the lease.
     pub is_released: bool,
-    /// Whether endpoints may still hear the holder before this one: the turn
-    /// between the two has not passed. A record of a release that did not say
-    /// so makes its own holder wait once more.
+    /// Whether the handover delay after the previous holder is still pending,
+    /// so that endpoints may still receive orders of that holder. A record
+    /// written by a software version without this field counts as pending:
+    /// its own holder then waits once more.
     #[serde(rename = "is_turn_pending", default = "default_handover_pending")]
     pub is_handover_pending: bool,
 }
@@ -69,48 +73,50 @@
     true
 }
 
-/// A record together with the platform's version of it.
+/// A lease record together with its object version.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StoredLease {
-    /// The record.
+    /// The lease record.
     pub record: LeaseRecord,
-    /// The version to name in a conditional update.
+    /// The object version that a conditional update must expect.
     pub version: ObjectVersion,
 }
 
-/// Who we are, as written into a record.
+/// The identity that an instance writes into a record when it acquires a
+/// lease.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Candidate {
-    /// Our name.
+    /// The name of this instance.
     pub instance: InstanceId,
-    /// Our incarnation.
+    /// The incarnation of this instance.
     pub incarnation: Incarnation,
-    /// Where peers reach us.
+    /// The URL at which peers reach this instance.
     pub peer_url: String,
 }
 
-/// A conditional update that a state wants to be sent.
+/// A conditional update of the lease record, for the caller to send.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LeaseWrite {
-    /// What to write.
+    /// The record to write.
     pub record: LeaseRecord,
-    /// The version that must still be there; none if the object must not
-    /// exist.
+    /// The object version that the update replaces; `None` if the object must
+    /// not exist.
     pub expected: Option<ObjectVersion>,
 }
 
-/// The platform's answer to a conditional update.
+/// The outcome of a conditional update.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum WriteAnswer {
-    /// It took effect, with this version.
+    /// The update took effect and created this object version.
     Done(ObjectVersion),
-    /// The expected version was not there.
+    /// The object did not have the expected version.
     Conflict,
-    /// Nobody knows: the answer was lost or the platform is out.
+    /// The outcome is unknown: the response was lost or the platform is
+    /// unreachable.
     Unclear,
 }
 
-/// The lease is not ours.
+/// The state of a lease that this instance does not hold.
 #[derive(Clone, Debug)]
 pub struct Watching {
     shard: ShardId,
@@ -118,14 +124,15 @@
     unchanged_since: Option<Instant>,
 }
 
-/// Our attempt to take the lease is out, or its answer was lost.
+/// The state of a lease that this instance tries to acquire: the update was
+/// sent, and its outcome is pending or unknown.
 #[derive(Clone, Debug)]
 pub struct Acquiring {
     write: LeaseWrite,
     sent: Instant,
 }
 
-/// The lease is ours.
+/// The state of a lease that this instance holds.
 #[derive(Clone, Debug)]
 pub struct Held {
     record: LeaseRecord,
@@ -133,56 +140,59 @@
     renewed_at: Instant,
 }
 
-/// A lease in one of its states.
+/// A lease in the state `S`: [`Watching`], [`Acquiring`] or [`Held`].
 #[derive(Clone, Debug)]
 pub struct Lease<S> {
     state: S,
     timing: LeaseTiming,
 }
 
-/// What became of an attempt to take a lease.
+/// The outcome of an attempt to acquire a lease.
 #[derive(Clone, Debug)]
 pub enum AcquireOutcome {
-    /// It is ours.
+    /// This instance holds the lease.
     Held(Lease<Held>),
-    /// Somebody else was faster.
+    /// Another instance changed the record first, or the record read back does
+    /// not show the update.
     Lost(Lease<Watching>),
-    /// Nobody knows yet; read the record and call [`Lease::resolve`].
+    /// The outcome is unknown; read the record and call [`Lease::resolve`].
     Unclear(Lease<Acquiring>),
 }
 
-/// What became of a renewal.
+/// The outcome of a renewal.
 #[derive(Clone, Debug)]
 pub enum RenewOutcome {
-    /// It is still ours.
+    /// This instance still holds the lease.
     Held(Lease<Held>),
-    /// It was taken or has lapsed.
+    /// Another instance changed the record, or the lease was released.
     Lost(Lease<Watching>),
 }
 
-/// What a holder told others of its lease, beside the record.
+/// What a holder announced of its lease to its peers, in addition to the
+/// stored record.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AnnouncedLease {
-    /// Its epoch.
+    /// The epoch of the lease.
     pub epoch: Epoch,
-    /// Which renewal the holder knows of.
+    /// The last renewal that the holder knows to have succeeded.
     pub renewal: u64,
-    /// When the lease ends after that renewal, at the latest: what was left of
-    /// it by the holder's clock, counted from when we heard so.
+    /// The latest time at which the lease expires after that renewal: the time
+    /// left on the holder's clock, counted from the receipt of the
+    /// announcement.
     pub expires_by: Instant,
 }
 
 impl Lease<Watching> {
-    /// Returns a lease of which nothing is known.
+    /// Returns a lease of which no record has been observed.
     pub fn new(shard: ShardId, timing: LeaseTiming) -> Lease<Watching> {
         let state = Watching { shard, seen: None, unchanged_since: None };
         Lease { state, timing }
     }
 
-    /// Takes in what the platform holds now.
+    /// Records the result of reading the lease record.
     ///
-    /// A record of an older version than one that was seen is ignored: a slow
-    /// read must not make a live lease look unchanged.
+    /// A record of an older version than the last observed one is ignored: a
+    /// slow read must not make a live lease look unchanged.
     pub fn observe(&mut self, stored: Option<StoredLease>, now: Instant) {
         let state = &mut self.state;
         if let (Some(seen), Some(new)) = (&state.seen, &stored)
@@ -197,12 +207,14 @@
         state.seen = stored;
     }
 
-    /// Returns the record that was seen last.
+    /// Returns the last observed record.
     pub fn seen(&self) -> Option<&LeaseRecord> {
         self.state.seen.as_ref().map(|stored| &stored.record)
     }
 
-    /// Returns whether the lease is free to be taken.
+    /// Returns whether the lease may be acquired: the last observation found
+    /// no record, a released one, or one that has been unchanged for the time
+    /// to live plus the margin.
     pub fn is_free(&self, now: Instant) -> bool {
         let Some(since) = self.state.unchanged_since else { return false };
         let Some(stored) = &self.state.seen else { return true };
@@ -213,9 +225,9 @@
         now.saturating_duration_since(since) >= required_wait
     }
 
-    /// Returns when the lease that was seen last has ended at the latest, on
-    /// its holder's own clock: a time to live after we first saw this record,
-    /// or sooner if its holder said so of just this renewal.
+    /// Returns the latest time at which the last observed lease expires on its
+    /// holder's own clock: one time to live after this record was first
+    /// observed, or sooner if the holder announced so for this very renewal.
     pub fn latest_expiry(
         &self,
         announced: Option<AnnouncedLease>,
@@ -231,7 +243,7 @@
         )
     }
 
-    /// Tries to take a free lease.
+    /// Starts to acquire a free lease, under the next epoch.
     pub fn acquire(
         self,
         candidate: &Candidate,
@@ -260,12 +272,12 @@
 }
 
 impl Lease<Acquiring> {
-    /// Returns the update to send.
+    /// Returns the conditional update to send.
     pub fn write(&self) -> &LeaseWrite {
         &self.state.write
     }
 
-    /// Takes in the platform's answer.
+    /// Applies the outcome of the conditional update.
     pub fn complete_acquire(
         self,
         answer: WriteAnswer,
@@ -282,12 +294,13 @@
         }
     }
 
-    /// Settles an unclear answer by what a read shows.
+    /// Resolves an unknown outcome by a record that was read afterwards.
     ///
-    /// The record is recognised by holder, incarnation and epoch. A record
-    /// that does not show our update does not prove that it will never take
-    /// effect, so the lease goes back to watching, whose wait covers that: an
-    /// update that arrives late shows there as a change.
+    /// This instance's own record is recognised by holder, incarnation and
+    /// epoch. A record that does not show the update does not prove that the
+    /// update will never take effect. The lease therefore returns to
+    /// [`Watching`], whose wait covers that case: an update that arrives late
+    /// is observed there as a change.
     pub fn resolve(
         self,
         stored: Option<StoredLease>,
@@ -324,19 +337,20 @@
 }
 
 impl Lease<Held> {
-    /// Returns the epoch, which fences every order.
+    /// Returns the epoch, which serves as the fencing token of every order.
     pub fn epoch(&self) -> Epoch {
         self.state.record.epoch
     }
 
-    /// Returns the record as last written.
+    /// Returns the record that was last written or read back.
     pub fn record(&self) -> &LeaseRecord {
         &self.state.record
     }
 
-    /// Returns whether nobody else can have taken the lease yet.
+    /// Returns whether the lease is still valid, so that no other instance can
+    /// have acquired it.
     ///
-    /// Ask this before each order to an endpoint that does not check fences.
+    /// Check this before each order to an endpoint that does not check fences.
     pub fn is_current(&self, now: Instant) -> bool {
         let elapsed = now.saturating_duration_since(self.state.renewed_at);
         elapsed < self.timing.time_to_live
@@ -348,30 +362,31 @@
         elapsed >= self.timing.renew_every
     }
 
-    /// Notes that the turn after the holder before has passed, so that the next
-    /// renewal says so.
+    /// Marks the handover delay after the previous holder as passed; the next
+    /// renewal writes this to the record.
     pub fn complete_handover(&mut self) {
         self.state.record.is_handover_pending = false;
     }
 
-    /// Returns the renewal to send.
+    /// Returns the conditional update that renews the lease.
     pub fn renewal(&self) -> LeaseWrite {
         let mut record = self.state.record.clone();
         record.renewal += 1;
         LeaseWrite { record, expected: Some(self.state.version) }
     }
 
-    /// Returns the update that gives the lease up.
+    /// Returns the conditional update that releases the lease.
     pub fn release(&self) -> LeaseWrite {
         let mut write = self.renewal();
         write.record.is_released = true;
         write
     }
 
-    /// Takes in the answer to a renewal that was sent at `sent`.
+    /// Applies the outcome of a renewal that was sent at `sent`.
     ///
-    /// An unclear answer keeps the old time and version; the next read or
-    /// conflict settles it through [`Lease::reconcile`].
+    /// An unknown outcome keeps the old renewal time and version; it is
+    /// resolved by the next read, through [`Lease::reconcile`], or by a
+    /// conflict of the next renewal.
     pub fn complete_renewal(
         mut self,
         write: LeaseWrite,
@@ -393,10 +408,11 @@
         }
     }
 
-    /// Settles an unclear renewal by what a read shows.
+    /// Resolves a renewal with an unknown outcome by a record that was read
+    /// afterwards.
     ///
-    /// The time of the last clear renewal stays, because the read only shows
-    /// that nobody else holds the lease, not when ours was renewed.
+    /// The time of the last successful renewal is kept: the read shows that no
+    /// other instance holds the lease, but not when it was renewed.
     pub fn reconcile(
         mut self,
         stored: Option<StoredLease>,
@@ -421,7 +437,7 @@
         }
     }
 
-    /// Gives up a lease that has lapsed or was released.
+    /// Returns to watching after the lease has expired or was released.
     pub fn into_watching(self, now: Instant) -> Lease<Watching> {
         let _ = now;
         Lease::new(self.state.record.shard, self.timing)
--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -1,10 +1,10 @@
-//! Which instances and endpoints are there, from the platform's instance list
-//! and from heartbeats.
+//! Membership of instances, from the platform's instance list and from
+//! heartbeats.
 //!
-//! The list lags behind reality, so a heartbeat counts as life before the list
-//! shows the instance, and silence counts as absence before the list drops it.
-//! The module keeps one invariant: whoever announced that it leaves is never
-//! live again under the same incarnation.
+//! The list lags behind the actual state. An instance therefore counts as live
+//! once it sends heartbeats, before the list shows it, and as absent once it
+//! is silent, before the list drops it. The invariant: an instance that
+//! announced that it is leaving is never live again under the same incarnation.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -20,33 +20,35 @@
 
 use crate::rendezvous::ranking;
 
-/// The group that the instance list names for our own instances.
+/// The group under which the instance list contains sedgewall's instances.
 pub const OWN_GROUP: &str = "sedgewall";
 
-/// How the platform sees an instance.
+/// The state of an instance or endpoint according to the platform.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedState {
-    /// It runs.
+    /// The instance is running.
     Live,
-    /// It is being taken away.
+    /// The platform is removing the instance.
     Leaving,
 }
 
-/// One line of the platform's instance list.
+/// One entry of the platform's instance list: an instance of sedgewall or an
+/// endpoint.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ListedInstance {
-    /// The platform's name for it.
+    /// The platform's name for the instance or endpoint.
     pub id: EndpointId,
     /// The endpoint group, or [`OWN_GROUP`].
     pub group: GroupName,
-    /// Its availability zone.
+    /// The availability zone that it runs in.
     pub zone: ZoneName,
-    /// Where it is reached: `ip:port`, or a peer URL for our own instances.
+    /// The address for requests: `ip:port` for an endpoint, a peer URL for an
+    /// instance of sedgewall.
     pub address: String,
-    /// Its state.
+    /// The state according to the platform.
     pub state: ListedState,
-    /// Where operators reach it, for our own instances.
+    /// The address for operators, only for instances of sedgewall.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub operator_address: Option<String>,
 }
@@ -54,52 +56,55 @@
 /// The platform's instance list at one revision.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct InstanceList {
-    /// Rises with each change.
+    /// The revision, which rises with each change of the list.
     pub revision: u64,
-    /// The instances.
+    /// The instances of sedgewall and the endpoints of all groups.
     pub instances: Vec<ListedInstance>,
 }
 
-/// What a heartbeat says of its sender.
+/// A heartbeat, which an instance sends to its peers at regular intervals.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Heartbeat {
-    /// The sender.
+    /// The name of the sender.
     pub instance: InstanceId,
-    /// Its incarnation.
+    /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// Its availability zone.
+    /// The sender's availability zone.
     pub zone: ZoneName,
-    /// Where peers reach it.
+    /// The URL at which peers reach the sender.
     pub peer_url: String,
-    /// Milliseconds on the sender's own monotonic clock.
+    /// The time of sending, in milliseconds on the sender's own monotonic
+    /// clock.
     pub stamp_ms: u64,
-    /// The configuration that it has in force.
+    /// The version of the configuration that the sender has in force.
     pub config_version: ConfigVersion,
-    /// Whether it is stopping.
+    /// Whether the sender is shutting down.
     pub is_leaving: bool,
-    /// Whether its last call to the platform was answered.
+    /// Whether the platform answered the sender's last call.
     pub is_platform_reached: bool,
-    /// The shards that it leads.
+    /// The shards that the sender leads.
     pub leads: Vec<Leadership>,
 }
 
-/// A shard that an instance leads.
+/// A shard that the sender of a heartbeat leads.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Leadership {
     /// The shard.
     pub shard: ShardId,
-    /// The epoch of its lease.
+    /// The epoch of the lease on the shard.
     pub epoch: Epoch,
 }
 
-/// The times of membership.
+/// The time-outs of failure detection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MembershipTimeouts {
-    /// A peer silent for this long counts as absent.
+    /// The time without a heartbeat after which a peer counts as absent.
     pub silent_after: Duration,
-    /// A peer that came back waits this long for each recent absence.
+    /// The time that a peer must be live without a gap before it counts as
+    /// stable, for each of its recent absences.
     pub damping: Duration,
-    /// A peer absent for this long is forgotten.
+    /// The time without a heartbeat after which a peer that is not listed is
+    /// removed.
     pub forget_after: Duration,
 }
 
@@ -113,29 +118,31 @@
     }
 }
 
-/// Up to this many instances, all hear each other.
+/// The maximum number of instances that all exchange heartbeats with each
+/// other (full mesh).
 pub const MAX_FULL_MESH: usize = 8;
 
-/// Beyond that, how many ring neighbours an instance sends heartbeats to.
+/// The number of ring neighbours that an instance sends heartbeats to, if
+/// there are more than [`MAX_FULL_MESH`] instances.
 pub const RING_NEIGHBOURS: usize = 4;
 
-/// The most absences that damping counts.
+/// The maximum number of absences that damping counts.
 const MAX_FLAPS: u32 = 8;
 
-/// One of our own instances, as another sees it.
+/// An instance's view of one of its peers.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// What its last heartbeat said.
+    /// The last accepted heartbeat of the peer.
     pub last_heartbeat: Heartbeat,
-    /// When that came.
+    /// The time at which the last heartbeat was received.
     pub last_heard: Instant,
-    /// Since when it has been heard without a gap.
+    /// The time since which heartbeats have been received without a gap.
     pub live_since: Instant,
-    /// Recent absences.
+    /// The number of absences and restarts, at most `MAX_FLAPS`.
     pub flaps: u32,
 }
 
-/// All of our own instances, as one of them sees it.
+/// An instance's view of all its peers.
 #[derive(Clone, Debug)]
 pub struct Membership {
     timeouts: MembershipTimeouts,
@@ -144,7 +151,7 @@
 }
 
 impl Membership {
-    /// Returns a membership that knows nobody.
+    /// Returns a membership without any known instance.
     pub fn new(timeouts: MembershipTimeouts) -> Membership {
         Membership {
             timeouts,
@@ -153,7 +160,8 @@
         }
     }
 
-    /// Takes in the platform's list.
+    /// Replaces the known listing by the instances of sedgewall in the
+    /// platform's list.
     pub fn observe_list(&mut self, list: &InstanceList) {
         self.listed = list
             .instances
@@ -163,7 +171,8 @@
             .collect();
     }
 
-    /// Takes in a heartbeat. Returns whether the peer is new or restarted.
+    /// Records a heartbeat, and returns whether its sender is new or was
+    /// restarted.
     pub fn record_heartbeat(
         &mut self,
         heartbeat: Heartbeat,
@@ -177,7 +186,8 @@
         let is_restarted =
             peer.last_heartbeat.incarnation != heartbeat.incarnation;
         if !is_restarted && peer.last_heartbeat.is_leaving {
-            // What was announced stays so; a late heartbeat changes nothing.
+            // An announced departure is final for an incarnation: a heartbeat
+            // that was delayed in transit must not revoke it.
             peer.last_heard = now;
             return false;
         }
@@ -191,7 +201,8 @@
         is_restarted
     }
 
-    /// Returns whether an instance is live: heard of lately and not leaving.
+    /// Returns whether an instance is live: it sent a heartbeat recently, and
+    /// neither it nor the platform's list says that it is leaving.
     pub fn is_live(&self, instance: &str, now: Instant) -> bool {
         let Some(peer) = self.peers.get(instance) else { return false };
         let silence = now.saturating_duration_since(peer.last_heard);
@@ -200,8 +211,9 @@
             && !self.is_listed_leaving(instance)
     }
 
-    /// Returns whether an instance may be preferred as an owner: live, and
-    /// for long enough after its recent absences.
+    /// Returns whether an instance is stable, so that it may be preferred as
+    /// an owner: it is live, and has been for the damping time of its recent
+    /// absences.
     pub fn is_stable(&self, instance: &str, now: Instant) -> bool {
         let Some(peer) = self.peers.get(instance) else { return false };
         let live_for = now.saturating_duration_since(peer.live_since);
@@ -209,7 +221,7 @@
             && live_for >= self.timeouts.damping * peer.flaps
     }
 
-    /// Returns the names of the steady instances, in order.
+    /// Returns the names of the stable instances, sorted.
     pub fn stable(&self, now: Instant) -> Vec<&str> {
         self.peers
             .keys()
@@ -218,17 +230,18 @@
             .collect()
     }
 
-    /// Returns a peer that was ever heard of and not yet forgotten.
+    /// Returns a peer that sent a heartbeat and has not been removed.
     pub fn peer(&self, instance: &str) -> Option<&Peer> {
         self.peers.get(instance)
     }
 
-    /// Returns all peers that were heard of and not yet forgotten.
+    /// Returns all peers that sent a heartbeat and have not been removed.
     pub fn peers(&self) -> impl Iterator<Item = &Peer> {
         self.peers.values()
     }
 
-    /// Returns where an instance is reached, heard of or listed.
+    /// Returns the peer URL of an instance, from its last heartbeat or else
+    /// from the list.
     pub fn url_of(&self, id: &str) -> Option<&str> {
         let heartbeat_value =
             self.peers.get(id).map(|p| p.last_heartbeat.peer_url.as_str());
@@ -236,7 +249,8 @@
             .or_else(|| self.listed.get(id).map(|l| l.address.as_str()))
     }
 
-    /// Returns where all known instances are reached, heard of or listed.
+    /// Returns the peer URLs of all known instances, from their last
+    /// heartbeats or else from the list.
     pub fn peer_urls(&self) -> BTreeMap<InstanceId, String> {
         let mut urls: BTreeMap<InstanceId, String> = self
             .listed
@@ -252,8 +266,8 @@
         urls
     }
 
-    /// Returns the names of our own instances that the platform lists as
-    /// live, in order.
+    /// Returns the names of the instances of sedgewall that the platform lists
+    /// as live, sorted.
     pub fn listed_live(&self) -> impl Iterator<Item = &str> {
         self.listed
             .values()
@@ -261,16 +275,17 @@
             .map(|listed| listed.id.as_str())
     }
 
-    /// Returns whether so many instances are known that not all hear each
-    /// other.
+    /// Returns whether more than [`MAX_FULL_MESH`] instances are known, so
+    /// that not all exchange heartbeats.
     pub fn is_partial_mesh(&self) -> bool {
         self.peer_urls().len() > MAX_FULL_MESH
     }
 
-    /// Returns the other instances that may be preferred as owners, in order.
+    /// Returns the other instances that may be preferred as owners, sorted.
     ///
-    /// While all hear each other, heartbeats decide. Beyond that most are
-    /// silent to us and well, and what all see alike is the platform's list.
+    /// In a full mesh, heartbeats decide. In a partial mesh, most healthy
+    /// instances send no heartbeats to this one, so the platform's list
+    /// decides, which all instances see alike.
     pub fn candidates(&self, own: &str, now: Instant) -> Vec<&str> {
         if !self.is_partial_mesh() {
             return self.stable(now);
@@ -285,7 +300,8 @@
             .collect()
     }
 
-    /// Returns the availability zone of an instance, heard of or listed.
+    /// Returns the availability zone of an instance, from its last heartbeat
+    /// or else from the list.
     pub fn zone_of(&self, id: &str) -> Option<&str> {
         let heartbeat_value =
             self.peers.get(id).map(|peer| peer.last_heartbeat.zone.as_str());
@@ -293,12 +309,13 @@
             .or_else(|| self.listed.get(id).map(|l| l.zone.as_str()))
     }
 
-    /// Returns whom to send heartbeats to.
+    /// Returns the peer URLs to send heartbeats to.
     ///
-    /// Few instances all hear each other. Beyond [`MAX_FULL_MESH`] each sends to
-    /// its ring neighbours and to those that `is_partner` names, which are the
-    /// leaders that it uses and the entries that use it; the cost of a node
-    /// then stays flat as nodes are added.
+    /// Up to [`MAX_FULL_MESH`] instances, these are all others. Beyond that,
+    /// they are the ring neighbours and the instances for which `is_partner`
+    /// returns true: the leaders that this instance sends requests to, and the
+    /// entry instances that send requests to it. The cost per instance then
+    /// stays constant as instances are added.
     pub fn heartbeat_targets(
         &self,
         own: &str,
@@ -320,7 +337,8 @@
             .collect()
     }
 
-    /// Forgets peers that have been absent for long and are not listed.
+    /// Removes peers that are not listed and have been silent for
+    /// [`MembershipTimeouts::forget_after`].
     pub fn remove_expired(&mut self, now: Instant) {
         let forget_after = self.timeouts.forget_after;
         let listed = &self.listed;
