--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -4,7 +4,7 @@
 //! The list lags behind the actual state. An instance therefore counts as live
 //! once it sends heartbeats, before the list shows it, and as absent once it
 //! is silent, before the list drops it. The invariant: an instance that
-//! announced that it is leaving is never live again under the same incarnation.
+//! announced its departure is never live again under the same incarnation.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
--- a/crates/coordination/tests/claim_rules.rs
+++ b/crates/coordination/tests/claim_rules.rs
@@ -1,5 +1,5 @@
-//! Claims under races, lost answers, restarts and trimming: a key is granted
-//! to one request only.
+//! Claims under races, lost responses, restarts and trimming: a key is granted
+//! to at most one request.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -41,9 +41,9 @@
 struct World {
     log: BTreeMap<u64, Segment>,
     claimers: Vec<ClaimLog>,
-    /// Requests that may run, by key.
+    /// Requests whose claims were granted, by key.
     granted: HashMap<u128, BTreeSet<u128>>,
-    /// Requests that were given up; they never run after that.
+    /// Requests whose claims were released; they never run afterwards.
     released: BTreeSet<u128>,
     time: u64,
 }
@@ -90,7 +90,7 @@
         steps in prop::collection::vec(step(), 1..120)
     ) {
         let mut world = World::new();
-        // A request has one key for ever.
+        // The key of each request, which never changes.
         let mut keys: HashMap<u128, u128> = HashMap::new();
         for step in steps {
             world.time += 1;
@@ -147,7 +147,8 @@
                     world.claimers[claimer] = ClaimLog::default();
                 }
                 Step::Trim(claimer) => {
-                    // Nothing here is older than the retention.
+                    // No segment was written before time 0, so none may be
+                    // trimmed.
                     let trimmed = world.claimers[claimer].trim(0);
                     prop_assert_eq!(trimmed, None);
                 }
@@ -162,8 +163,9 @@
     }
 }
 
-/// Found by the property: a claim that came before a restarted claimer had
-/// read the log was granted although the log held the key.
+/// Guards against granting a key that the log already holds: a claim that
+/// reached a restarted claimer before it had read the log was granted. Found
+/// by the property test above.
 #[test]
 fn claims_pending_recovery_are_checked_against_the_log() {
     let mut log = ClaimLog::default();
@@ -205,7 +207,7 @@
     let second = Claim { key: 1, request: 2 };
     log.next_write(1);
     log.complete_write(SegmentAnswer::Created);
-    assert_eq!(log.claim(second), None, "it waits for its segment");
+    assert_eq!(log.claim(second), None, "the claim waits for its segment");
     log.next_write(2);
     let answers = log.complete_write(SegmentAnswer::Created);
     let granted = AnsweredClaim { request: 2, answer: ClaimAnswer::Granted };
--- a/crates/coordination/tests/config_rules.rs
+++ b/crates/coordination/tests/config_rules.rs
@@ -1,5 +1,5 @@
-//! Versions of the configuration never go back, and a small change moves
-//! little.
+//! Configuration versions never decrease, and a small change transfers little
+//! data.
 
 use std::collections::BTreeMap;
 
@@ -60,7 +60,7 @@
         .chunks()
         .find(|chunk| chunk.hash == missing[0])
         .map_or(0, |chunk| chunk.content.len());
-    assert!(moved * 40 < all, "{moved} of {all} bytes moved");
+    assert!(moved * 40 < all, "{moved} of {all} bytes transferred");
 }
 
 #[test]
--- a/crates/coordination/tests/handover_rules.rs
+++ b/crates/coordination/tests/handover_rules.rs
@@ -1,5 +1,5 @@
-//! Turns between holders under lapses, restarts, freezes, lost answers and
-//! takeovers: no two instances give orders within one turn.
+//! The handover delay under expiries, restarts, freezes, lost responses and
+//! takeovers: no two instances send orders within one handover delay.
 
 use std::time::Duration;
 
@@ -15,7 +15,8 @@
 
 const INSTANCES: usize = 3;
 
-/// Longer than the lease, so that it can lapse before a first order.
+/// Longer than the lease's time to live, so that the lease can expire before
+/// the holder's first order.
 const HANDOVER_DELAY: Duration = Duration::from_millis(3_200);
 
 const TIMING: LeaseTiming = LeaseTiming {
@@ -24,7 +25,8 @@
     margin: Duration::from_millis(250),
 };
 
-/// The store's one object. Writes whose answers are lost may be done later.
+/// A model of the store with a single object. Writes with an unknown outcome
+/// may take effect later.
 #[derive(Default)]
 struct Store {
     stored: Option<StoredLease>,
@@ -75,17 +77,17 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// An instance does what is due: takes or renews the lease.
+    /// An instance acquires the lease, or renews the one that it holds.
     Act(usize, Fault),
-    /// It gives an order if it may.
+    /// An instance sends an order if it is allowed to.
     Order(usize),
-    /// Time passes; instances that do not act are frozen.
+    /// Time passes for all instances; those that do not act are frozen.
     AdvanceClock(u64),
-    /// It is killed and starts again.
+    /// An instance is killed and restarts under a new incarnation.
     Restart(usize),
-    /// It gives the lease up.
+    /// An instance releases the lease.
     Release(usize),
-    /// Writes whose answers were lost are done.
+    /// Delayed writes take effect.
     LateWrites,
 }
 
@@ -106,7 +108,7 @@
     ]
 }
 
-/// What an instance of the fleet does with the lease on orders.
+/// An instance that competes for the lease on orders.
 struct LeaseClient {
     candidate: Candidate,
     handover_delay: HandoverDelay,
@@ -267,8 +269,9 @@
     }
 }
 
-/// Two instances, of which the second has just taken the lapsed lease of the
-/// first, whose last order is as old as the lease.
+/// Returns the store, and the second of two instances at the time at which it
+/// acquired the expired lease of the first. The last order of the first is as
+/// old as its lease.
 fn taken_over() -> (Store, LeaseClient, Instant) {
     let start = Instant::now();
     let mut store = Store::default();
@@ -283,11 +286,9 @@
     (store, second, lapsed)
 }
 
-/// Symptom: orders of a holder that was restarted before its first one follow
-/// those of the holder before within a turn.
-/// Sequence: a lease is taken over; the new holder is killed at once, starts
-/// again and finds its own record.
-/// Cause: the process that knew of the turn is gone.
+/// Guards against orders of two holders within one handover delay when the new
+/// holder is killed right after the takeover and restarts: it finds its own
+/// record, but the process that knew of the pending delay is gone.
 #[test]
 fn the_handover_delay_survives_a_restart_of_the_holder() {
     let (mut store, _, taken) = taken_over();
@@ -305,8 +306,8 @@
     assert!(again.may_order(now));
 }
 
-/// A holder that has given orders is the same one after its restart; waiting
-/// would only stop loads.
+/// A holder that has sent orders remains the same holder after its restart, so
+/// that another delay would only hold up loads.
 #[test]
 fn a_holder_past_its_handover_delay_orders_at_once_after_a_restart() {
     let (mut store, mut second, taken) = taken_over();
@@ -321,16 +322,18 @@
     assert!(again.may_order(now));
 }
 
-/// A lease that lapsed and was taken again by the same process waits no longer
-/// than for the rest of the turn.
+/// A process that lets its lease expire and acquires it again waits only for
+/// the rest of the handover delay.
 #[test]
 fn reacquiring_an_expired_lease_keeps_the_handover_deadline() {
     let (mut store, mut second, taken) = taken_over();
-    let (_, due) = *second.held.as_ref().expect("a lease");
+    let (_, due) =
+        *second.held.as_ref().expect("the second instance holds the lease");
     let lapsed = taken + TIMING.time_to_live;
     second.act(&mut store, Fault::None, lapsed);
     assert!(second.held.is_none());
     second.act(&mut store, Fault::None, lapsed);
-    let (_, again) = *second.held.as_ref().expect("a lease");
+    let (_, again) =
+        *second.held.as_ref().expect("the second instance holds the lease");
     assert_eq!(again, due);
 }
--- a/crates/coordination/tests/lease_rules.rs
+++ b/crates/coordination/tests/lease_rules.rs
@@ -1,5 +1,5 @@
-//! Leases under pauses, lost answers and races: one holder per epoch, and no
-//! holder that believes in its lease while another has it.
+//! Leases under pauses, lost responses and races: each epoch has one holder,
+//! and at most one instance at a time considers its lease valid.
 
 use std::time::Duration;
 
@@ -13,7 +13,8 @@
 
 const INSTANCES: usize = 3;
 
-/// The platform's one object, with exact conditional updates.
+/// A model of the platform with a single object and atomic conditional
+/// updates.
 #[derive(Default)]
 struct Platform {
     stored: Option<StoredLease>,
@@ -44,11 +45,12 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A player looks at the record and takes it if it is free.
+    /// An instance reads the record and acquires the lease if it is free, or
+    /// renews the lease that it holds.
     Act { instance: usize, loses_answer: bool, is_unreachable: bool },
-    /// Time passes for all; players that do not act are paused.
+    /// Time passes for all instances; those that do not act are paused.
     AdvanceClock(u64),
-    /// A player gives the lease up.
+    /// An instance releases the lease.
     Release(usize),
 }
 
@@ -179,15 +181,15 @@
             let current = states.iter().filter(|state| {
                 matches!(state, State::Held(held) if held.is_current(now))
             });
-            prop_assert!(current.count() <= 1, "two current holders");
+            prop_assert!(current.count() <= 1, "more than one holder with a valid lease");
         }
-        // An epoch has one holder only.
+        // Each epoch has only one holder.
         let mut seen = std::collections::BTreeMap::new();
         for (epoch, incarnation) in &platform.holders {
             let holder = seen.entry(*epoch).or_insert(*incarnation);
             prop_assert_eq!(*holder, *incarnation);
         }
-        // Epochs only rise.
+        // Epochs never decrease.
         let epochs: Vec<u64> =
             platform.holders.iter().map(|(epoch, _)| *epoch).collect();
         prop_assert!(epochs.windows(2).all(|pair| pair[0] <= pair[1]));
@@ -201,19 +203,24 @@
     let mut platform = Platform::default();
     let first = State::Watching(Lease::new("s".to_owned(), timing));
     let first = act(first, 0, &mut platform, now, false, false);
-    let State::Held(paused) = first else { panic!("the lease was free") };
+    let State::Held(paused) = first else {
+        panic!("a lease without a record is free")
+    };
 
     let mut second = State::Watching(Lease::new("s".to_owned(), timing));
     second = act(second, 1, &mut platform, now, false, false);
     let later = now + timing.time_to_live + timing.margin;
     second = act(second, 1, &mut platform, later, false, false);
-    assert!(matches!(second, State::Held(_)), "the lease has lapsed");
+    assert!(
+        matches!(second, State::Held(_)),
+        "the lease of the first has expired"
+    );
 
     assert!(!paused.is_current(later));
     let woken =
         act(State::Held(paused), 0, &mut platform, later, false, false);
     assert!(matches!(woken, State::Watching(_)));
-    let stored = platform.stored.expect("a record");
+    let stored = platform.stored.expect("a lease record is stored");
     assert_eq!(stored.record.holder, "i1");
 }
 
@@ -235,7 +242,8 @@
     margin: Duration::from_millis(250),
 };
 
-/// A lease whose record of the sixth renewal in epoch 3 was read now.
+/// Returns a watched lease whose record, of renewal 6 in epoch 3, was first
+/// observed at `now`.
 fn watched(now: Instant) -> Lease<Watching> {
     let mut watching = Lease::new("orders".to_owned(), TIMING);
     let record = LeaseRecord {
@@ -267,7 +275,8 @@
     assert_eq!(watched(now).latest_expiry(Some(announced)), Some(expires_by));
 }
 
-/// The holder has renewed since, and may believe in that.
+/// The holder may have renewed the lease after the renewal that it announced,
+/// and consider it valid for longer.
 #[test]
 fn an_announcement_of_another_renewal_is_ignored() {
     let now = Instant::now();
--- a/crates/coordination/tests/membership_rules.rs
+++ b/crates/coordination/tests/membership_rules.rs
@@ -1,4 +1,4 @@
-//! Membership under lagging lists, silence and flapping.
+//! Membership with a lagging instance list, silent peers and flapping peers.
 
 use std::time::Duration;
 
@@ -61,7 +61,8 @@
     membership.record_heartbeat(heartbeat("a", 1), now);
     let leaving = Heartbeat { is_leaving: true, ..heartbeat("a", 1) };
     membership.record_heartbeat(leaving, now);
-    // A heartbeat that was under way when the stop was announced.
+    // A heartbeat that was sent before the departure was announced and arrives
+    // after it.
     membership.record_heartbeat(heartbeat("a", 1), now);
     assert!(!membership.is_live("a", now));
     membership.record_heartbeat(heartbeat("a", 2), now);
@@ -104,9 +105,10 @@
     assert!(targets(400) <= RING_NEIGHBOURS + 1);
 }
 
-/// Found by the slope of nodes: with heartbeats from a few neighbours only,
-/// each of 24 instances took itself for a candidate of the shard and read its
-/// lease, 48 reads a second.
+/// Guards against a read load that grows with the number of instances: with
+/// heartbeats from a few neighbours only, each of 24 instances considered
+/// itself a candidate for the shard and read its lease, 48 reads per second in
+/// total.
 #[test]
 fn instances_in_a_partial_mesh_agree_on_candidates() {
     let now = Instant::now();
