--- a/crates/protocol/src/file.rs
+++ b/crates/protocol/src/file.rs
@@ -1,8 +1,8 @@
-//! Operators' configuration files, in YAML, with the line of every field.
+//! The configuration files of operators, in YAML.
 //!
-//! A file set is read as a whole and every fault in it is reported at once,
-//! each with file, line, field and cause. The module keeps one invariant: a
-//! [`Config`] comes out only if no fault was found.
+//! A set of files is parsed as a whole, and all errors in it are reported at
+//! once, each with file, line, field and cause. The invariant: parsing returns
+//! a [`Config`] only if there are no errors.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -25,16 +25,16 @@
 use serde_json::Value;
 use serde_saphyr::Spanned;
 
-/// A fault in a file, with its place.
+/// An error in a file, with its location.
 #[derive(Clone, Debug, Eq, PartialEq, serde::Serialize)]
 pub struct FileDiagnostic {
-    /// The file.
+    /// The name of the file.
     pub file: String,
-    /// The line, from 1; 0 if the fault has no line.
+    /// The line, counted from 1; 0 if the error has no line.
     pub line: u64,
-    /// The field, such as `adapters[17].base_model`.
+    /// The path of the field, such as `adapters[17].base_model`.
     pub field: String,
-    /// What is wrong.
+    /// The cause of the error.
     pub cause: String,
 }
 
@@ -48,10 +48,10 @@
     }
 }
 
-/// All diagnostics of a file set.
+/// All errors in a set of files.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct FileError {
-    /// The diagnostics, in the order in which they were found; never empty.
+    /// The errors in the order in which they were found; never empty.
     pub diagnostics: Vec<FileDiagnostic>,
 }
 
@@ -65,21 +65,20 @@
 
 impl std::error::Error for FileError {}
 
-/// One file, read but not yet understood.
+/// A file that was read but not yet parsed.
 #[derive(Clone, Debug)]
 pub struct SourceFile {
-    /// Its name in messages.
+    /// The name of the file in error messages.
     pub name: String,
-    /// Its content.
+    /// The content of the file.
     pub text: String,
 }
 
-/// Reads files, and all `.yaml` files of folders, in the order of their
-/// names.
+/// Reads files, and all `.yaml` files of directories, sorted by name.
 ///
 /// # Errors
 ///
-/// When a path cannot be read or a folder holds no YAML file.
+/// When a path cannot be read or a directory contains no `.yaml` file.
 pub fn read_paths(paths: &[PathBuf]) -> Result<Vec<SourceFile>, FileError> {
     let mut files = Vec::new();
     let mut diagnostics = Vec::new();
@@ -111,7 +110,9 @@
         .collect();
     names.sort();
     if names.is_empty() {
-        return Err(std::io::Error::other("the folder holds no .yaml file"));
+        return Err(std::io::Error::other(
+            "the directory contains no .yaml file",
+        ));
     }
     names.iter().map(|name| read_file(name)).collect()
 }
@@ -121,11 +122,11 @@
     Ok(SourceFile { name: path.display().to_string(), text })
 }
 
-/// Understands a file set as one configuration.
+/// Parses and validates a set of files as one configuration.
 ///
 /// # Errors
 ///
-/// With every fault that was found, in all files.
+/// With all errors in all files.
 pub fn parse(files: &[SourceFile]) -> Result<Config, FileError> {
     let mut reader = ConfigReader::default();
     for file in files {
@@ -142,7 +143,8 @@
     }
 }
 
-/// Where a field of the merged configuration came from.
+/// The location in a file from which a field of the merged configuration was
+/// read.
 #[derive(Clone, Debug)]
 struct SourceLocation {
     file: String,
@@ -180,7 +182,7 @@
 
 type Fields = BTreeMap<String, Spanned<Value>>;
 
-/// A file's sections, each item with the lines of its fields.
+/// The sections of a file, with the lines of all fields.
 #[derive(Debug, Default)]
 struct Sections {
     lists: Vec<(String, Vec<Spanned<Fields>>)>,
@@ -260,7 +262,7 @@
                 line: line_of_key(&file.text, &name),
                 field: name,
                 cause: format!(
-                    "no such section; there are {}",
+                    "no such section; expected one of {}",
                     known.join(", ")
                 ),
             });
@@ -338,7 +340,7 @@
                 file: file.name.clone(),
                 line: item.referenced.line(),
                 field: section.to_owned(),
-                cause: "stands in two files".to_owned(),
+                cause: "is defined in more than one place".to_owned(),
             });
             return;
         }
@@ -396,7 +398,7 @@
     }
 }
 
-/// A configuration as files write it.
+/// A configuration in the format of the files.
 #[derive(Serialize)]
 struct FileDocument<'a> {
     base_models: &'a [BaseModel],
@@ -417,11 +419,11 @@
     lasts_s: u64,
 }
 
-/// Writes a configuration as one file, which [`parse`] reads back.
+/// Returns a configuration as the text of one file, which [`parse`] accepts.
 ///
 /// # Errors
 ///
-/// When the YAML library fails, which it does for no configuration of ours.
+/// When the YAML library fails, which it does for no valid configuration.
 pub fn to_yaml(config: &Config) -> Result<String, FileError> {
     let spikes = config.expected_spikes.iter().map(|spike| SpikeDocument {
         adapter: &spike.adapter,
@@ -449,7 +451,8 @@
     })
 }
 
-/// 24,000 adapters are a few hundred thousand YAML nodes.
+/// Returns the parser's limits, which allow for 24,000 adapters: a few hundred
+/// thousand YAML nodes.
 fn yaml_options() -> serde_saphyr::Options {
     serde_saphyr::options! {
         strict_booleans: true,
@@ -461,7 +464,8 @@
     }
 }
 
-/// The line of a top-level key, from 1.
+/// Returns the line of a top-level key, counted from 1, or 0 if it is not
+/// found.
 fn line_of_key(text: &str, key: &str) -> u64 {
     text.lines()
         .position(|line| {
@@ -470,7 +474,7 @@
         .map_or(0, |idx| idx as u64 + 1)
 }
 
-/// Takes the fields of one item and notes what is wrong with them.
+/// Reads the fields of one item, and collects the errors in them.
 struct FieldReader<'a> {
     file: &'a str,
     path: String,
@@ -620,7 +624,8 @@
         })
     }
 
-    /// Notes fields that nobody took; returns the item if nothing was wrong.
+    /// Reports the remaining fields as unknown, and returns the item if it has
+    /// no errors.
     fn finish<T>(&mut self, item: T) -> Option<T> {
         let unknown = std::mem::take(&mut self.fields);
         for (name, value) in unknown {
