--- a/crates/protocol/src/caller.rs
+++ b/crates/protocol/src/caller.rs
@@ -1,9 +1,9 @@
-//! What callers send: the model name, headers and the part of a completion's
-//! body that sedgewall reads.
+//! The interface for callers: model names, request headers and the part of a
+//! completion's body that sedgewall parses.
 //!
 //! Standard headers are used where they exist: `Priority` (RFC 9218),
 //! `Idempotency-Key` (IETF draft), `Prefer: wait` (RFC 7240), `Retry-After`
-//! (RFC 9110). The body is passed on to the engine as it came.
+//! (RFC 9110). The body is forwarded to the engine unchanged.
 
 use std::{str::FromStr, time::Duration};
 
@@ -11,43 +11,47 @@
 use sedgewall_state::{AdapterName, AdapterVersion, CallerId, Priority};
 use serde::{Deserialize, Serialize};
 
-/// Carries the request's id in answers and to endpoints.
+/// The header with the request's id, in responses and in requests to
+/// endpoints.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// Names the caller; the body's `user` field does too.
+/// The header that names the caller; the body's `user` field is the
+/// alternative.
 pub const CALLER_HEADER: &str = "sedgewall-caller";
 
-/// The time that the answer is worth waiting for, in milliseconds.
+/// The header with the caller's deadline, in milliseconds from the receipt of
+/// the request.
 pub const DEADLINE_HEADER: &str = "sedgewall-deadline-ms";
 
-/// Whether a request may run more than once: `?1` or `?0`, a structured
-/// boolean (RFC 9651).
+/// The header that says whether a request may run more than once: `?1` or
+/// `?0`, a structured boolean (RFC 9651).
 pub const REPEATABLE_HEADER: &str = "sedgewall-repeatable";
 
-/// A key that marks tries of the same request.
+/// The header with the key that identifies retries of the same request.
 pub const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 
-/// The urgency of a request.
+/// The header with the urgency of a request (RFC 9218).
 pub const PRIORITY_HEADER: &str = "priority";
 
-/// The longest idempotency key, in bytes.
+/// The maximum length of an idempotency key, in bytes.
 pub const MAX_IDEMPOTENCY_KEY_LEN: usize = 255;
 
-/// The caller of a request that names none.
+/// The caller's name for requests that name no caller.
 pub const ANONYMOUS: &str = "anonymous";
 
 const PREFER_HEADER: &str = "prefer";
 
-/// The `model` field: an adapter and, after `@`, its version.
+/// A reference to an adapter version, written as `adapter@version` in the
+/// `model` field.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct ModelRef {
-    /// The adapter.
+    /// The name of the adapter.
     pub adapter: AdapterName,
-    /// The version.
+    /// The version of the adapter.
     pub version: AdapterVersion,
 }
 
-/// Error of a request that cannot be understood.
+/// An error in a caller's request.
 #[derive(Clone, Debug, displaydoc::Display, Eq, PartialEq)]
 pub enum CallerError {
     /// the field "model" must be "adapter@version", not {0:?}
@@ -56,11 +60,11 @@
     Body(String),
     /// the header {name} has the value {value:?}; {expected} is expected
     Header {
-        /// The header.
+        /// The name of the header.
         name: &'static str,
-        /// What it held.
+        /// The invalid value.
         value: String,
-        /// What it may hold.
+        /// A description of the valid values.
         expected: &'static str,
     },
 }
@@ -89,21 +93,21 @@
     }
 }
 
-/// The part of a completion request that sedgewall reads.
+/// The part of a completion request's body that sedgewall parses.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq)]
 pub struct CompletionHead {
-    /// The adapter and version.
+    /// The adapter and version, as `adapter@version`.
     pub model: String,
-    /// Whether the answer comes as server-sent events.
+    /// Whether the caller asks for a stream of server-sent events.
     #[serde(default)]
     pub stream: bool,
-    /// The caller, if no header names it.
+    /// The caller's name, used if no header names the caller.
     #[serde(default)]
     pub user: Option<String>,
 }
 
 impl CompletionHead {
-    /// Reads the head of a completion's body.
+    /// Parses the body of a completion request.
     ///
     /// # Errors
     ///
@@ -114,27 +118,28 @@
     }
 }
 
-/// What the headers of a request ask for.
+/// The options that a caller sets in the headers of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CallOptions {
-    /// The caller, if a header names it.
+    /// The caller's name, if a header gives it.
     pub caller: Option<CallerId>,
-    /// The class, if a header gives an urgency.
+    /// The priority class, if a header gives an urgency.
     pub priority: Option<Priority>,
-    /// How long the answer is worth waiting for.
+    /// The deadline, as a duration from the receipt of the request, if a
+    /// header gives one.
     pub deadline: Option<Duration>,
-    /// Whether it may run more than once, if a header says so.
+    /// Whether the request may run more than once, if a header says so.
     pub is_repeatable: Option<bool>,
-    /// The idempotency key.
+    /// The idempotency key, without quotation marks, if a header gives one.
     pub idempotency_key: Option<String>,
 }
 
 impl CallOptions {
-    /// Reads the headers of a request.
+    /// Parses the headers of a request.
     ///
     /// # Errors
     ///
-    /// When a header that we know holds what it may not.
+    /// When one of these headers has an invalid value.
     pub fn from_headers(
         headers: &HeaderMap,
     ) -> Result<CallOptions, CallerError> {
@@ -148,23 +153,23 @@
     }
 }
 
-/// One adapter version in the answer of `GET /v1/models`.
+/// One adapter version in the response to `GET /v1/models`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ModelEntry {
-    /// `adapter@version`.
+    /// The adapter and version, as `adapter@version`.
     pub id: String,
-    /// Always `model`.
+    /// The constant `model`.
     pub object: String,
-    /// The base model.
+    /// The name of the base model.
     pub owned_by: String,
 }
 
-/// The answer of `GET /v1/models`.
+/// The response to `GET /v1/models`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ModelList {
-    /// Always `list`.
+    /// The constant `list`.
     pub object: String,
-    /// All adapter versions.
+    /// All adapter versions of the configuration in force.
     pub data: Vec<ModelEntry>,
 }
 
--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -1,111 +1,115 @@
-//! The engines' interface: completions, orders and reports.
+//! The interface of engines: completions, orders to load and unload adapters,
+//! and status reports.
 
 use sedgewall_state::{AdapterName, AdapterVersion, Epoch, ModelName};
 use serde::{Deserialize, Serialize};
 
-/// Where completions go; chat completions have their own path.
+/// The path of completions, other than chat completions.
 pub const COMPLETIONS_PATH: &str = "/v1/completions";
 
-/// Where chat completions go.
+/// The path of chat completions.
 pub const CHAT_PATH: &str = "/v1/chat/completions";
 
-/// Where orders go.
+/// The path of orders.
 pub const ORDERS_PATH: &str = "/v1/orders";
 
-/// Where reports come from.
+/// The path of the engine's status report.
 pub const REPORT_PATH: &str = "/v1/report";
 
-/// Says in an engine's error whether the request ran.
+/// The header of an engine's error response that says whether the request ran.
 pub const RUN_STATE_HEADER: &str = "x-run-state";
 
-/// The value of [`RUN_STATE_HEADER`] when it did not.
+/// The value of [`RUN_STATE_HEADER`] for a request that did not run.
 pub const NOT_RUN: &str = "not_run";
 
-/// Names the token from which a stream is to go on, counted from 0.
+/// The header with the index of the token at which a stream resumes, counted
+/// from 0.
 pub const RESUME_HEADER: &str = "x-resume-from";
 
-/// The last event of a stream.
+/// The data of the last event of a stream.
 pub const STREAM_END: &str = "[DONE]";
 
-/// One adapter version, as an engine names it.
+/// An adapter version in orders and reports.
 #[derive(
     Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct EngineAdapter {
-    /// The adapter.
+    /// The name of the adapter.
     pub adapter: AdapterName,
-    /// The version.
+    /// The version of the adapter.
     pub version: AdapterVersion,
 }
 
-/// An order: unload one adapter, then load another.
+/// An order to unload one adapter and then load another.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Order {
-    /// The epoch of the leader who gives it.
+    /// The epoch of the leader that sends the order, as a fencing token.
     pub epoch: Epoch,
-    /// The base model.
+    /// The base model of the adapters.
     pub base_model: ModelName,
-    /// What to load.
+    /// The adapter to load, if any.
     pub load: Option<EngineAdapter>,
-    /// What to unload first.
+    /// The adapter to unload first, if any.
     pub unload: Option<EngineAdapter>,
-    /// Whether the unload may only take place while nothing runs on it.
+    /// Whether the adapter may be unloaded only while no request runs on it.
     pub only_if_idle: bool,
 }
 
-/// Why an engine did not carry out an order.
+/// The reason why an engine did not carry out an order.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderFailure {
-    /// A later epoch has given orders.
+    /// The engine has received orders of a later epoch.
     OldEpoch,
-    /// The adapter to unload is serving.
+    /// Requests run on the adapter to unload.
     Busy,
-    /// No slot is free.
+    /// No adapter slot is free.
     NoSlot,
-    /// The weights did not come.
+    /// The weights could not be loaded from the weight store.
     LoadFailed,
 }
 
-/// The answer to an order that was not carried out.
+/// The response to an order that was not carried out.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OrderError {
-    /// Why.
+    /// The reason of the failure.
     pub failure: OrderFailure,
-    /// In words.
+    /// A description for operators.
     pub detail: String,
 }
 
-/// One slot in a report.
+/// The state of one adapter slot in a report.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SlotReport {
-    /// The adapter version.
+    /// The adapter version that occupies the slot.
     #[serde(flatten)]
     pub adapter: EngineAdapter,
-    /// Whether it can serve.
+    /// Whether the adapter is loaded and can serve requests.
     pub is_ready: bool,
-    /// Requests that run on it.
+    /// The number of requests that run on the adapter.
     pub running_len: u32,
 }
 
-/// What an engine says of itself. It lags behind what the engine does.
+/// The status report of an engine, which lags behind its actual state.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EngineReport {
-    /// Changes at each start.
+    /// An identifier that changes at each start of the engine.
     pub boot: u64,
-    /// Occupied slots.
+    /// The occupied adapter slots.
     pub slots: Vec<SlotReport>,
-    /// Requests that run.
+    /// The number of running requests.
     pub running_len: u32,
-    /// Requests that the engine has set aside for more urgent ones.
+    /// The number of requests that the engine preempted in favour of more
+    /// urgent ones.
     pub paused_len: u32,
-    /// Batch steps since the start.
+    /// The number of batch steps since the start.
     pub steps: u64,
-    /// Tokens since the start.
+    /// The number of tokens generated since the start.
     pub tokens: u64,
-    /// Seats of all steps since the start; `tokens / step_seats` is how full
-    /// the batches ran.
+    /// The sum of the seats (places in the batch) of all steps since the
+    /// start; `tokens / step_seats` is the average utilisation of the batch.
     pub step_seats: u64,
-    /// Rules that the engine saw broken, by its own count.
+    /// The number of rule violations that the engine has observed, such as the
+    /// unload of an adapter in use.
     pub violations: u64,
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,8 +1,9 @@
-//! Typed messages and formats: between instances, towards callers, engines,
+//! Typed messages and file formats: between instances, with callers, engines,
 //! plain services and the platform, and in operators' files.
 //!
-//! This crate encodes and checks; it sends nothing. Sockets belong to
-//! `sedgewall-transport`, decisions to the layers below.
+//! This crate encodes, decodes and validates; it performs no network I/O.
+//! Sockets belong to `sedgewall-transport`, decisions to `sedgewall-state` and
+//! `sedgewall-coordination`.
 
 pub mod caller;
 pub mod engine;
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -1,8 +1,13 @@
 //! Messages between instances, encoded with MessagePack.
 //!
-//! A message is idempotent or carries what makes a second copy harmless: a
-//! request id, an epoch, an incarnation. Messages may be lost; the periodic
-//! [`Running`] list repairs what a lost one leaves behind.
+//! Each message is idempotent, or carries what makes a duplicate harmless: a
+//! request id, an epoch or an incarnation. Messages may be lost; the periodic
+//! [`Running`] list repairs the state that a lost message leaves behind.
+//!
+//! In these messages, the entry is the instance that accepted a caller's
+//! request, the leader is the instance that schedules the requests of a shard,
+//! the claimer writes the claims of a partition of idempotency keys, and the
+//! allocator divides the limits of the weight store among the leaders.
 
 use std::time::Duration;
 
@@ -19,262 +24,266 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// A message with its sender.
+/// A message together with its sender and addressee.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Envelope {
-    /// The sender.
+    /// The instance that sent the message.
     pub from: InstanceId,
     /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// The incarnation that it is meant for; none before the first heartbeat.
+    /// The incarnation of the addressee; `None` before the sender has received
+    /// the addressee's first heartbeat.
     pub to_incarnation: Option<Incarnation>,
-    /// The sender's hybrid time.
+    /// The sender's hybrid logical timestamp.
     pub stamp: Stamp,
-    /// What it says.
+    /// The message itself.
     pub message: PeerMessage,
 }
 
-/// What instances tell each other.
+/// A message between instances.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum PeerMessage {
-    /// The sender lives.
+    /// The sender is alive.
     Heartbeat(Heartbeat),
-    /// Entry to leader: a request waits.
+    /// Entry to leader: submits a request to the shard's queue.
     Submit(Submit),
-    /// Entry to leader: a caller gave up.
+    /// Entry to leader: the caller cancelled a request.
     Cancel(RequestRef),
-    /// Entry to leader: a request ended.
+    /// Entry to leader: a granted request ended.
     Ended(Ended),
-    /// Entry to leader: all that the entry has at this leader.
+    /// Entry to leader: all requests of the entry at this leader.
     Running(Running),
-    /// Leader to entry: a seat.
+    /// Leader to entry: a request was granted a seat.
     Granted(Granted),
-    /// Leader to entry: a refusal.
+    /// Leader to entry: a request was rejected.
     Refused(Refused),
     /// Leader to entry: the sender does not lead the shard.
     NotLeader(RequestRef),
-    /// Entry to claimer: may this request run for its key?
+    /// Entry to claimer: claims an idempotency key for a request.
     Claim(ClaimRequest),
-    /// Entry to claimer: the request was not run and never will be.
+    /// Entry to claimer: releases a claim, because the request was not run and
+    /// never will be.
     ReleaseClaim(ClaimRequest),
-    /// Claimer to entry: the answer.
+    /// Claimer to entry: the answer to a claim.
     Claimed(ClaimReply),
-    /// Leader to allocator: what a shard would do with the weight store.
+    /// Leader to allocator: a shard's demand for the weight store.
     Demand(Demand),
-    /// Allocator to leader: a part of the weight store, for a time.
+    /// Allocator to leader: a shard's share of the weight store's limits, for
+    /// a limited time.
     Allotted(Allotment),
     /// Asks a peer for its configuration.
     AskConfig(AskConfig),
-    /// A configuration head and the chunks that were asked for.
+    /// A configuration head and the requested chunks.
     ConfigPart(ConfigPart),
 }
 
-/// A request that waits.
+/// A request that waits to be granted a seat.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Submit {
-    /// The shard.
+    /// The shard that schedules the request.
     pub shard: ShardId,
-    /// The request.
+    /// The id of the request.
     pub request: RequestId,
-    /// The adapter that it names.
+    /// The requested adapter.
     pub adapter: AdapterName,
-    /// The version that it names.
+    /// The requested version of the adapter.
     pub version: AdapterVersion,
-    /// Its class.
+    /// The priority class of the request.
     pub priority: Priority,
     /// A hash of the caller's name.
     pub caller_hash: u64,
-    /// How long its answer is still worth waiting for.
+    /// The time that is left until the deadline.
     pub time_left: Duration,
-    /// How long it has waited at the entry.
+    /// The time that the request has already waited at the entry.
     pub waited: Duration,
-    /// Milliseconds on the entry's clock.
+    /// The time of sending, in milliseconds on the entry's clock.
     pub stamp_ms: u64,
-    /// The configuration in which the entry found the adapter.
+    /// The version of the configuration in which the entry found the adapter.
     pub config_version: ConfigVersion,
 }
 
-/// A request at a shard.
+/// A reference to a request at a shard.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RequestRef {
-    /// The shard.
+    /// The shard that schedules the request.
     pub shard: ShardId,
-    /// The request.
+    /// The id of the request.
     pub request: RequestId,
 }
 
 /// How a granted request ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum EndKind {
-    /// It ran, or its caller went away.
+    /// The request ran, or its caller disconnected.
     Finished,
-    /// The engine does not hold the adapter; it must wait again.
+    /// The engine has not loaded the adapter; the request is queued again.
     NotLoaded,
-    /// The engine could not be connected to; it must wait again.
+    /// No connection to the engine could be made; the request is queued again.
     Unreachable,
-    /// The engine or the connection failed.
+    /// The engine or the connection to it failed.
     Failed,
 }
 
 /// The end of a granted request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Ended {
-    /// The shard.
+    /// The shard that granted the request.
     pub shard: ShardId,
-    /// The request.
+    /// The id of the request.
     pub request: RequestId,
-    /// How it ended.
+    /// How the request ended.
     pub end: EndKind,
 }
 
-/// How long a first token took, as evidence about an engine.
+/// A measured time to first token, as evidence about an engine's health.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct FirstToken {
-    /// The engine.
+    /// The engine that served the request.
     pub endpoint: EndpointId,
-    /// The time from the call to the first bytes.
+    /// The time from sending the request to the first bytes of the response.
     pub took: Duration,
 }
 
-/// One request that an entry runs on a grant.
+/// The details of a request that runs on a grant.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RunningRequest {
-    /// The request.
+    /// The id of the request.
     pub request: RequestId,
-    /// The engine.
+    /// The engine that runs the request.
     pub endpoint: EndpointId,
-    /// The adapter.
+    /// The adapter that the request uses.
     pub adapter: AdapterName,
-    /// The version.
+    /// The version of the adapter.
     pub version: AdapterVersion,
-    /// Its class.
+    /// The priority class of the request.
     pub priority: Priority,
 }
 
-/// Requests that an entry runs on grants of one shard.
+/// The list of requests that an entry runs on grants of one shard.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Running {
-    /// The shard.
+    /// The shard that granted the requests.
     pub shard: ShardId,
-    /// The epoch that the entry believes in.
+    /// The leader's epoch, as far as the entry knows.
     pub epoch: Epoch,
-    /// The ids of all, sorted.
+    /// The ids of all requests, sorted.
     pub ids: Vec<RequestId>,
-    /// The details, sent only to a leader that is new to the entry.
+    /// The details of the requests, sent only to a leader that is new to the
+    /// entry.
     pub details: Vec<RunningRequest>,
-    /// First tokens since the last such list. They have no message of their
-    /// own, because each message costs a leader some tenth of a millisecond.
+    /// The times to first token since the previous list. They have no message
+    /// of their own, because each message costs the leader about 0.1 ms.
     pub first_tokens: Vec<FirstToken>,
 }
 
-/// A seat for a request.
+/// A grant of a seat, one place in an engine's batch, to a request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Granted {
-    /// The shard.
+    /// The shard that grants the request.
     pub shard: ShardId,
-    /// The request.
+    /// The id of the request.
     pub request: RequestId,
     /// The leader's epoch.
     pub epoch: Epoch,
-    /// The engine.
+    /// The engine that the request may run on.
     pub endpoint: EndpointId,
-    /// Where the engine is reached.
+    /// The address of the engine.
     pub address: String,
-    /// The grant may be used while the entry's own clock shows less than
-    /// this, in milliseconds.
+    /// The time at which the grant expires, in milliseconds on the entry's own
+    /// clock.
     pub valid_until_stamp_ms: u64,
 }
 
-/// A refusal.
+/// The rejection of a request by a leader.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Refused {
-    /// The shard.
+    /// The shard that rejects the request.
     pub shard: ShardId,
-    /// The leader's epoch; a deposed leader's refusals do not count.
+    /// The leader's epoch; rejections of a deposed leader are ignored.
     pub epoch: Epoch,
-    /// The request.
+    /// The id of the request.
     pub request: RequestId,
-    /// Why, and when to come back.
+    /// The reason, and when to retry.
     pub refusal: Refusal,
 }
 
-/// A claim for a partition.
+/// A claim for the log of a partition.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ClaimRequest {
-    /// The partition.
+    /// The partition of the claimed key.
     pub partition: PartitionIdx,
-    /// The claim.
+    /// The claimed key and the request that claims it.
     pub claim: Claim,
 }
 
-/// What a shard would do with the weight store.
+/// A shard's demand for the weight store.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Demand {
-    /// The shard.
+    /// The shard with the demand.
     pub shard: ShardId,
-    /// What it would do.
+    /// The requests and adapters that wait for a load.
     pub demand: StoreDemand,
-    /// Milliseconds on the leader's clock.
+    /// The time of sending, in milliseconds on the leader's clock.
     pub stamp_ms: u64,
 }
 
-/// A part of the weight store.
+/// A shard's share of the weight store's limits.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Allotment {
-    /// The shard.
+    /// The shard that receives the allotment.
     pub shard: ShardId,
     /// The epoch of the allocator's lease.
     pub epoch: Epoch,
-    /// The part.
+    /// The limits allotted to the shard.
     pub limits: StoreLimits,
-    /// The stamp of the demand; the part holds from then on.
+    /// The `stamp_ms` of the demand, from which on the allotment is valid.
     pub stamp_ms: u64,
 }
 
 /// The answer to a claim.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ClaimReply {
-    /// The request.
+    /// The id of the request that made the claim.
     pub request: RequestId,
-    /// The answer.
+    /// Whether the request may run.
     pub answer: ClaimAnswer,
 }
 
-/// Asks for a configuration newer than the sender's.
+/// A request for a configuration newer than the sender's.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AskConfig {
-    /// The chunks that are wanted; none asks for the head alone.
+    /// The names of the requested chunks; empty to request only the head.
     pub chunks: Vec<String>,
 }
 
 /// A configuration head with some chunks.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ConfigPart {
-    /// The head.
+    /// The head of the sender's configuration.
     pub head: ConfigHead,
-    /// Chunks: name and content.
+    /// The requested chunks that the sender has.
     pub chunks: Vec<ChunkPart>,
 }
 
 /// One chunk in a [`ConfigPart`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ChunkPart {
-    /// Its name.
+    /// The name of the chunk, which is the hash of its content.
     pub hash: String,
-    /// Its content.
+    /// The content of the chunk.
     pub content: Vec<u8>,
 }
 
-/// Error of a message that cannot be encoded or decoded.
+/// An error in encoding or decoding a message.
 #[derive(Debug, displaydoc::Display)]
 pub enum MessageError {
     /// cannot encode a message: {0}
     Encode(rmp_serde::encode::Error),
     /// cannot decode a message of {len} bytes: {source}
     Decode {
-        /// The message's length in bytes.
+        /// The length of the message in bytes.
         len: usize,
-        /// The cause.
+        /// The decoder's error.
         source: rmp_serde::decode::Error,
     },
 }
@@ -282,20 +291,20 @@
 impl std::error::Error for MessageError {}
 
 impl Envelope {
-    /// Encodes the message.
+    /// Encodes the message as MessagePack.
     ///
     /// # Errors
     ///
-    /// When the encoder fails, which it does for no message of ours.
+    /// When the encoder fails, which it does for none of these messages.
     pub fn to_bytes(&self) -> Result<Vec<u8>, MessageError> {
         rmp_serde::to_vec(self).map_err(MessageError::Encode)
     }
 
-    /// Decodes a message.
+    /// Decodes a message from MessagePack.
     ///
     /// # Errors
     ///
-    /// When the bytes are not a message of this version.
+    /// When the bytes are not a message in the format of this version.
     pub fn from_bytes(bytes: &[u8]) -> Result<Envelope, MessageError> {
         rmp_serde::from_slice(bytes).map_err(|source| MessageError::Decode {
             len: bytes.len(),
--- a/crates/protocol/src/operator.rs
+++ b/crates/protocol/src/operator.rs
@@ -1,113 +1,117 @@
-//! The operators' interface: what an instance says of itself.
+//! The interface for operators: the status of an instance, its timeline, and
+//! explanations of placement decisions.
 
 use sedgewall_state::{
     ConfigVersion, Epoch, Incarnation, InstanceId, ShardId, ZoneName,
 };
 use serde::{Deserialize, Serialize};
 
-/// Where the status of one instance is read.
+/// The path of an instance's status.
 pub const STATUS_PATH: &str = "/v1/status";
 
-/// Where the time line of one instance is read.
+/// The path of an instance's event timeline.
 pub const TIMELINE_PATH: &str = "/v1/timeline";
 
-/// Where an instance is asked why an adapter is where it is.
+/// The path of explanations why an adapter is placed where it is.
 pub const EXPLAIN_PATH: &str = "/v1/explain";
 
-/// Where an instance is told to stop after its requests.
+/// The path that makes an instance drain: it finishes its requests and then
+/// stops.
 pub const DRAIN_PATH: &str = "/v1/drain";
 
 /// The status of one instance.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct InstanceStatus {
-    /// Its name.
+    /// The name of the instance.
     pub instance: InstanceId,
-    /// Its incarnation.
+    /// The incarnation of the instance.
     pub incarnation: Incarnation,
-    /// Its availability zone.
+    /// The availability zone of the instance.
     pub zone: ZoneName,
-    /// The configuration in force.
+    /// The version of the configuration in force.
     pub config_version: ConfigVersion,
-    /// Whether it takes new requests.
+    /// Whether the instance accepts new requests.
     pub is_ready: bool,
-    /// Whether it is stopping.
+    /// Whether the instance is shutting down.
     pub is_leaving: bool,
-    /// Whether the platform answered its last call.
+    /// Whether the platform answered the instance's last call.
     pub is_platform_reached: bool,
-    /// Requests that it holds, waiting or running.
+    /// The number of requests that the instance holds, waiting or running.
     pub requests_len: usize,
-    /// Its resident memory, in bytes.
+    /// The resident memory of the process, in bytes.
     pub resident_bytes: u64,
-    /// Processor time that it used since its start, in milliseconds.
+    /// The processor time used since the start of the process, in
+    /// milliseconds.
     pub cpu_ms: u64,
-    /// Peers that it hears.
+    /// The peers that the instance considers live.
     pub live_peers: Vec<InstanceId>,
-    /// Shards that it leads.
+    /// The shards that the instance leads.
     pub led_shards: Vec<ShardStatus>,
-    /// Who leads each shard, as it believes.
+    /// The leader of each shard, as far as the instance knows.
     pub leaders: Vec<LeaderStatus>,
 }
 
-/// A shard's leader, as an instance believes.
+/// The leader of a shard, as far as an instance knows.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LeaderStatus {
-    /// The shard.
+    /// The shard that is led.
     pub shard: ShardId,
-    /// The leader.
+    /// The instance that leads the shard.
     pub leader: InstanceId,
-    /// Its epoch.
+    /// The epoch of the leader's lease.
     pub epoch: Epoch,
 }
 
-/// A shard, as its leader sees it.
+/// The status of a shard, as its leader sees it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ShardStatus {
-    /// The shard.
+    /// The name of the shard.
     pub shard: ShardId,
-    /// The epoch.
+    /// The epoch of the leader's lease.
     pub epoch: Epoch,
-    /// Requests that wait.
+    /// The number of queued requests.
     pub waiting_len: usize,
-    /// Requests that hold a seat.
+    /// The number of requests that were granted a seat.
     pub granted_len: usize,
-    /// Loads under way.
+    /// The number of adapter loads in progress.
     pub loads_in_flight: u32,
-    /// The engines.
+    /// The engines that serve the shard.
     pub engines: Vec<EngineStatus>,
 }
 
-/// An engine, as its leader sees it.
+/// The status of an engine, as the leader of its shard sees it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EngineStatus {
-    /// The endpoint.
+    /// The name of the endpoint.
     pub endpoint: String,
-    /// Its health.
+    /// The health state of the engine.
     pub health: String,
-    /// Requests granted.
+    /// The number of requests that were granted a seat on the engine.
     pub running_len: u32,
-    /// Seats.
+    /// The number of seats, the maximum number of requests in a batch.
     pub seats: u32,
-    /// What its slots hold.
+    /// The adapters in the engine's slots.
     pub adapters: Vec<String>,
 }
 
-/// Why an adapter is where it is, as its shard's leader sees it.
+/// An explanation why an adapter is placed where it is, by the leader of its
+/// shard.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct AdapterExplanation {
-    /// `adapter@version`.
+    /// The adapter and version, as `adapter@version`.
     pub adapter: String,
-    /// Its shard.
+    /// The shard that the adapter belongs to.
     pub shard: ShardId,
-    /// Requests per second that are expected.
+    /// The expected rate of requests, per second.
     pub rate_per_s: f64,
-    /// Requests that wait for it.
+    /// The number of requests that are queued for the adapter.
     pub waiting_len: u32,
-    /// Engines on which it is ready.
+    /// The engines on which the adapter is ready.
     pub ready_on: Vec<String>,
-    /// Engines on which it is being loaded.
+    /// The engines that are loading the adapter.
     pub loading_on: Vec<String>,
-    /// Failed loads in a row.
+    /// The number of consecutive failed loads.
     pub load_failures: u32,
-    /// What the policy would do next for it, in a sentence.
+    /// The next action of the placement policy for the adapter, in a sentence.
     pub next: String,
 }
--- a/crates/protocol/src/platform.rs
+++ b/crates/protocol/src/platform.rs
@@ -1,8 +1,9 @@
-//! The platform's interface: the object API and the instance list.
+//! The interface of the platform: the object API and the instance list.
 //!
-//! Objects are read with `GET`, changed with `PUT` under `If-Match` or
-//! `If-None-Match: *`, and watched with `GET` under `If-None-Match` and
-//! `Prefer: wait` (RFC 9110, RFC 7240). The entity tag is the object's version.
+//! Objects are read with `GET`, changed with `PUT` and `If-Match` or
+//! `If-None-Match: *`, and watched by long polling with `GET`, `If-None-Match`
+//! and `Prefer: wait` (RFC 9110, RFC 7240). The entity tag is the object's
+//! version.
 
 use sedgewall_coordination::{
     claim::{PartitionIdx, SegmentIdx},
@@ -10,19 +11,19 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Where objects live.
+/// The path prefix of objects.
 pub const OBJECTS_PATH: &str = "/objects/";
 
-/// Where the objects under a prefix are listed.
+/// The path of listings of the objects under a prefix.
 pub const LIST_PATH: &str = "/list";
 
-/// Where the instance list lives.
+/// The path of the instance list.
 pub const INSTANCES_PATH: &str = "/instances";
 
-/// The head of the configuration.
+/// The key of the configuration head.
 pub const CONFIG_HEAD_KEY: &str = "config/head";
 
-/// The prefix of all leases.
+/// The prefix of the keys of all leases.
 pub const LEASES_PREFIX: &str = "leases/";
 
 /// Returns the key of a configuration chunk.
@@ -35,17 +36,19 @@
     format!("{LEASES_PREFIX}{shard}")
 }
 
-/// Returns the prefix of a partition's log of claims.
+/// Returns the prefix of the keys of a partition's claim log.
 pub fn claims_prefix(partition: PartitionIdx) -> String {
     format!("claims/{partition:02}/")
 }
 
-/// Returns the key of a segment; keys sort as their numbers do.
+/// Returns the key of a segment in a partition's claim log. The index is
+/// zero-padded, so that keys sort in the order of the log.
 pub fn segment_key(partition: PartitionIdx, idx: SegmentIdx) -> String {
     format!("{}{idx:012}", claims_prefix(partition))
 }
 
-/// Returns the number of a segment from its key.
+/// Returns the index of a segment from its key, or `None` if the key does not
+/// end in a number.
 pub fn segment_idx(key: &str) -> Option<SegmentIdx> {
     key.rsplit('/').next()?.parse().ok()
 }
@@ -53,21 +56,21 @@
 /// One object in a listing.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ListedObject {
-    /// Its key.
+    /// The key of the object.
     pub key: String,
-    /// Its version.
+    /// The version of the object.
     pub version: ObjectVersion,
-    /// Its value, as text.
+    /// The value of the object, as text.
     pub value: String,
 }
 
 /// One page of a listing.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ObjectList {
-    /// Rises with each change under the prefix.
+    /// The revision, which rises with each change under the prefix.
     pub revision: u64,
-    /// The objects, by key.
+    /// The objects of this page, sorted by key.
     pub objects: Vec<ListedObject>,
-    /// Where the next page starts, if there is one.
+    /// The key at which the next page starts, if there is one.
     pub next: Option<String>,
 }
--- a/crates/protocol/src/problem.rs
+++ b/crates/protocol/src/problem.rs
@@ -1,8 +1,8 @@
-//! Refusals as RFC 9457 problem documents.
+//! Error responses to callers, as RFC 9457 problem documents.
 //!
-//! Every problem says whether the request ran. The rule that callers rely on:
-//! `not_run` is said only when the request reached no endpoint, or the
-//! endpoint itself said that it did not run it.
+//! Every problem states whether the request ran. Callers rely on this rule:
+//! `not_run` is stated only if the request reached no endpoint, or if the
+//! endpoint itself reported that it did not run the request.
 
 use std::time::Duration;
 
@@ -13,42 +13,43 @@
 /// The media type of problem documents.
 pub const PROBLEM_TYPE: &str = "application/problem+json";
 
-/// Whether a request ran.
+/// Whether a failed request ran.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunState {
-    /// It was not run; sending it again is safe.
+    /// The request was not run; retrying it is safe.
     NotRun,
-    /// Nobody knows; it may have run once.
+    /// It is unknown whether the request ran; it may have run once.
     Unknown,
-    /// It ran in part; what came is all there is.
+    /// The request ran in part; the response ends with what was received.
     Partial,
 }
 
-/// A problem document.
+/// A problem document (RFC 9457).
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Problem {
-    /// A path that names the kind of problem; `docs/CALLERS.md` lists them.
+    /// A path that identifies the kind of problem; `docs/CALLERS.md` lists all
+    /// kinds.
     #[serde(rename = "type")]
     pub kind: String,
-    /// A short summary.
+    /// The reason phrase of the HTTP status.
     pub title: String,
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
-    /// What happened to this request.
+    /// An explanation of this occurrence of the problem.
     pub detail: String,
     /// Whether the request ran.
     pub run_state: RunState,
-    /// When a new try is worth while, in milliseconds.
+    /// The recommended delay before a retry, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub retry_after_ms: Option<u64>,
-    /// The request's id.
+    /// The id of the request; empty if it is not known.
     #[serde(skip_serializing_if = "String::is_empty", default)]
     pub request_id: String,
 }
 
 impl Problem {
-    /// Returns a problem; `kind` is its name in `docs/CALLERS.md`.
+    /// Returns a problem of a kind that `docs/CALLERS.md` lists.
     pub fn new(
         status: StatusCode,
         kind: &str,
@@ -66,13 +67,14 @@
         }
     }
 
-    /// Returns the problem of a request that is wrong in itself.
+    /// Returns the problem for an invalid request.
     pub fn bad_request(detail: impl Into<String>) -> Problem {
         let status = StatusCode::BAD_REQUEST;
         Problem::new(status, "bad_request", RunState::NotRun, detail)
     }
 
-    /// Returns the problem that tells a refusal.
+    /// Returns the problem for a request that was rejected by admission
+    /// control. It carries a retry delay, except for an unknown adapter.
     pub fn from_refusal(refusal: &Refusal) -> Problem {
         let (status, detail) = status_and_detail(refusal.reason);
         let kind = refusal.reason.as_str();
@@ -83,24 +85,25 @@
         problem.with_retry_after(refusal.retry_after)
     }
 
-    /// Adds when a new try is worth while.
+    /// Sets the recommended delay before a retry.
     pub fn with_retry_after(mut self, after: Duration) -> Problem {
         self.retry_after_ms = Some(after.as_millis() as u64);
         self
     }
 
-    /// Adds the request's id.
+    /// Sets the id of the request.
     pub fn with_request_id(mut self, id: &str) -> Problem {
         self.request_id = id.to_owned();
         self
     }
 
-    /// Returns the value of `Retry-After`, in whole seconds rounded up.
+    /// Returns the value of the `Retry-After` header: the recommended delay in
+    /// seconds, rounded up.
     pub fn retry_after_s(&self) -> Option<u64> {
         self.retry_after_ms.map(|ms| ms.div_ceil(1_000))
     }
 
-    /// Returns the status to answer with.
+    /// Returns the HTTP status code of the response.
     pub fn status_code(&self) -> StatusCode {
         StatusCode::from_u16(self.status)
             .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR)
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -1,8 +1,8 @@
 //! The settings of one instance, in YAML.
 //!
-//! Settings say what differs per instance (addresses, availability zone) and
-//! what bounds it. What all instances share is in the configuration that
-//! operators apply.
+//! Settings hold what differs between instances (addresses, availability
+//! zone) and the limits of an instance. What all instances share is in the
+//! configuration that operators apply.
 
 use std::{net::SocketAddr, path::Path, time::Duration};
 
@@ -10,76 +10,84 @@
 use sedgewall_state::{InstanceId, ZoneName};
 use serde::{Deserialize, Serialize};
 
-/// Everything that one instance is told.
+/// The settings file of one instance.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     /// The platform's name for this instance.
     pub instance: InstanceId,
-    /// Its availability zone.
+    /// The availability zone of this instance.
     pub zone: ZoneName,
-    /// Where callers connect.
+    /// The address to listen on for callers.
     pub caller_listen: SocketAddr,
-    /// Where operators and metrics connect.
+    /// The address to listen on for operators and metrics scrapes.
     pub operator_listen: SocketAddr,
-    /// Where peers connect.
+    /// The address to listen on for peers.
     pub peer_listen: SocketAddr,
-    /// Where peers reach this instance, if not at `peer_listen`.
+    /// The address at which peers reach this instance, if it differs from
+    /// `peer_listen`.
     #[serde(default)]
     pub peer_advertise: Option<SocketAddr>,
-    /// The platform's address, such as `http://127.0.0.1:7000`.
+    /// The URL of the platform, such as `http://127.0.0.1:7000`.
     pub platform_url: String,
-    /// What bounds this instance.
+    /// The limits of this instance.
     #[serde(default)]
     pub limits: Limits,
-    /// The times of leases.
+    /// The durations that govern leases.
     #[serde(default)]
     pub lease: LeaseSettings,
-    /// The log level: `error`, `warn`, `info`, `debug`.
+    /// The log level: `error`, `warn`, `info` or `debug`.
     #[serde(default = "default_log_level")]
     pub log_level: String,
-    /// What a deployment on an operator's platform sets; without it the
-    /// instance speaks its own interface and asks shard leaders.
+    /// The settings for a deployment on an operator's platform. Without them,
+    /// the instance uses sedgewall's own platform interface and submits
+    /// requests to shard leaders.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fleet: Option<FleetSettings>,
 }
 
-/// What all instances of a deployment share, as its platform states it.
+/// The settings that all instances of a deployment share, as stated by its
+/// platform.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSettings {
-    /// Requests that may be sent once more, as a share of all requests.
+    /// The retry budget: the maximum share of requests that may be retried.
     pub retry_share: f64,
-    /// Requests that may be sent once more beyond the share, in one window.
+    /// The number of retries per window that are allowed beyond
+    /// `retry_share`.
     pub retry_slack: f64,
-    /// The window of the two, in seconds.
+    /// The window of `retry_share` and `retry_slack`, in seconds.
     pub retry_window_s: f64,
-    /// The pause between orders of two holders to one engine, in
-    /// milliseconds.
+    /// The handover delay: the minimum time between orders of two lease
+    /// holders to one engine, in milliseconds.
     pub order_turn_ms: u64,
-    /// The window over which loads from the weight store count, in seconds.
+    /// The window over which loads from the weight store are counted, in
+    /// seconds.
     pub store_window_s: f64,
-    /// What such a window allows, as a multiple of the weight store's rate.
+    /// The loads allowed per window, as a multiple of the weight store's rate.
     pub store_overage: f64,
-    /// A key that was taken away stops within this time on every instance, also
-    /// one that cannot know so, in milliseconds; without it, as soon as it is known.
+    /// The time within which a revoked key stops working on every instance,
+    /// also on one that cannot learn of the revocation, in milliseconds.
+    /// Without it, a key stops working once the revocation is known.
     #[serde(default)]
     pub revoke_within_ms: Option<u64>,
-    /// A change that the store has acknowledged must be in force within this time,
-    /// in milliseconds.
+    /// The time within which a change that the store has acknowledged must be
+    /// in force, in milliseconds.
     #[serde(default = "default_in_force_within_ms")]
     pub in_force_within_ms: u64,
-    /// A planned stop is cut off after this long, in seconds.
+    /// The termination grace period: the time after which a planned stop is
+    /// cut off, in seconds.
     pub grace_s: f64,
-    /// Where metrics are read, beside the operators' address.
+    /// An address to listen on for metrics scrapes, in addition to
+    /// `operator_listen`.
     #[serde(default)]
     pub metrics_listen: Option<SocketAddr>,
-    /// This instance's part of a processor core; a larger one takes the lease
-    /// on orders first.
+    /// The share of a processor core that this instance has; an instance with
+    /// a larger share acquires the lease on orders first.
     #[serde(default = "default_cpu_share")]
     pub cpu_share: f64,
-    /// Whether the system has run before this start. Then an earlier life may
-    /// have used what all instances may do together.
+    /// Whether the system has run before this start. If so, the earlier run
+    /// may have used up the retry budget that all instances share.
     #[serde(default)]
     pub has_run_before: bool,
 }
@@ -92,33 +100,35 @@
     1.0
 }
 
-/// What bounds one instance.
+/// The resource limits and time-outs of one instance.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// The largest body of a request, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// The longest time for a request's headers, in milliseconds.
+    /// The time-out for receiving the headers of a request, in milliseconds.
     pub header_ms: u64,
-    /// The longest time for a request's body, in milliseconds.
+    /// The time-out for receiving the body of a request, in milliseconds.
     pub body_ms: u64,
-    /// Connections of callers at once.
+    /// The maximum number of concurrent connections of callers.
     pub connections: usize,
-    /// Requests held at once, waiting or running.
+    /// The maximum number of requests held at once, waiting or running.
     pub requests: usize,
-    /// The deadline of a request that names none, in milliseconds.
+    /// The default deadline of a request, in milliseconds.
     pub deadline_ms: u64,
-    /// The longest deadline that is accepted, in milliseconds.
+    /// The maximum deadline, to which longer ones are reduced, in
+    /// milliseconds.
     pub max_deadline_ms: u64,
-    /// A stream without a byte for this long is given up, in milliseconds.
+    /// The time-out of a response stream that delivers no bytes, in
+    /// milliseconds.
     pub stream_idle_ms: u64,
-    /// Tries of a request that an engine turned down.
+    /// The maximum number of retries of a request that engines reject.
     pub retries: u32,
-    /// Retries as a part of all requests, beyond which nothing is retried.
+    /// The retry budget: the maximum ratio of retries to requests.
     pub retry_share: f64,
-    /// A planned stop waits this long for requests, in milliseconds.
+    /// How long a planned stop waits for requests to finish, in milliseconds.
     pub drain_ms: u64,
-    /// Events that the time line keeps.
+    /// The number of events that the timeline keeps.
     pub timeline_len: usize,
 }
 
@@ -141,15 +151,16 @@
     }
 }
 
-/// The times of leases, in milliseconds.
+/// The durations that govern leases, in milliseconds.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LeaseSettings {
-    /// How long a lease holds after its last renewal.
+    /// How long a lease is valid after its last renewal was sent.
     pub time_to_live_ms: u64,
-    /// How often it is renewed.
+    /// The interval between renewals.
     pub renew_every_ms: u64,
-    /// What a challenger waits beyond the time to live.
+    /// How long a challenger waits beyond the time to live, to allow for
+    /// clocks that run at different rates.
     pub margin_ms: u64,
 }
 
@@ -165,7 +176,7 @@
 }
 
 impl LeaseSettings {
-    /// Returns the times as the lease works with them.
+    /// Returns the settings as durations.
     pub fn timing(&self) -> LeaseTiming {
         LeaseTiming {
             time_to_live: Duration::from_millis(self.time_to_live_ms),
@@ -175,28 +186,28 @@
     }
 }
 
-/// Error of settings that cannot be used.
+/// An error in reading or validating settings.
 #[derive(Debug, displaydoc::Display)]
 pub enum SettingsError {
     /// cannot read {file}: {source}
     Read {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// The cause.
+        /// The cause of the failure.
         source: std::io::Error,
     },
     /// {file}: {message}
     Parse {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// Line, column and cause.
+        /// The parser's message, with line, column and cause.
         message: String,
     },
     /// {file}: {errors}
     Invalid {
-        /// The file.
+        /// The path of the file.
         file: String,
-        /// All faults, each with its field.
+        /// All violated rules, each with its field, separated by semicolons.
         errors: String,
     },
 }
@@ -204,12 +215,12 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Reads and checks a file of settings.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// When the file cannot be read, is not YAML of this form, or breaks a
-    /// rule; the message names file, field and cause.
+    /// When the file cannot be read, is not YAML of the expected structure, or
+    /// violates a rule; the message names the file, the field and the cause.
     pub fn from_file(path: &Path) -> Result<Settings, SettingsError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|source| {
@@ -218,11 +229,12 @@
         Settings::from_yaml(&file, &text)
     }
 
-    /// Reads and checks settings from text; `file` is named in errors.
+    /// Parses and validates settings; `file` is the name used in errors.
     ///
     /// # Errors
     ///
-    /// When the text is not YAML of this form, or breaks a rule.
+    /// When the text is not YAML of the expected structure, or violates a
+    /// rule.
     pub fn from_yaml(
         file: &str,
         text: &str,
@@ -236,11 +248,11 @@
         Ok(settings)
     }
 
-    /// Checks the rules that the form cannot express.
+    /// Validates the rules that the types cannot express.
     ///
     /// # Errors
     ///
-    /// With all broken rules at once.
+    /// With all violated rules at once.
     pub fn check(&self, file: &str) -> Result<(), SettingsError> {
         let errors = self.validation_errors();
         if errors.is_empty() {
@@ -255,7 +267,7 @@
         serde_saphyr::to_string(self).unwrap_or_default()
     }
 
-    /// Returns where peers reach this instance.
+    /// Returns the URL at which peers reach this instance.
     pub fn peer_url(&self) -> String {
         let address = self.peer_advertise.unwrap_or(self.peer_listen);
         format!("tcp://{address}")
@@ -324,16 +336,16 @@
     }
 }
 
-/// A log level, as settings name it.
+/// A log level in settings.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LogLevel {
-    /// What needs somebody to act.
+    /// Conditions that need an operator's intervention.
     Error,
-    /// What may need somebody to act.
+    /// Conditions that may need an operator's intervention.
     Warn,
-    /// What changed.
+    /// Changes of state.
     Info,
-    /// Every step.
+    /// Every step, for debugging.
     Debug,
 }
 
--- a/crates/protocol/tests/callers.rs
+++ b/crates/protocol/tests/callers.rs
@@ -1,4 +1,5 @@
-//! What callers may send, and what they are told.
+//! Parsing of callers' requests and of settings, encoding of errors, and
+//! decoding of peer messages.
 
 use std::time::Duration;
 
@@ -118,7 +119,7 @@
     fn decoding_arbitrary_bytes_does_not_panic(
         bytes in prop::collection::vec(any::<u8>(), 0..300)
     ) {
-        // Must not panic; a random message that decodes must encode again.
+        // Decoding must not panic, and what decodes must encode again.
         if let Ok(envelope) = Envelope::from_bytes(&bytes) {
             prop_assert!(envelope.to_bytes().is_ok());
         }
--- a/crates/protocol/tests/files.rs
+++ b/crates/protocol/tests/files.rs
@@ -1,4 +1,5 @@
-//! Operators' files: every fault at once, with file, line, field and cause.
+//! Operators' configuration files: all errors are reported at once, each with
+//! file, line, field and cause.
 
 use sedgewall_protocol::file::{SourceFile, parse, to_yaml};
 
