--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -73,7 +73,7 @@
     pub revoke_within_ms: Option<u64>,
     /// The time within which a change that the store has acknowledged must be
     /// in force, in milliseconds.
-    #[serde(default = "default_in_force_within_ms")]
+    #[serde(default = "two_seconds_ms")]
     pub in_force_within_ms: u64,
     /// The termination grace period: the time after which a planned stop is
     /// cut off, in seconds.
@@ -84,7 +84,7 @@
     pub metrics_listen: Option<SocketAddr>,
     /// The share of a processor core that this instance has; an instance with
     /// a larger share acquires the lease on orders first.
-    #[serde(default = "default_cpu_share")]
+    #[serde(default = "whole_core")]
     pub cpu_share: f64,
     /// Whether the system has run before this start. If so, the earlier run
     /// may have used up the retry budget that all instances share.
@@ -92,11 +92,11 @@
     pub has_run_before: bool,
 }
 
-fn default_in_force_within_ms() -> u64 {
+fn two_seconds_ms() -> u64 {
     2_000
 }
 
-fn default_cpu_share() -> f64 {
+fn whole_core() -> f64 {
     1.0
 }
 
