--- a/crates/coordination/tests/handover_rules.rs
+++ b/crates/coordination/tests/handover_rules.rs
@@ -280,10 +280,10 @@
     assert!(first.may_order(start));
     let mut second = LeaseClient::start(2, 2);
     second.act(&mut store, Fault::None, start);
-    let lapsed = start + TIMING.time_to_live + TIMING.margin;
-    second.act(&mut store, Fault::None, lapsed);
-    assert!(second.held.is_some() && !second.may_order(lapsed));
-    (store, second, lapsed)
+    let expired_at = start + TIMING.time_to_live + TIMING.margin;
+    second.act(&mut store, Fault::None, expired_at);
+    assert!(second.held.is_some() && !second.may_order(expired_at));
+    (store, second, expired_at)
 }
 
 /// Guards against orders of two holders within one handover delay when the new
@@ -291,49 +291,49 @@
 /// record, but the process that knew of the pending delay is gone.
 #[test]
 fn the_handover_delay_survives_a_restart_of_the_holder() {
-    let (mut store, _, taken) = taken_over();
-    let mut again = LeaseClient::start(2, 3);
-    let back = taken + Duration::from_millis(300);
-    again.act(&mut store, Fault::None, back);
-    assert!(again.held.is_some() && !again.may_order(back));
-    let mut now = back;
-    while now < back + HANDOVER_DELAY {
-        assert!(!again.may_order(now));
-        again.act(&mut store, Fault::None, now);
+    let (mut store, _, taken_at) = taken_over();
+    let mut restarted = LeaseClient::start(2, 3);
+    let restarted_at = taken_at + Duration::from_millis(300);
+    restarted.act(&mut store, Fault::None, restarted_at);
+    assert!(restarted.held.is_some() && !restarted.may_order(restarted_at));
+    let mut now = restarted_at;
+    while now < restarted_at + HANDOVER_DELAY {
+        assert!(!restarted.may_order(now));
+        restarted.act(&mut store, Fault::None, now);
         now += TIMING.renew_every;
     }
-    again.act(&mut store, Fault::None, now);
-    assert!(again.may_order(now));
+    restarted.act(&mut store, Fault::None, now);
+    assert!(restarted.may_order(now));
 }
 
 /// A holder that has sent orders remains the same holder after its restart, so
 /// that another delay would only hold up loads.
 #[test]
 fn a_holder_past_its_handover_delay_orders_at_once_after_a_restart() {
-    let (mut store, mut second, taken) = taken_over();
-    let mut now = taken;
+    let (mut store, mut second, taken_at) = taken_over();
+    let mut now = taken_at;
     while !second.may_order(now) {
         now += TIMING.renew_every;
         second.act(&mut store, Fault::None, now);
     }
     second.act(&mut store, Fault::None, now);
-    let mut again = LeaseClient::start(2, 3);
-    again.act(&mut store, Fault::None, now);
-    assert!(again.may_order(now));
+    let mut restarted = LeaseClient::start(2, 3);
+    restarted.act(&mut store, Fault::None, now);
+    assert!(restarted.may_order(now));
 }
 
 /// A process that lets its lease expire and acquires it again waits only for
 /// the rest of the handover delay.
 #[test]
 fn reacquiring_an_expired_lease_keeps_the_handover_deadline() {
-    let (mut store, mut second, taken) = taken_over();
-    let (_, due) =
+    let (mut store, mut second, taken_at) = taken_over();
+    let (_, first_order_at) =
         *second.held.as_ref().expect("the second instance holds the lease");
-    let lapsed = taken + TIMING.time_to_live;
-    second.act(&mut store, Fault::None, lapsed);
+    let expired_at = taken_at + TIMING.time_to_live;
+    second.act(&mut store, Fault::None, expired_at);
     assert!(second.held.is_none());
-    second.act(&mut store, Fault::None, lapsed);
-    let (_, again) =
+    second.act(&mut store, Fault::None, expired_at);
+    let (_, reacquired_order_at) =
         *second.held.as_ref().expect("the second instance holds the lease");
-    assert_eq!(again, due);
+    assert_eq!(reacquired_order_at, first_order_at);
 }
--- a/crates/coordination/tests/lease_rules.rs
+++ b/crates/coordination/tests/lease_rules.rs
@@ -217,9 +217,9 @@
     );
 
     assert!(!paused.is_current(later));
-    let woken =
+    let resumed =
         act(State::Held(paused), 0, &mut platform, later, false, false);
-    assert!(matches!(woken, State::Watching(_)));
+    assert!(matches!(resumed, State::Watching(_)));
     let stored = platform.stored.expect("a lease record is stored");
     assert_eq!(stored.record.holder, "i1");
 }
