--- a/crates/coordination/tests/claim_rules.rs
+++ b/crates/coordination/tests/claim_rules.rs
@@ -1,5 +1,5 @@
-//! Claims under races, lost answers, restarts and trimming: a key is granted
-//! to one request only.
+//! Claims under races, lost responses, restarts and trimming: a key is granted
+//! to at most one request.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -14,7 +14,7 @@
 enum Step {
     Claim { claimer: usize, key: u128, request: u128 },
     Release { claimer: usize, key: u128, request: u128 },
-    Write { claimer: usize, loses_answer: bool, is_out: bool },
+    Write { claimer: usize, loses_answer: bool, is_unreachable: bool },
     Restart(usize),
     Trim(usize),
 }
@@ -29,8 +29,8 @@
             |(claimer, key, request)| Step::Release { claimer, key, request }
         ),
         6 => (claimer(), prop::bool::weighted(0.2), prop::bool::weighted(0.1))
-            .prop_map(|(claimer, loses_answer, is_out)| Step::Write {
-                claimer, loses_answer, is_out
+            .prop_map(|(claimer, loses_answer, is_unreachable)| Step::Write {
+                claimer, loses_answer, is_unreachable
             }),
         1 => claimer().prop_map(Step::Restart),
         1 => claimer().prop_map(Step::Trim),
@@ -41,9 +41,9 @@
 struct World {
     log: BTreeMap<u64, Segment>,
     claimers: Vec<ClaimLog>,
-    /// Requests that may run, by key.
+    /// Requests whose claims were granted, by key.
     granted: HashMap<u128, BTreeSet<u128>>,
-    /// Requests that were given up; they never run after that.
+    /// Requests whose claims were released; they never run afterwards.
     released: BTreeSet<u128>,
     time: u64,
 }
@@ -65,9 +65,9 @@
         log.finish_recovery()
     }
 
-    fn note(
+    fn record(
         &mut self,
-        key_of: &HashMap<u128, u128>,
+        keys: &HashMap<u128, u128>,
         answers: Vec<AnsweredClaim>,
     ) {
         for answered in answers {
@@ -76,7 +76,7 @@
             {
                 continue;
             }
-            let key = key_of[&answered.request];
+            let key = keys[&answered.request];
             self.granted.entry(key).or_default().insert(answered.request);
         }
     }
@@ -90,13 +90,13 @@
         steps in prop::collection::vec(step(), 1..120)
     ) {
         let mut world = World::new();
-        // A request has one key for ever.
-        let mut key_of: HashMap<u128, u128> = HashMap::new();
+        // The key of each request, which never changes.
+        let mut keys: HashMap<u128, u128> = HashMap::new();
         for step in steps {
             world.time += 1;
             match step {
                 Step::Claim { claimer, key, request } => {
-                    let key = *key_of.entry(request).or_insert(key);
+                    let key = *keys.entry(request).or_insert(key);
                     if world.released.contains(&request) {
                         continue;
                     }
@@ -104,32 +104,32 @@
                     let answer = world.claimers[claimer].claim(claim);
                     if let Some(answer) = answer {
                         let answers = vec![AnsweredClaim { request, answer }];
-                        world.note(&key_of, answers);
+                        world.record(&keys, answers);
                     }
                 }
                 Step::Release { claimer, key, request } => {
-                    let key = *key_of.entry(request).or_insert(key);
-                    let has_run = world
+                    let key = *keys.entry(request).or_insert(key);
+                    let is_granted = world
                         .granted
                         .get(&key)
                         .is_some_and(|all| all.contains(&request));
-                    if has_run {
+                    if is_granted {
                         continue;
                     }
                     world.released.insert(request);
                     let claim = Claim { key, request };
                     world.claimers[claimer].release(claim);
                 }
-                Step::Write { claimer, loses_answer, is_out } => {
+                Step::Write { claimer, loses_answer, is_unreachable } => {
                     let answers = world.recover(claimer);
-                    world.note(&key_of, answers);
+                    world.record(&keys, answers);
                     let log = &mut world.claimers[claimer];
                     let write = match log.unresolved_write() {
                         Some(write) => Some(write.clone()),
                         None => log.next_write(world.time),
                     };
                     let Some(write) = write else { continue };
-                    let answer = if is_out {
+                    let answer = if is_unreachable {
                         SegmentAnswer::Unclear
                     } else if let Some(found) = world.log.get(&write.idx) {
                         SegmentAnswer::Exists(found.clone())
@@ -141,13 +141,14 @@
                         }
                     };
                     let answers = world.claimers[claimer].complete_write(answer);
-                    world.note(&key_of, answers);
+                    world.record(&keys, answers);
                 }
                 Step::Restart(claimer) => {
                     world.claimers[claimer] = ClaimLog::default();
                 }
                 Step::Trim(claimer) => {
-                    // Nothing here is older than the retention.
+                    // No segment was written before time 0, so none may be
+                    // trimmed.
                     let trimmed = world.claimers[claimer].trim(0);
                     prop_assert_eq!(trimmed, None);
                 }
@@ -162,10 +163,11 @@
     }
 }
 
-/// Found by the property: a claim that came before a restarted claimer had
-/// read the log was granted although the log held the key.
+/// Guards against granting a key that the log already holds: a claim that
+/// reached a restarted claimer before it had read the log was granted. Found
+/// by the property test above.
 #[test]
-fn a_claim_that_waits_for_recovery_is_checked_against_the_log() {
+fn claims_pending_recovery_are_checked_against_the_log() {
     let mut log = ClaimLog::default();
     let claim = Claim { key: 2, request: 1 };
     assert_eq!(log.claim(claim), None);
@@ -205,7 +207,7 @@
     let second = Claim { key: 1, request: 2 };
     log.next_write(1);
     log.complete_write(SegmentAnswer::Created);
-    assert_eq!(log.claim(second), None, "it waits for its segment");
+    assert_eq!(log.claim(second), None, "the claim waits for its segment");
     log.next_write(2);
     let answers = log.complete_write(SegmentAnswer::Created);
     let granted = AnsweredClaim { request: 2, answer: ClaimAnswer::Granted };
--- a/crates/coordination/tests/config_rules.rs
+++ b/crates/coordination/tests/config_rules.rs
@@ -1,5 +1,5 @@
-//! Versions of the configuration never go back, and a small change moves
-//! little.
+//! Configuration versions never decrease, and a small change transfers little
+//! data.
 
 use std::collections::BTreeMap;
 
@@ -12,11 +12,11 @@
     config::{AdapterConfig, BaseModel, Config},
 };
 
-fn config(adapters: usize, mark: &str) -> Config {
+fn config(adapters: usize, version: &str) -> Config {
     let adapters = (0..adapters).map(|idx| AdapterConfig {
         name: format!("a{idx}"),
         base_model: "m".to_owned(),
-        versions: vec![if idx == 3 { mark.to_owned() } else { "1".into() }],
+        versions: vec![if idx == 3 { version.to_owned() } else { "1".into() }],
         priority: Priority::Normal,
     });
     let model = BaseModel { name: "m".to_owned(), shards_per_region: 1 };
@@ -60,11 +60,11 @@
         .chunks()
         .find(|chunk| chunk.hash == missing[0])
         .map_or(0, |chunk| chunk.content.len());
-    assert!(moved * 40 < all, "{moved} of {all} bytes moved");
+    assert!(moved * 40 < all, "{moved} of {all} bytes transferred");
 }
 
 #[test]
-fn a_configuration_survives_its_chunks() {
+fn a_configuration_round_trips_through_chunks() {
     let config = config(500, "7");
     let chunked = ChunkedConfig::from_config(&config).unwrap();
     let head = chunked.head(1, "x", 1);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_damaged_chunk_is_refused_and_changes_nothing() {
+fn a_corrupt_chunk_is_rejected_without_effect() {
     let chunked = ChunkedConfig::from_config(&config(8, "1")).unwrap();
     let mut chunks: Vec<_> = chunked.chunks().cloned().collect();
     chunks[0].content.push(b' ');
--- a/crates/coordination/tests/membership_rules.rs
+++ b/crates/coordination/tests/membership_rules.rs
@@ -1,4 +1,4 @@
-//! Membership under lagging lists, silence and flapping.
+//! Membership with a lagging instance list, silent peers and flapping peers.
 
 use std::time::Duration;
 
@@ -55,13 +55,14 @@
 }
 
 #[test]
-fn who_leaves_is_not_live_again_in_the_same_incarnation() {
+fn a_leaving_instance_is_not_live_again_in_the_same_incarnation() {
     let now = Instant::now();
     let mut membership = Membership::new(MembershipTimeouts::default());
     membership.record_heartbeat(heartbeat("a", 1), now);
     let leaving = Heartbeat { is_leaving: true, ..heartbeat("a", 1) };
     membership.record_heartbeat(leaving, now);
-    // A heartbeat that was under way when the stop was announced.
+    // A heartbeat that was sent before the departure was announced and arrives
+    // after it.
     membership.record_heartbeat(heartbeat("a", 1), now);
     assert!(!membership.is_live("a", now));
     membership.record_heartbeat(heartbeat("a", 2), now);
@@ -69,32 +70,32 @@
 }
 
 #[test]
-fn a_flapping_instance_waits_longer_to_be_preferred() {
+fn a_flapping_instance_needs_longer_to_become_stable() {
     let mut now = Instant::now();
-    let times = MembershipTimeouts::default();
-    let mut membership = Membership::new(times);
+    let timeouts = MembershipTimeouts::default();
+    let mut membership = Membership::new(timeouts);
     membership.record_heartbeat(heartbeat("a", 1), now);
     assert!(membership.is_stable("a", now));
     for flap in 1..4u32 {
-        now += times.silent_after * 2;
+        now += timeouts.silent_after * 2;
         membership.record_heartbeat(heartbeat("a", 1), now);
         assert!(membership.is_live("a", now));
         assert!(!membership.is_stable("a", now));
         let mut waited = Duration::ZERO;
         while !membership.is_stable("a", now) {
-            now += times.silent_after / 2;
-            waited += times.silent_after / 2;
+            now += timeouts.silent_after / 2;
+            waited += timeouts.silent_after / 2;
             membership.record_heartbeat(heartbeat("a", 1), now);
         }
-        assert_eq!(waited, times.damping * flap);
+        assert_eq!(waited, timeouts.damping * flap);
     }
 }
 
 #[test]
-fn heartbeats_of_a_node_stay_flat_as_nodes_are_added() {
-    let targets = |nodes: usize| {
+fn heartbeat_targets_stay_bounded_as_instances_are_added() {
+    let targets = |instances: usize| {
         let mut membership = Membership::new(MembershipTimeouts::default());
-        let names = (0..nodes).map(|idx| format!("i{idx}"));
+        let names = (0..instances).map(|idx| format!("i{idx}"));
         membership.observe_list(&list(names));
         membership.heartbeat_targets("i0", |id| id == "i5").len()
     };
@@ -104,11 +105,12 @@
     assert!(targets(400) <= RING_NEIGHBOURS + 1);
 }
 
-/// Found by the slope of nodes: with heartbeats from a few neighbours only,
-/// each of 24 instances took itself for a candidate of the shard and read its
-/// lease, 48 reads a second.
+/// Guards against a read load that grows with the number of instances: with
+/// heartbeats from a few neighbours only, each of 24 instances considered
+/// itself a candidate for the shard and read its lease, 48 reads per second in
+/// total.
 #[test]
-fn instances_that_do_not_hear_each_other_agree_on_candidates() {
+fn instances_in_a_partial_mesh_agree_on_candidates() {
     let now = Instant::now();
     let names = || (0..24).map(|idx| format!("i{idx}"));
     let mut ranked = Vec::new();
--- a/crates/protocol/src/file.rs
+++ b/crates/protocol/src/file.rs
@@ -1,8 +1,8 @@
-//! Operators' configuration files, in YAML, with the line of every field.
+//! The configuration files of operators, in YAML.
 //!
-//! A file set is read as a whole and every fault in it is reported at once,
-//! each with file, line, field and cause. The module keeps one invariant: a
-//! [`Config`] comes out only if no fault was found.
+//! A set of files is parsed as a whole, and all errors in it are reported at
+//! once, each with file, line, field and cause. The invariant: parsing returns
+//! a [`Config`] only if there are no errors.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -25,16 +25,16 @@
 use serde_json::Value;
 use serde_saphyr::Spanned;
 
-/// A fault in a file, with its place.
+/// An error in a file, with its location.
 #[derive(Clone, Debug, Eq, PartialEq, serde::Serialize)]
 pub struct FileDiagnostic {
-    /// The file.
+    /// The name of the file.
     pub file: String,
-    /// The line, from 1; 0 if the fault has no line.
+    /// The line, counted from 1; 0 if the error has no line.
     pub line: u64,
-    /// The field, such as `adapters[17].base_model`.
+    /// The path of the field, such as `adapters[17].base_model`.
     pub field: String,
-    /// What is wrong.
+    /// The cause of the error.
     pub cause: String,
 }
 
@@ -48,10 +48,10 @@
     }
 }
 
-/// All diagnostics of a file set.
+/// All errors in a set of files.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct FileError {
-    /// The diagnostics, in the order in which they were found; never empty.
+    /// The errors in the order in which they were found; never empty.
     pub diagnostics: Vec<FileDiagnostic>,
 }
 
@@ -65,26 +65,25 @@
 
 impl std::error::Error for FileError {}
 
-/// One file, read but not yet understood.
+/// A file that was read but not yet parsed.
 #[derive(Clone, Debug)]
 pub struct SourceFile {
-    /// Its name in messages.
+    /// The name of the file in error messages.
     pub name: String,
-    /// Its content.
+    /// The content of the file.
     pub text: String,
 }
 
-/// Reads files, and all `.yaml` files of folders, in the order of their
-/// names.
+/// Reads files, and all `.yaml` files of directories, sorted by name.
 ///
 /// # Errors
 ///
-/// When a path cannot be read or a folder holds no YAML file.
+/// When a path cannot be read or a directory contains no `.yaml` file.
 pub fn read_paths(paths: &[PathBuf]) -> Result<Vec<SourceFile>, FileError> {
     let mut files = Vec::new();
     let mut diagnostics = Vec::new();
     for path in paths {
-        match expand(path) {
+        match read_path(path) {
             Ok(found) => files.extend(found),
             Err(err) => diagnostics.push(FileDiagnostic {
                 file: path.display().to_string(),
@@ -101,7 +100,7 @@
     }
 }
 
-fn expand(path: &Path) -> std::io::Result<Vec<SourceFile>> {
+fn read_path(path: &Path) -> std::io::Result<Vec<SourceFile>> {
     if !path.is_dir() {
         return Ok(vec![read_file(path)?]);
     }
@@ -111,7 +110,9 @@
         .collect();
     names.sort();
     if names.is_empty() {
-        return Err(std::io::Error::other("the folder holds no .yaml file"));
+        return Err(std::io::Error::other(
+            "the directory contains no .yaml file",
+        ));
     }
     names.iter().map(|name| read_file(name)).collect()
 }
@@ -121,19 +122,19 @@
     Ok(SourceFile { name: path.display().to_string(), text })
 }
 
-/// Understands a file set as one configuration.
+/// Parses and validates a set of files as one configuration.
 ///
 /// # Errors
 ///
-/// With every fault that was found, in all files.
+/// With all errors in all files.
 pub fn parse(files: &[SourceFile]) -> Result<Config, FileError> {
-    let mut reader = Reader::default();
+    let mut reader = ConfigReader::default();
     for file in files {
         reader.read(file);
     }
-    let Reader { config, mut diagnostics, places, .. } = reader;
+    let ConfigReader { config, mut diagnostics, locations, .. } = reader;
     for error in config.validation_errors() {
-        diagnostics.push(place_fault(&places, &error.path, error.cause));
+        diagnostics.push(locate_error(&locations, &error.path, error.cause));
     }
     if diagnostics.is_empty() {
         Ok(config)
@@ -142,23 +143,24 @@
     }
 }
 
-/// Where a field of the merged configuration came from.
+/// The location in a file from which a field of the merged configuration was
+/// read.
 #[derive(Clone, Debug)]
-struct Place {
+struct SourceLocation {
     file: String,
     line: u64,
     field: String,
 }
 
-fn place_fault(
-    places: &HashMap<String, Place>,
+fn locate_error(
+    locations: &HashMap<String, SourceLocation>,
     path: &str,
     cause: String,
 ) -> FileDiagnostic {
     let item = path.split_once(']').map(|(head, _)| format!("{head}]"));
-    let exact = places.get(path);
-    let found = exact.or_else(|| places.get(&item?));
-    let Some(place) = found else {
+    let exact = locations.get(path);
+    let found = exact.or_else(|| locations.get(&item?));
+    let Some(location) = found else {
         return FileDiagnostic {
             file: "(all files)".to_owned(),
             line: 0,
@@ -167,15 +169,20 @@
         };
     };
     let field = match (exact, path.split_once(']')) {
-        (None, Some((_, rest))) => format!("{}{rest}", place.field),
-        _ => place.field.clone(),
+        (None, Some((_, rest))) => format!("{}{rest}", location.field),
+        _ => location.field.clone(),
     };
-    FileDiagnostic { file: place.file.clone(), line: place.line, field, cause }
+    FileDiagnostic {
+        file: location.file.clone(),
+        line: location.line,
+        field,
+        cause,
+    }
 }
 
 type Fields = BTreeMap<String, Spanned<Value>>;
 
-/// A file's sections, each item with the lines of its fields.
+/// The sections of a file, with the lines of all fields.
 #[derive(Debug, Default)]
 struct Sections {
     lists: Vec<(String, Vec<Spanned<Fields>>)>,
@@ -183,7 +190,7 @@
     unknown: Vec<String>,
 }
 
-const LISTS: [&str; 5] = [
+const LIST_SECTIONS: [&str; 5] = [
     "base_models",
     "adapters",
     "endpoint_groups",
@@ -191,7 +198,7 @@
     "expected_spikes",
 ];
 
-const MAPS: [&str; 2] = ["weight_store", "policy"];
+const MAP_SECTIONS: [&str; 2] = ["weight_store", "policy"];
 
 impl<'de> Deserialize<'de> for Sections {
     fn deserialize<D: Deserializer<'de>>(
@@ -216,10 +223,10 @@
     ) -> Result<Sections, A::Error> {
         let mut sections = Sections::default();
         while let Some(name) = map.next_key::<String>()? {
-            if LISTS.contains(&name.as_str()) {
+            if LIST_SECTIONS.contains(&name.as_str()) {
                 let items = map.next_value()?;
                 sections.lists.push((name, items));
-            } else if MAPS.contains(&name.as_str()) {
+            } else if MAP_SECTIONS.contains(&name.as_str()) {
                 let fields = map.next_value()?;
                 sections.maps.push((name, fields));
             } else {
@@ -232,30 +239,30 @@
 }
 
 #[derive(Default)]
-struct Reader {
+struct ConfigReader {
     config: Config,
     diagnostics: Vec<FileDiagnostic>,
-    places: HashMap<String, Place>,
+    locations: HashMap<String, SourceLocation>,
 }
 
-impl Reader {
+impl ConfigReader {
     fn read(&mut self, file: &SourceFile) {
         let sections: Sections = match serde_saphyr::from_str_with_options(
             &file.text,
             yaml_options(),
         ) {
             Ok(sections) => sections,
-            Err(err) => return self.syntax_fault(file, &err),
+            Err(err) => return self.report_syntax_error(file, &err),
         };
         for name in sections.unknown {
-            let known = LISTS.iter().chain(&MAPS).copied();
+            let known = LIST_SECTIONS.iter().chain(&MAP_SECTIONS).copied();
             let known: Vec<&str> = known.collect();
             self.diagnostics.push(FileDiagnostic {
                 file: file.name.clone(),
                 line: line_of_key(&file.text, &name),
                 field: name,
                 cause: format!(
-                    "no such section; there are {}",
+                    "no such section; expected one of {}",
                     known.join(", ")
                 ),
             });
@@ -270,8 +277,12 @@
         }
     }
 
-    fn syntax_fault(&mut self, file: &SourceFile, err: &serde_saphyr::Error) {
-        let line = err.location().map_or(0, |place| place.line());
+    fn report_syntax_error(
+        &mut self,
+        file: &SourceFile,
+        err: &serde_saphyr::Error,
+    ) {
+        let line = err.location().map_or(0, |location| location.line());
         let text = err.to_string();
         let cause = text.lines().next().unwrap_or("cannot be read");
         self.diagnostics.push(FileDiagnostic {
@@ -290,8 +301,8 @@
         item: Spanned<Fields>,
     ) {
         let field = format!("{section}[{idx}]");
-        let merged = format!("{section}[{}]", self.len_of(section));
-        self.note_places(file, &field, &merged, &item);
+        let merged_path = format!("{section}[{}]", self.section_len(section));
+        self.record_locations(file, &field, &merged_path, &item);
         let mut fields =
             FieldReader::new(file, field, item, &mut self.diagnostics);
         match section {
@@ -324,16 +335,16 @@
         section: &str,
         item: Spanned<Fields>,
     ) {
-        if self.places.contains_key(section) {
+        if self.locations.contains_key(section) {
             self.diagnostics.push(FileDiagnostic {
                 file: file.name.clone(),
                 line: item.referenced.line(),
                 field: section.to_owned(),
-                cause: "stands in two files".to_owned(),
+                cause: "is defined in more than one place".to_owned(),
             });
             return;
         }
-        self.note_places(file, section, section, &item);
+        self.record_locations(file, section, section, &item);
         let mut fields = FieldReader::new(
             file,
             section.to_owned(),
@@ -352,7 +363,7 @@
         }
     }
 
-    fn len_of(&self, section: &str) -> usize {
+    fn section_len(&self, section: &str) -> usize {
         match section {
             "base_models" => self.config.base_models.len(),
             "adapters" => self.config.adapters.len(),
@@ -362,45 +373,45 @@
         }
     }
 
-    fn note_places(
+    fn record_locations(
         &mut self,
         file: &SourceFile,
         field: &str,
-        merged: &str,
+        merged_path: &str,
         item: &Spanned<Fields>,
     ) {
-        let place = |line, field: String| Place {
+        let location = |line, field: String| SourceLocation {
             file: file.name.clone(),
             line,
             field,
         };
-        self.places.insert(
-            merged.to_owned(),
-            place(item.referenced.line(), field.to_owned()),
+        self.locations.insert(
+            merged_path.to_owned(),
+            location(item.referenced.line(), field.to_owned()),
         );
         for (name, value) in &item.value {
-            self.places.insert(
-                format!("{merged}.{name}"),
-                place(value.referenced.line(), format!("{field}.{name}")),
+            self.locations.insert(
+                format!("{merged_path}.{name}"),
+                location(value.referenced.line(), format!("{field}.{name}")),
             );
         }
     }
 }
 
-/// A configuration as files write it.
+/// A configuration in the format of the files.
 #[derive(Serialize)]
-struct FileForm<'a> {
+struct FileDocument<'a> {
     base_models: &'a [BaseModel],
     endpoint_groups: &'a [EndpointGroup],
     regions: &'a [Region],
     weight_store: WeightStore,
     policy: Policy,
-    expected_spikes: Vec<SpikeForm<'a>>,
+    expected_spikes: Vec<SpikeDocument<'a>>,
     adapters: &'a [AdapterConfig],
 }
 
 #[derive(Serialize)]
-struct SpikeForm<'a> {
+struct SpikeDocument<'a> {
     adapter: &'a str,
     version: &'a str,
     rate_per_s: f64,
@@ -408,20 +419,20 @@
     lasts_s: u64,
 }
 
-/// Writes a configuration as one file, which [`parse`] reads back.
+/// Returns a configuration as the text of one file, which [`parse`] accepts.
 ///
 /// # Errors
 ///
-/// When the YAML library fails, which it does for no configuration of ours.
+/// When the YAML library fails, which it does for no valid configuration.
 pub fn to_yaml(config: &Config) -> Result<String, FileError> {
-    let spikes = config.expected_spikes.iter().map(|spike| SpikeForm {
+    let spikes = config.expected_spikes.iter().map(|spike| SpikeDocument {
         adapter: &spike.adapter,
         version: &spike.version,
         rate_per_s: spike.rate_per_s,
         starts: humantime::format_rfc3339(spike.starts).to_string(),
         lasts_s: spike.lasts.as_secs(),
     });
-    let form = FileForm {
+    let document = FileDocument {
         base_models: &config.base_models,
         endpoint_groups: &config.endpoint_groups,
         regions: &config.regions,
@@ -430,7 +441,7 @@
         expected_spikes: spikes.collect(),
         adapters: &config.adapters,
     };
-    serde_saphyr::to_string(&form).map_err(|err| FileError {
+    serde_saphyr::to_string(&document).map_err(|err| FileError {
         diagnostics: vec![FileDiagnostic {
             file: "(configuration in force)".to_owned(),
             line: 0,
@@ -440,7 +451,8 @@
     })
 }
 
-/// 24,000 adapters are a few hundred thousand YAML nodes.
+/// Returns the parser's limits, which allow for 24,000 adapters: a few hundred
+/// thousand YAML nodes.
 fn yaml_options() -> serde_saphyr::Options {
     serde_saphyr::options! {
         strict_booleans: true,
@@ -452,7 +464,8 @@
     }
 }
 
-/// The line of a top-level key, from 1.
+/// Returns the line of a top-level key, counted from 1, or 0 if it is not
+/// found.
 fn line_of_key(text: &str, key: &str) -> u64 {
     text.lines()
         .position(|line| {
@@ -461,14 +474,14 @@
         .map_or(0, |idx| idx as u64 + 1)
 }
 
-/// Takes the fields of one item and notes what is wrong with them.
+/// Reads the fields of one item, and collects the errors in them.
 struct FieldReader<'a> {
     file: &'a str,
     path: String,
     line: u64,
     fields: Fields,
     diagnostics: &'a mut Vec<FileDiagnostic>,
-    is_sound: bool,
+    is_valid: bool,
 }
 
 impl<'a> FieldReader<'a> {
@@ -484,7 +497,7 @@
             line: item.referenced.line(),
             fields: item.value,
             diagnostics,
-            is_sound: true,
+            is_valid: true,
         }
     }
 
@@ -611,18 +624,19 @@
         })
     }
 
-    /// Notes fields that nobody took; returns the item if nothing was wrong.
+    /// Reports the remaining fields as unknown, and returns the item if it has
+    /// no errors.
     fn finish<T>(&mut self, item: T) -> Option<T> {
         let unknown = std::mem::take(&mut self.fields);
         for (name, value) in unknown {
             let line = value.referenced.line();
             self.report(&name, line, "no such field".to_owned());
         }
-        self.is_sound.then_some(item)
+        self.is_valid.then_some(item)
     }
 
     fn report(&mut self, name: &str, line: u64, cause: String) {
-        self.is_sound = false;
+        self.is_valid = false;
         self.diagnostics.push(FileDiagnostic {
             file: self.file.to_owned(),
             line,
--- a/crates/protocol/tests/callers.rs
+++ b/crates/protocol/tests/callers.rs
@@ -1,4 +1,5 @@
-//! What callers may send, and what they are told.
+//! Parsing of callers' requests and of settings, encoding of errors, and
+//! decoding of peer messages.
 
 use std::time::Duration;
 
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn a_wrong_header_is_named() {
+fn an_invalid_header_is_named_in_the_error() {
     let wrong = [
         ("priority", "u=9"),
         ("sedgewall-deadline-ms", "soon"),
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn every_refusal_says_not_run_and_when_to_come_back() {
+fn every_refusal_states_not_run_and_a_retry_delay() {
     let reasons = [
         RefusalReason::DeadlineUnreachable,
         RefusalReason::DeadlinePassed,
@@ -91,7 +92,7 @@
 }
 
 #[test]
-fn settings_report_all_faults() {
+fn settings_report_all_errors() {
     let text = "\
 instance: ''
 zone: leuven
@@ -115,10 +116,10 @@
 
 proptest! {
     #[test]
-    fn bytes_that_are_no_message_are_refused(
+    fn decoding_arbitrary_bytes_does_not_panic(
         bytes in prop::collection::vec(any::<u8>(), 0..300)
     ) {
-        // Must not panic; a random message that decodes must encode again.
+        // Decoding must not panic, and what decodes must encode again.
         if let Ok(envelope) = Envelope::from_bytes(&bytes) {
             prop_assert!(envelope.to_bytes().is_ok());
         }
