--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -321,11 +321,9 @@
 }
 
 fn begin_holding(
-    
     instance: &FleetInstance,
     taken: TakenLease,
     handover_delay: &mut HandoverDelay,
-,
 ) -> KeptLease {
     let now = Instant::now();
     let takeover = LeaseTakeover {
