--- a/crates/sedgewalld/src/config_sync.rs
+++ b/crates/sedgewalld/src/config_sync.rs
@@ -17,7 +17,7 @@
 use sedgewall_transport::{PlatformError, platform_client::Watched};
 
 use crate::{
-    election, instances, leader,
+    election, instance_list, leader,
     node::{Node, Stage, pause},
     routes::ConfigView,
 };
@@ -118,7 +118,7 @@
     let shards = node.view().config.shard_ids();
     node.leaders.borrow_mut().retain(|shard, _| shards.contains(shard));
     leader::reconfigure(node);
-    instances::refresh(node);
+    instance_list::refresh(node);
     election::ensure(node);
 }
 
--- a/crates/sedgewalld/src/daemon.rs
+++ b/crates/sedgewalld/src/daemon.rs
@@ -15,7 +15,7 @@
 };
 
 use crate::{
-    config_sync, entry, heartbeat, inbox, instances,
+    config_sync, entry, heartbeat, inbox, instance_list,
     node::{Node, Stage},
     operator,
     signals::Signals,
@@ -86,7 +86,7 @@
     node.event(EventKind::Member, None, "", "", "started");
     compio::runtime::spawn(inbox::run(node.clone(), peers, local)).detach();
     compio::runtime::spawn(config_sync::follow(node.clone())).detach();
-    compio::runtime::spawn(instances::follow(node.clone())).detach();
+    compio::runtime::spawn(instance_list::follow(node.clone())).detach();
     compio::runtime::spawn(heartbeat::run(node.clone())).detach();
     compio::runtime::spawn(serve_callers(node.clone(), callers)).detach();
     compio::runtime::spawn(serve_operators(node.clone(), operators, metrics))
--- a/crates/sedgewalld/src/instances.rs
+++ b/crates/sedgewalld/src/instance_list.rs
@@ -58,18 +58,18 @@
 
 fn note_changes(node: &Rc<Node>, list: &InstanceList) {
     let old = node.instances.borrow().clone();
-    for instance in &list.instances {
-        if instance.group == OWN_GROUP {
+    for listed_instance in &list.instances {
+        if listed_instance.group == OWN_GROUP {
             continue;
         }
-        let known = old.instances.iter().find(|i| i.id == instance.id);
-        if known.map(|i| i.state) == Some(instance.state) {
+        let known = old.instances.iter().find(|i| i.id == listed_instance.id);
+        if known.map(|i| i.state) == Some(listed_instance.state) {
             continue;
         }
-        let detail = match instance.state {
+        let detail = match listed_instance.state {
             ListedState::Live => "listed as live",
             ListedState::Leaving => "listed as leaving",
         };
-        node.event(EventKind::Member, None, "", &instance.id, detail);
+        node.event(EventKind::Member, None, "", &listed_instance.id, detail);
     }
 }
--- a/crates/sedgewalld/src/leader.rs
+++ b/crates/sedgewalld/src/leader.rs
@@ -266,28 +266,30 @@
     let mut shards = node.shards.borrow_mut();
     for leader in shards.values_mut() {
         let mut listed = HashSet::new();
-        for instance in &list.instances {
-            let Some(place) = view.engine_place(instance) else { continue };
+        for listed_instance in &list.instances {
+            let Some(place) = view.engine_place(listed_instance) else {
+                continue;
+            };
             if place.shard != leader.shard_id {
                 continue;
             }
-            listed.insert(instance.id.clone());
-            let known = leader.shard.engine_idx(&instance.id);
-            if instance.state == ListedState::Leaving {
+            listed.insert(listed_instance.id.clone());
+            let known = leader.shard.engine_idx(&listed_instance.id);
+            if listed_instance.state == ListedState::Leaving {
                 if let Some(idx) = known {
                     leader.shard.mark_engine_leaving(idx, now);
                 }
                 continue;
             }
             let idx = leader.shard.add_engine(
-                &instance.id,
+                &listed_instance.id,
                 place.slots_len,
                 place.seats,
                 now,
             );
             let link = EngineLink {
-                endpoint: instance.id.clone(),
-                address: instance.address.clone(),
+                endpoint: listed_instance.id.clone(),
+                address: listed_instance.address.clone(),
                 checks_fences: place.checks_fences,
                 boot: None,
                 is_asked: false,
--- a/crates/sedgewalld/src/main.rs
+++ b/crates/sedgewalld/src/main.rs
@@ -14,7 +14,7 @@
 mod fleet;
 mod heartbeat;
 mod inbox;
-mod instances;
+mod instance_list;
 mod leader;
 mod led_requests;
 mod node;
