--- a/crates/sedgewalld/src/call.rs
+++ b/crates/sedgewalld/src/call.rs
@@ -33,7 +33,7 @@
 use crate::{
     claims::ClaimTicket,
     entry::{RequestSlot, send_cancel, send_submit},
-    node::Node,
+    instance::Instance,
     relay,
     requests::{Decision, HeldRequest},
     responses,
@@ -44,7 +44,7 @@
 
 /// A completion request that was read and checked.
 pub(crate) struct ModelCall {
-    pub(crate) node: Rc<Node>,
+    pub(crate) instance: Rc<Instance>,
     pub(crate) slot: RequestSlot,
     pub(crate) path: String,
     pub(crate) shard: ShardId,
@@ -63,7 +63,7 @@
 /// A request's place at its shard. Dropping it gives the place up, wherever
 /// the request stands.
 pub(crate) struct Seat {
-    node: Rc<Node>,
+    instance: Rc<Instance>,
     id: RequestId,
     shard: ShardId,
     rx: mpsc::UnboundedReceiver<Decision>,
@@ -87,7 +87,7 @@
     /// Submits a request.
     pub(crate) fn submit(call: &ModelCall) -> Seat {
         let (tx, rx) = mpsc::unbounded();
-        let node = call.node.clone();
+        let instance = call.instance.clone();
         let held = HeldRequest {
             shard: call.shard.clone(),
             adapter: call.model.adapter.clone(),
@@ -100,10 +100,10 @@
             endpoint: None,
             tx,
         };
-        node.requests.borrow_mut().insert(call.slot.id, held);
-        send_submit(&node, call.slot.id);
+        instance.requests.borrow_mut().insert(call.slot.id, held);
+        send_submit(&instance, call.slot.id);
         let shard = call.shard.clone();
-        Seat { node, id: call.slot.id, shard, rx, is_over: false }
+        Seat { instance, id: call.slot.id, shard, rx, is_over: false }
     }
 
     /// Waits for a seat, until the deadline.
@@ -132,9 +132,9 @@
 
     /// Marks the request as running, if the grant may still be used.
     fn take(&mut self, granted: &Granted) -> bool {
-        let is_valid = self.node.stamp_ms() < granted.valid_until_stamp_ms
-            && granted.epoch >= self.node.seen_epoch(&self.shard);
-        let mut requests = self.node.requests.borrow_mut();
+        let is_valid = self.instance.stamp_ms() < granted.valid_until_stamp_ms
+            && granted.epoch >= self.instance.seen_epoch(&self.shard);
+        let mut requests = self.instance.requests.borrow_mut();
         let Some(held) = requests.get_mut(self.id) else { return false };
         if !is_valid || held.endpoint.is_some() {
             return false;
@@ -144,7 +144,7 @@
     }
 
     fn refuse_late(&mut self) -> Refusal {
-        let reason = match self.node.leader_of(&self.shard) {
+        let reason = match self.instance.leader_of(&self.shard) {
             Some(_) => RefusalReason::DeadlinePassed,
             None => RefusalReason::NoLeader,
         };
@@ -155,21 +155,21 @@
     /// request another seat by itself; after `Failed` it must be submitted
     /// anew.
     pub(crate) fn ended(&mut self, end: EndKind) {
-        if let Some(leader) = self.node.leader_of(&self.shard) {
+        if let Some(leader) = self.instance.leader_of(&self.shard) {
             let message = PeerMessage::Ended(Ended {
                 shard: self.shard.clone(),
                 request: self.id,
                 end,
             });
             let to = Some(leader.incarnation);
-            self.node.send(&leader.peer_url, to, message);
+            self.instance.send(&leader.peer_url, to, message);
         }
         if end == EndKind::Finished {
             self.is_over = true;
             self.forget();
             return;
         }
-        let mut requests = self.node.requests.borrow_mut();
+        let mut requests = self.instance.requests.borrow_mut();
         if let Some(held) = requests.get_mut(self.id) {
             held.endpoint = None;
             held.sent = Instant::now();
@@ -178,17 +178,17 @@
 
     /// Submits the request again after a failed try.
     pub(crate) fn resubmit(&self) {
-        send_submit(&self.node, self.id);
+        send_submit(&self.instance, self.id);
     }
 
     /// Notes how long the first token took, for the leader.
     pub(crate) fn first_token(&self, took: Duration) {
-        let mut requests = self.node.requests.borrow_mut();
+        let mut requests = self.instance.requests.borrow_mut();
         requests.note_first_token(self.id, took);
     }
 
     fn forget(&self) {
-        self.node.requests.borrow_mut().remove(self.id);
+        self.instance.requests.borrow_mut().remove(self.id);
     }
 }
 
@@ -198,7 +198,7 @@
             return;
         }
         self.forget();
-        send_cancel(&self.node, &self.shard, self.id);
+        send_cancel(&self.instance, &self.shard, self.id);
     }
 }
 
@@ -242,7 +242,13 @@
         .record(took.as_secs_f64());
     let detail = format!("{detail} after {} ms", took.as_millis());
     let subject = call.model.to_string();
-    call.node.event(EventKind::End, Some(call.slot.id), subject, "", detail);
+    call.instance.event(
+        EventKind::End,
+        Some(call.slot.id),
+        subject,
+        "",
+        detail,
+    );
 }
 
 /// Sends the call to the engine and waits for the head of the answer.
@@ -252,7 +258,7 @@
     resume_from: u64,
 ) -> Result<OpenAnswer, TryError> {
     let subject = call.model.to_string();
-    call.node.event(
+    call.instance.event(
         EventKind::Call,
         Some(call.slot.id),
         subject,
@@ -274,8 +280,9 @@
     if resume_from > 0 {
         out = out.header(RESUME_HEADER, &resume_from.to_string());
     }
-    let idle = Duration::from_millis(call.node.settings.limits.stream_idle_ms);
-    let answer = call.node.http.open(out, idle).await.map_err(convert)?;
+    let idle =
+        Duration::from_millis(call.instance.settings.limits.stream_idle_ms);
+    let answer = call.instance.http.open(out, idle).await.map_err(convert)?;
     check_status(answer).await
 }
 
@@ -355,7 +362,7 @@
     );
     let subject = call.model.to_string();
     let id = Some(call.slot.id);
-    call.node.event(EventKind::FirstToken, id, subject, "", detail);
+    call.instance.event(EventKind::FirstToken, id, subject, "", detail);
 }
 
 /// Counts the tries of one request and decides whether there is another.
@@ -368,7 +375,7 @@
 
 impl Tries {
     pub(crate) fn new(call: &ModelCall) -> Tries {
-        let limit = call.node.settings.limits.retries;
+        let limit = call.instance.settings.limits.retries;
         Tries { failed: 0, limit, may_have_run: false }
     }
 
@@ -394,12 +401,12 @@
         self.may_have_run |= end == EndKind::Failed;
         let may_repeat = end != EndKind::Failed || call.is_repeatable;
         let is_within = self.failed <= self.limit
-            && call.node.requests.borrow_mut().take_retry();
+            && call.instance.requests.borrow_mut().take_retry();
         if !may_repeat || !is_within {
             seat.ended(EndKind::Failed);
             return Err(self.spent(&detail));
         }
-        call.node.event(
+        call.instance.event(
             EventKind::Retry,
             Some(call.slot.id),
             call.model.to_string(),
--- a/crates/sedgewalld/src/claims.rs
+++ b/crates/sedgewalld/src/claims.rs
@@ -32,7 +32,7 @@
 use sedgewall_state::{Incarnation, RequestId};
 use sedgewall_transport::PlatformError;
 
-use crate::node::{Node, Stage};
+use crate::instance::{Instance, Stage};
 
 /// The least time between two segments of one log.
 ///
@@ -114,44 +114,44 @@
     /// Waits until the key is this request's, or not.
     pub(crate) async fn obtain(
         &self,
-        node: &Rc<Node>,
+        instance: &Rc<Instance>,
         within: Duration,
     ) -> ClaimOutcome {
         let until = Instant::now() + within.min(CLAIM_TIME);
         while Instant::now() < until {
             let left = until.saturating_duration_since(Instant::now());
-            let rx = self.ask(node);
+            let rx = self.ask(instance);
             let answer = compio::time::timeout(left.min(ASK_TIME), rx).await;
             match answer {
                 Ok(Ok(ClaimAnswer::Granted)) => {
-                    self.note(node, "granted");
+                    self.note(instance, "granted");
                     return ClaimOutcome::Granted;
                 }
                 Ok(Ok(ClaimAnswer::Taken)) => {
-                    self.note(node, "taken");
+                    self.note(instance, "taken");
                     return ClaimOutcome::Taken;
                 }
                 Ok(Ok(ClaimAnswer::Unavailable)) => break,
                 _ => {}
             }
         }
-        node.claims.borrow_mut().asked.remove(&self.claim.request);
-        self.release(node);
-        self.note(node, "unavailable");
+        instance.claims.borrow_mut().asked.remove(&self.claim.request);
+        self.release(instance);
+        self.note(instance, "unavailable");
         ClaimOutcome::Unavailable
     }
 
     /// Gives the key up, because the request was not run and never will be.
-    pub(crate) fn release(&self, node: &Rc<Node>) {
-        self.tell(node, PeerMessage::ReleaseClaim(self.request()));
+    pub(crate) fn release(&self, instance: &Rc<Instance>) {
+        self.tell(instance, PeerMessage::ReleaseClaim(self.request()));
     }
 
-    fn ask(&self, node: &Rc<Node>) -> oneshot::Receiver<ClaimAnswer> {
+    fn ask(&self, instance: &Rc<Instance>) -> oneshot::Receiver<ClaimAnswer> {
         let (tx, rx) = oneshot::channel();
-        let mut claims = node.claims.borrow_mut();
+        let mut claims = instance.claims.borrow_mut();
         claims.asked.insert(self.claim.request, tx);
         drop(claims);
-        self.tell(node, PeerMessage::Claim(self.request()));
+        self.tell(instance, PeerMessage::Claim(self.request()));
         rx
     }
 
@@ -160,30 +160,30 @@
         ClaimRequest { partition, claim: self.claim }
     }
 
-    fn tell(&self, node: &Rc<Node>, message: PeerMessage) {
+    fn tell(&self, instance: &Rc<Instance>, message: PeerMessage) {
         let key = claims_prefix(partition(self.claim.key));
-        let (url, incarnation) = preferred(node, &key);
-        node.send(&url, incarnation, message);
+        let (url, incarnation) = preferred(instance, &key);
+        instance.send(&url, incarnation, message);
     }
 
-    fn note(&self, node: &Rc<Node>, detail: &str) {
+    fn note(&self, instance: &Rc<Instance>, detail: &str) {
         let request = Some(self.claim.request);
-        node.event(EventKind::Claim, request, "", "", detail);
+        instance.event(EventKind::Claim, request, "", "", detail);
     }
 }
 
 /// The instance that should claim for a partition: where it is reached, and
 /// its incarnation if we know it.
-fn preferred(node: &Node, key: &str) -> (String, Option<Incarnation>) {
+fn preferred(instance: &Instance, key: &str) -> (String, Option<Incarnation>) {
     let now = Instant::now();
-    let membership = node.membership.borrow();
-    let mut ids = membership.candidates(node.id(), now);
-    if node.stage.get() != Stage::Leaving || ids.is_empty() {
-        ids.push(node.id());
+    let membership = instance.membership.borrow();
+    let mut ids = membership.candidates(instance.id(), now);
+    if instance.stage.get() != Stage::Leaving || ids.is_empty() {
+        ids.push(instance.id());
     }
-    let own = (node.settings.peer_url(), Some(node.incarnation));
+    let own = (instance.settings.peer_url(), Some(instance.incarnation));
     match rendezvous::owner(ids, key) {
-        Some(owner) if owner != node.id() => {
+        Some(owner) if owner != instance.id() => {
             // A claim is harmless to any life of an instance.
             let url = membership.url_of(owner).map(str::to_owned);
             url.map_or(own, |url| (url, None))
@@ -217,8 +217,8 @@
 }
 
 /// Takes in an answer, at the entry.
-pub(crate) fn on_reply(node: &Rc<Node>, reply: &ClaimReply) {
-    let tx = node.claims.borrow_mut().asked.remove(&reply.request);
+pub(crate) fn on_reply(instance: &Rc<Instance>, reply: &ClaimReply) {
+    let tx = instance.claims.borrow_mut().asked.remove(&reply.request);
     if let Some(tx) = tx {
         let _ = tx.send(reply.answer);
     }
@@ -226,14 +226,14 @@
 
 /// Takes in a claim, at the claimer.
 pub(crate) fn on_claim(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     envelope: &Envelope,
     request: &ClaimRequest,
 ) {
-    let Some(url) = node.sender_url(envelope) else { return };
+    let Some(url) = instance.sender_url(envelope) else { return };
     let reply_to = ReplyTo { url, incarnation: envelope.incarnation };
     let claim = request.claim;
-    let mut claims = node.claims.borrow_mut();
+    let mut claims = instance.claims.borrow_mut();
     let state = claims.logs.entry(request.partition).or_default();
     state.refresh();
     let is_asked_again = state.waiting.contains_key(&claim.request);
@@ -245,20 +245,20 @@
     drop(claims);
     if let Some(answer) = answer {
         let answered = Answered { request: claim.request, answer };
-        send_answers(node, request.partition, vec![answered]);
+        send_answers(instance, request.partition, vec![answered]);
     }
-    start_writer(node, request.partition);
+    start_writer(instance, request.partition);
 }
 
 /// Takes in that a claim is given up, at the claimer.
-pub(crate) fn on_release(node: &Rc<Node>, request: &ClaimRequest) {
-    let mut claims = node.claims.borrow_mut();
+pub(crate) fn on_release(instance: &Rc<Instance>, request: &ClaimRequest) {
+    let mut claims = instance.claims.borrow_mut();
     let state = claims.logs.entry(request.partition).or_default();
     state.refresh();
     state.waiting.remove(&request.claim.request);
     state.log.release(request.claim);
     drop(claims);
-    start_writer(node, request.partition);
+    start_writer(instance, request.partition);
 }
 
 impl LogState {
@@ -271,63 +271,63 @@
     }
 }
 
-fn start_writer(node: &Rc<Node>, partition: PartitionIdx) {
-    let mut claims = node.claims.borrow_mut();
+fn start_writer(instance: &Rc<Instance>, partition: PartitionIdx) {
+    let mut claims = instance.claims.borrow_mut();
     let state = claims.logs.entry(partition).or_default();
     if std::mem::replace(&mut state.is_running, true) {
         return;
     }
-    let node = node.clone();
+    let instance = instance.clone();
     compio::runtime::spawn(async move {
-        write_log(&node, partition).await;
+        write_log(&instance, partition).await;
     })
     .detach();
 }
 
 /// Writes segments until nothing waits.
-async fn write_log(node: &Rc<Node>, partition: PartitionIdx) {
+async fn write_log(instance: &Rc<Instance>, partition: PartitionIdx) {
     loop {
-        if !recover(node, partition).await {
+        if !recover(instance, partition).await {
             compio::time::sleep(UNCLEAR_PAUSE).await;
             continue;
         }
-        wait_for_gap(node, partition).await;
-        let Some(write) = next_write(node, partition) else { return };
-        let answer = create(node, partition, &write).await;
+        wait_for_gap(instance, partition).await;
+        let Some(write) = next_write(instance, partition) else { return };
+        let answer = create(instance, partition, &write).await;
         let is_unclear = answer == SegmentAnswer::Unclear;
         if matches!(answer, SegmentAnswer::Exists(_)) {
             info!("claims: log {partition} was moved on by another instance.");
         }
-        finish_write(node, partition, answer);
+        finish_write(instance, partition, answer);
         if is_unclear {
             compio::time::sleep(UNCLEAR_PAUSE).await;
         } else {
-            trim(node, partition).await;
+            trim(instance, partition).await;
         }
     }
 }
 
 /// Runs a function on a partition's state.
 fn with_state<T>(
-    node: &Node,
+    instance: &Instance,
     partition: PartitionIdx,
     change: impl FnOnce(&mut LogState) -> T,
 ) -> T {
-    let mut claims = node.claims.borrow_mut();
+    let mut claims = instance.claims.borrow_mut();
     change(claims.logs.entry(partition).or_default())
 }
 
-async fn recover(node: &Rc<Node>, partition: PartitionIdx) -> bool {
-    if with_state(node, partition, |state| state.log.is_recovered()) {
+async fn recover(instance: &Rc<Instance>, partition: PartitionIdx) -> bool {
+    if with_state(instance, partition, |state| state.log.is_recovered()) {
         return true;
     }
-    match read_on(node, partition).await {
+    match read_on(instance, partition).await {
         Ok(()) => {
-            let answers = with_state(node, partition, |state| {
+            let answers = with_state(instance, partition, |state| {
                 state.touched = Some(Instant::now());
                 state.log.finish_recovery()
             });
-            send_answers(node, partition, answers);
+            send_answers(instance, partition, answers);
             true
         }
         Err(err) => {
@@ -339,14 +339,14 @@
 
 /// Reads all segments from the next one on.
 async fn read_on(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     partition: PartitionIdx,
 ) -> Result<(), PlatformError> {
     let prefix = claims_prefix(partition);
-    let next = with_state(node, partition, |state| state.log.next());
+    let next = with_state(instance, partition, |state| state.log.next());
     let mut from = segment_key(partition, next);
     loop {
-        let page = node.platform.list(&prefix, &from).await?;
+        let page = instance.platform.list(&prefix, &from).await?;
         for object in &page.objects {
             let idx = segment_idx(&object.key);
             let segment = serde_json::from_str::<Segment>(&object.value);
@@ -354,7 +354,7 @@
                 let key = object.key.clone();
                 return Err(PlatformError::Unreadable(key));
             };
-            with_state(node, partition, |s| s.log.learn(idx, &segment));
+            with_state(instance, partition, |s| s.log.learn(idx, &segment));
         }
         match page.next {
             Some(next) => from = next,
@@ -363,8 +363,8 @@
     }
 }
 
-async fn wait_for_gap(node: &Rc<Node>, partition: PartitionIdx) {
-    let written = with_state(node, partition, |state| state.written);
+async fn wait_for_gap(instance: &Rc<Instance>, partition: PartitionIdx) {
+    let written = with_state(instance, partition, |state| state.written);
     let Some(written) = written else { return };
     let gap = SEGMENT_GAP.saturating_sub(written.elapsed());
     if !gap.is_zero() {
@@ -372,9 +372,12 @@
     }
 }
 
-fn next_write(node: &Node, partition: PartitionIdx) -> Option<SegmentWrite> {
+fn next_write(
+    instance: &Instance,
+    partition: PartitionIdx,
+) -> Option<SegmentWrite> {
     let now_ms = unix_ms(SystemTime::now());
-    with_state(node, partition, |state| {
+    with_state(instance, partition, |state| {
         if let Some(write) = state.log.unsettled() {
             return Some(write.clone());
         }
@@ -385,19 +388,19 @@
 }
 
 async fn create(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     partition: PartitionIdx,
     write: &SegmentWrite,
 ) -> SegmentAnswer {
     let key = segment_key(partition, write.idx);
     let value = serde_json::to_vec(&write.segment).unwrap_or_default();
-    let answer = node.platform.put(&key, value, None).await;
-    node.note_platform(answer != WriteAnswer::Unclear);
+    let answer = instance.platform.put(&key, value, None).await;
+    instance.note_platform(answer != WriteAnswer::Unclear);
     match answer {
         WriteAnswer::Done(_) => SegmentAnswer::Created,
         WriteAnswer::Unclear => SegmentAnswer::Unclear,
         WriteAnswer::Conflict => {
-            let found = node.platform.get(&key).await;
+            let found = instance.platform.get(&key).await;
             let Ok(Some(object)) = found else {
                 return SegmentAnswer::Unclear;
             };
@@ -408,42 +411,42 @@
 }
 
 fn finish_write(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     partition: PartitionIdx,
     answer: SegmentAnswer,
 ) {
-    let answers = with_state(node, partition, |state| {
+    let answers = with_state(instance, partition, |state| {
         if answer != SegmentAnswer::Unclear {
             state.touched = Some(Instant::now());
             state.written = Some(Instant::now());
         }
         state.log.written(answer)
     });
-    send_answers(node, partition, answers);
+    send_answers(instance, partition, answers);
 }
 
-async fn trim(node: &Rc<Node>, partition: PartitionIdx) {
+async fn trim(instance: &Rc<Instance>, partition: PartitionIdx) {
     let now_ms = unix_ms(SystemTime::now());
     let before_ms = now_ms.saturating_sub(RETENTION.as_millis() as u64);
-    let oldest = with_state(node, partition, |s| s.log.trim(before_ms));
+    let oldest = with_state(instance, partition, |s| s.log.trim(before_ms));
     let Some(idx) = oldest else { return };
     let key = segment_key(partition, idx);
-    if let Err(err) = node.platform.delete(&key).await {
+    if let Err(err) = instance.platform.delete(&key).await {
         warn!("claims: {key} cannot be deleted: {err}.");
     }
 }
 
 fn send_answers(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     partition: PartitionIdx,
     answers: Vec<Answered>,
 ) {
     for Answered { request, answer } in answers {
-        let reply_to = with_state(node, partition, |state| {
+        let reply_to = with_state(instance, partition, |state| {
             state.waiting.remove(&request)
         });
         let Some(to) = reply_to else { continue };
         let reply = PeerMessage::Claimed(ClaimReply { request, answer });
-        node.send(&to.url, Some(to.incarnation), reply);
+        instance.send(&to.url, Some(to.incarnation), reply);
     }
 }
--- a/crates/sedgewalld/src/config_sync.rs
+++ b/crates/sedgewalld/src/config_sync.rs
@@ -17,8 +17,9 @@
 use sedgewall_transport::{PlatformError, platform_client::Watched};
 
 use crate::{
-    election, instance_list, leader,
-    node::{Node, Stage, pause},
+    election,
+    instance::{Instance, Stage, pause},
+    instance_list, leader,
     routes::ConfigView,
 };
 
@@ -31,15 +32,15 @@
 const FETCHES_AT_ONCE: usize = 8;
 
 /// Follows the head of the configuration for ever.
-pub(crate) async fn follow(node: Rc<Node>) {
+pub(crate) async fn follow(instance: Rc<Instance>) {
     let mut known: Option<ObjectVersion> = None;
     loop {
         let watched =
-            node.platform.watch(CONFIG_HEAD_KEY, known, WATCH_TIME).await;
-        node.note_platform(watched.is_ok());
+            instance.platform.watch(CONFIG_HEAD_KEY, known, WATCH_TIME).await;
+        instance.note_platform(watched.is_ok());
         match watched {
             Ok(Watched::Changed(object)) => {
-                match take_head(&node, &object.value).await {
+                match take_head(&instance, &object.value).await {
                     Ok(()) => known = Some(object.version),
                     Err(err) => {
                         warn!("config: {err}.");
@@ -57,27 +58,27 @@
 }
 
 async fn take_head(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     value: &[u8],
 ) -> Result<(), PlatformError> {
     let head: ConfigHead = serde_json::from_slice(value)
         .map_err(|err| PlatformError::Unreadable(err.to_string()))?;
-    let Some(missing) = node.config.borrow().missing(&head) else {
+    let Some(missing) = instance.config.borrow().missing(&head) else {
         return Ok(());
     };
-    let chunks = fetch_chunks(node, &missing).await?;
-    adopt(node, head, chunks);
+    let chunks = fetch_chunks(instance, &missing).await?;
+    adopt(instance, head, chunks);
     Ok(())
 }
 
 async fn fetch_chunks(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     hashes: &[String],
 ) -> Result<Vec<Chunk>, PlatformError> {
     let mut chunks = Vec::with_capacity(hashes.len());
     for batch in hashes.chunks(FETCHES_AT_ONCE) {
         let fetches = batch.iter().map(|hash| async move {
-            let object = node.platform.get(&chunk_key(hash)).await?;
+            let object = instance.platform.get(&chunk_key(hash)).await?;
             let object = object.ok_or_else(|| {
                 PlatformError::Unreadable(format!("chunk {hash} is missing"))
             })?;
@@ -91,10 +92,10 @@
 }
 
 /// Puts a configuration in force if it is newer than the present one.
-fn adopt(node: &Rc<Node>, head: ConfigHead, chunks: Vec<Chunk>) {
+fn adopt(instance: &Rc<Instance>, head: ConfigHead, chunks: Vec<Chunk>) {
     let version = head.version;
     let applied_by = head.applied_by.clone();
-    let adopted = node.config.borrow_mut().adopt(head, chunks);
+    let adopted = instance.config.borrow_mut().adopt(head, chunks);
     let config = match adopted {
         Ok(Some(config)) => config,
         Ok(None) => return,
@@ -104,36 +105,40 @@
         }
     };
     let adapters_len = config.adapters.len();
-    *node.view.borrow_mut() = ConfigView::new(config);
-    if node.stage.get() == Stage::Starting {
-        node.stage.set(Stage::Ready);
+    *instance.view.borrow_mut() = ConfigView::new(config);
+    if instance.stage.get() == Stage::Starting {
+        instance.stage.set(Stage::Ready);
     }
     info!(
         "config: version {version} is in force, {adapters_len} adapters, \
          applied by {applied_by}."
     );
     let detail = format!("version {version} in force");
-    node.event(EventKind::Config, None, "", "", detail);
+    instance.event(EventKind::Config, None, "", "", detail);
     metrics::gauge!("sedgewall_config_version").set(version as f64);
-    let shards = node.view().config.shard_ids();
-    node.leaders.borrow_mut().retain(|shard, _| shards.contains(shard));
-    leader::reconfigure(node);
-    instance_list::refresh(node);
-    election::ensure(node);
+    let shards = instance.view().config.shard_ids();
+    instance.leaders.borrow_mut().retain(|shard, _| shards.contains(shard));
+    leader::reconfigure(instance);
+    instance_list::refresh(instance);
+    election::ensure(instance);
 }
 
 /// Asks a peer for its configuration, because it has a newer one.
-pub(crate) fn ask_peer(node: &Rc<Node>, envelope: &Envelope) {
-    node.reply(
+pub(crate) fn ask_peer(instance: &Rc<Instance>, envelope: &Envelope) {
+    instance.reply(
         envelope,
         PeerMessage::AskConfig(AskConfig { chunks: Vec::new() }),
     );
 }
 
 /// Answers a peer that asks for our configuration.
-pub(crate) fn on_ask(node: &Rc<Node>, envelope: &Envelope, ask: &AskConfig) {
+pub(crate) fn on_ask(
+    instance: &Rc<Instance>,
+    envelope: &Envelope,
+    ask: &AskConfig,
+) {
     let part = {
-        let config = node.config.borrow();
+        let config = instance.config.borrow();
         let chunks = ask
             .chunks
             .iter()
@@ -144,12 +149,16 @@
             .collect();
         ConfigPart { head: config.head().clone(), chunks }
     };
-    node.reply(envelope, PeerMessage::ConfigPart(part));
+    instance.reply(envelope, PeerMessage::ConfigPart(part));
 }
 
 /// Takes in a part of a peer's configuration.
-pub(crate) fn on_part(node: &Rc<Node>, envelope: &Envelope, part: ConfigPart) {
-    let missing = node.config.borrow().missing(&part.head);
+pub(crate) fn on_part(
+    instance: &Rc<Instance>,
+    envelope: &Envelope,
+    part: ConfigPart,
+) {
+    let missing = instance.config.borrow().missing(&part.head);
     let Some(missing) = missing else { return };
     let has = |hash: &String| part.chunks.iter().any(|c| c.hash == *hash);
     if missing.iter().all(has) {
@@ -158,9 +167,9 @@
             .into_iter()
             .map(|chunk| Chunk { hash: chunk.hash, content: chunk.content })
             .collect();
-        adopt(node, part.head, chunks);
+        adopt(instance, part.head, chunks);
         return;
     }
     let ask = PeerMessage::AskConfig(AskConfig { chunks: missing });
-    node.reply(envelope, ask);
+    instance.reply(envelope, ask);
 }
--- a/crates/sedgewalld/src/daemon.rs
+++ b/crates/sedgewalld/src/daemon.rs
@@ -15,9 +15,9 @@
 };
 
 use crate::{
-    config_sync, entry, heartbeat, inbox, instance_list,
-    node::{Node, Stage},
-    operator,
+    config_sync, entry, heartbeat, inbox,
+    instance::{Instance, Stage},
+    instance_list, operator,
     signals::Signals,
 };
 
@@ -75,24 +75,29 @@
     let peers = PeerListener::listen(&peer_url).map_err(DaemonError::Peers)?;
     let callers = bind(&settings.caller_listen.to_string()).await?;
     let operators = bind(&settings.operator_listen.to_string()).await?;
-    let (node, local) = Node::new(settings, http);
+    let (instance, local) = Instance::new(settings, http);
     info!(
         "daemon: {} starts in {}, callers at {}, operators at {}.",
-        node.id(),
-        node.settings.zone,
-        node.settings.caller_listen,
-        node.settings.operator_listen
+        instance.id(),
+        instance.settings.zone,
+        instance.settings.caller_listen,
+        instance.settings.operator_listen
     );
-    node.event(EventKind::Member, None, "", "", "started");
-    compio::runtime::spawn(inbox::run(node.clone(), peers, local)).detach();
-    compio::runtime::spawn(config_sync::follow(node.clone())).detach();
-    compio::runtime::spawn(instance_list::follow(node.clone())).detach();
-    compio::runtime::spawn(heartbeat::run(node.clone())).detach();
-    compio::runtime::spawn(serve_callers(node.clone(), callers)).detach();
-    compio::runtime::spawn(serve_operators(node.clone(), operators, metrics))
+    instance.event(EventKind::Member, None, "", "", "started");
+    compio::runtime::spawn(inbox::run(instance.clone(), peers, local))
         .detach();
-    wait_for_stop(&node, signals).await;
-    stop(&node).await;
+    compio::runtime::spawn(config_sync::follow(instance.clone())).detach();
+    compio::runtime::spawn(instance_list::follow(instance.clone())).detach();
+    compio::runtime::spawn(heartbeat::run(instance.clone())).detach();
+    compio::runtime::spawn(serve_callers(instance.clone(), callers)).detach();
+    compio::runtime::spawn(serve_operators(
+        instance.clone(),
+        operators,
+        metrics,
+    ))
+    .detach();
+    wait_for_stop(&instance, signals).await;
+    stop(&instance).await;
     Ok(())
 }
 
@@ -103,35 +108,36 @@
     })
 }
 
-async fn serve_callers(node: Rc<Node>, listener: TcpListener) {
+async fn serve_callers(instance: Rc<Instance>, listener: TcpListener) {
     let limits = ServerLimits {
-        connections: node.settings.limits.connections,
-        header_time: Duration::from_millis(node.settings.limits.header_ms),
+        connections: instance.settings.limits.connections,
+        header_time: Duration::from_millis(instance.settings.limits.header_ms),
     };
-    let handler: Handler =
-        Rc::new(move |request| Box::pin(entry::answer(node.clone(), request)));
+    let handler: Handler = Rc::new(move |request| {
+        Box::pin(entry::answer(instance.clone(), request))
+    });
     serve(listener, limits, handler).await;
 }
 
 async fn serve_operators(
-    node: Rc<Node>,
+    instance: Rc<Instance>,
     listener: TcpListener,
     metrics: PrometheusHandle,
 ) {
     let limits = ServerLimits {
         connections: OPERATOR_CONNECTIONS,
-        header_time: Duration::from_millis(node.settings.limits.header_ms),
+        header_time: Duration::from_millis(instance.settings.limits.header_ms),
     };
     let handler: Handler = Rc::new(move |request| {
-        Box::pin(operator::answer(node.clone(), metrics.clone(), request))
+        Box::pin(operator::answer(instance.clone(), metrics.clone(), request))
     });
     serve(listener, limits, handler).await;
 }
 
 /// Waits for a signal or an operator's word.
-async fn wait_for_stop(node: &Rc<Node>, mut signals: Signals) {
+async fn wait_for_stop(instance: &Rc<Instance>, mut signals: Signals) {
     let mut interrupt = Box::pin(compio::signal::ctrl_c()).fuse();
-    while node.stage.get() != Stage::Leaving {
+    while instance.stage.get() != Stage::Leaving {
         let mut look = Box::pin(compio::time::sleep(DRAIN_LOOK)).fuse();
         select! {
             _ = interrupt => return,
@@ -146,16 +152,16 @@
 
 /// Leaves: takes nothing new after the balancer had time to notice, hands the
 /// leases over, and finishes every request that it holds.
-async fn stop(node: &Rc<Node>) {
+async fn stop(instance: &Rc<Instance>) {
     info!("daemon: stopping.");
-    node.event(EventKind::Member, None, "", "", "stopping");
-    node.stage.set(Stage::Leaving);
-    heartbeat::send_heartbeats(node);
+    instance.event(EventKind::Member, None, "", "", "stopping");
+    instance.stage.set(Stage::Leaving);
+    heartbeat::send_heartbeats(instance);
     let started = Instant::now();
-    let longest = Duration::from_millis(node.settings.limits.drain_ms);
+    let longest = Duration::from_millis(instance.settings.limits.drain_ms);
     loop {
-        let open = node.requests.borrow().open_len();
-        let led = node.shards.borrow().len();
+        let open = instance.requests.borrow().open_len();
+        let led = instance.shards.borrow().len();
         let is_over = open == 0 && led == 0;
         if is_over && started.elapsed() >= BALANCER_GRACE {
             break;
--- a/crates/sedgewalld/src/election.rs
+++ b/crates/sedgewalld/src/election.rs
@@ -20,8 +20,9 @@
 use sedgewall_transport::PlatformError;
 
 use crate::{
-    entry, leader,
-    node::{Leader, Node, Stage, pause},
+    entry,
+    instance::{Instance, Leader, Stage, pause},
+    leader,
 };
 
 /// Instances that look at a shard's lease.
@@ -37,25 +38,25 @@
 }
 
 /// Starts a task for each shard of the configuration that has none yet.
-pub(crate) fn ensure(node: &Rc<Node>) {
-    for shard in node.view().config.shard_ids() {
+pub(crate) fn ensure(instance: &Rc<Instance>) {
+    for shard in instance.view().config.shard_ids() {
         let is_new = WATCHED.with_borrow_mut(|w| w.insert(shard.clone()));
         if is_new {
-            let node = node.clone();
-            compio::runtime::spawn(run(node, shard)).detach();
+            let instance = instance.clone();
+            compio::runtime::spawn(run(instance, shard)).detach();
         }
     }
 }
 
 /// Follows one shard's lease until the configuration drops the shard.
-async fn run(node: Rc<Node>, shard: ShardId) {
-    let times = node.settings.lease.times();
+async fn run(instance: Rc<Instance>, shard: ShardId) {
+    let times = instance.settings.lease.times();
     let mut watching = Lease::new(shard.clone(), times);
     loop {
-        let Some(held) = win(&node, &shard, watching).await else { break };
-        leader::take_up(&node, &shard, held);
-        watching = lead(&node, &shard).await;
-        leader::step_down(&node, &shard);
+        let Some(held) = win(&instance, &shard, watching).await else { break };
+        leader::take_up(&instance, &shard, held);
+        watching = lead(&instance, &shard).await;
+        leader::step_down(&instance, &shard);
     }
     WATCHED.with_borrow_mut(|w| w.remove(&shard));
     debug!("lease: {shard} is not watched any more.");
@@ -63,25 +64,25 @@
 
 /// Waits until the lease is ours; none if the shard is gone.
 async fn win(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     shard: &ShardId,
     mut watching: Lease<Watching>,
 ) -> Option<Lease<Held>> {
-    let look_every = node.settings.lease.times().renew_every;
+    let look_every = instance.settings.lease.times().renew_every;
     let mut free_since = None;
     loop {
-        if !is_configured(node, shard) {
+        if !is_configured(instance, shard) {
             return None;
         }
-        let Some(rank) = rank(node, shard) else {
+        let Some(rank) = rank(instance, shard) else {
             free_since = None;
             pause(look_every).await;
             continue;
         };
-        if let Ok(stored) = read(node, shard).await {
+        if let Ok(stored) = read(instance, shard).await {
             watching.observe(stored, Instant::now());
         }
-        note_seen(node, shard, watching.seen());
+        note_seen(instance, shard, watching.seen());
         if !watching.is_free(Instant::now()) {
             free_since = None;
             pause(look_every).await;
@@ -92,8 +93,8 @@
             pause(look_every / 4).await;
             continue;
         }
-        let acquiring = watching.acquire(&candidate(node), Instant::now());
-        match acquire(node, shard, acquiring).await {
+        let acquiring = watching.acquire(&candidate(instance), Instant::now());
+        match acquire(instance, shard, acquiring).await {
             Ok(held) => return Some(held),
             Err(lost) => watching = lost,
         }
@@ -102,11 +103,11 @@
 }
 
 async fn acquire(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     shard: &ShardId,
     acquiring: Lease<Acquiring>,
 ) -> Result<Lease<Held>, Lease<Watching>> {
-    let answer = write(node, acquiring.write()).await;
+    let answer = write(instance, acquiring.write()).await;
     let mut unclear = match acquiring.answer(answer, Instant::now()) {
         Acquired::Held(held) => return Ok(held),
         Acquired::Lost(watching) => return Err(watching),
@@ -114,7 +115,7 @@
     };
     loop {
         compio::time::sleep(UNCLEAR_PAUSE).await;
-        let Ok(stored) = read(node, shard).await else { continue };
+        let Ok(stored) = read(instance, shard).await else { continue };
         match unclear.settle(stored, Instant::now()) {
             Acquired::Held(held) => return Ok(held),
             Acquired::Lost(watching) => return Err(watching),
@@ -124,40 +125,41 @@
 }
 
 /// Renews the lease until it is lost or given up.
-async fn lead(node: &Rc<Node>, shard: &ShardId) -> Lease<Watching> {
-    let renew_every = node.settings.lease.times().renew_every;
+async fn lead(instance: &Rc<Instance>, shard: &ShardId) -> Lease<Watching> {
+    let renew_every = instance.settings.lease.times().renew_every;
     loop {
-        let Some(held) = leader::lease(node, shard) else {
-            return Lease::new(shard.clone(), node.settings.lease.times());
+        let Some(held) = leader::lease(instance, shard) else {
+            return Lease::new(shard.clone(), instance.settings.lease.times());
         };
-        let is_unwanted = node.stage.get() == Stage::Leaving
-            || !is_configured(node, shard)
-            || leader::is_deposed(node, shard);
+        let is_unwanted = instance.stage.get() == Stage::Leaving
+            || !is_configured(instance, shard)
+            || leader::is_deposed(instance, shard);
         if is_unwanted {
-            return release(node, held).await;
+            return release(instance, held).await;
         }
         let sent = Instant::now();
         let renewal = held.renewal();
-        let answer = write(node, &renewal).await;
+        let answer = write(instance, &renewal).await;
         let renewed = held.renewed(renewal, answer, sent, Instant::now());
         let renewed = match (answer, renewed) {
             (WriteAnswer::Unclear, Renewed::Held(held)) => {
-                reconcile(node, shard, held).await
+                reconcile(instance, shard, held).await
             }
             // A conflict may be our own renewal whose answer was lost.
-            (WriteAnswer::Conflict, _) => match leader::lease(node, shard) {
-                Some(held) => reconcile(node, shard, held).await,
+            (WriteAnswer::Conflict, _) => match leader::lease(instance, shard)
+            {
+                Some(held) => reconcile(instance, shard, held).await,
                 None => {
                     return Lease::new(
                         shard.clone(),
-                        node.settings.lease.times(),
+                        instance.settings.lease.times(),
                     );
                 }
             },
             (_, renewed) => renewed,
         };
         match renewed {
-            Renewed::Held(held) => leader::set_lease(node, shard, held),
+            Renewed::Held(held) => leader::set_lease(instance, shard, held),
             Renewed::Lost(watching) => {
                 warn!("lease: {shard} was taken by another instance.");
                 return watching;
@@ -169,94 +171,101 @@
 }
 
 async fn reconcile(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     shard: &ShardId,
     held: Lease<Held>,
 ) -> Renewed {
-    match read(node, shard).await {
+    match read(instance, shard).await {
         Ok(stored) => held.reconcile(stored, Instant::now()),
         // The platform is out: nobody else can take the lease through it.
         Err(_) => Renewed::Held(held),
     }
 }
 
-async fn release(node: &Rc<Node>, held: Lease<Held>) -> Lease<Watching> {
-    let answer = write(node, &held.release()).await;
+async fn release(
+    instance: &Rc<Instance>,
+    held: Lease<Held>,
+) -> Lease<Watching> {
+    let answer = write(instance, &held.release()).await;
     info!("lease: {} was released: {answer:?}.", held.record().shard);
     held.into_watching(Instant::now())
 }
 
-fn is_configured(node: &Node, shard: &str) -> bool {
-    node.view().config.shard_ids().iter().any(|id| id == shard)
+fn is_configured(instance: &Instance, shard: &str) -> bool {
+    instance.view().config.shard_ids().iter().any(|id| id == shard)
 }
 
 /// Our place among the shard's candidates; none if we are not one.
-fn rank(node: &Node, shard: &str) -> Option<usize> {
-    if node.stage.get() == Stage::Leaving {
+fn rank(instance: &Instance, shard: &str) -> Option<usize> {
+    if instance.stage.get() == Stage::Leaving {
         return None;
     }
-    let membership = node.membership.borrow();
-    let view = node.view();
+    let membership = instance.membership.borrow();
+    let view = instance.view();
     let region = shard.split('.').next().unwrap_or("");
-    let others = membership.candidates(node.id(), Instant::now());
+    let others = membership.candidates(instance.id(), Instant::now());
     let in_region = |id: &str| {
         let zone = membership.zone_of(id);
         zone.is_some_and(|zone| view.config.region_of(zone) == region)
     };
     let mut ids: Vec<&str> =
         others.iter().copied().filter(|id| in_region(id)).collect();
-    if view.config.region_of(&node.settings.zone) != region {
+    if view.config.region_of(&instance.settings.zone) != region {
         if !ids.is_empty() {
             // A region's own instances lead its shards while there are any.
             return None;
         }
         ids = others;
     }
-    ids.push(node.id());
+    ids.push(instance.id());
     rendezvous::ranking(ids, shard)
         .into_iter()
         .take(CANDIDATES_LEN)
-        .position(|id| id == node.id())
+        .position(|id| id == instance.id())
 }
 
-fn candidate(node: &Node) -> Candidate {
+fn candidate(instance: &Instance) -> Candidate {
     Candidate {
-        instance: node.settings.instance.clone(),
-        incarnation: node.incarnation,
-        peer_url: node.settings.peer_url(),
+        instance: instance.settings.instance.clone(),
+        incarnation: instance.incarnation,
+        peer_url: instance.settings.peer_url(),
     }
 }
 
 async fn read(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     shard: &str,
 ) -> Result<Option<StoredLease>, PlatformError> {
-    let object = node.platform.get(&lease_key(shard)).await;
-    node.note_platform(object.is_ok());
+    let object = instance.platform.get(&lease_key(shard)).await;
+    instance.note_platform(object.is_ok());
     let Some(object) = object? else { return Ok(None) };
     let record: LeaseRecord = serde_json::from_slice(&object.value)
         .map_err(|err| PlatformError::Unreadable(err.to_string()))?;
     Ok(Some(StoredLease { record, version: object.version }))
 }
 
-async fn write(node: &Rc<Node>, write: &LeaseWrite) -> WriteAnswer {
+async fn write(instance: &Rc<Instance>, write: &LeaseWrite) -> WriteAnswer {
     let key = lease_key(&write.record.shard);
     let value = serde_json::to_vec(&write.record).unwrap_or_default();
-    let answer = node.platform.put(&key, value, write.expected).await;
-    node.note_platform(answer != WriteAnswer::Unclear);
+    let answer = instance.platform.put(&key, value, write.expected).await;
+    instance.note_platform(answer != WriteAnswer::Unclear);
     answer
 }
 
 /// Reads who leads a shard, for an entry that hears of no leader.
-pub(crate) async fn look_up(node: &Rc<Node>, shard: &str) {
-    if let Ok(stored) = read(node, shard).await {
+pub(crate) async fn look_up(instance: &Rc<Instance>, shard: &str) {
+    if let Ok(stored) = read(instance, shard).await {
         let record = stored.map(|stored| stored.record);
-        note_seen(node, shard, record.as_ref());
+        note_seen(instance, shard, record.as_ref());
     }
 }
 
 /// Takes in a lease record that a read showed.
-fn note_seen(node: &Rc<Node>, shard: &str, record: Option<&LeaseRecord>) {
+fn note_seen(
+    instance: &Rc<Instance>,
+    shard: &str,
+    record: Option<&LeaseRecord>,
+) {
     let Some(record) = record else { return };
     if record.is_released {
         return;
@@ -267,15 +276,19 @@
         peer_url: record.peer_url.clone(),
         epoch: record.epoch,
     };
-    learn_leader(node, shard, leader);
+    learn_leader(instance, shard, leader);
 }
 
 /// Takes in that somebody leads a shard, and turns to them if that is news.
-pub(crate) fn learn_leader(node: &Rc<Node>, shard: &str, leader: Leader) {
+pub(crate) fn learn_leader(
+    instance: &Rc<Instance>,
+    shard: &str,
+    leader: Leader,
+) {
     let detail =
         format!("{} leads in epoch {}", leader.instance, leader.epoch);
-    if node.note_leader(shard, leader) {
-        node.event(EventKind::Lease, None, shard, "", detail);
-        entry::turn_to_leader(node, shard);
+    if instance.note_leader(shard, leader) {
+        instance.event(EventKind::Lease, None, shard, "", detail);
+        entry::turn_to_leader(instance, shard);
     }
 }
--- a/crates/sedgewalld/src/entry.rs
+++ b/crates/sedgewalld/src/entry.rs
@@ -32,7 +32,7 @@
 use crate::{
     call::{self, ModelCall},
     claims::{ClaimOutcome, ClaimTicket},
-    node::{Node, Stage},
+    instance::{Instance, Stage},
     requests::Decision,
     responses,
     services::{self, SERVICES_PREFIX},
@@ -46,21 +46,23 @@
 
 /// A place in the table of open requests, given back when dropped.
 pub(crate) struct RequestSlot {
-    node: Rc<Node>,
+    instance: Rc<Instance>,
     pub(crate) id: RequestId,
 }
 
 impl RequestSlot {
     /// Opens a request, unless the instance is full.
-    pub(crate) fn open(node: &Rc<Node>) -> Result<RequestSlot, Problem> {
-        let id = node.requests.borrow_mut().open(node.incarnation);
+    pub(crate) fn open(
+        instance: &Rc<Instance>,
+    ) -> Result<RequestSlot, Problem> {
+        let id = instance.requests.borrow_mut().open(instance.incarnation);
         let id = id.ok_or_else(|| {
             Problem::from_refusal(&Refusal {
                 reason: RefusalReason::EntryFull,
                 retry_after: FULL_RETRY,
             })
         })?;
-        Ok(RequestSlot { node: node.clone(), id })
+        Ok(RequestSlot { instance: instance.clone(), id })
     }
 
     /// Returns the id as callers see it.
@@ -71,24 +73,24 @@
 
 impl Drop for RequestSlot {
     fn drop(&mut self) {
-        self.node.requests.borrow_mut().close();
+        self.instance.requests.borrow_mut().close();
     }
 }
 
 /// Answers one request of a caller.
 pub(crate) async fn answer(
-    node: Rc<Node>,
+    instance: Rc<Instance>,
     request: Request<Incoming>,
 ) -> Response<LocalBody> {
     let path = request.uri().path();
     if path.starts_with(SERVICES_PREFIX) {
-        return services::answer(node, request).await;
+        return services::answer(instance, request).await;
     }
     match (request.method(), path) {
         (&Method::POST, COMPLETIONS_PATH | CHAT_PATH) => {
-            answer_completion(node, request).await
+            answer_completion(instance, request).await
         }
-        (&Method::GET, MODELS_PATH) => responses::json(&models(&node)),
+        (&Method::GET, MODELS_PATH) => responses::json(&models(&instance)),
         (_, COMPLETIONS_PATH | CHAT_PATH | MODELS_PATH) => {
             responses::problem(&Problem::new(
                 StatusCode::METHOD_NOT_ALLOWED,
@@ -107,24 +109,24 @@
 }
 
 async fn answer_completion(
-    node: Rc<Node>,
+    instance: Rc<Instance>,
     request: Request<Incoming>,
 ) -> Response<LocalBody> {
-    let slot = match RequestSlot::open(&node) {
+    let slot = match RequestSlot::open(&instance) {
         Ok(slot) => slot,
         Err(problem) => return responses::problem(&problem),
     };
     let id = slot.hex();
     metrics::counter!("sedgewall_requests_total").increment(1);
-    let answered = match prepare(&node, slot, request).await {
-        Ok(call) => claim_and_run(&node, call).await,
+    let answered = match prepare(&instance, slot, request).await {
+        Ok(call) => claim_and_run(&instance, call).await,
         Err(problem) => Err(problem),
     };
     let response = answered.unwrap_or_else(|problem| {
         let problem = problem.with_request_id(&id);
         let request = RequestId::from_str_radix(&id, 16).ok();
         let detail = &problem.detail;
-        node.event(EventKind::Refusal, request, "", "", detail);
+        instance.event(EventKind::Refusal, request, "", "", detail);
         responses::problem(&problem)
     });
     responses::with_request_id(response, &id)
@@ -132,7 +134,7 @@
 
 /// Reads and checks a completion request.
 async fn prepare(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     slot: RequestSlot,
     request: Request<Incoming>,
 ) -> Result<ModelCall, Problem> {
@@ -141,11 +143,11 @@
         Problem::bad_request(err.to_string())
     };
     let options = CallOptions::from_headers(&parts.headers).map_err(bad)?;
-    let limits = &node.settings.limits;
-    let body = read_request_body(node, body).await?;
+    let limits = &instance.settings.limits;
+    let body = read_request_body(instance, body).await?;
     let head = CompletionHead::from_body(&body).map_err(bad)?;
     let model: ModelRef = head.model.parse().map_err(bad)?;
-    let (shard, default_priority) = route(node, &model)?;
+    let (shard, default_priority) = route(instance, &model)?;
     let asked =
         options.deadline.unwrap_or(Duration::from_millis(limits.deadline_ms));
     let within = asked.min(Duration::from_millis(limits.max_deadline_ms));
@@ -157,7 +159,7 @@
     let is_repeatable = options.is_repeatable.unwrap_or(true);
     let ticket = ClaimTicket::new(&options, is_repeatable, &caller, slot.id);
     let detail = format!("from {caller}");
-    node.event(
+    instance.event(
         EventKind::Request,
         Some(slot.id),
         model.to_string(),
@@ -165,7 +167,7 @@
         detail,
     );
     Ok(ModelCall {
-        node: node.clone(),
+        instance: instance.clone(),
         path: parts.uri.path().to_owned(),
         shard,
         model,
@@ -183,13 +185,13 @@
 }
 
 async fn claim_and_run(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     call: ModelCall,
 ) -> Result<Response<LocalBody>, Problem> {
     let ticket = call.ticket;
     if let Some(ticket) = &ticket {
         let within = call.deadline.saturating_duration_since(Instant::now());
-        match ticket.obtain(node, within).await {
+        match ticket.obtain(instance, within).await {
             ClaimOutcome::Granted => {}
             outcome => return Err(outcome.problem()),
         }
@@ -198,17 +200,17 @@
     if let (Some(ticket), Err(problem)) = (&ticket, &outcome)
         && problem.run_state == RunState::NotRun
     {
-        ticket.release(node);
+        ticket.release(instance);
     }
     outcome
 }
 
 /// Finds the shard and the default class of an adapter.
 fn route(
-    node: &Node,
+    instance: &Instance,
     model: &ModelRef,
 ) -> Result<(ShardId, sedgewall_state::Priority), Problem> {
-    if node.stage.get() == Stage::Starting {
+    if instance.stage.get() == Stage::Starting {
         return Err(Problem::new(
             StatusCode::SERVICE_UNAVAILABLE,
             "starting",
@@ -217,8 +219,8 @@
         )
         .with_retry_after(FULL_RETRY));
     }
-    let view = node.view();
-    let region = view.config.region_of(&node.settings.zone).to_owned();
+    let view = instance.view();
+    let region = view.config.region_of(&instance.settings.zone).to_owned();
     let found =
         view.adapter(&model.adapter, &model.version).and_then(|adapter| {
             let shard = view.shard_of(&region, adapter)?;
@@ -232,8 +234,8 @@
     })
 }
 
-fn models(node: &Node) -> ModelList {
-    let view = node.view();
+fn models(instance: &Instance) -> ModelList {
+    let view = instance.view();
     let mut data = Vec::new();
     for adapter in &view.config.adapters {
         for version in &adapter.versions {
@@ -249,10 +251,10 @@
 
 /// Reads the body of a caller's request, within the limits.
 pub(crate) async fn read_request_body(
-    node: &Node,
+    instance: &Instance,
     body: Incoming,
 ) -> Result<Bytes, Problem> {
-    let limits = &node.settings.limits;
+    let limits = &instance.settings.limits;
     let within = Duration::from_millis(limits.body_ms);
     let read = read_body(body, limits.body_bytes, within).await;
     read.map_err(body_problem)
@@ -277,9 +279,9 @@
 }
 
 /// Sends a request's submission to the present leader, if there is one.
-pub(crate) fn send_submit(node: &Rc<Node>, id: RequestId) {
+pub(crate) fn send_submit(instance: &Rc<Instance>, id: RequestId) {
     let submit = {
-        let mut requests = node.requests.borrow_mut();
+        let mut requests = instance.requests.borrow_mut();
         let Some(held) = requests.get_mut(id) else { return };
         if held.endpoint.is_some() {
             return;
@@ -295,28 +297,32 @@
             caller_hash: held.caller_hash,
             time_left: held.deadline.saturating_duration_since(now),
             waited: now.saturating_duration_since(held.submitted),
-            stamp_ms: node.stamp_ms(),
-            config_version: node.config.borrow().version(),
+            stamp_ms: instance.stamp_ms(),
+            config_version: instance.config.borrow().version(),
         }
     };
-    let Some(leader) = node.leader_of(&submit.shard) else { return };
+    let Some(leader) = instance.leader_of(&submit.shard) else { return };
     let message = PeerMessage::Submit(submit);
-    node.send(&leader.peer_url, Some(leader.incarnation), message);
+    instance.send(&leader.peer_url, Some(leader.incarnation), message);
 }
 
 /// Tells the leader that a request is given up.
-pub(crate) fn send_cancel(node: &Rc<Node>, shard: &str, request: RequestId) {
-    let Some(leader) = node.leader_of(shard) else { return };
+pub(crate) fn send_cancel(
+    instance: &Rc<Instance>,
+    shard: &str,
+    request: RequestId,
+) {
+    let Some(leader) = instance.leader_of(shard) else { return };
     let message =
         PeerMessage::Cancel(RequestRef { shard: shard.to_owned(), request });
-    node.send(&leader.peer_url, Some(leader.incarnation), message);
+    instance.send(&leader.peer_url, Some(leader.incarnation), message);
 }
 
 /// Turns to a new leader: tells it all that runs here, and submits again all
 /// that waits.
-pub(crate) fn turn_to_leader(node: &Rc<Node>, shard: &str) {
-    let Some(leader) = node.leader_of(shard) else { return };
-    let running = node.requests.borrow_mut().running().remove(shard);
+pub(crate) fn turn_to_leader(instance: &Rc<Instance>, shard: &str) {
+    let Some(leader) = instance.leader_of(shard) else { return };
+    let running = instance.requests.borrow_mut().running().remove(shard);
     let details = running.unwrap_or_default();
     let ids = details.iter().map(|request| request.request).collect();
     let message = PeerMessage::Running(Running {
@@ -326,21 +332,21 @@
         details,
         first_tokens: Vec::new(),
     });
-    node.send(&leader.peer_url, Some(leader.incarnation), message);
-    let ids = node.requests.borrow().ids_of(shard);
+    instance.send(&leader.peer_url, Some(leader.incarnation), message);
+    let ids = instance.requests.borrow().ids_of(shard);
     for id in ids {
-        send_submit(node, id);
+        send_submit(instance, id);
     }
 }
 
 /// Takes in a seat. One that comes too late, twice or from a deposed leader
 /// is not used.
-pub(crate) fn on_granted(node: &Rc<Node>, granted: &Granted) {
-    if granted.epoch < node.seen_epoch(&granted.shard) {
+pub(crate) fn on_granted(instance: &Rc<Instance>, granted: &Granted) {
+    if granted.epoch < instance.seen_epoch(&granted.shard) {
         return;
     }
-    let is_valid = node.stamp_ms() < granted.valid_until_stamp_ms;
-    let requests = node.requests.borrow();
+    let is_valid = instance.stamp_ms() < granted.valid_until_stamp_ms;
+    let requests = instance.requests.borrow();
     match requests.get(granted.request) {
         Some(held) if held.endpoint.is_none() && is_valid => {
             let decision = Decision::Granted(granted.clone());
@@ -349,17 +355,17 @@
         Some(_) => {}
         None => {
             drop(requests);
-            send_cancel(node, &granted.shard, granted.request);
+            send_cancel(instance, &granted.shard, granted.request);
         }
     }
 }
 
 /// Takes in a refusal.
-pub(crate) fn on_refused(node: &Rc<Node>, refused: &Refused) {
-    if refused.epoch < node.seen_epoch(&refused.shard) {
+pub(crate) fn on_refused(instance: &Rc<Instance>, refused: &Refused) {
+    if refused.epoch < instance.seen_epoch(&refused.shard) {
         return;
     }
-    let requests = node.requests.borrow();
+    let requests = instance.requests.borrow();
     let Some(held) = requests.get(refused.request) else { return };
     if held.endpoint.is_none() {
         let _ = held.tx.unbounded_send(Decision::Refused(refused.refusal));
--- a/crates/sedgewalld/src/explain.rs
+++ b/crates/sedgewalld/src/explain.rs
@@ -8,11 +8,11 @@
 };
 use sedgewall_state::{AdapterIdx, EngineIdx, engine::Health};
 
-use crate::{leader::ShardLeader, node::Node};
+use crate::{instance::Instance, leader::ShardLeader};
 
 /// Returns the status of all led shards.
-pub(crate) fn statuses(node: &Node) -> Vec<ShardStatus> {
-    let shards = node.shards.borrow();
+pub(crate) fn statuses(instance: &Instance) -> Vec<ShardStatus> {
+    let shards = instance.shards.borrow();
     let mut statuses: Vec<ShardStatus> =
         shards.values().map(ShardLeader::status).collect();
     statuses.sort_by(|a, b| a.shard.cmp(&b.shard));
@@ -21,11 +21,11 @@
 
 /// Says why an adapter is where it is, if its shard is led here.
 pub(crate) fn explain(
-    node: &Node,
+    instance: &Instance,
     adapter: &EngineAdapter,
 ) -> Option<AdapterExplanation> {
     let now = Instant::now();
-    let shards = node.shards.borrow();
+    let shards = instance.shards.borrow();
     let (leader, idx) = shards
         .values()
         .find_map(|leader| Some((leader, *leader.index.get(adapter)?)))?;
--- a/crates/sedgewalld/src/heartbeat.rs
+++ b/crates/sedgewalld/src/heartbeat.rs
@@ -6,7 +6,7 @@
 use sedgewall_protocol::{PeerMessage, message::Running};
 use sedgewall_state::ShardId;
 
-use crate::{election, entry, node::Node};
+use crate::{election, entry, instance::Instance};
 
 /// How often heartbeats are sent to few peers.
 const HEARTBEAT_EVERY: Duration = Duration::from_millis(250);
@@ -24,16 +24,16 @@
 const RESUBMIT_AFTER: Duration = Duration::from_millis(900);
 
 /// Sends heartbeats for ever.
-pub(crate) async fn run(node: Rc<Node>) {
+pub(crate) async fn run(instance: Rc<Instance>) {
     let mut repaired = Instant::now();
     loop {
-        let sent = send_heartbeats(&node);
+        let sent = send_heartbeats(&instance);
         if repaired.elapsed() >= REPAIR_EVERY {
             repaired = Instant::now();
-            send_running(&node);
-            resubmit_waiting(&node);
-            node.membership.borrow_mut().sweep(Instant::now());
-            close_old_links(&node);
+            send_running(&instance);
+            resubmit_waiting(&instance);
+            instance.membership.borrow_mut().sweep(Instant::now());
+            close_old_links(&instance);
         }
         compio::time::sleep(gap(sent as u32)).await;
     }
@@ -48,48 +48,49 @@
 
 /// Closes the links to addresses that no known instance has any more; nng
 /// would dial them for ever.
-fn close_old_links(node: &Rc<Node>) {
+fn close_old_links(instance: &Rc<Instance>) {
     let known: BTreeSet<String> =
-        node.membership.borrow().peer_urls().into_values().collect();
-    node.peers.borrow_mut().retain(|url| known.contains(url));
+        instance.membership.borrow().peer_urls().into_values().collect();
+    instance.peers.borrow_mut().retain(|url| known.contains(url));
 }
 
 /// Sends one heartbeat to each peer that should hear us, and returns how many
 /// that are.
-pub(crate) fn send_heartbeats(node: &Rc<Node>) -> usize {
-    let heartbeat = node.heartbeat();
-    let partners = partners(node);
-    let targets = node
+pub(crate) fn send_heartbeats(instance: &Rc<Instance>) -> usize {
+    let heartbeat = instance.heartbeat();
+    let partners = partners(instance);
+    let targets = instance
         .membership
         .borrow()
-        .heartbeat_targets(node.id(), |id| partners.contains(id));
+        .heartbeat_targets(instance.id(), |id| partners.contains(id));
     for url in &targets {
         let message = PeerMessage::Heartbeat(heartbeat.clone());
-        node.send(url, None, message);
+        instance.send(url, None, message);
     }
     targets.len()
 }
 
 /// The leaders that we use, and the entries that use us as a leader.
-fn partners(node: &Node) -> BTreeSet<String> {
-    let mut ids: BTreeSet<String> = node
+fn partners(instance: &Instance) -> BTreeSet<String> {
+    let mut ids: BTreeSet<String> = instance
         .leaders
         .borrow()
         .values()
         .map(|leader| leader.instance.clone())
         .collect();
-    for leader in node.shards.borrow().values() {
+    for leader in instance.shards.borrow().values() {
         ids.extend(leader.entry_ids());
     }
     ids
 }
 
 /// Tells each leader all that we run on its grants.
-fn send_running(node: &Rc<Node>) {
-    let mut running = node.requests.borrow().running();
-    let shards: Vec<ShardId> = node.leaders.borrow().keys().cloned().collect();
+fn send_running(instance: &Rc<Instance>) {
+    let mut running = instance.requests.borrow().running();
+    let shards: Vec<ShardId> =
+        instance.leaders.borrow().keys().cloned().collect();
     for shard in shards {
-        let Some(leader) = node.leader_of(&shard) else { continue };
+        let Some(leader) = instance.leader_of(&shard) else { continue };
         let ids = running
             .remove(&shard)
             .unwrap_or_default()
@@ -97,7 +98,7 @@
             .map(|request| request.request)
             .collect();
         let first_tokens =
-            node.requests.borrow_mut().take_first_tokens(&shard);
+            instance.requests.borrow_mut().take_first_tokens(&shard);
         let message = PeerMessage::Running(Running {
             shard,
             epoch: leader.epoch,
@@ -105,7 +106,7 @@
             details: Vec::new(),
             first_tokens,
         });
-        node.send(&leader.peer_url, Some(leader.incarnation), message);
+        instance.send(&leader.peer_url, Some(leader.incarnation), message);
     }
 }
 
@@ -113,11 +114,11 @@
 ///
 /// The leader that we know may be gone, and its successor may not know that we
 /// exist; so the lease itself is looked up too.
-fn resubmit_waiting(node: &Rc<Node>) {
-    let waiting = node.requests.borrow().waiting();
+fn resubmit_waiting(instance: &Rc<Instance>) {
+    let waiting = instance.requests.borrow().waiting();
     let mut unanswered = BTreeSet::new();
     for id in waiting {
-        let is_due = node
+        let is_due = instance
             .requests
             .borrow()
             .get(id)
@@ -126,22 +127,22 @@
             continue;
         }
         let shard =
-            node.requests.borrow().get(id).map(|held| held.shard.clone());
+            instance.requests.borrow().get(id).map(|held| held.shard.clone());
         unanswered.extend(shard);
-        entry::send_submit(node, id);
+        entry::send_submit(instance, id);
     }
     for shard in unanswered {
-        let is_silent = node.leader_of(&shard).is_none_or(|leader| {
-            leader.incarnation != node.incarnation
-                && !node
+        let is_silent = instance.leader_of(&shard).is_none_or(|leader| {
+            leader.incarnation != instance.incarnation
+                && !instance
                     .membership
                     .borrow()
                     .is_live(&leader.instance, Instant::now())
         });
         if is_silent {
-            let node = node.clone();
+            let instance = instance.clone();
             compio::runtime::spawn(async move {
-                election::look_up(&node, &shard).await;
+                election::look_up(&instance, &shard).await;
             })
             .detach();
         }
--- a/crates/sedgewalld/src/inbox.rs
+++ b/crates/sedgewalld/src/inbox.rs
@@ -11,9 +11,9 @@
 use sedgewall_transport::PeerListener;
 
 use crate::{
-    claims, config_sync, election, entry, led_requests,
-    node::{Leader, Node},
-    store,
+    claims, config_sync, election, entry,
+    instance::{Instance, Leader},
+    led_requests, store,
 };
 
 /// Messages handled in one turn before others get theirs.
@@ -24,7 +24,7 @@
 
 /// Takes in messages for ever.
 pub(crate) async fn run(
-    node: Rc<Node>,
+    instance: Rc<Instance>,
     mut listener: PeerListener,
     mut local: mpsc::UnboundedReceiver<Envelope>,
 ) {
@@ -34,73 +34,91 @@
             envelope = local.next() => envelope,
         };
         let Some(envelope) = envelope else { return };
-        take(&node, envelope);
+        take(&instance, envelope);
         for _ in 1..TURN_LEN {
             let next = match local.try_recv() {
                 Ok(envelope) => Some(envelope),
                 Err(_) => listener.try_next(),
             };
             let Some(envelope) = next else { break };
-            take(&node, envelope);
+            take(&instance, envelope);
         }
         let dropped = listener.dropped();
         metrics::counter!("sedgewall_inbox_dropped_total").absolute(dropped);
     }
 }
 
-fn take(node: &Rc<Node>, envelope: Envelope) {
+fn take(instance: &Rc<Instance>, envelope: Envelope) {
     let is_for_us = envelope
         .to_incarnation
-        .is_none_or(|incarnation| incarnation == node.incarnation);
+        .is_none_or(|incarnation| incarnation == instance.incarnation);
     if !is_for_us {
         // It was meant for an earlier life of this instance.
         return;
     }
-    node.note_stamp(&envelope);
+    instance.note_stamp(&envelope);
     match &envelope.message {
         PeerMessage::Heartbeat(heartbeat) => {
-            on_heartbeat(node, &envelope, heartbeat);
+            on_heartbeat(instance, &envelope, heartbeat);
         }
         PeerMessage::Submit(submit) => {
-            led_requests::on_submit(node, &envelope, submit.clone());
+            led_requests::on_submit(instance, &envelope, submit.clone());
         }
-        PeerMessage::Cancel(cancel) => led_requests::on_cancel(node, cancel),
-        PeerMessage::Ended(ended) => led_requests::on_ended(node, ended),
+        PeerMessage::Cancel(cancel) => {
+            led_requests::on_cancel(instance, cancel)
+        }
+        PeerMessage::Ended(ended) => led_requests::on_ended(instance, ended),
         PeerMessage::Running(running) => {
-            led_requests::on_running(node, &envelope, running);
+            led_requests::on_running(instance, &envelope, running);
         }
-        PeerMessage::Granted(granted) => entry::on_granted(node, granted),
-        PeerMessage::Refused(refused) => entry::on_refused(node, refused),
+        PeerMessage::Granted(granted) => entry::on_granted(instance, granted),
+        PeerMessage::Refused(refused) => entry::on_refused(instance, refused),
         PeerMessage::NotLeader(_) => {
             // The periodic repair submits again, to whoever leads by then.
         }
-        PeerMessage::Claim(claim) => claims::on_claim(node, &envelope, claim),
-        PeerMessage::ReleaseClaim(claim) => claims::on_release(node, claim),
-        PeerMessage::Claimed(reply) => claims::on_reply(node, reply),
+        PeerMessage::Claim(claim) => {
+            claims::on_claim(instance, &envelope, claim)
+        }
+        PeerMessage::ReleaseClaim(claim) => {
+            claims::on_release(instance, claim)
+        }
+        PeerMessage::Claimed(reply) => claims::on_reply(instance, reply),
         PeerMessage::Demand(demand) => {
-            store::on_demand(node, &envelope, demand);
+            store::on_demand(instance, &envelope, demand);
         }
         PeerMessage::Allotted(allotment) => {
-            store::on_allotted(node, allotment);
+            store::on_allotted(instance, allotment);
         }
         PeerMessage::AskConfig(ask) => {
-            config_sync::on_ask(node, &envelope, ask);
+            config_sync::on_ask(instance, &envelope, ask);
         }
         PeerMessage::ConfigPart(part) => {
-            config_sync::on_part(node, &envelope, part.clone());
+            config_sync::on_part(instance, &envelope, part.clone());
         }
     }
 }
 
-fn on_heartbeat(node: &Rc<Node>, envelope: &Envelope, heartbeat: &Heartbeat) {
-    let is_new =
-        node.membership.borrow_mut().heard(heartbeat.clone(), Instant::now());
+fn on_heartbeat(
+    instance: &Rc<Instance>,
+    envelope: &Envelope,
+    heartbeat: &Heartbeat,
+) {
+    let is_new = instance
+        .membership
+        .borrow_mut()
+        .heard(heartbeat.clone(), Instant::now());
     if is_new {
         info!("member: {} is heard.", heartbeat.instance);
         let detail = "heard";
-        node.event(EventKind::Member, None, "", &heartbeat.instance, detail);
+        instance.event(
+            EventKind::Member,
+            None,
+            "",
+            &heartbeat.instance,
+            detail,
+        );
     }
-    led_requests::on_heartbeat(node, envelope, heartbeat.stamp_ms);
+    led_requests::on_heartbeat(instance, envelope, heartbeat.stamp_ms);
     for lead in &heartbeat.leads {
         let leader = Leader {
             instance: heartbeat.instance.clone(),
@@ -108,11 +126,11 @@
             peer_url: heartbeat.peer_url.clone(),
             epoch: lead.epoch,
         };
-        election::learn_leader(node, &lead.shard, leader);
+        election::learn_leader(instance, &lead.shard, leader);
     }
-    if heartbeat.config_version > node.config.borrow().version()
-        && !node.is_platform_reached.get()
+    if heartbeat.config_version > instance.config.borrow().version()
+        && !instance.is_platform_reached.get()
     {
-        config_sync::ask_peer(node, envelope);
+        config_sync::ask_peer(instance, envelope);
     }
 }
--- a/crates/sedgewalld/src/node.rs
+++ b/crates/sedgewalld/src/instance.rs
@@ -52,7 +52,7 @@
 }
 
 /// One instance.
-pub(crate) struct Node {
+pub(crate) struct Instance {
     pub(crate) settings: Settings,
     pub(crate) incarnation: Incarnation,
     pub(crate) started: Instant,
@@ -76,17 +76,17 @@
     local_tx: mpsc::UnboundedSender<Envelope>,
 }
 
-impl Node {
+impl Instance {
     /// Returns the node and where its messages to itself come out.
     pub(crate) fn new(
         settings: Settings,
         http: HttpClient,
-    ) -> (Rc<Node>, mpsc::UnboundedReceiver<Envelope>) {
+    ) -> (Rc<Instance>, mpsc::UnboundedReceiver<Envelope>) {
         let (local_tx, local_rx) = mpsc::unbounded();
         let platform =
             PlatformClient::new(http.clone(), &settings.platform_url);
         let timeline_len = settings.limits.timeline_len;
-        let node = Node {
+        let instance = Instance {
             incarnation: rand::random(),
             started: Instant::now(),
             engines: EngineClient::new(http.clone()),
@@ -111,7 +111,7 @@
             local_tx,
             settings,
         };
-        (Rc::new(node), local_rx)
+        (Rc::new(instance), local_rx)
     }
 
     /// Returns this instance's name.
--- a/crates/sedgewalld/src/instance_list.rs
+++ b/crates/sedgewalld/src/instance_list.rs
@@ -10,8 +10,8 @@
 use sedgewall_transport::platform_client::Watched;
 
 use crate::{
+    instance::{Instance, pause},
     leader,
-    node::{Node, pause},
 };
 
 /// How long a watch waits.
@@ -20,14 +20,14 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 /// Follows the list for ever.
-pub(crate) async fn follow(node: Rc<Node>) {
+pub(crate) async fn follow(instance: Rc<Instance>) {
     loop {
-        let revision = node.instances.borrow().revision;
+        let revision = instance.instances.borrow().revision;
         let watched =
-            node.platform.watch_instances(revision, WATCH_TIME).await;
-        node.note_platform(watched.is_ok());
+            instance.platform.watch_instances(revision, WATCH_TIME).await;
+        instance.note_platform(watched.is_ok());
         match watched {
-            Ok(Watched::Changed(list)) => adopt(&node, list),
+            Ok(Watched::Changed(list)) => adopt(&instance, list),
             Ok(Watched::Unchanged) => {}
             Err(err) => {
                 debug!("instances: {err}.");
@@ -38,26 +38,26 @@
 }
 
 /// Puts a newer list in force.
-fn adopt(node: &Rc<Node>, list: InstanceList) {
-    if list.revision <= node.instances.borrow().revision {
+fn adopt(instance: &Rc<Instance>, list: InstanceList) {
+    if list.revision <= instance.instances.borrow().revision {
         return;
     }
-    note_changes(node, &list);
-    node.membership.borrow_mut().observe_list(&list);
-    *node.instances.borrow_mut() = list;
-    refresh(node);
+    note_changes(instance, &list);
+    instance.membership.borrow_mut().observe_list(&list);
+    *instance.instances.borrow_mut() = list;
+    refresh(instance);
 }
 
 /// Brings endpoints up to date with list and configuration.
-pub(crate) fn refresh(node: &Rc<Node>) {
-    let view = node.view();
-    let list = node.instances.borrow().clone();
-    node.services.borrow_mut().update(&view, &list);
-    leader::refresh_engines(node, &list);
+pub(crate) fn refresh(instance: &Rc<Instance>) {
+    let view = instance.view();
+    let list = instance.instances.borrow().clone();
+    instance.services.borrow_mut().update(&view, &list);
+    leader::refresh_engines(instance, &list);
 }
 
-fn note_changes(node: &Rc<Node>, list: &InstanceList) {
-    let old = node.instances.borrow().clone();
+fn note_changes(instance: &Rc<Instance>, list: &InstanceList) {
+    let old = instance.instances.borrow().clone();
     for listed_instance in &list.instances {
         if listed_instance.group == OWN_GROUP {
             continue;
@@ -70,6 +70,12 @@
             ListedState::Live => "listed as live",
             ListedState::Leaving => "listed as leaving",
         };
-        node.event(EventKind::Member, None, "", &listed_instance.id, detail);
+        instance.event(
+            EventKind::Member,
+            None,
+            "",
+            &listed_instance.id,
+            detail,
+        );
     }
 }
--- a/crates/sedgewalld/src/leader.rs
+++ b/crates/sedgewalld/src/leader.rs
@@ -32,7 +32,7 @@
 
 use crate::{
     election,
-    node::{Leader, Node},
+    instance::{Instance, Leader},
     orders,
     store::StorePart,
     upkeep,
@@ -138,12 +138,12 @@
 
 /// Takes up the leadership of a shard.
 pub(crate) fn take_up(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     shard_id: &ShardId,
     lease: Lease<Held>,
 ) {
     let now = Instant::now();
-    let view = node.view();
+    let view = instance.view();
     let policy = &view.config.policy;
     let base_model = shard_id.rsplit('.').nth(1).map(|_| {
         // A shard's id is region, model and number; a model may hold dots.
@@ -173,71 +173,78 @@
     };
     info!("lease: this instance leads {shard_id} in epoch {epoch}.");
     metrics::counter!("sedgewall_leaderships_total").increment(1);
-    node.shards.borrow_mut().insert(shard_id.clone(), leader);
-    sync_adapters(node, shard_id);
-    let list = node.instances.borrow().clone();
-    refresh_engines(node, &list);
+    instance.shards.borrow_mut().insert(shard_id.clone(), leader);
+    sync_adapters(instance, shard_id);
+    let list = instance.instances.borrow().clone();
+    refresh_engines(instance, &list);
     let own = Leader {
-        instance: node.settings.instance.clone(),
-        incarnation: node.incarnation,
-        peer_url: node.settings.peer_url(),
+        instance: instance.settings.instance.clone(),
+        incarnation: instance.incarnation,
+        peer_url: instance.settings.peer_url(),
         epoch,
     };
-    election::learn_leader(node, shard_id, own);
-    crate::heartbeat::send_heartbeats(node);
-    upkeep::start(node, shard_id, epoch);
+    election::learn_leader(instance, shard_id, own);
+    crate::heartbeat::send_heartbeats(instance);
+    upkeep::start(instance, shard_id, epoch);
 }
 
 /// Ends the leadership of a shard; what waits is sent to the successor by the
 /// entries.
-pub(crate) fn step_down(node: &Rc<Node>, shard_id: &str) {
-    let Some(leader) = node.shards.borrow_mut().remove(shard_id) else {
+pub(crate) fn step_down(instance: &Rc<Instance>, shard_id: &str) {
+    let Some(leader) = instance.shards.borrow_mut().remove(shard_id) else {
         return;
     };
     let epoch = leader.epoch();
     info!("lease: this instance no longer leads {shard_id}, epoch {epoch}.");
     let detail = format!("epoch {epoch} ended here");
-    node.event(EventKind::Lease, None, shard_id, "", detail);
+    instance.event(EventKind::Lease, None, shard_id, "", detail);
 }
 
 /// Returns the lease of a shard that this instance leads.
-pub(crate) fn lease(node: &Node, shard_id: &str) -> Option<Lease<Held>> {
-    let shards = node.shards.borrow();
+pub(crate) fn lease(
+    instance: &Instance,
+    shard_id: &str,
+) -> Option<Lease<Held>> {
+    let shards = instance.shards.borrow();
     Some(shards.get(shard_id)?.lease.clone())
 }
 
 /// Puts the renewed lease in force.
-pub(crate) fn set_lease(node: &Node, shard_id: &str, lease: Lease<Held>) {
-    if let Some(leader) = node.shards.borrow_mut().get_mut(shard_id) {
+pub(crate) fn set_lease(
+    instance: &Instance,
+    shard_id: &str,
+    lease: Lease<Held>,
+) {
+    if let Some(leader) = instance.shards.borrow_mut().get_mut(shard_id) {
         leader.lease = lease;
     }
 }
 
 /// Returns whether an engine or a peer told of a later epoch.
-pub(crate) fn is_deposed(node: &Node, shard_id: &str) -> bool {
-    let shards = node.shards.borrow();
+pub(crate) fn is_deposed(instance: &Instance, shard_id: &str) -> bool {
+    let shards = instance.shards.borrow();
     let Some(leader) = shards.get(shard_id) else { return true };
-    leader.is_deposed || node.seen_epoch(shard_id) > leader.epoch()
+    leader.is_deposed || instance.seen_epoch(shard_id) > leader.epoch()
 }
 
 /// Brings all led shards up to date with the configuration.
-pub(crate) fn reconfigure(node: &Rc<Node>) {
-    let view = node.view();
+pub(crate) fn reconfigure(instance: &Rc<Instance>) {
+    let view = instance.view();
     let settings = view.config.policy.settings();
     let share = view.config.guaranteed_store();
-    let ids: Vec<ShardId> = node.shards.borrow().keys().cloned().collect();
+    let ids: Vec<ShardId> = instance.shards.borrow().keys().cloned().collect();
     for shard_id in ids {
-        if let Some(leader) = node.shards.borrow_mut().get_mut(&shard_id) {
+        if let Some(leader) = instance.shards.borrow_mut().get_mut(&shard_id) {
             leader.shard.reconfigure(settings, share);
         }
-        sync_adapters(node, &shard_id);
+        sync_adapters(instance, &shard_id);
     }
 }
 
 /// Interns the adapters of a shard and marks those that are configured.
-fn sync_adapters(node: &Rc<Node>, shard_id: &ShardId) {
-    let view = node.view();
-    let mut shards = node.shards.borrow_mut();
+fn sync_adapters(instance: &Rc<Instance>, shard_id: &ShardId) {
+    let view = instance.view();
+    let mut shards = instance.shards.borrow_mut();
     let Some(leader) = shards.get_mut(shard_id) else { return };
     let mut is_configured = vec![false; leader.shard.adapters_len()];
     let region = shard_id.split('.').next().unwrap_or("").to_owned();
@@ -260,10 +267,10 @@
 }
 
 /// Brings the engines of all led shards up to date with the instance list.
-pub(crate) fn refresh_engines(node: &Rc<Node>, list: &InstanceList) {
-    let view = node.view();
+pub(crate) fn refresh_engines(instance: &Rc<Instance>, list: &InstanceList) {
+    let view = instance.view();
     let now = Instant::now();
-    let mut shards = node.shards.borrow_mut();
+    let mut shards = instance.shards.borrow_mut();
     for leader in shards.values_mut() {
         let mut listed = HashSet::new();
         for listed_instance in &list.instances {
@@ -327,23 +334,23 @@
 
 /// Runs a function on a led shard and carries out what it wants done.
 pub(crate) fn act(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     shard_id: &str,
     change: impl FnOnce(&mut ShardLeader, &mut Vec<ShardAction>),
 ) -> bool {
     let mut actions = Vec::new();
     {
-        let mut shards = node.shards.borrow_mut();
+        let mut shards = instance.shards.borrow_mut();
         let Some(leader) = shards.get_mut(shard_id) else { return false };
         change(leader, &mut actions);
     }
     for action in actions {
-        carry_out(node, shard_id, action);
+        carry_out(instance, shard_id, action);
     }
     true
 }
 
-fn carry_out(node: &Rc<Node>, shard_id: &str, action: ShardAction) {
+fn carry_out(instance: &Rc<Instance>, shard_id: &str, action: ShardAction) {
     match action {
         ShardAction::Grant {
             request,
@@ -357,11 +364,11 @@
                 false => "sedgewall_seat_wait_seconds",
             };
             metrics::histogram!(name).record(waited.as_secs_f64());
-            send_grant(node, shard_id, request, engine);
-            note_grant(node, shard_id, request, engine, adapter, waited);
+            send_grant(instance, shard_id, request, engine);
+            note_grant(instance, shard_id, request, engine, adapter, waited);
         }
         ShardAction::Refuse { request, refusal } => {
-            let epoch = lease(node, shard_id).map_or(0, |l| l.epoch());
+            let epoch = lease(instance, shard_id).map_or(0, |l| l.epoch());
             let shard = shard_id.to_owned();
             let message = PeerMessage::Refused(Refused {
                 shard,
@@ -369,14 +376,16 @@
                 request,
                 refusal,
             });
-            send_to_entry(node, shard_id, request, message);
+            send_to_entry(instance, shard_id, request, message);
+        }
+        ShardAction::Load(order) => {
+            orders::start_load(instance, shard_id, order)
         }
-        ShardAction::Load(order) => orders::start_load(node, shard_id, order),
     }
 }
 
 fn note_grant(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     shard_id: &str,
     request: RequestId,
     engine: EngineIdx,
@@ -384,23 +393,23 @@
     waited: Duration,
 ) {
     let (subject, endpoint) = {
-        let shards = node.shards.borrow();
+        let shards = instance.shards.borrow();
         let Some(leader) = shards.get(shard_id) else { return };
         let endpoint = leader.engines[engine as usize].endpoint.clone();
         (leader.label(adapter), endpoint)
     };
     let detail = format!("after {} ms", waited.as_millis());
-    node.event(EventKind::Grant, Some(request), subject, endpoint, detail);
+    instance.event(EventKind::Grant, Some(request), subject, endpoint, detail);
 }
 
 pub(crate) fn send_grant(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     shard_id: &str,
     request: RequestId,
     engine: EngineIdx,
 ) {
     let granted = {
-        let shards = node.shards.borrow();
+        let shards = instance.shards.borrow();
         let Some(leader) = shards.get(shard_id) else { return };
         let link = &leader.engines[engine as usize];
         let Some(grant) = leader.shard.grant(request) else { return };
@@ -419,23 +428,23 @@
                 + left.min(grant.expires - grant.granted).as_millis() as u64,
         }
     };
-    send_to_entry(node, shard_id, request, PeerMessage::Granted(granted));
+    send_to_entry(instance, shard_id, request, PeerMessage::Granted(granted));
 }
 
 fn send_to_entry(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     shard_id: &str,
     request: RequestId,
     message: PeerMessage,
 ) {
     let incarnation = request_incarnation(request);
     let url = {
-        let shards = node.shards.borrow();
+        let shards = instance.shards.borrow();
         let entry =
             shards.get(shard_id).and_then(|l| l.entries.get(&incarnation));
         entry.map(|entry| entry.url.clone())
     };
     if let Some(url) = url {
-        node.send(&url, Some(incarnation), message);
+        instance.send(&url, Some(incarnation), message);
     }
 }
--- a/crates/sedgewalld/src/led_requests.rs
+++ b/crates/sedgewalld/src/led_requests.rs
@@ -11,18 +11,22 @@
 use sedgewall_state::{queue::Request, shard::RequestEnd};
 
 use crate::{
+    instance::Instance,
     leader::{ShardLeader, act, send_grant},
-    node::Node,
 };
 
 /// Takes in a submission.
-pub(crate) fn on_submit(node: &Rc<Node>, envelope: &Envelope, submit: Submit) {
-    let Some(url) = node.sender_url(envelope) else { return };
+pub(crate) fn on_submit(
+    instance: &Rc<Instance>,
+    envelope: &Envelope,
+    submit: Submit,
+) {
+    let Some(url) = instance.sender_url(envelope) else { return };
     let now = Instant::now();
-    let is_newer = submit.config_version > node.config.borrow().version();
+    let is_newer = submit.config_version > instance.config.borrow().version();
     let id = submit.request;
     let mut resend = None;
-    let is_led = act(node, &submit.shard, |leader, actions| {
+    let is_led = act(instance, &submit.shard, |leader, actions| {
         leader.note_entry(envelope, submit.stamp_ms, &url);
         if let Some(grant) = leader.shard.grant(id) {
             // The grant was lost on its way, or still is.
@@ -53,44 +57,44 @@
         leader.shard.submit(request, now, actions);
     });
     if let Some(engine) = resend {
-        send_grant(node, &submit.shard, id, engine);
+        send_grant(instance, &submit.shard, id, engine);
     }
     if !is_led {
         let shard = submit.shard;
         let message =
             PeerMessage::NotLeader(RequestRef { shard, request: id });
-        node.send(&url, Some(envelope.incarnation), message);
+        instance.send(&url, Some(envelope.incarnation), message);
     }
 }
 
 /// Takes in that a caller gave up.
-pub(crate) fn on_cancel(node: &Rc<Node>, cancel: &RequestRef) {
-    act(node, &cancel.shard, |leader, actions| {
+pub(crate) fn on_cancel(instance: &Rc<Instance>, cancel: &RequestRef) {
+    act(instance, &cancel.shard, |leader, actions| {
         leader.shard.cancel(cancel.request, Instant::now(), actions);
     });
 }
 
 /// Takes in the end of a request.
-pub(crate) fn on_ended(node: &Rc<Node>, ended: &Ended) {
+pub(crate) fn on_ended(instance: &Rc<Instance>, ended: &Ended) {
     let end = match ended.end {
         EndKind::Finished => RequestEnd::Finished,
         EndKind::NotLoaded => RequestEnd::NotLoaded,
         EndKind::Unreachable => RequestEnd::Unreachable,
         EndKind::Failed => RequestEnd::Failed,
     };
-    act(node, &ended.shard, |leader, actions| {
+    act(instance, &ended.shard, |leader, actions| {
         leader.shard.finish(ended.request, end, Instant::now(), actions);
     });
 }
 
 /// Takes in all that an entry runs here.
 pub(crate) fn on_running(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     envelope: &Envelope,
     running: &Running,
 ) {
     let now = Instant::now();
-    act(node, &running.shard, |leader, actions| {
+    act(instance, &running.shard, |leader, actions| {
         if running.epoch == leader.epoch() {
             leader.acked.insert(envelope.incarnation);
         }
@@ -132,8 +136,12 @@
 }
 
 /// Takes in the clock of an entry that uses led shards.
-pub(crate) fn on_heartbeat(node: &Rc<Node>, envelope: &Envelope, stamp: u64) {
-    let mut shards = node.shards.borrow_mut();
+pub(crate) fn on_heartbeat(
+    instance: &Rc<Instance>,
+    envelope: &Envelope,
+    stamp: u64,
+) {
+    let mut shards = instance.shards.borrow_mut();
     for leader in shards.values_mut() {
         if let Some(entry) = leader.entries.get_mut(&envelope.incarnation) {
             entry.stamp_ms = entry.stamp_ms.max(stamp);
--- a/crates/sedgewalld/src/operator.rs
+++ b/crates/sedgewalld/src/operator.rs
@@ -20,27 +20,27 @@
 
 use crate::{
     explain,
-    node::{Node, Stage},
+    instance::{Instance, Stage},
     process, responses,
 };
 
 /// Answers one request of an operator.
 pub(crate) async fn answer(
-    node: Rc<Node>,
+    instance: Rc<Instance>,
     metrics: PrometheusHandle,
     request: Request<Incoming>,
 ) -> Response<LocalBody> {
     match request.uri().path() {
         "/healthz" => responses::text(StatusCode::OK, "live\n"),
-        "/readyz" => readiness(&node),
+        "/readyz" => readiness(&instance),
         "/metrics" => {
-            note_gauges(&node);
+            note_gauges(&instance);
             responses::text(StatusCode::OK, metrics.render())
         }
-        STATUS_PATH => responses::json(&status(&node)),
-        TIMELINE_PATH => responses::json(&node.events()),
-        EXPLAIN_PATH => explain_adapter(&node, &request),
-        DRAIN_PATH if request.method() == Method::POST => drain(&node),
+        STATUS_PATH => responses::json(&status(&instance)),
+        TIMELINE_PATH => responses::json(&instance.events()),
+        EXPLAIN_PATH => explain_adapter(&instance, &request),
+        DRAIN_PATH if request.method() == Method::POST => drain(&instance),
         path => responses::problem(&Problem::new(
             StatusCode::NOT_FOUND,
             "unknown_path",
@@ -50,8 +50,8 @@
     }
 }
 
-fn readiness(node: &Node) -> Response<LocalBody> {
-    match node.stage.get() {
+fn readiness(instance: &Instance) -> Response<LocalBody> {
+    match instance.stage.get() {
         Stage::Ready => responses::text(StatusCode::OK, "ready\n"),
         Stage::Starting => responses::text(
             StatusCode::SERVICE_UNAVAILABLE,
@@ -63,31 +63,31 @@
     }
 }
 
-fn note_gauges(node: &Node) {
-    let held = node.requests.borrow().open_len();
+fn note_gauges(instance: &Instance) {
+    let held = instance.requests.borrow().open_len();
     metrics::gauge!("sedgewall_requests_open").set(held as f64);
     let resident = process::resident_bytes();
     metrics::gauge!("sedgewall_resident_bytes").set(resident as f64);
     let cpu_s = process::cpu_ms() as f64 / 1_000.0;
     metrics::gauge!("sedgewall_cpu_seconds").set(cpu_s);
-    let led = node.shards.borrow().len();
+    let led = instance.shards.borrow().len();
     metrics::gauge!("sedgewall_led_shards").set(led as f64);
-    let peers = node.peers.borrow();
+    let peers = instance.peers.borrow();
     metrics::counter!("sedgewall_peer_messages_total").absolute(peers.sent());
     metrics::counter!("sedgewall_peer_bytes_total")
         .absolute(peers.sent_bytes());
 }
 
-fn status(node: &Node) -> InstanceStatus {
+fn status(instance: &Instance) -> InstanceStatus {
     let now = Instant::now();
-    let live_peers = node
+    let live_peers = instance
         .membership
         .borrow()
         .peers()
         .map(|peer| peer.last.instance.clone())
-        .filter(|id| node.membership.borrow().is_live(id, now))
+        .filter(|id| instance.membership.borrow().is_live(id, now))
         .collect();
-    let mut leaders: Vec<LeaderStatus> = node
+    let mut leaders: Vec<LeaderStatus> = instance
         .leaders
         .borrow()
         .iter()
@@ -99,24 +99,24 @@
         .collect();
     leaders.sort_by(|a, b| a.shard.cmp(&b.shard));
     InstanceStatus {
-        instance: node.settings.instance.clone(),
-        incarnation: node.incarnation,
-        zone: node.settings.zone.clone(),
-        config_version: node.config.borrow().version(),
-        is_ready: node.stage.get() == Stage::Ready,
-        is_leaving: node.stage.get() == Stage::Leaving,
-        is_platform_reached: node.is_platform_reached.get(),
-        requests_len: node.requests.borrow().open_len(),
+        instance: instance.settings.instance.clone(),
+        incarnation: instance.incarnation,
+        zone: instance.settings.zone.clone(),
+        config_version: instance.config.borrow().version(),
+        is_ready: instance.stage.get() == Stage::Ready,
+        is_leaving: instance.stage.get() == Stage::Leaving,
+        is_platform_reached: instance.is_platform_reached.get(),
+        requests_len: instance.requests.borrow().open_len(),
         resident_bytes: process::resident_bytes(),
         cpu_ms: process::cpu_ms(),
         live_peers,
-        led_shards: explain::statuses(node),
+        led_shards: explain::statuses(instance),
         leaders,
     }
 }
 
 fn explain_adapter(
-    node: &Node,
+    instance: &Instance,
     request: &Request<Incoming>,
 ) -> Response<LocalBody> {
     let query = request.uri().query().unwrap_or("");
@@ -130,7 +130,7 @@
     };
     let adapter =
         EngineAdapter { adapter: model.adapter, version: model.version };
-    match explain::explain(node, &adapter) {
+    match explain::explain(instance, &adapter) {
         Some(explanation) => responses::json(&explanation),
         None => responses::problem(&Problem::new(
             StatusCode::NOT_FOUND,
@@ -141,8 +141,8 @@
     }
 }
 
-fn drain(node: &Rc<Node>) -> Response<LocalBody> {
+fn drain(instance: &Rc<Instance>) -> Response<LocalBody> {
     info!("daemon: an operator asked for a stop.");
-    node.stage.set(Stage::Leaving);
+    instance.stage.set(Stage::Leaving);
     responses::text(StatusCode::ACCEPTED, "leaving\n")
 }
--- a/crates/sedgewalld/src/orders.rs
+++ b/crates/sedgewalld/src/orders.rs
@@ -10,13 +10,17 @@
 use sedgewall_transport::engine_client::OrderAnswer;
 
 use crate::{
+    instance::Instance,
     leader::{EngineLink, act},
-    node::Node,
 };
 
-pub(crate) fn start_load(node: &Rc<Node>, shard_id: &str, order: LoadOrder) {
+pub(crate) fn start_load(
+    instance: &Rc<Instance>,
+    shard_id: &str,
+    order: LoadOrder,
+) {
     let prepared = {
-        let shards = node.shards.borrow();
+        let shards = instance.shards.borrow();
         let Some(leader) = shards.get(shard_id) else { return };
         let link = leader.engines[order.engine as usize].clone();
         let name = |idx: AdapterIdx| leader.names[idx as usize].clone();
@@ -36,24 +40,24 @@
         Some(out) => format!("replaces {}@{}", out.adapter, out.version),
         None => "into an empty slot".to_owned(),
     };
-    node.event(EventKind::Load, None, &label, &link.endpoint, detail);
+    instance.event(EventKind::Load, None, &label, &link.endpoint, detail);
     metrics::counter!("sedgewall_loads_total").increment(1);
-    let node = node.clone();
+    let instance = instance.clone();
     let shard_id = shard_id.to_owned();
     let epoch = wire.epoch;
     compio::runtime::spawn(async move {
         let answer = match is_allowed {
-            true => node.engines.order(&link.address, &wire).await,
+            true => instance.engines.order(&link.address, &wire).await,
             // Somebody else may give orders there by now.
             false => OrderAnswer::Failed(OrderFailure::OldEpoch),
         };
-        finish_load(&node, &shard_id, epoch, order, &label, &link, answer);
+        finish_load(&instance, &shard_id, epoch, order, &label, &link, answer);
     })
     .detach();
 }
 
 fn finish_load(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     shard_id: &str,
     epoch: Epoch,
     order: LoadOrder,
@@ -67,12 +71,12 @@
         false => EventKind::LoadFailed,
     };
     let detail = format!("{answer:?}").to_lowercase();
-    node.event(kind, None, label, &link.endpoint, detail);
+    instance.event(kind, None, label, &link.endpoint, detail);
     if !is_loaded {
         metrics::counter!("sedgewall_load_failures_total").increment(1);
         warn!("leader: {label} on {}: {answer:?}.", link.endpoint);
     }
-    act(node, shard_id, |leader, actions| {
+    act(instance, shard_id, |leader, actions| {
         if leader.epoch() != epoch {
             return;
         }
--- a/crates/sedgewalld/src/relay.rs
+++ b/crates/sedgewalld/src/relay.rs
@@ -97,7 +97,7 @@
 
     /// Waits for at least one whole event.
     async fn read(&mut self) -> Brought {
-        let idle_ms = self.call.node.settings.limits.stream_idle_ms;
+        let idle_ms = self.call.instance.settings.limits.stream_idle_ms;
         let idle = Duration::from_millis(idle_ms);
         loop {
             let chunk = compio::time::timeout(idle, self.chunks.next()).await;
--- a/crates/sedgewalld/src/services.rs
+++ b/crates/sedgewalld/src/services.rs
@@ -29,7 +29,7 @@
 use crate::{
     claims::{ClaimOutcome, ClaimTicket},
     entry::{RequestSlot, read_request_body},
-    node::Node,
+    instance::Instance,
     responses,
     routes::ConfigView,
 };
@@ -132,14 +132,14 @@
 
 /// A seat at a service's endpoint, given back when dropped.
 struct ServiceSeat {
-    node: Rc<Node>,
+    instance: Rc<Instance>,
     target: Target,
     is_failed: bool,
 }
 
 impl Drop for ServiceSeat {
     fn drop(&mut self) {
-        let mut services = self.node.services.borrow_mut();
+        let mut services = self.instance.services.borrow_mut();
         services.give_back(&self.target, self.is_failed);
     }
 }
@@ -158,15 +158,15 @@
 
 /// Answers a request for a plain service.
 pub(crate) async fn answer(
-    node: Rc<Node>,
+    instance: Rc<Instance>,
     request: Request<Incoming>,
 ) -> Response<LocalBody> {
-    let slot = match RequestSlot::open(&node) {
+    let slot = match RequestSlot::open(&instance) {
         Ok(slot) => slot,
         Err(problem) => return responses::problem(&problem),
     };
     let id = slot.hex();
-    let answered = run(&node, &slot, request).await;
+    let answered = run(&instance, &slot, request).await;
     let response = answered.unwrap_or_else(|problem| {
         responses::problem(&problem.with_request_id(&id))
     });
@@ -174,7 +174,7 @@
 }
 
 async fn run(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     slot: &RequestSlot,
     request: Request<Incoming>,
 ) -> Result<Response<LocalBody>, Problem> {
@@ -182,8 +182,8 @@
     let options = CallOptions::from_headers(&parts.headers)
         .map_err(|err| Problem::bad_request(err.to_string()))?;
     let (group, path) = split_path(&parts.uri)?;
-    let body = read_request_body(node, body).await?;
-    let limits = &node.settings.limits;
+    let body = read_request_body(instance, body).await?;
+    let limits = &instance.settings.limits;
     let asked =
         options.deadline.unwrap_or(Duration::from_millis(limits.deadline_ms));
     let within = asked.min(Duration::from_millis(limits.max_deadline_ms));
@@ -201,42 +201,42 @@
     };
     let caller = options.caller.as_deref().unwrap_or("");
     let ticket = ClaimTicket::new(&options, is_repeatable, caller, slot.id);
-    let outcome = claim_and_call(node, &call, ticket).await;
+    let outcome = claim_and_call(instance, &call, ticket).await;
     metrics::counter!("sedgewall_service_calls_total").increment(1);
     outcome
 }
 
 async fn claim_and_call(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     call: &ServiceCall,
     ticket: Option<ClaimTicket>,
 ) -> Result<Response<LocalBody>, Problem> {
     if let Some(ticket) = &ticket {
-        match ticket.obtain(node, call.within).await {
+        match ticket.obtain(instance, call.within).await {
             ClaimOutcome::Granted => {}
             outcome => return Err(outcome.problem()),
         }
     }
-    let outcome = call_with_retries(node, call).await;
+    let outcome = call_with_retries(instance, call).await;
     if let (Some(ticket), Err(problem)) = (&ticket, &outcome)
         && problem.run_state == RunState::NotRun
     {
-        ticket.release(node);
+        ticket.release(instance);
     }
     outcome
 }
 
 async fn call_with_retries(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     call: &ServiceCall,
 ) -> Result<Response<LocalBody>, Problem> {
     let mut tries = 0;
     loop {
-        let mut seat = seat(node, call)?;
-        match send(node, call, &seat.target).await {
+        let mut seat = seat(instance, call)?;
+        match send(instance, call, &seat.target).await {
             Ok(answer) => {
                 if let Some(rest) = stated_rest(&answer) {
-                    note_rest(node, call, &seat.target, rest);
+                    note_rest(instance, call, &seat.target, rest);
                 }
                 return Ok(pass_on(answer));
             }
@@ -245,13 +245,13 @@
                 tries += 1;
                 let may_repeat = call.is_repeatable || err.is_not_sent();
                 let may_retry = may_repeat
-                    && tries <= node.settings.limits.retries
-                    && node.requests.borrow_mut().take_retry();
+                    && tries <= instance.settings.limits.retries
+                    && instance.requests.borrow_mut().take_retry();
                 if !may_retry {
                     return Err(call_problem(call, &err));
                 }
                 let endpoint = seat.target.endpoint.clone();
-                node.event(
+                instance.event(
                     EventKind::Retry,
                     Some(call.id),
                     &call.group,
@@ -275,13 +275,13 @@
 }
 
 fn note_rest(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     call: &ServiceCall,
     target: &Target,
     rest: Duration,
 ) {
-    node.services.borrow_mut().rest(target, rest);
-    node.event(
+    instance.services.borrow_mut().rest(target, rest);
+    instance.event(
         EventKind::Call,
         Some(call.id),
         &call.group,
@@ -290,8 +290,11 @@
     );
 }
 
-fn seat(node: &Rc<Node>, call: &ServiceCall) -> Result<ServiceSeat, Problem> {
-    let view = node.view();
+fn seat(
+    instance: &Rc<Instance>,
+    call: &ServiceCall,
+) -> Result<ServiceSeat, Problem> {
+    let view = instance.view();
     let group = view
         .config
         .group(&call.group)
@@ -304,9 +307,9 @@
                 format!("no service is named {:?}", call.group),
             )
         })?;
-    let target = node.services.borrow_mut().take(&call.group, group.seats);
+    let target = instance.services.borrow_mut().take(&call.group, group.seats);
     let target = target.ok_or_else(|| {
-        let rest = node.services.borrow().rests_for(&call.group);
+        let rest = instance.services.borrow().rests_for(&call.group);
         Problem::new(
             StatusCode::SERVICE_UNAVAILABLE,
             "service_busy",
@@ -315,15 +318,15 @@
         )
         .with_retry_after(rest.unwrap_or(BUSY_RETRY))
     })?;
-    Ok(ServiceSeat { node: node.clone(), target, is_failed: false })
+    Ok(ServiceSeat { instance: instance.clone(), target, is_failed: false })
 }
 
 async fn send(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     call: &ServiceCall,
     target: &Target,
 ) -> Result<WholeAnswer, CallError> {
-    node.event(
+    instance.event(
         EventKind::Call,
         Some(call.id),
         &call.group,
@@ -340,7 +343,7 @@
         out = out.header(REPEATABLE_HEADER, "?0");
     }
     let out = out.body(call.body.clone());
-    node.http.call(out, call.within).await
+    instance.http.call(out, call.within).await
 }
 
 fn call_problem(call: &ServiceCall, err: &CallError) -> Problem {
--- a/crates/sedgewalld/src/store.rs
+++ b/crates/sedgewalld/src/store.rs
@@ -17,7 +17,7 @@
     allocation::{ALLOTMENT_VALIDITY, Allocator},
 };
 
-use crate::node::Node;
+use crate::instance::Instance;
 
 /// A shard's part of the store, as its leader holds it.
 #[derive(Clone, Copy, Debug, Default)]
@@ -41,11 +41,11 @@
 }
 
 /// Asks for a part of the store, and lets go of one that has run out.
-pub(crate) fn ask(node: &Rc<Node>, shard: &str) {
-    let view = node.view();
-    let stamp_ms = node.stamp_ms();
+pub(crate) fn ask(instance: &Rc<Instance>, shard: &str) {
+    let view = instance.view();
+    let stamp_ms = instance.stamp_ms();
     let demand = {
-        let mut shards = node.shards.borrow_mut();
+        let mut shards = instance.shards.borrow_mut();
         let Some(leader) = shards.get_mut(shard) else { return };
         if leader.allotment.until_ms <= stamp_ms {
             leader.set_store_limits(view.config.guaranteed_store());
@@ -53,21 +53,21 @@
         leader.store_demand()
     };
     let Some(first) = view.config.allocator_shard() else { return };
-    let Some(allocator) = node.leader_of(&first) else { return };
+    let Some(allocator) = instance.leader_of(&first) else { return };
     let shard = shard.to_owned();
     let message = PeerMessage::Demand(Demand { shard, demand, stamp_ms });
-    node.send(&allocator.peer_url, Some(allocator.incarnation), message);
+    instance.send(&allocator.peer_url, Some(allocator.incarnation), message);
 }
 
 /// Takes in a demand, if this instance leads the first shard.
 pub(crate) fn on_demand(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     envelope: &Envelope,
     demand: &Demand,
 ) {
-    let view = node.view();
+    let view = instance.view();
     let Some(first) = view.config.allocator_shard() else { return };
-    let epoch = node.shards.borrow().get(&first).map(|l| l.epoch());
+    let epoch = instance.shards.borrow().get(&first).map(|l| l.epoch());
     let Some(epoch) = epoch else { return };
     let now = Instant::now();
     let limits = ALLOCATOR.with_borrow_mut(|own| {
@@ -89,17 +89,17 @@
         limits,
         stamp_ms: demand.stamp_ms,
     });
-    node.reply(envelope, message);
+    instance.reply(envelope, message);
 }
 
 /// Takes in a part of the store.
-pub(crate) fn on_allotted(node: &Rc<Node>, allotment: &Allotment) {
+pub(crate) fn on_allotted(instance: &Rc<Instance>, allotment: &Allotment) {
     let validity_ms = ALLOTMENT_VALIDITY.as_millis() as u64;
     let until_ms = allotment.stamp_ms + validity_ms;
-    if until_ms <= node.stamp_ms() {
+    if until_ms <= instance.stamp_ms() {
         return;
     }
-    let mut shards = node.shards.borrow_mut();
+    let mut shards = instance.shards.borrow_mut();
     let Some(leader) = shards.get_mut(&allotment.shard) else { return };
     if allotment.epoch < leader.allotment.epoch {
         return;
--- a/crates/sedgewalld/src/upkeep.rs
+++ b/crates/sedgewalld/src/upkeep.rs
@@ -14,8 +14,8 @@
 };
 
 use crate::{
+    instance::Instance,
     leader::{EntryLink, ShardLeader, act, set_eviction_guard},
-    node::Node,
     store,
 };
 
@@ -59,10 +59,10 @@
     const ALL: [Upkeep; 4] =
         [Upkeep::Tick, Upkeep::Reports, Upkeep::Slow, Upkeep::Store];
 
-    fn every(self, node: &Node, shard_id: &str) -> Duration {
+    fn every(self, instance: &Instance, shard_id: &str) -> Duration {
         match self {
             Upkeep::Tick => TICK,
-            Upkeep::Reports => report_every(node, shard_id),
+            Upkeep::Reports => report_every(instance, shard_id),
             Upkeep::Slow => UPKEEP_EVERY,
             Upkeep::Store => ALLOCATION_INTERVAL,
         }
@@ -70,24 +70,28 @@
 }
 
 /// Starts all periodic work of a leadership.
-pub(crate) fn start(node: &Rc<Node>, shard_id: &ShardId, epoch: Epoch) {
+pub(crate) fn start(
+    instance: &Rc<Instance>,
+    shard_id: &ShardId,
+    epoch: Epoch,
+) {
     for task in Upkeep::ALL {
-        let node = node.clone();
+        let instance = instance.clone();
         let shard_id = shard_id.clone();
-        compio::runtime::spawn(run_upkeep(node, shard_id, epoch, task))
+        compio::runtime::spawn(run_upkeep(instance, shard_id, epoch, task))
             .detach();
     }
 }
 
 /// Does one kind of periodic work until the leadership ends.
 async fn run_upkeep(
-    node: Rc<Node>,
+    instance: Rc<Instance>,
     shard_id: ShardId,
     epoch: Epoch,
     task: Upkeep,
 ) {
     loop {
-        let is_led = node
+        let is_led = instance
             .shards
             .borrow()
             .get(&shard_id)
@@ -96,17 +100,17 @@
             return;
         }
         match task {
-            Upkeep::Tick => tick(&node, &shard_id),
-            Upkeep::Reports => ask_reports(&node, &shard_id),
-            Upkeep::Slow => look_after(&node, &shard_id),
-            Upkeep::Store => store::ask(&node, &shard_id),
+            Upkeep::Tick => tick(&instance, &shard_id),
+            Upkeep::Reports => ask_reports(&instance, &shard_id),
+            Upkeep::Slow => look_after(&instance, &shard_id),
+            Upkeep::Store => store::ask(&instance, &shard_id),
         }
-        compio::time::sleep(task.every(&node, &shard_id)).await;
+        compio::time::sleep(task.every(&instance, &shard_id)).await;
     }
 }
 
-fn report_every(node: &Node, shard_id: &str) -> Duration {
-    let shards = node.shards.borrow();
+fn report_every(instance: &Instance, shard_id: &str) -> Duration {
+    let shards = instance.shards.borrow();
     let engines = shards.get(shard_id).map_or(0, |l| l.engines.len());
     match engines > LARGE_SHARD {
         true => LARGE_REPORT_EVERY,
@@ -114,40 +118,40 @@
     }
 }
 
-fn tick(node: &Rc<Node>, shard_id: &str) {
-    act(node, shard_id, |leader, actions| {
+fn tick(instance: &Rc<Instance>, shard_id: &str) {
+    act(instance, shard_id, |leader, actions| {
         leader.shard.tick(Instant::now(), actions);
     });
 }
 
-fn ask_reports(node: &Rc<Node>, shard_id: &ShardId) {
-    let mut shards = node.shards.borrow_mut();
+fn ask_reports(instance: &Rc<Instance>, shard_id: &ShardId) {
+    let mut shards = instance.shards.borrow_mut();
     let Some(leader) = shards.get_mut(shard_id) else { return };
     for (idx, link) in leader.engines.iter_mut().enumerate() {
         if std::mem::replace(&mut link.is_asked, true) {
             continue;
         }
-        let node = node.clone();
+        let instance = instance.clone();
         let shard_id = shard_id.clone();
         let address = link.address.clone();
         let engine = idx as EngineIdx;
         compio::runtime::spawn(async move {
             let made = Instant::now();
-            let report = node.engines.report(&address).await.ok();
-            take_report(&node, &shard_id, engine, report, made);
+            let report = instance.engines.report(&address).await.ok();
+            take_report(&instance, &shard_id, engine, report, made);
         })
         .detach();
     }
 }
 
 fn take_report(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     shard_id: &str,
     engine: EngineIdx,
     report: Option<EngineReport>,
     asked: Instant,
 ) {
-    act(node, shard_id, |leader, actions| {
+    act(instance, shard_id, |leader, actions| {
         let Some(link) = leader.engines.get_mut(engine as usize) else {
             return;
         };
@@ -175,12 +179,12 @@
 }
 
 /// Looks after lost entries, the barrier of the epoch and declared spikes.
-fn look_after(node: &Rc<Node>, shard_id: &str) {
+fn look_after(instance: &Rc<Instance>, shard_id: &str) {
     let now = Instant::now();
-    let view = node.view();
-    act(node, shard_id, |leader, actions| {
-        forget_lost_entries(node, leader, now, actions);
-        if !leader.is_barrier_passed && all_entries_acked(node, leader) {
+    let view = instance.view();
+    act(instance, shard_id, |leader, actions| {
+        forget_lost_entries(instance, leader, now, actions);
+        if !leader.is_barrier_passed && all_entries_acked(instance, leader) {
             leader.is_barrier_passed = true;
             set_eviction_guard(leader);
         }
@@ -205,7 +209,7 @@
 }
 
 fn forget_lost_entries(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     leader: &mut ShardLeader,
     now: Instant,
     actions: &mut Vec<ShardAction>,
@@ -214,7 +218,7 @@
         .entries
         .iter()
         .filter(|(incarnation, entry)| {
-            !is_heard(node, entry, **incarnation, now)
+            !is_heard(instance, entry, **incarnation, now)
         })
         .map(|(incarnation, _)| *incarnation)
         .collect();
@@ -222,7 +226,7 @@
         leader.shard.entry_lost(incarnation, now, actions);
     }
     leader.entries.retain(|incarnation, entry| {
-        *incarnation == node.incarnation
+        *incarnation == instance.incarnation
             || now.saturating_duration_since(entry.heard) < FORGET_ENTRY
     });
 }
@@ -230,25 +234,25 @@
 /// An entry that is stopping still finishes its requests, so leaving does not
 /// count as lost; silence and a newer incarnation do.
 fn is_heard(
-    node: &Node,
+    instance: &Instance,
     entry: &EntryLink,
     incarnation: Incarnation,
     now: Instant,
 ) -> bool {
-    if incarnation == node.incarnation {
+    if incarnation == instance.incarnation {
         return true;
     }
-    let membership = node.membership.borrow();
+    let membership = instance.membership.borrow();
     let Some(peer) = membership.peer(&entry.instance) else { return false };
     let silence = now.saturating_duration_since(entry.heard);
     peer.last.incarnation == incarnation && silence < ENTRY_SILENCE
 }
 
 /// Whether every listed instance knows this epoch.
-fn all_entries_acked(node: &Node, leader: &ShardLeader) -> bool {
-    let membership = node.membership.borrow();
+fn all_entries_acked(instance: &Instance, leader: &ShardLeader) -> bool {
+    let membership = instance.membership.borrow();
     membership.listed_live().all(|id| {
-        if id == node.id() {
+        if id == instance.id() {
             return true;
         }
         membership
