--- a/crates/sedgewalld/src/call.rs
+++ b/crates/sedgewalld/src/call.rs
@@ -133,7 +133,7 @@
     /// Marks the request as running, if the grant may still be used.
     fn take(&mut self, granted: &Granted) -> bool {
         let is_valid = self.instance.stamp_ms() < granted.valid_until_stamp_ms
-            && granted.epoch >= self.instance.seen_epoch(&self.shard);
+            && granted.epoch >= self.instance.highest_epoch(&self.shard);
         let mut requests = self.instance.requests.borrow_mut();
         let Some(held) = requests.get_mut(self.id) else { return false };
         if !is_valid || held.endpoint.is_some() {
@@ -242,7 +242,7 @@
         .record(took.as_secs_f64());
     let detail = format!("{detail} after {} ms", took.as_millis());
     let subject = call.model.to_string();
-    call.instance.event(
+    call.instance.record_event(
         EventKind::End,
         Some(call.slot.id),
         subject,
@@ -258,7 +258,7 @@
     resume_from: u64,
 ) -> Result<OpenAnswer, TryError> {
     let subject = call.model.to_string();
-    call.instance.event(
+    call.instance.record_event(
         EventKind::Call,
         Some(call.slot.id),
         subject,
@@ -362,7 +362,7 @@
     );
     let subject = call.model.to_string();
     let id = Some(call.slot.id);
-    call.instance.event(EventKind::FirstToken, id, subject, "", detail);
+    call.instance.record_event(EventKind::FirstToken, id, subject, "", detail);
 }
 
 /// Counts the tries of one request and decides whether there is another.
@@ -406,7 +406,7 @@
             seat.ended(EndKind::Failed);
             return Err(self.spent(&detail));
         }
-        call.instance.event(
+        call.instance.record_event(
             EventKind::Retry,
             Some(call.slot.id),
             call.model.to_string(),
--- a/crates/sedgewalld/src/claims.rs
+++ b/crates/sedgewalld/src/claims.rs
@@ -168,7 +168,7 @@
 
     fn note(&self, instance: &Rc<Instance>, detail: &str) {
         let request = Some(self.claim.request);
-        instance.event(EventKind::Claim, request, "", "", detail);
+        instance.record_event(EventKind::Claim, request, "", "", detail);
     }
 }
 
@@ -395,7 +395,7 @@
     let key = segment_key(partition, write.idx);
     let value = serde_json::to_vec(&write.segment).unwrap_or_default();
     let answer = instance.platform.put(&key, value, None).await;
-    instance.note_platform(answer != WriteAnswer::Unclear);
+    instance.set_platform_reached(answer != WriteAnswer::Unclear);
     match answer {
         WriteAnswer::Done(_) => SegmentAnswer::Created,
         WriteAnswer::Unclear => SegmentAnswer::Unclear,
--- a/crates/sedgewalld/src/config_sync.rs
+++ b/crates/sedgewalld/src/config_sync.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     election,
-    instance::{Instance, Stage, pause},
+    instance::{Instance, Stage, sleep_with_jitter},
     instance_list, leader,
     routes::ConfigView,
 };
@@ -37,21 +37,21 @@
     loop {
         let watched =
             instance.platform.watch(CONFIG_HEAD_KEY, known, WATCH_TIME).await;
-        instance.note_platform(watched.is_ok());
+        instance.set_platform_reached(watched.is_ok());
         match watched {
             Ok(Watched::Changed(object)) => {
                 match take_head(&instance, &object.value).await {
                     Ok(()) => known = Some(object.version),
                     Err(err) => {
                         warn!("config: {err}.");
-                        pause(RETRY_PAUSE).await;
+                        sleep_with_jitter(RETRY_PAUSE).await;
                     }
                 }
             }
             Ok(Watched::Unchanged) => {}
             Err(err) => {
                 debug!("config: {err}.");
-                pause(RETRY_PAUSE).await;
+                sleep_with_jitter(RETRY_PAUSE).await;
             }
         }
     }
@@ -114,7 +114,7 @@
          applied by {applied_by}."
     );
     let detail = format!("version {version} in force");
-    instance.event(EventKind::Config, None, "", "", detail);
+    instance.record_event(EventKind::Config, None, "", "", detail);
     metrics::gauge!("sedgewall_config_version").set(version as f64);
     let shards = instance.view().config.shard_ids();
     instance.leaders.borrow_mut().retain(|shard, _| shards.contains(shard));
--- a/crates/sedgewalld/src/daemon.rs
+++ b/crates/sedgewalld/src/daemon.rs
@@ -83,7 +83,7 @@
         instance.settings.caller_listen,
         instance.settings.operator_listen
     );
-    instance.event(EventKind::Member, None, "", "", "started");
+    instance.record_event(EventKind::Member, None, "", "", "started");
     compio::runtime::spawn(inbox::run(instance.clone(), peers, local))
         .detach();
     compio::runtime::spawn(config_sync::follow(instance.clone())).detach();
@@ -154,7 +154,7 @@
 /// leases over, and finishes every request that it holds.
 async fn stop(instance: &Rc<Instance>) {
     info!("daemon: stopping.");
-    instance.event(EventKind::Member, None, "", "", "stopping");
+    instance.record_event(EventKind::Member, None, "", "", "stopping");
     instance.stage.set(Stage::Leaving);
     heartbeat::send_heartbeats(instance);
     let started = Instant::now();
--- a/crates/sedgewalld/src/election.rs
+++ b/crates/sedgewalld/src/election.rs
@@ -21,7 +21,7 @@
 
 use crate::{
     entry,
-    instance::{Instance, Leader, Stage, pause},
+    instance::{Instance, Leader, Stage, sleep_with_jitter},
     leader,
 };
 
@@ -76,7 +76,7 @@
         }
         let Some(rank) = rank(instance, shard) else {
             free_since = None;
-            pause(look_every).await;
+            sleep_with_jitter(look_every).await;
             continue;
         };
         if let Ok(stored) = read(instance, shard).await {
@@ -85,12 +85,12 @@
         note_seen(instance, shard, watching.seen());
         if !watching.is_free(Instant::now()) {
             free_since = None;
-            pause(look_every).await;
+            sleep_with_jitter(look_every).await;
             continue;
         }
         let since: Instant = *free_since.get_or_insert_with(Instant::now);
         if since.elapsed() < RANK_DELAY * rank as u32 {
-            pause(look_every / 4).await;
+            sleep_with_jitter(look_every / 4).await;
             continue;
         }
         let acquiring = watching.acquire(&candidate(instance), Instant::now());
@@ -237,7 +237,7 @@
     shard: &str,
 ) -> Result<Option<StoredLease>, PlatformError> {
     let object = instance.platform.get(&lease_key(shard)).await;
-    instance.note_platform(object.is_ok());
+    instance.set_platform_reached(object.is_ok());
     let Some(object) = object? else { return Ok(None) };
     let record: LeaseRecord = serde_json::from_slice(&object.value)
         .map_err(|err| PlatformError::Unreadable(err.to_string()))?;
@@ -248,7 +248,7 @@
     let key = lease_key(&write.record.shard);
     let value = serde_json::to_vec(&write.record).unwrap_or_default();
     let answer = instance.platform.put(&key, value, write.expected).await;
-    instance.note_platform(answer != WriteAnswer::Unclear);
+    instance.set_platform_reached(answer != WriteAnswer::Unclear);
     answer
 }
 
@@ -287,8 +287,8 @@
 ) {
     let detail =
         format!("{} leads in epoch {}", leader.instance, leader.epoch);
-    if instance.note_leader(shard, leader) {
-        instance.event(EventKind::Lease, None, shard, "", detail);
+    if instance.update_leader(shard, leader) {
+        instance.record_event(EventKind::Lease, None, shard, "", detail);
         entry::turn_to_leader(instance, shard);
     }
 }
--- a/crates/sedgewalld/src/entry.rs
+++ b/crates/sedgewalld/src/entry.rs
@@ -126,7 +126,7 @@
         let problem = problem.with_request_id(&id);
         let request = RequestId::from_str_radix(&id, 16).ok();
         let detail = &problem.detail;
-        instance.event(EventKind::Refusal, request, "", "", detail);
+        instance.record_event(EventKind::Refusal, request, "", "", detail);
         responses::problem(&problem)
     });
     responses::with_request_id(response, &id)
@@ -159,7 +159,7 @@
     let is_repeatable = options.is_repeatable.unwrap_or(true);
     let ticket = ClaimTicket::new(&options, is_repeatable, &caller, slot.id);
     let detail = format!("from {caller}");
-    instance.event(
+    instance.record_event(
         EventKind::Request,
         Some(slot.id),
         model.to_string(),
@@ -342,7 +342,7 @@
 /// Takes in a seat. One that comes too late, twice or from a deposed leader
 /// is not used.
 pub(crate) fn on_granted(instance: &Rc<Instance>, granted: &Granted) {
-    if granted.epoch < instance.seen_epoch(&granted.shard) {
+    if granted.epoch < instance.highest_epoch(&granted.shard) {
         return;
     }
     let is_valid = instance.stamp_ms() < granted.valid_until_stamp_ms;
@@ -362,7 +362,7 @@
 
 /// Takes in a refusal.
 pub(crate) fn on_refused(instance: &Rc<Instance>, refused: &Refused) {
-    if refused.epoch < instance.seen_epoch(&refused.shard) {
+    if refused.epoch < instance.highest_epoch(&refused.shard) {
         return;
     }
     let requests = instance.requests.borrow();
--- a/crates/sedgewalld/src/inbox.rs
+++ b/crates/sedgewalld/src/inbox.rs
@@ -56,7 +56,7 @@
         // It was meant for an earlier life of this instance.
         return;
     }
-    instance.note_stamp(&envelope);
+    instance.update_clock(&envelope);
     match &envelope.message {
         PeerMessage::Heartbeat(heartbeat) => {
             on_heartbeat(instance, &envelope, heartbeat);
@@ -110,7 +110,7 @@
     if is_new {
         info!("member: {} is heard.", heartbeat.instance);
         let detail = "heard";
-        instance.event(
+        instance.record_event(
             EventKind::Member,
             None,
             "",
--- a/crates/sedgewalld/src/instance.rs
+++ b/crates/sedgewalld/src/instance.rs
@@ -171,12 +171,12 @@
     }
 
     /// Takes in the time of a message.
-    pub(crate) fn note_stamp(&self, envelope: &Envelope) {
+    pub(crate) fn update_clock(&self, envelope: &Envelope) {
         self.clock.borrow_mut().receive(envelope.stamp);
     }
 
     /// Adds an event to the time line.
-    pub(crate) fn event(
+    pub(crate) fn record_event(
         &self,
         kind: EventKind,
         request: Option<RequestId>,
@@ -202,13 +202,13 @@
     }
 
     /// Notes whether the platform answered.
-    pub(crate) fn note_platform(&self, is_reached: bool) {
+    pub(crate) fn set_platform_reached(&self, is_reached: bool) {
         if self.is_platform_reached.replace(is_reached) == is_reached {
             return;
         }
         let detail = if is_reached { "reached again" } else { "out of reach" };
         log::warn!("platform: {detail}.");
-        self.event(EventKind::Platform, None, "", "", detail);
+        self.record_event(EventKind::Platform, None, "", "", detail);
     }
 
     /// Returns the heartbeat to send now.
@@ -242,7 +242,7 @@
 
     /// Takes in that somebody leads a shard. Returns whether that is news; an
     /// older epoch never is.
-    pub(crate) fn note_leader(&self, shard: &str, leader: Leader) -> bool {
+    pub(crate) fn update_leader(&self, shard: &str, leader: Leader) -> bool {
         let mut leaders = self.leaders.borrow_mut();
         if leaders.get(shard).is_some_and(|known| known.epoch >= leader.epoch)
         {
@@ -257,13 +257,13 @@
     }
 
     /// Returns the highest epoch that was seen for a shard.
-    pub(crate) fn seen_epoch(&self, shard: &str) -> Epoch {
+    pub(crate) fn highest_epoch(&self, shard: &str) -> Epoch {
         self.leaders.borrow().get(shard).map_or(0, |leader| leader.epoch)
     }
 }
 
 /// A short pause with a random part, so that instances do not act in step.
-pub(crate) async fn pause(base: Duration) {
-    let part: f64 = rand::random_range(0.75..1.25);
-    compio::time::sleep(base.mul_f64(part)).await;
+pub(crate) async fn sleep_with_jitter(base: Duration) {
+    let factor: f64 = rand::random_range(0.75..1.25);
+    compio::time::sleep(base.mul_f64(factor)).await;
 }
--- a/crates/sedgewalld/src/instance_list.rs
+++ b/crates/sedgewalld/src/instance_list.rs
@@ -10,7 +10,7 @@
 use sedgewall_transport::platform_client::Watched;
 
 use crate::{
-    instance::{Instance, pause},
+    instance::{Instance, sleep_with_jitter},
     leader,
 };
 
@@ -25,13 +25,13 @@
         let revision = instance.instances.borrow().revision;
         let watched =
             instance.platform.watch_instances(revision, WATCH_TIME).await;
-        instance.note_platform(watched.is_ok());
+        instance.set_platform_reached(watched.is_ok());
         match watched {
             Ok(Watched::Changed(list)) => adopt(&instance, list),
             Ok(Watched::Unchanged) => {}
             Err(err) => {
                 debug!("instances: {err}.");
-                pause(RETRY_PAUSE).await;
+                sleep_with_jitter(RETRY_PAUSE).await;
             }
         }
     }
@@ -70,7 +70,7 @@
             ListedState::Live => "listed as live",
             ListedState::Leaving => "listed as leaving",
         };
-        instance.event(
+        instance.record_event(
             EventKind::Member,
             None,
             "",
--- a/crates/sedgewalld/src/leader.rs
+++ b/crates/sedgewalld/src/leader.rs
@@ -197,7 +197,7 @@
     let epoch = leader.epoch();
     info!("lease: this instance no longer leads {shard_id}, epoch {epoch}.");
     let detail = format!("epoch {epoch} ended here");
-    instance.event(EventKind::Lease, None, shard_id, "", detail);
+    instance.record_event(EventKind::Lease, None, shard_id, "", detail);
 }
 
 /// Returns the lease of a shard that this instance leads.
@@ -224,7 +224,7 @@
 pub(crate) fn is_deposed(instance: &Instance, shard_id: &str) -> bool {
     let shards = instance.shards.borrow();
     let Some(leader) = shards.get(shard_id) else { return true };
-    leader.is_deposed || instance.seen_epoch(shard_id) > leader.epoch()
+    leader.is_deposed || instance.highest_epoch(shard_id) > leader.epoch()
 }
 
 /// Brings all led shards up to date with the configuration.
@@ -399,7 +399,13 @@
         (leader.label(adapter), endpoint)
     };
     let detail = format!("after {} ms", waited.as_millis());
-    instance.event(EventKind::Grant, Some(request), subject, endpoint, detail);
+    instance.record_event(
+        EventKind::Grant,
+        Some(request),
+        subject,
+        endpoint,
+        detail,
+    );
 }
 
 pub(crate) fn send_grant(
--- a/crates/sedgewalld/src/orders.rs
+++ b/crates/sedgewalld/src/orders.rs
@@ -40,7 +40,13 @@
         Some(out) => format!("replaces {}@{}", out.adapter, out.version),
         None => "into an empty slot".to_owned(),
     };
-    instance.event(EventKind::Load, None, &label, &link.endpoint, detail);
+    instance.record_event(
+        EventKind::Load,
+        None,
+        &label,
+        &link.endpoint,
+        detail,
+    );
     metrics::counter!("sedgewall_loads_total").increment(1);
     let instance = instance.clone();
     let shard_id = shard_id.to_owned();
@@ -71,7 +77,7 @@
         false => EventKind::LoadFailed,
     };
     let detail = format!("{answer:?}").to_lowercase();
-    instance.event(kind, None, label, &link.endpoint, detail);
+    instance.record_event(kind, None, label, &link.endpoint, detail);
     if !is_loaded {
         metrics::counter!("sedgewall_load_failures_total").increment(1);
         warn!("leader: {label} on {}: {answer:?}.", link.endpoint);
--- a/crates/sedgewalld/src/services.rs
+++ b/crates/sedgewalld/src/services.rs
@@ -251,7 +251,7 @@
                     return Err(call_problem(call, &err));
                 }
                 let endpoint = seat.target.endpoint.clone();
-                instance.event(
+                instance.record_event(
                     EventKind::Retry,
                     Some(call.id),
                     &call.group,
@@ -281,7 +281,7 @@
     rest: Duration,
 ) {
     instance.services.borrow_mut().rest(target, rest);
-    instance.event(
+    instance.record_event(
         EventKind::Call,
         Some(call.id),
         &call.group,
@@ -326,7 +326,7 @@
     call: &ServiceCall,
     target: &Target,
 ) -> Result<WholeAnswer, CallError> {
-    instance.event(
+    instance.record_event(
         EventKind::Call,
         Some(call.id),
         &call.group,
