--- a/crates/sedgewalld/src/call.rs
+++ b/crates/sedgewalld/src/call.rs
@@ -32,20 +32,20 @@
 
 use crate::{
     claims::ClaimTicket,
-    entry::{RequestSlot, send_cancel, send_submit},
+    entry::{OpenRequestGuard, send_cancel, send_submit},
     instance::Instance,
     relay,
-    requests::{Decision, HeldRequest},
+    requests::{Decision, TrackedRequest},
     responses,
 };
 
 /// When to come back when a shard has no leader.
-const NO_LEADER_RETRY: Duration = Duration::from_secs(1);
+const NO_LEADER_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A completion request that was read and checked.
 pub(crate) struct ModelCall {
     pub(crate) instance: Rc<Instance>,
-    pub(crate) slot: RequestSlot,
+    pub(crate) open_request: OpenRequestGuard,
     pub(crate) path: String,
     pub(crate) shard: ShardId,
     pub(crate) model: ModelRef,
@@ -62,7 +62,7 @@
 
 /// A request's place at its shard. Dropping it gives the place up, wherever
 /// the request stands.
-pub(crate) struct Seat {
+pub(crate) struct ShardRequest {
     instance: Rc<Instance>,
     id: RequestId,
     shard: ShardId,
@@ -72,23 +72,23 @@
 
 /// How one try at an engine failed.
 #[derive(Clone, Debug)]
-pub(crate) enum TryError {
+pub(crate) enum AttemptError {
     /// The engine certainly did not run it.
     NotLoaded(String),
     /// No connection to the engine could be made.
     Unreachable(String),
     /// The engine, or the way to it, failed.
-    Unclear(String),
+    OutcomeUnknown(String),
     /// The engine refused the request itself.
     Rejected(StatusCode, String),
 }
 
-impl Seat {
+impl ShardRequest {
     /// Submits a request.
-    pub(crate) fn submit(call: &ModelCall) -> Seat {
+    pub(crate) fn submit(call: &ModelCall) -> ShardRequest {
         let (tx, rx) = mpsc::unbounded();
         let instance = call.instance.clone();
-        let held = HeldRequest {
+        let tracked = TrackedRequest {
             shard: call.shard.clone(),
             adapter: call.model.adapter.clone(),
             version: call.model.version.clone(),
@@ -100,14 +100,20 @@
             endpoint: None,
             tx,
         };
-        instance.requests.borrow_mut().insert(call.slot.id, held);
-        send_submit(&instance, call.slot.id);
+        instance.requests.borrow_mut().insert(call.open_request.id, tracked);
+        send_submit(&instance, call.open_request.id);
         let shard = call.shard.clone();
-        Seat { instance, id: call.slot.id, shard, rx, is_over: false }
+        ShardRequest {
+            instance,
+            id: call.open_request.id,
+            shard,
+            rx,
+            is_over: false,
+        }
     }
 
     /// Waits for a seat, until the deadline.
-    pub(crate) async fn wait(
+    pub(crate) async fn wait_for_grant(
         &mut self,
         deadline: Instant,
     ) -> Result<Granted, Refusal> {
@@ -116,45 +122,45 @@
             let decision = compio::time::timeout(left, self.rx.next()).await;
             match decision {
                 Ok(Some(Decision::Granted(granted))) => {
-                    if self.take(&granted) {
+                    if self.use_grant(&granted) {
                         return Ok(granted);
                     }
                 }
                 Ok(Some(Decision::Refused(refusal))) => {
                     self.is_over = true;
-                    self.forget();
+                    self.untrack();
                     return Err(refusal);
                 }
-                Ok(None) | Err(_) => return Err(self.refuse_late()),
+                Ok(None) | Err(_) => return Err(self.timeout_refusal()),
             }
         }
     }
 
     /// Marks the request as running, if the grant may still be used.
-    fn take(&mut self, granted: &Granted) -> bool {
+    fn use_grant(&mut self, granted: &Granted) -> bool {
         let is_valid = self.instance.stamp_ms() < granted.valid_until_stamp_ms
             && granted.epoch >= self.instance.highest_epoch(&self.shard);
         let mut requests = self.instance.requests.borrow_mut();
-        let Some(held) = requests.get_mut(self.id) else { return false };
-        if !is_valid || held.endpoint.is_some() {
+        let Some(tracked) = requests.get_mut(self.id) else { return false };
+        if !is_valid || tracked.endpoint.is_some() {
             return false;
         }
-        held.endpoint = Some(granted.endpoint.clone());
+        tracked.endpoint = Some(granted.endpoint.clone());
         true
     }
 
-    fn refuse_late(&mut self) -> Refusal {
+    fn timeout_refusal(&mut self) -> Refusal {
         let reason = match self.instance.leader_of(&self.shard) {
             Some(_) => RefusalReason::DeadlinePassed,
             None => RefusalReason::NoLeader,
         };
-        Refusal { reason, retry_after: NO_LEADER_RETRY }
+        Refusal { reason, retry_after: NO_LEADER_RETRY_AFTER }
     }
 
     /// Tells the leader how a try ended. After `NotLoaded` and `Unreachable` the leader gives the
     /// request another seat by itself; after `Failed` it must be submitted
     /// anew.
-    pub(crate) fn ended(&mut self, end: EndKind) {
+    pub(crate) fn report_end(&mut self, end: EndKind) {
         if let Some(leader) = self.instance.leader_of(&self.shard) {
             let message = PeerMessage::Ended(Ended {
                 shard: self.shard.clone(),
@@ -166,13 +172,13 @@
         }
         if end == EndKind::Finished {
             self.is_over = true;
-            self.forget();
+            self.untrack();
             return;
         }
         let mut requests = self.instance.requests.borrow_mut();
-        if let Some(held) = requests.get_mut(self.id) {
-            held.endpoint = None;
-            held.sent = Instant::now();
+        if let Some(tracked) = requests.get_mut(self.id) {
+            tracked.endpoint = None;
+            tracked.sent = Instant::now();
         }
     }
 
@@ -182,22 +188,22 @@
     }
 
     /// Notes how long the first token took, for the leader.
-    pub(crate) fn first_token(&self, took: Duration) {
+    pub(crate) fn record_first_token(&self, took: Duration) {
         let mut requests = self.instance.requests.borrow_mut();
-        requests.note_first_token(self.id, took);
+        requests.record_first_token(self.id, took);
     }
 
-    fn forget(&self) {
+    fn untrack(&self) {
         self.instance.requests.borrow_mut().remove(self.id);
     }
 }
 
-impl Drop for Seat {
+impl Drop for ShardRequest {
     fn drop(&mut self) {
         if self.is_over {
             return;
         }
-        self.forget();
+        self.untrack();
         send_cancel(&self.instance, &self.shard, self.id);
     }
 }
@@ -206,37 +212,43 @@
 pub(crate) async fn run(
     call: ModelCall,
 ) -> Result<Response<LocalBody>, Problem> {
-    let mut seat = Seat::submit(&call);
-    let mut tries = Tries::new(&call);
+    let mut shard_request = ShardRequest::submit(&call);
+    let mut retry_state = RetryState::new(&call);
     loop {
-        let granted = match seat.wait(call.deadline).await {
+        let granted = match shard_request.wait_for_grant(call.deadline).await {
             Ok(granted) => granted,
-            Err(refusal) => return Err(tries.refused(&refusal)),
+            Err(refusal) => return Err(retry_state.refusal_problem(&refusal)),
         };
         let sent = Instant::now();
-        let answer = match open(&call, &granted, 0).await {
+        let answer = match send_to_engine(&call, &granted, 0).await {
             Ok(answer) => answer,
             Err(err) => {
-                tries.failed(&call, &mut seat, err)?;
+                retry_state.record_failure(&call, &mut shard_request, err)?;
                 continue;
             }
         };
         if call.is_stream {
-            return Ok(relay::stream(call, seat, answer, sent));
+            return Ok(relay::stream(call, shard_request, answer, sent));
         }
-        match whole(&call, &seat, answer, sent).await {
+        match read_whole_answer(&call, &shard_request, answer, sent).await {
             Ok(response) => {
-                finish(&call, &mut seat, "answered");
+                finish(&call, &mut shard_request, "answered");
                 return Ok(response);
             }
-            Err(err) => tries.failed(&call, &mut seat, err)?,
+            Err(err) => {
+                retry_state.record_failure(&call, &mut shard_request, err)?
+            }
         }
     }
 }
 
 /// Ends a request that ran to its end.
-pub(crate) fn finish(call: &ModelCall, seat: &mut Seat, detail: &str) {
-    seat.ended(EndKind::Finished);
+pub(crate) fn finish(
+    call: &ModelCall,
+    shard_request: &mut ShardRequest,
+    detail: &str,
+) {
+    shard_request.report_end(EndKind::Finished);
     let took = call.arrived.elapsed();
     metrics::histogram!("sedgewall_request_seconds")
         .record(took.as_secs_f64());
@@ -244,7 +256,7 @@
     let subject = call.model.to_string();
     call.instance.record_event(
         EventKind::End,
-        Some(call.slot.id),
+        Some(call.open_request.id),
         subject,
         "",
         detail,
@@ -252,15 +264,15 @@
 }
 
 /// Sends the call to the engine and waits for the head of the answer.
-pub(crate) async fn open(
+pub(crate) async fn send_to_engine(
     call: &ModelCall,
     granted: &Granted,
     resume_from: u64,
-) -> Result<OpenAnswer, TryError> {
+) -> Result<OpenAnswer, AttemptError> {
     let subject = call.model.to_string();
     call.instance.record_event(
         EventKind::Call,
-        Some(call.slot.id),
+        Some(call.open_request.id),
         subject,
         &granted.endpoint,
         format!("epoch {}", granted.epoch),
@@ -268,7 +280,7 @@
     let url = format!("http://{}{}", granted.address, call.path);
     let mut out = Call::new(Method::POST, url)
         .header("content-type", "application/json")
-        .header(REQUEST_ID_HEADER, &call.slot.hex())
+        .header(REQUEST_ID_HEADER, &call.open_request.hex())
         .header(PRIORITY_HEADER, urgency(call.priority))
         .body(call.body.clone());
     if !call.is_repeatable {
@@ -282,19 +294,20 @@
     }
     let idle =
         Duration::from_millis(call.instance.settings.limits.stream_idle_ms);
-    let answer = call.instance.http.open(out, idle).await.map_err(convert)?;
+    let answer =
+        call.instance.http.open(out, idle).await.map_err(classify_error)?;
     check_status(answer).await
 }
 
-fn convert(err: CallError) -> TryError {
+fn classify_error(err: CallError) -> AttemptError {
     if err.is_not_sent() {
-        TryError::Unreachable(err.to_string())
+        AttemptError::Unreachable(err.to_string())
     } else {
-        TryError::Unclear(err.to_string())
+        AttemptError::OutcomeUnknown(err.to_string())
     }
 }
 
-async fn check_status(answer: OpenAnswer) -> Result<OpenAnswer, TryError> {
+async fn check_status(answer: OpenAnswer) -> Result<OpenAnswer, AttemptError> {
     let status = answer.status();
     if status == StatusCode::OK {
         return Ok(answer);
@@ -309,12 +322,12 @@
     };
     let detail = format!("the engine answered {status}: {detail}");
     if says_not_run && status == StatusCode::CONFLICT {
-        return Err(TryError::NotLoaded(detail));
+        return Err(AttemptError::NotLoaded(detail));
     }
     if says_not_run && status.is_client_error() {
-        return Err(TryError::Rejected(status, detail));
+        return Err(AttemptError::Rejected(status, detail));
     }
-    Err(TryError::Unclear(detail))
+    Err(AttemptError::OutcomeUnknown(detail))
 }
 
 /// The urgency that engines get for each class.
@@ -326,16 +339,16 @@
     }
 }
 
-async fn whole(
+async fn read_whole_answer(
     call: &ModelCall,
-    seat: &Seat,
+    shard_request: &ShardRequest,
     answer: OpenAnswer,
     sent: Instant,
-) -> Result<Response<LocalBody>, TryError> {
+) -> Result<Response<LocalBody>, AttemptError> {
     let kind = media_type(&answer);
-    let whole = answer.whole().await.map_err(convert)?;
-    seat.first_token(sent.elapsed());
-    note_first_token(call, sent);
+    let whole = answer.whole().await.map_err(classify_error)?;
+    shard_request.record_first_token(sent.elapsed());
+    record_first_token_time(call, sent);
     let mut response = Response::new(LocalBody::whole(whole.body));
     responses::set_type(&mut response, &kind);
     Ok(response)
@@ -352,7 +365,7 @@
 }
 
 /// Notes that the first bytes of an answer came.
-pub(crate) fn note_first_token(call: &ModelCall, sent: Instant) {
+pub(crate) fn record_first_token_time(call: &ModelCall, sent: Instant) {
     metrics::histogram!("sedgewall_first_token_seconds")
         .record(call.arrived.elapsed().as_secs_f64());
     let detail = format!(
@@ -361,68 +374,70 @@
         call.arrived.elapsed().as_millis()
     );
     let subject = call.model.to_string();
-    let id = Some(call.slot.id);
+    let id = Some(call.open_request.id);
     call.instance.record_event(EventKind::FirstToken, id, subject, "", detail);
 }
 
 /// Counts the tries of one request and decides whether there is another.
-pub(crate) struct Tries {
-    failed: u32,
+pub(crate) struct RetryState {
+    failures: u32,
     limit: u32,
     /// Whether some try may have run.
     may_have_run: bool,
 }
 
-impl Tries {
-    pub(crate) fn new(call: &ModelCall) -> Tries {
+impl RetryState {
+    pub(crate) fn new(call: &ModelCall) -> RetryState {
         let limit = call.instance.settings.limits.retries;
-        Tries { failed: 0, limit, may_have_run: false }
+        RetryState { failures: 0, limit, may_have_run: false }
     }
 
     /// Takes in a failed try; returns if there is another, and fails with the
     /// answer to the caller if there is not.
-    pub(crate) fn failed(
+    pub(crate) fn record_failure(
         &mut self,
         call: &ModelCall,
-        seat: &mut Seat,
-        err: TryError,
+        shard_request: &mut ShardRequest,
+        err: AttemptError,
     ) -> Result<(), Problem> {
-        self.failed += 1;
+        self.failures += 1;
         let (end, detail) = match err {
-            TryError::NotLoaded(detail) => (EndKind::NotLoaded, detail),
-            TryError::Unreachable(detail) => (EndKind::Unreachable, detail),
-            TryError::Unclear(detail) => (EndKind::Failed, detail),
-            TryError::Rejected(status, detail) => {
-                seat.ended(EndKind::Finished);
+            AttemptError::NotLoaded(detail) => (EndKind::NotLoaded, detail),
+            AttemptError::Unreachable(detail) => {
+                (EndKind::Unreachable, detail)
+            }
+            AttemptError::OutcomeUnknown(detail) => (EndKind::Failed, detail),
+            AttemptError::Rejected(status, detail) => {
+                shard_request.report_end(EndKind::Finished);
                 let state = RunState::NotRun;
                 return Err(Problem::new(status, "rejected", state, detail));
             }
         };
         self.may_have_run |= end == EndKind::Failed;
         let may_repeat = end != EndKind::Failed || call.is_repeatable;
-        let is_within = self.failed <= self.limit
+        let is_retry_allowed = self.failures <= self.limit
             && call.instance.requests.borrow_mut().take_retry();
-        if !may_repeat || !is_within {
-            seat.ended(EndKind::Failed);
-            return Err(self.spent(&detail));
+        if !may_repeat || !is_retry_allowed {
+            shard_request.report_end(EndKind::Failed);
+            return Err(self.exhausted_problem(&detail));
         }
         call.instance.record_event(
             EventKind::Retry,
-            Some(call.slot.id),
+            Some(call.open_request.id),
             call.model.to_string(),
             "",
             &detail,
         );
         metrics::counter!("sedgewall_retries_total").increment(1);
-        seat.ended(end);
+        shard_request.report_end(end);
         if end == EndKind::Failed {
-            seat.resubmit();
+            shard_request.resubmit();
         }
         Ok(())
     }
 
     /// Returns the answer when no further seat is given.
-    pub(crate) fn refused(&self, refusal: &Refusal) -> Problem {
+    pub(crate) fn refusal_problem(&self, refusal: &Refusal) -> Problem {
         let mut problem = Problem::from_refusal(refusal);
         if self.may_have_run {
             problem.run_state = RunState::Unknown;
@@ -430,11 +445,11 @@
         problem
     }
 
-    fn spent(&self, detail: &str) -> Problem {
+    fn exhausted_problem(&self, detail: &str) -> Problem {
         if !self.may_have_run {
             return Problem::from_refusal(&Refusal {
                 reason: RefusalReason::RetriesSpent,
-                retry_after: NO_LEADER_RETRY,
+                retry_after: NO_LEADER_RETRY_AFTER,
             });
         }
         Problem::new(
--- a/crates/sedgewalld/src/election.rs
+++ b/crates/sedgewalld/src/election.rs
@@ -289,6 +289,6 @@
         format!("{} leads in epoch {}", leader.instance, leader.epoch);
     if instance.update_leader(shard, leader) {
         instance.record_event(EventKind::Lease, None, shard, "", detail);
-        entry::turn_to_leader(instance, shard);
+        entry::resync_with_leader(instance, shard);
     }
 }
--- a/crates/sedgewalld/src/entry.rs
+++ b/crates/sedgewalld/src/entry.rs
@@ -42,27 +42,27 @@
 const MODELS_PATH: &str = "/v1/models";
 
 /// When to come back to an instance that is full.
-const FULL_RETRY: Duration = Duration::from_millis(500);
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// A place in the table of open requests, given back when dropped.
-pub(crate) struct RequestSlot {
+pub(crate) struct OpenRequestGuard {
     instance: Rc<Instance>,
     pub(crate) id: RequestId,
 }
 
-impl RequestSlot {
+impl OpenRequestGuard {
     /// Opens a request, unless the instance is full.
     pub(crate) fn open(
         instance: &Rc<Instance>,
-    ) -> Result<RequestSlot, Problem> {
+    ) -> Result<OpenRequestGuard, Problem> {
         let id = instance.requests.borrow_mut().open(instance.incarnation);
         let id = id.ok_or_else(|| {
             Problem::from_refusal(&Refusal {
                 reason: RefusalReason::EntryFull,
-                retry_after: FULL_RETRY,
+                retry_after: FULL_RETRY_AFTER,
             })
         })?;
-        Ok(RequestSlot { instance: instance.clone(), id })
+        Ok(OpenRequestGuard { instance: instance.clone(), id })
     }
 
     /// Returns the id as callers see it.
@@ -71,7 +71,7 @@
     }
 }
 
-impl Drop for RequestSlot {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         self.instance.requests.borrow_mut().close();
     }
@@ -112,13 +112,13 @@
     instance: Rc<Instance>,
     request: Request<Incoming>,
 ) -> Response<LocalBody> {
-    let slot = match RequestSlot::open(&instance) {
-        Ok(slot) => slot,
+    let open_request = match OpenRequestGuard::open(&instance) {
+        Ok(open_request) => open_request,
         Err(problem) => return responses::problem(&problem),
     };
-    let id = slot.hex();
+    let id = open_request.hex();
     metrics::counter!("sedgewall_requests_total").increment(1);
-    let answered = match prepare(&instance, slot, request).await {
+    let answered = match prepare(&instance, open_request, request).await {
         Ok(call) => claim_and_run(&instance, call).await,
         Err(problem) => Err(problem),
     };
@@ -135,33 +135,35 @@
 /// Reads and checks a completion request.
 async fn prepare(
     instance: &Rc<Instance>,
-    slot: RequestSlot,
+    open_request: OpenRequestGuard,
     request: Request<Incoming>,
 ) -> Result<ModelCall, Problem> {
     let (parts, body) = request.into_parts();
-    let bad = |err: sedgewall_protocol::caller::CallerError| {
+    let bad_request = |err: sedgewall_protocol::caller::CallerError| {
         Problem::bad_request(err.to_string())
     };
-    let options = CallOptions::from_headers(&parts.headers).map_err(bad)?;
+    let options =
+        CallOptions::from_headers(&parts.headers).map_err(bad_request)?;
     let limits = &instance.settings.limits;
     let body = read_request_body(instance, body).await?;
-    let head = CompletionHead::from_body(&body).map_err(bad)?;
-    let model: ModelRef = head.model.parse().map_err(bad)?;
+    let head = CompletionHead::from_body(&body).map_err(bad_request)?;
+    let model: ModelRef = head.model.parse().map_err(bad_request)?;
     let (shard, default_priority) = route(instance, &model)?;
-    let asked =
+    let requested =
         options.deadline.unwrap_or(Duration::from_millis(limits.deadline_ms));
-    let within = asked.min(Duration::from_millis(limits.max_deadline_ms));
+    let within = requested.min(Duration::from_millis(limits.max_deadline_ms));
     let caller = options
         .caller
         .clone()
         .or(head.user)
         .unwrap_or_else(|| ANONYMOUS.to_owned());
     let is_repeatable = options.is_repeatable.unwrap_or(true);
-    let ticket = ClaimTicket::new(&options, is_repeatable, &caller, slot.id);
+    let ticket =
+        ClaimTicket::new(&options, is_repeatable, &caller, open_request.id);
     let detail = format!("from {caller}");
     instance.record_event(
         EventKind::Request,
-        Some(slot.id),
+        Some(open_request.id),
         model.to_string(),
         "",
         detail,
@@ -180,7 +182,7 @@
         is_repeatable,
         idempotency_key: options.idempotency_key,
         ticket,
-        slot,
+        open_request,
     })
 }
 
@@ -217,16 +219,16 @@
             RunState::NotRun,
             "the instance has no configuration yet",
         )
-        .with_retry_after(FULL_RETRY));
+        .with_retry_after(FULL_RETRY_AFTER));
     }
     let view = instance.view();
     let region = view.config.region_of(&instance.settings.zone).to_owned();
-    let found =
+    let adapter_route =
         view.adapter(&model.adapter, &model.version).and_then(|adapter| {
             let shard = view.shard_of(&region, adapter)?;
             Some((shard, adapter.priority))
         });
-    found.ok_or_else(|| {
+    adapter_route.ok_or_else(|| {
         Problem::from_refusal(&Refusal {
             reason: RefusalReason::UnknownAdapter,
             retry_after: Duration::ZERO,
@@ -282,21 +284,21 @@
 pub(crate) fn send_submit(instance: &Rc<Instance>, id: RequestId) {
     let submit = {
         let mut requests = instance.requests.borrow_mut();
-        let Some(held) = requests.get_mut(id) else { return };
-        if held.endpoint.is_some() {
+        let Some(tracked) = requests.get_mut(id) else { return };
+        if tracked.endpoint.is_some() {
             return;
         }
         let now = Instant::now();
-        held.sent = now;
+        tracked.sent = now;
         Submit {
-            shard: held.shard.clone(),
+            shard: tracked.shard.clone(),
             request: id,
-            adapter: held.adapter.clone(),
-            version: held.version.clone(),
-            priority: held.priority,
-            caller_hash: held.caller_hash,
-            time_left: held.deadline.saturating_duration_since(now),
-            waited: now.saturating_duration_since(held.submitted),
+            adapter: tracked.adapter.clone(),
+            version: tracked.version.clone(),
+            priority: tracked.priority,
+            caller_hash: tracked.caller_hash,
+            time_left: tracked.deadline.saturating_duration_since(now),
+            waited: now.saturating_duration_since(tracked.submitted),
             stamp_ms: instance.stamp_ms(),
             config_version: instance.config.borrow().version(),
         }
@@ -320,7 +322,7 @@
 
 /// Turns to a new leader: tells it all that runs here, and submits again all
 /// that waits.
-pub(crate) fn turn_to_leader(instance: &Rc<Instance>, shard: &str) {
+pub(crate) fn resync_with_leader(instance: &Rc<Instance>, shard: &str) {
     let Some(leader) = instance.leader_of(shard) else { return };
     let running = instance.requests.borrow_mut().running().remove(shard);
     let details = running.unwrap_or_default();
@@ -333,7 +335,7 @@
         first_tokens: Vec::new(),
     });
     instance.send(&leader.peer_url, Some(leader.incarnation), message);
-    let ids = instance.requests.borrow().ids_of(shard);
+    let ids = instance.requests.borrow().ids_of_shard(shard);
     for id in ids {
         send_submit(instance, id);
     }
@@ -348,9 +350,9 @@
     let is_valid = instance.stamp_ms() < granted.valid_until_stamp_ms;
     let requests = instance.requests.borrow();
     match requests.get(granted.request) {
-        Some(held) if held.endpoint.is_none() && is_valid => {
+        Some(tracked) if tracked.endpoint.is_none() && is_valid => {
             let decision = Decision::Granted(granted.clone());
-            let _ = held.tx.unbounded_send(decision);
+            let _ = tracked.tx.unbounded_send(decision);
         }
         Some(_) => {}
         None => {
@@ -366,8 +368,8 @@
         return;
     }
     let requests = instance.requests.borrow();
-    let Some(held) = requests.get(refused.request) else { return };
-    if held.endpoint.is_none() {
-        let _ = held.tx.unbounded_send(Decision::Refused(refused.refusal));
+    let Some(tracked) = requests.get(refused.request) else { return };
+    if tracked.endpoint.is_none() {
+        let _ = tracked.tx.unbounded_send(Decision::Refused(refused.refusal));
     }
 }
--- a/crates/sedgewalld/src/heartbeat.rs
+++ b/crates/sedgewalld/src/heartbeat.rs
@@ -118,16 +118,18 @@
     let waiting = instance.requests.borrow().waiting();
     let mut unanswered = BTreeSet::new();
     for id in waiting {
-        let is_due = instance
-            .requests
-            .borrow()
-            .get(id)
-            .is_some_and(|held| held.sent.elapsed() >= RESUBMIT_AFTER);
+        let is_due =
+            instance.requests.borrow().get(id).is_some_and(|tracked| {
+                tracked.sent.elapsed() >= RESUBMIT_AFTER
+            });
         if !is_due {
             continue;
         }
-        let shard =
-            instance.requests.borrow().get(id).map(|held| held.shard.clone());
+        let shard = instance
+            .requests
+            .borrow()
+            .get(id)
+            .map(|tracked| tracked.shard.clone());
         unanswered.extend(shard);
         entry::send_submit(instance, id);
     }
--- a/crates/sedgewalld/src/relay.rs
+++ b/crates/sedgewalld/src/relay.rs
@@ -17,7 +17,7 @@
 use sedgewall_transport::{CallError, LocalBody, client::OpenAnswer};
 
 use crate::{
-    call::{self, ModelCall, Seat, Tries, TryError},
+    call::{self, AttemptError, ModelCall, RetryState, ShardRequest},
     responses,
 };
 
@@ -32,35 +32,35 @@
 /// A stream on its way from engine to caller.
 struct Relay {
     call: ModelCall,
-    seat: Seat,
-    tries: Tries,
+    shard_request: ShardRequest,
+    retry_state: RetryState,
     chunks: EngineChunks,
     /// Bytes of an event that is not whole yet.
     partial: BytesMut,
     /// Events that the caller got.
-    passed: u64,
+    delivered: u64,
     sent: Instant,
-    has_first: bool,
+    has_first_chunk: bool,
     is_over: bool,
 }
 
 /// Returns the answer that streams an engine's events.
 pub(crate) fn stream(
     call: ModelCall,
-    seat: Seat,
+    shard_request: ShardRequest,
     answer: OpenAnswer,
     sent: Instant,
 ) -> Response<LocalBody> {
-    let kind = call::media_type(&answer);
+    let media_type = call::media_type(&answer);
     let relay = Relay {
-        tries: Tries::new(&call),
+        retry_state: RetryState::new(&call),
         call,
-        seat,
+        shard_request,
         chunks: Box::pin(answer.chunks()),
         partial: BytesMut::new(),
-        passed: 0,
+        delivered: 0,
         sent,
-        has_first: false,
+        has_first_chunk: false,
         is_over: false,
     };
     let events = futures_util::stream::unfold(relay, |mut relay| async move {
@@ -68,24 +68,24 @@
         Some((item, relay))
     });
     let mut response = Response::new(LocalBody::chunks(events));
-    responses::set_type(&mut response, &kind);
+    responses::set_type(&mut response, &media_type);
     response
 }
 
 /// What the engine's stream brought.
-enum Brought {
+enum StreamRead {
     Events(Bytes),
-    Broken(TryError),
+    Failed(AttemptError),
 }
 
 impl Relay {
     /// Returns the next events for the caller; none after the end.
     async fn next(&mut self) -> Option<Result<Bytes, std::io::Error>> {
         while !self.is_over {
-            match self.read().await {
-                Brought::Events(events) => return Some(Ok(events)),
-                Brought::Broken(err) => {
-                    if let Err(problem) = self.go_on(err).await {
+            match self.read_events().await {
+                StreamRead::Events(events) => return Some(Ok(events)),
+                StreamRead::Failed(err) => {
+                    if let Err(problem) = self.resume(err).await {
                         self.is_over = true;
                         return Some(Ok(error_event(&problem)));
                     }
@@ -96,81 +96,89 @@
     }
 
     /// Waits for at least one whole event.
-    async fn read(&mut self) -> Brought {
+    async fn read_events(&mut self) -> StreamRead {
         let idle_ms = self.call.instance.settings.limits.stream_idle_ms;
         let idle = Duration::from_millis(idle_ms);
         loop {
             let chunk = compio::time::timeout(idle, self.chunks.next()).await;
             let chunk = match chunk {
                 Ok(Some(Ok(chunk))) => chunk,
-                Ok(Some(Err(err))) => return unclear(err.to_string()),
-                Ok(None) => return unclear("the stream ended early".into()),
-                Err(_) => return unclear("the stream stood still".into()),
+                Ok(Some(Err(err))) => return outcome_unknown(err.to_string()),
+                Ok(None) => {
+                    return outcome_unknown("the stream ended early".into());
+                }
+                Err(_) => {
+                    return outcome_unknown("the stream stood still".into());
+                }
             };
-            self.note_first();
+            self.record_first_chunk();
             if let Some(events) = self.take_events(chunk) {
-                return Brought::Events(events);
+                return StreamRead::Events(events);
             }
             if self.partial.len() > MAX_EVENT_LEN {
-                return unclear("an event is too long".into());
+                return outcome_unknown("an event is too long".into());
             }
         }
     }
 
     /// Cuts the whole events from what has come.
     fn take_events(&mut self, chunk: Bytes) -> Option<Bytes> {
-        let is_whole = self.partial.is_empty() && chunk.ends_with(EVENT_END);
-        let events = if is_whole {
+        let is_complete =
+            self.partial.is_empty() && chunk.ends_with(EVENT_END);
+        let events = if is_complete {
             chunk
         } else {
             self.partial.extend_from_slice(&chunk);
             let end = last_event_end(&self.partial)?;
             self.partial.split_to(end).freeze()
         };
-        self.passed += count_events(&events);
+        self.delivered += count_events(&events);
         if ends_stream(&events) {
             self.is_over = true;
-            call::finish(&self.call, &mut self.seat, "streamed");
+            call::finish(&self.call, &mut self.shard_request, "streamed");
         }
         Some(events)
     }
 
-    fn note_first(&mut self) {
-        if std::mem::replace(&mut self.has_first, true) {
+    fn record_first_chunk(&mut self) {
+        if std::mem::replace(&mut self.has_first_chunk, true) {
             return;
         }
-        self.seat.first_token(self.sent.elapsed());
-        call::note_first_token(&self.call, self.sent);
+        self.shard_request.record_first_token(self.sent.elapsed());
+        call::record_first_token_time(&self.call, self.sent);
     }
 
     /// Goes on at another engine after the last event that was passed.
-    async fn go_on(&mut self, err: TryError) -> Result<(), Problem> {
+    async fn resume(&mut self, err: AttemptError) -> Result<(), Problem> {
         let mut err = err;
         loop {
             self.partial.clear();
-            let passed = self.passed;
-            self.tries
-                .failed(&self.call, &mut self.seat, err)
-                .map_err(|problem| partial(problem, passed))?;
+            let delivered = self.delivered;
+            self.retry_state
+                .record_failure(&self.call, &mut self.shard_request, err)
+                .map_err(|problem| mark_partial(problem, delivered))?;
             let granted = self
-                .seat
-                .wait(self.call.deadline.max(self.grace()))
+                .shard_request
+                .wait_for_grant(self.call.deadline.max(self.resume_deadline()))
                 .await
                 .map_err(|refusal| {
-                    partial(self.tries.refused(&refusal), passed)
+                    mark_partial(
+                        self.retry_state.refusal_problem(&refusal),
+                        delivered,
+                    )
                 })?;
-            match call::open(&self.call, &granted, passed).await {
+            match call::send_to_engine(&self.call, &granted, delivered).await {
                 Ok(answer) => {
                     self.chunks = Box::pin(answer.chunks());
                     return Ok(());
                 }
-                Err(next) => err = next,
+                Err(next_err) => err = next_err,
             }
         }
     }
 
     /// A stream that began in time may take as long again to go on.
-    fn grace(&self) -> Instant {
+    fn resume_deadline(&self) -> Instant {
         let total = self.call.deadline - self.call.arrived;
         Instant::now() + total
     }
@@ -180,18 +188,18 @@
     fn drop(&mut self) {
         if !self.is_over {
             // The caller went away; dropping the chunks cancels the engine.
-            self.seat.ended(EndKind::Finished);
+            self.shard_request.report_end(EndKind::Finished);
         }
     }
 }
 
-fn unclear(detail: String) -> Brought {
-    Brought::Broken(TryError::Unclear(detail))
+fn outcome_unknown(detail: String) -> StreamRead {
+    StreamRead::Failed(AttemptError::OutcomeUnknown(detail))
 }
 
 /// Something has run by now, whatever the last try did.
-fn partial(mut problem: Problem, passed: u64) -> Problem {
-    problem.run_state = match passed {
+fn mark_partial(mut problem: Problem, delivered: u64) -> Problem {
+    problem.run_state = match delivered {
         0 => RunState::Unknown,
         _ => RunState::Partial,
     };
--- a/crates/sedgewalld/src/requests.rs
+++ b/crates/sedgewalld/src/requests.rs
@@ -28,7 +28,7 @@
 
 /// One request at a shard.
 #[derive(Debug)]
-pub(crate) struct HeldRequest {
+pub(crate) struct TrackedRequest {
     pub(crate) shard: ShardId,
     pub(crate) adapter: AdapterName,
     pub(crate) version: AdapterVersion,
@@ -46,9 +46,9 @@
 /// All requests of this entry.
 #[derive(Debug)]
 pub(crate) struct RequestTable {
-    held: BTreeMap<RequestId, HeldRequest>,
+    tracked: BTreeMap<RequestId, TrackedRequest>,
     sequence: u64,
-    len_limit: usize,
+    max_open: usize,
     /// Requests of any kind, services included.
     open: usize,
     retry_tokens: f64,
@@ -66,9 +66,9 @@
 impl RequestTable {
     pub(crate) fn new(limits: &Limits) -> RequestTable {
         RequestTable {
-            held: BTreeMap::new(),
+            tracked: BTreeMap::new(),
             sequence: 0,
-            len_limit: limits.requests,
+            max_open: limits.requests,
             open: 0,
             retry_tokens: RETRY_BURST,
             retry_share: limits.retry_share,
@@ -81,7 +81,7 @@
         &mut self,
         incarnation: Incarnation,
     ) -> Option<RequestId> {
-        if self.open >= self.len_limit {
+        if self.open >= self.max_open {
             return None;
         }
         self.open += 1;
@@ -110,32 +110,37 @@
         true
     }
 
-    pub(crate) fn insert(&mut self, id: RequestId, held: HeldRequest) {
-        self.held.insert(id, held);
+    pub(crate) fn insert(&mut self, id: RequestId, tracked: TrackedRequest) {
+        self.tracked.insert(id, tracked);
     }
 
-    pub(crate) fn remove(&mut self, id: RequestId) -> Option<HeldRequest> {
-        self.held.remove(&id)
+    pub(crate) fn remove(&mut self, id: RequestId) -> Option<TrackedRequest> {
+        self.tracked.remove(&id)
     }
 
-    pub(crate) fn get(&self, id: RequestId) -> Option<&HeldRequest> {
-        self.held.get(&id)
+    pub(crate) fn get(&self, id: RequestId) -> Option<&TrackedRequest> {
+        self.tracked.get(&id)
     }
 
     pub(crate) fn get_mut(
         &mut self,
         id: RequestId,
-    ) -> Option<&mut HeldRequest> {
-        self.held.get_mut(&id)
+    ) -> Option<&mut TrackedRequest> {
+        self.tracked.get_mut(&id)
     }
 
     /// Notes how long the first token of a running request took.
-    pub(crate) fn note_first_token(&mut self, id: RequestId, took: Duration) {
-        let Some(held) = self.held.get(&id) else { return };
-        let Some(endpoint) = held.endpoint.clone() else { return };
-        let noted = self.first_tokens.entry(held.shard.clone()).or_default();
-        if noted.len() < MAX_FIRST_TOKENS {
-            noted.push(FirstToken { endpoint, took });
+    pub(crate) fn record_first_token(
+        &mut self,
+        id: RequestId,
+        took: Duration,
+    ) {
+        let Some(tracked) = self.tracked.get(&id) else { return };
+        let Some(endpoint) = tracked.endpoint.clone() else { return };
+        let pending =
+            self.first_tokens.entry(tracked.shard.clone()).or_default();
+        if pending.len() < MAX_FIRST_TOKENS {
+            pending.push(FirstToken { endpoint, took });
         }
     }
 
@@ -148,19 +153,19 @@
     }
 
     /// Returns the ids of all requests of one shard, sorted.
-    pub(crate) fn ids_of(&self, shard: &str) -> Vec<RequestId> {
-        self.held
+    pub(crate) fn ids_of_shard(&self, shard: &str) -> Vec<RequestId> {
+        self.tracked
             .iter()
-            .filter(|(_, held)| held.shard == shard)
+            .filter(|(_, tracked)| tracked.shard == shard)
             .map(|(id, _)| *id)
             .collect()
     }
 
     /// Returns the ids of all requests that wait for a seat, sorted.
     pub(crate) fn waiting(&self) -> Vec<RequestId> {
-        self.held
+        self.tracked
             .iter()
-            .filter(|(_, held)| held.endpoint.is_none())
+            .filter(|(_, tracked)| tracked.endpoint.is_none())
             .map(|(id, _)| *id)
             .collect()
     }
@@ -170,16 +175,16 @@
     pub(crate) fn running(&self) -> HashMap<ShardId, Vec<RunningRequest>> {
         let mut by_shard: HashMap<ShardId, Vec<RunningRequest>> =
             HashMap::new();
-        for (id, held) in &self.held {
-            let Some(endpoint) = &held.endpoint else { continue };
+        for (id, tracked) in &self.tracked {
+            let Some(endpoint) = &tracked.endpoint else { continue };
             let running = RunningRequest {
                 request: *id,
                 endpoint: endpoint.clone(),
-                adapter: held.adapter.clone(),
-                version: held.version.clone(),
-                priority: held.priority,
+                adapter: tracked.adapter.clone(),
+                version: tracked.version.clone(),
+                priority: tracked.priority,
             };
-            by_shard.entry(held.shard.clone()).or_default().push(running);
+            by_shard.entry(tracked.shard.clone()).or_default().push(running);
         }
         by_shard
     }
--- a/crates/sedgewalld/src/services.rs
+++ b/crates/sedgewalld/src/services.rs
@@ -28,7 +28,7 @@
 
 use crate::{
     claims::{ClaimOutcome, ClaimTicket},
-    entry::{RequestSlot, read_request_body},
+    entry::{OpenRequestGuard, read_request_body},
     instance::Instance,
     responses,
     routes::ConfigView,
@@ -161,12 +161,12 @@
     instance: Rc<Instance>,
     request: Request<Incoming>,
 ) -> Response<LocalBody> {
-    let slot = match RequestSlot::open(&instance) {
-        Ok(slot) => slot,
+    let open_request = match OpenRequestGuard::open(&instance) {
+        Ok(open_request) => open_request,
         Err(problem) => return responses::problem(&problem),
     };
-    let id = slot.hex();
-    let answered = run(&instance, &slot, request).await;
+    let id = open_request.hex();
+    let answered = run(&instance, &open_request, request).await;
     let response = answered.unwrap_or_else(|problem| {
         responses::problem(&problem.with_request_id(&id))
     });
@@ -175,7 +175,7 @@
 
 async fn run(
     instance: &Rc<Instance>,
-    slot: &RequestSlot,
+    open_request: &OpenRequestGuard,
     request: Request<Incoming>,
 ) -> Result<Response<LocalBody>, Problem> {
     let (parts, body) = request.into_parts();
@@ -197,10 +197,11 @@
         body,
         is_repeatable,
         within,
-        id: slot.id,
+        id: open_request.id,
     };
     let caller = options.caller.as_deref().unwrap_or("");
-    let ticket = ClaimTicket::new(&options, is_repeatable, caller, slot.id);
+    let ticket =
+        ClaimTicket::new(&options, is_repeatable, caller, open_request.id);
     let outcome = claim_and_call(instance, &call, ticket).await;
     metrics::counter!("sedgewall_service_calls_total").increment(1);
     outcome
