--- a/crates/sedgewalld/src/claims.rs
+++ b/crates/sedgewalld/src/claims.rs
@@ -39,13 +39,13 @@
 /// Four logs at 150 ms, each segment written and later deleted, are at most 54
 /// of the platform's 100 writes a second. A first claim after a pause is
 /// written at once.
-const SEGMENT_GAP: Duration = Duration::from_millis(150);
+const SEGMENT_INTERVAL: Duration = Duration::from_millis(150);
 
 /// How long a claimer is waited for before it is asked again.
-const ASK_TIME: Duration = Duration::from_millis(700);
+const CLAIM_RETRY_INTERVAL: Duration = Duration::from_millis(700);
 
 /// How long a claim may take in all; then the request is refused as not run.
-const CLAIM_TIME: Duration = Duration::from_secs(3);
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How long a key is remembered.
 pub(crate) const RETENTION: Duration = Duration::from_secs(3_600);
@@ -54,10 +54,10 @@
 /// others may have written and trimmed it.
 const STALE_AFTER: Duration = Duration::from_secs(600);
 
-const UNCLEAR_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// When to come back while claims cannot be written.
-const UNAVAILABLE_RETRY: Duration = Duration::from_secs(2);
+const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// What became of a claim, for the request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -85,7 +85,7 @@
             RunState::NotRun,
             "idempotency keys cannot be claimed at the moment",
         )
-        .with_retry_after(UNAVAILABLE_RETRY)
+        .with_retry_after(UNAVAILABLE_RETRY_AFTER)
     }
 }
 
@@ -117,41 +117,53 @@
         instance: &Rc<Instance>,
         within: Duration,
     ) -> ClaimOutcome {
-        let until = Instant::now() + within.min(CLAIM_TIME);
-        while Instant::now() < until {
-            let left = until.saturating_duration_since(Instant::now());
-            let rx = self.ask(instance);
-            let answer = compio::time::timeout(left.min(ASK_TIME), rx).await;
+        let deadline = Instant::now() + within.min(CLAIM_TIMEOUT);
+        while Instant::now() < deadline {
+            let left = deadline.saturating_duration_since(Instant::now());
+            let rx = self.send_claim(instance);
+            let answer =
+                compio::time::timeout(left.min(CLAIM_RETRY_INTERVAL), rx)
+                    .await;
             match answer {
                 Ok(Ok(ClaimAnswer::Granted)) => {
-                    self.note(instance, "granted");
+                    self.record_outcome(instance, "granted");
                     return ClaimOutcome::Granted;
                 }
                 Ok(Ok(ClaimAnswer::Taken)) => {
-                    self.note(instance, "taken");
+                    self.record_outcome(instance, "taken");
                     return ClaimOutcome::Taken;
                 }
                 Ok(Ok(ClaimAnswer::Unavailable)) => break,
                 _ => {}
             }
         }
-        instance.claims.borrow_mut().asked.remove(&self.claim.request);
+        instance
+            .claims
+            .borrow_mut()
+            .pending_answers
+            .remove(&self.claim.request);
         self.release(instance);
-        self.note(instance, "unavailable");
+        self.record_outcome(instance, "unavailable");
         ClaimOutcome::Unavailable
     }
 
     /// Gives the key up, because the request was not run and never will be.
     pub(crate) fn release(&self, instance: &Rc<Instance>) {
-        self.tell(instance, PeerMessage::ReleaseClaim(self.request()));
+        self.send_to_claimer(
+            instance,
+            PeerMessage::ReleaseClaim(self.request()),
+        );
     }
 
-    fn ask(&self, instance: &Rc<Instance>) -> oneshot::Receiver<ClaimAnswer> {
+    fn send_claim(
+        &self,
+        instance: &Rc<Instance>,
+    ) -> oneshot::Receiver<ClaimAnswer> {
         let (tx, rx) = oneshot::channel();
         let mut claims = instance.claims.borrow_mut();
-        claims.asked.insert(self.claim.request, tx);
+        claims.pending_answers.insert(self.claim.request, tx);
         drop(claims);
-        self.tell(instance, PeerMessage::Claim(self.request()));
+        self.send_to_claimer(instance, PeerMessage::Claim(self.request()));
         rx
     }
 
@@ -160,13 +172,13 @@
         ClaimRequest { partition, claim: self.claim }
     }
 
-    fn tell(&self, instance: &Rc<Instance>, message: PeerMessage) {
+    fn send_to_claimer(&self, instance: &Rc<Instance>, message: PeerMessage) {
         let key = claims_prefix(partition(self.claim.key));
-        let (url, incarnation) = preferred(instance, &key);
+        let (url, incarnation) = preferred_claimer(instance, &key);
         instance.send(&url, incarnation, message);
     }
 
-    fn note(&self, instance: &Rc<Instance>, detail: &str) {
+    fn record_outcome(&self, instance: &Rc<Instance>, detail: &str) {
         let request = Some(self.claim.request);
         instance.record_event(EventKind::Claim, request, "", "", detail);
     }
@@ -174,7 +186,10 @@
 
 /// The instance that should claim for a partition: where it is reached, and
 /// its incarnation if we know it.
-fn preferred(instance: &Instance, key: &str) -> (String, Option<Incarnation>) {
+fn preferred_claimer(
+    instance: &Instance,
+    key: &str,
+) -> (String, Option<Incarnation>) {
     let now = Instant::now();
     let membership = instance.membership.borrow();
     let mut ids = membership.candidates(instance.id(), now);
@@ -203,22 +218,23 @@
 #[derive(Debug, Default)]
 struct LogState {
     log: ClaimLog,
-    waiting: HashMap<RequestId, ReplyTo>,
-    is_running: bool,
-    touched: Option<Instant>,
-    written: Option<Instant>,
+    waiters: HashMap<RequestId, ReplyTo>,
+    is_writer_running: bool,
+    last_synced: Option<Instant>,
+    last_written: Option<Instant>,
 }
 
 /// All claims of one instance, on both sides.
 #[derive(Debug, Default)]
 pub(crate) struct ClaimTable {
-    asked: HashMap<RequestId, oneshot::Sender<ClaimAnswer>>,
+    pending_answers: HashMap<RequestId, oneshot::Sender<ClaimAnswer>>,
     logs: HashMap<PartitionIdx, LogState>,
 }
 
 /// Takes in an answer, at the entry.
 pub(crate) fn on_reply(instance: &Rc<Instance>, reply: &ClaimReply) {
-    let tx = instance.claims.borrow_mut().asked.remove(&reply.request);
+    let tx =
+        instance.claims.borrow_mut().pending_answers.remove(&reply.request);
     if let Some(tx) = tx {
         let _ = tx.send(reply.answer);
     }
@@ -235,10 +251,10 @@
     let claim = request.claim;
     let mut claims = instance.claims.borrow_mut();
     let state = claims.logs.entry(request.partition).or_default();
-    state.refresh();
-    let is_asked_again = state.waiting.contains_key(&claim.request);
-    state.waiting.insert(claim.request, reply_to);
-    if is_asked_again {
+    state.reset_if_stale();
+    let is_repeated = state.waiters.contains_key(&claim.request);
+    state.waiters.insert(claim.request, reply_to);
+    if is_repeated {
         return;
     }
     let answer = state.log.claim(claim);
@@ -254,8 +270,8 @@
 pub(crate) fn on_release(instance: &Rc<Instance>, request: &ClaimRequest) {
     let mut claims = instance.claims.borrow_mut();
     let state = claims.logs.entry(request.partition).or_default();
-    state.refresh();
-    state.waiting.remove(&request.claim.request);
+    state.reset_if_stale();
+    state.waiters.remove(&request.claim.request);
     state.log.release(request.claim);
     drop(claims);
     start_writer(instance, request.partition);
@@ -263,9 +279,10 @@
 
 impl LogState {
     /// Forgets a log that others may have moved far beyond what we know.
-    fn refresh(&mut self) {
-        let is_stale = self.touched.is_some_and(|t| t.elapsed() > STALE_AFTER);
-        if is_stale && !self.is_running {
+    fn reset_if_stale(&mut self) {
+        let is_stale =
+            self.last_synced.is_some_and(|t| t.elapsed() > STALE_AFTER);
+        if is_stale && !self.is_writer_running {
             self.log.forget();
         }
     }
@@ -274,7 +291,7 @@
 fn start_writer(instance: &Rc<Instance>, partition: PartitionIdx) {
     let mut claims = instance.claims.borrow_mut();
     let state = claims.logs.entry(partition).or_default();
-    if std::mem::replace(&mut state.is_running, true) {
+    if std::mem::replace(&mut state.is_writer_running, true) {
         return;
     }
     let instance = instance.clone();
@@ -288,19 +305,19 @@
 async fn write_log(instance: &Rc<Instance>, partition: PartitionIdx) {
     loop {
         if !recover(instance, partition).await {
-            compio::time::sleep(UNCLEAR_PAUSE).await;
+            compio::time::sleep(RETRY_DELAY).await;
             continue;
         }
-        wait_for_gap(instance, partition).await;
+        wait_for_segment_interval(instance, partition).await;
         let Some(write) = next_write(instance, partition) else { return };
         let answer = create(instance, partition, &write).await;
-        let is_unclear = answer == SegmentAnswer::Unclear;
+        let is_outcome_unknown = answer == SegmentAnswer::Unclear;
         if matches!(answer, SegmentAnswer::Exists(_)) {
             info!("claims: log {partition} was moved on by another instance.");
         }
         finish_write(instance, partition, answer);
-        if is_unclear {
-            compio::time::sleep(UNCLEAR_PAUSE).await;
+        if is_outcome_unknown {
+            compio::time::sleep(RETRY_DELAY).await;
         } else {
             trim(instance, partition).await;
         }
@@ -321,10 +338,10 @@
     if with_state(instance, partition, |state| state.log.is_recovered()) {
         return true;
     }
-    match read_on(instance, partition).await {
+    match read_new_segments(instance, partition).await {
         Ok(()) => {
             let answers = with_state(instance, partition, |state| {
-                state.touched = Some(Instant::now());
+                state.last_synced = Some(Instant::now());
                 state.log.finish_recovery()
             });
             send_answers(instance, partition, answers);
@@ -338,7 +355,7 @@
 }
 
 /// Reads all segments from the next one on.
-async fn read_on(
+async fn read_new_segments(
     instance: &Rc<Instance>,
     partition: PartitionIdx,
 ) -> Result<(), PlatformError> {
@@ -363,12 +380,16 @@
     }
 }
 
-async fn wait_for_gap(instance: &Rc<Instance>, partition: PartitionIdx) {
-    let written = with_state(instance, partition, |state| state.written);
-    let Some(written) = written else { return };
-    let gap = SEGMENT_GAP.saturating_sub(written.elapsed());
-    if !gap.is_zero() {
-        compio::time::sleep(gap).await;
+async fn wait_for_segment_interval(
+    instance: &Rc<Instance>,
+    partition: PartitionIdx,
+) {
+    let last_written =
+        with_state(instance, partition, |state| state.last_written);
+    let Some(last_written) = last_written else { return };
+    let remaining = SEGMENT_INTERVAL.saturating_sub(last_written.elapsed());
+    if !remaining.is_zero() {
+        compio::time::sleep(remaining).await;
     }
 }
 
@@ -382,7 +403,7 @@
             return Some(write.clone());
         }
         let write = state.log.next_write(now_ms);
-        state.is_running = write.is_some();
+        state.is_writer_running = write.is_some();
         write
     })
 }
@@ -417,8 +438,8 @@
 ) {
     let answers = with_state(instance, partition, |state| {
         if answer != SegmentAnswer::Unclear {
-            state.touched = Some(Instant::now());
-            state.written = Some(Instant::now());
+            state.last_synced = Some(Instant::now());
+            state.last_written = Some(Instant::now());
         }
         state.log.written(answer)
     });
@@ -428,8 +449,9 @@
 async fn trim(instance: &Rc<Instance>, partition: PartitionIdx) {
     let now_ms = unix_ms(SystemTime::now());
     let before_ms = now_ms.saturating_sub(RETENTION.as_millis() as u64);
-    let oldest = with_state(instance, partition, |s| s.log.trim(before_ms));
-    let Some(idx) = oldest else { return };
+    let oldest_expired =
+        with_state(instance, partition, |s| s.log.trim(before_ms));
+    let Some(idx) = oldest_expired else { return };
     let key = segment_key(partition, idx);
     if let Err(err) = instance.platform.delete(&key).await {
         warn!("claims: {key} cannot be deleted: {err}.");
@@ -443,7 +465,7 @@
 ) {
     for Answered { request, answer } in answers {
         let reply_to = with_state(instance, partition, |state| {
-            state.waiting.remove(&request)
+            state.waiters.remove(&request)
         });
         let Some(to) = reply_to else { continue };
         let reply = PeerMessage::Claimed(ClaimReply { request, answer });
--- a/crates/sedgewalld/src/config_sync.rs
+++ b/crates/sedgewalld/src/config_sync.rs
@@ -24,40 +24,42 @@
 };
 
 /// How long a watch waits.
-const WATCH_TIME: Duration = Duration::from_secs(30);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
 
-const RETRY_PAUSE: Duration = Duration::from_millis(300);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Chunks fetched at once.
-const FETCHES_AT_ONCE: usize = 8;
+const MAX_CONCURRENT_FETCHES: usize = 8;
 
 /// Follows the head of the configuration for ever.
-pub(crate) async fn follow(instance: Rc<Instance>) {
+pub(crate) async fn watch(instance: Rc<Instance>) {
     let mut known: Option<ObjectVersion> = None;
     loop {
-        let watched =
-            instance.platform.watch(CONFIG_HEAD_KEY, known, WATCH_TIME).await;
+        let watched = instance
+            .platform
+            .watch(CONFIG_HEAD_KEY, known, WATCH_TIMEOUT)
+            .await;
         instance.set_platform_reached(watched.is_ok());
         match watched {
             Ok(Watched::Changed(object)) => {
-                match take_head(&instance, &object.value).await {
+                match apply_head(&instance, &object.value).await {
                     Ok(()) => known = Some(object.version),
                     Err(err) => {
                         warn!("config: {err}.");
-                        sleep_with_jitter(RETRY_PAUSE).await;
+                        sleep_with_jitter(RETRY_DELAY).await;
                     }
                 }
             }
             Ok(Watched::Unchanged) => {}
             Err(err) => {
                 debug!("config: {err}.");
-                sleep_with_jitter(RETRY_PAUSE).await;
+                sleep_with_jitter(RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn take_head(
+async fn apply_head(
     instance: &Rc<Instance>,
     value: &[u8],
 ) -> Result<(), PlatformError> {
@@ -76,7 +78,7 @@
     hashes: &[String],
 ) -> Result<Vec<Chunk>, PlatformError> {
     let mut chunks = Vec::with_capacity(hashes.len());
-    for batch in hashes.chunks(FETCHES_AT_ONCE) {
+    for batch in hashes.chunks(MAX_CONCURRENT_FETCHES) {
         let fetches = batch.iter().map(|hash| async move {
             let object = instance.platform.get(&chunk_key(hash)).await?;
             let object = object.ok_or_else(|| {
@@ -124,7 +126,7 @@
 }
 
 /// Asks a peer for its configuration, because it has a newer one.
-pub(crate) fn ask_peer(instance: &Rc<Instance>, envelope: &Envelope) {
+pub(crate) fn request_from_peer(instance: &Rc<Instance>, envelope: &Envelope) {
     instance.reply(
         envelope,
         PeerMessage::AskConfig(AskConfig { chunks: Vec::new() }),
@@ -132,7 +134,7 @@
 }
 
 /// Answers a peer that asks for our configuration.
-pub(crate) fn on_ask(
+pub(crate) fn on_request(
     instance: &Rc<Instance>,
     envelope: &Envelope,
     ask: &AskConfig,
@@ -153,15 +155,16 @@
 }
 
 /// Takes in a part of a peer's configuration.
-pub(crate) fn on_part(
+pub(crate) fn on_config_part(
     instance: &Rc<Instance>,
     envelope: &Envelope,
     part: ConfigPart,
 ) {
     let missing = instance.config.borrow().missing(&part.head);
     let Some(missing) = missing else { return };
-    let has = |hash: &String| part.chunks.iter().any(|c| c.hash == *hash);
-    if missing.iter().all(has) {
+    let is_included =
+        |hash: &String| part.chunks.iter().any(|c| c.hash == *hash);
+    if missing.iter().all(is_included) {
         let chunks = part
             .chunks
             .into_iter()
--- a/crates/sedgewalld/src/daemon.rs
+++ b/crates/sedgewalld/src/daemon.rs
@@ -49,11 +49,11 @@
 const OPERATOR_CONNECTIONS: usize = 64;
 
 /// How often a stop looks whether all requests have ended.
-const DRAIN_LOOK: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// After a stop is announced, requests still come for this long, until the
 /// balancer has noticed.
-const BALANCER_GRACE: Duration = Duration::from_secs(2);
+const LOAD_BALANCER_GRACE: Duration = Duration::from_secs(2);
 
 /// What the end of a stop leaves for the last messages to go out.
 const FLUSH_TIME: Duration = Duration::from_millis(200);
@@ -86,8 +86,8 @@
     instance.record_event(EventKind::Member, None, "", "", "started");
     compio::runtime::spawn(inbox::run(instance.clone(), peers, local))
         .detach();
-    compio::runtime::spawn(config_sync::follow(instance.clone())).detach();
-    compio::runtime::spawn(instance_list::follow(instance.clone())).detach();
+    compio::runtime::spawn(config_sync::watch(instance.clone())).detach();
+    compio::runtime::spawn(instance_list::watch(instance.clone())).detach();
     compio::runtime::spawn(heartbeat::run(instance.clone())).detach();
     compio::runtime::spawn(serve_callers(instance.clone(), callers)).detach();
     compio::runtime::spawn(serve_operators(
@@ -138,14 +138,15 @@
 async fn wait_for_stop(instance: &Rc<Instance>, mut signals: Signals) {
     let mut interrupt = Box::pin(compio::signal::ctrl_c()).fuse();
     while instance.stage.get() != Stage::Leaving {
-        let mut look = Box::pin(compio::time::sleep(DRAIN_LOOK)).fuse();
+        let mut poll =
+            Box::pin(compio::time::sleep(DRAIN_POLL_INTERVAL)).fuse();
         select! {
             _ = interrupt => return,
             _ = signals.stop.next() => return,
             _ = signals.reload.next() => {
                 info!("daemon: settings are read at the start alone.");
             }
-            () = look => {}
+            () = poll => {}
         }
     }
 }
@@ -158,19 +159,22 @@
     instance.stage.set(Stage::Leaving);
     heartbeat::send_heartbeats(instance);
     let started = Instant::now();
-    let longest = Duration::from_millis(instance.settings.limits.drain_ms);
+    let drain_timeout =
+        Duration::from_millis(instance.settings.limits.drain_ms);
     loop {
-        let open = instance.requests.borrow().open_len();
-        let led = instance.shards.borrow().len();
-        let is_over = open == 0 && led == 0;
-        if is_over && started.elapsed() >= BALANCER_GRACE {
+        let open_requests = instance.requests.borrow().open_len();
+        let led_shards = instance.shards.borrow().len();
+        let is_drained = open_requests == 0 && led_shards == 0;
+        if is_drained && started.elapsed() >= LOAD_BALANCER_GRACE {
             break;
         }
-        if started.elapsed() >= longest {
-            warn!("daemon: {open} requests were cut off by the stop.");
+        if started.elapsed() >= drain_timeout {
+            warn!(
+                "daemon: {open_requests} requests were cut off by the stop."
+            );
             break;
         }
-        compio::time::sleep(DRAIN_LOOK).await;
+        compio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
     compio::time::sleep(FLUSH_TIME).await;
     info!("daemon: stopped.");
--- a/crates/sedgewalld/src/inbox.rs
+++ b/crates/sedgewalld/src/inbox.rs
@@ -90,10 +90,10 @@
             store::on_allotted(instance, allotment);
         }
         PeerMessage::AskConfig(ask) => {
-            config_sync::on_ask(instance, &envelope, ask);
+            config_sync::on_request(instance, &envelope, ask);
         }
         PeerMessage::ConfigPart(part) => {
-            config_sync::on_part(instance, &envelope, part.clone());
+            config_sync::on_config_part(instance, &envelope, part.clone());
         }
     }
 }
@@ -131,6 +131,6 @@
     if heartbeat.config_version > instance.config.borrow().version()
         && !instance.is_platform_reached.get()
     {
-        config_sync::ask_peer(instance, envelope);
+        config_sync::request_from_peer(instance, envelope);
     }
 }
--- a/crates/sedgewalld/src/instance_list.rs
+++ b/crates/sedgewalld/src/instance_list.rs
@@ -15,23 +15,23 @@
 };
 
 /// How long a watch waits.
-const WATCH_TIME: Duration = Duration::from_secs(30);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
 
-const RETRY_PAUSE: Duration = Duration::from_millis(300);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Follows the list for ever.
-pub(crate) async fn follow(instance: Rc<Instance>) {
+pub(crate) async fn watch(instance: Rc<Instance>) {
     loop {
         let revision = instance.instances.borrow().revision;
         let watched =
-            instance.platform.watch_instances(revision, WATCH_TIME).await;
+            instance.platform.watch_instances(revision, WATCH_TIMEOUT).await;
         instance.set_platform_reached(watched.is_ok());
         match watched {
             Ok(Watched::Changed(list)) => adopt(&instance, list),
             Ok(Watched::Unchanged) => {}
             Err(err) => {
                 debug!("instances: {err}.");
-                sleep_with_jitter(RETRY_PAUSE).await;
+                sleep_with_jitter(RETRY_DELAY).await;
             }
         }
     }
@@ -42,7 +42,7 @@
     if list.revision <= instance.instances.borrow().revision {
         return;
     }
-    note_changes(instance, &list);
+    record_changes(instance, &list);
     instance.membership.borrow_mut().observe_list(&list);
     *instance.instances.borrow_mut() = list;
     refresh(instance);
@@ -56,7 +56,7 @@
     leader::refresh_engines(instance, &list);
 }
 
-fn note_changes(instance: &Rc<Instance>, list: &InstanceList) {
+fn record_changes(instance: &Rc<Instance>, list: &InstanceList) {
     let old = instance.instances.borrow().clone();
     for listed_instance in &list.instances {
         if listed_instance.group == OWN_GROUP {
