--- a/crates/sedgewalld/src/config_sync.rs
+++ b/crates/sedgewalld/src/config_sync.rs
@@ -122,7 +122,7 @@
     instance.leaders.borrow_mut().retain(|shard, _| shards.contains(shard));
     leader::reconfigure(instance);
     instance_list::refresh(instance);
-    election::ensure(instance);
+    election::start_missing_tasks(instance);
 }
 
 /// Asks a peer for its configuration, because it has a newer one.
--- a/crates/sedgewalld/src/election.rs
+++ b/crates/sedgewalld/src/election.rs
@@ -26,21 +26,22 @@
 };
 
 /// Instances that look at a shard's lease.
-const CANDIDATES_LEN: usize = 3;
+const MAX_CANDIDATES: usize = 3;
 
 /// How much longer than the one before it each candidate waits.
 const RANK_DELAY: Duration = Duration::from_millis(200);
 
-const UNCLEAR_PAUSE: Duration = Duration::from_millis(100);
+const REREAD_DELAY: Duration = Duration::from_millis(100);
 
 thread_local! {
-    static WATCHED: RefCell<HashSet<ShardId>> = RefCell::default();
+    static SHARDS_WITH_TASK: RefCell<HashSet<ShardId>> = RefCell::default();
 }
 
 /// Starts a task for each shard of the configuration that has none yet.
-pub(crate) fn ensure(instance: &Rc<Instance>) {
+pub(crate) fn start_missing_tasks(instance: &Rc<Instance>) {
     for shard in instance.view().config.shard_ids() {
-        let is_new = WATCHED.with_borrow_mut(|w| w.insert(shard.clone()));
+        let is_new = SHARDS_WITH_TASK
+            .with_borrow_mut(|shards| shards.insert(shard.clone()));
         if is_new {
             let instance = instance.clone();
             compio::runtime::spawn(run(instance, shard)).detach();
@@ -53,22 +54,25 @@
     let times = instance.settings.lease.times();
     let mut watching = Lease::new(shard.clone(), times);
     loop {
-        let Some(held) = win(&instance, &shard, watching).await else { break };
+        let Some(held) = wait_for_lease(&instance, &shard, watching).await
+        else {
+            break;
+        };
         leader::take_up(&instance, &shard, held);
-        watching = lead(&instance, &shard).await;
+        watching = renew_until_lost(&instance, &shard).await;
         leader::step_down(&instance, &shard);
     }
-    WATCHED.with_borrow_mut(|w| w.remove(&shard));
+    SHARDS_WITH_TASK.with_borrow_mut(|shards| shards.remove(&shard));
     debug!("lease: {shard} is not watched any more.");
 }
 
 /// Waits until the lease is ours; none if the shard is gone.
-async fn win(
+async fn wait_for_lease(
     instance: &Rc<Instance>,
     shard: &ShardId,
     mut watching: Lease<Watching>,
 ) -> Option<Lease<Held>> {
-    let look_every = instance.settings.lease.times().renew_every;
+    let poll_interval = instance.settings.lease.times().renew_every;
     let mut free_since = None;
     loop {
         if !is_configured(instance, shard) {
@@ -76,21 +80,21 @@
         }
         let Some(rank) = rank(instance, shard) else {
             free_since = None;
-            sleep_with_jitter(look_every).await;
+            sleep_with_jitter(poll_interval).await;
             continue;
         };
         if let Ok(stored) = read(instance, shard).await {
             watching.observe(stored, Instant::now());
         }
-        note_seen(instance, shard, watching.seen());
+        record_holder(instance, shard, watching.seen());
         if !watching.is_free(Instant::now()) {
             free_since = None;
-            sleep_with_jitter(look_every).await;
+            sleep_with_jitter(poll_interval).await;
             continue;
         }
         let since: Instant = *free_since.get_or_insert_with(Instant::now);
         if since.elapsed() < RANK_DELAY * rank as u32 {
-            sleep_with_jitter(look_every / 4).await;
+            sleep_with_jitter(poll_interval / 4).await;
             continue;
         }
         let acquiring = watching.acquire(&candidate(instance), Instant::now());
@@ -108,33 +112,36 @@
     acquiring: Lease<Acquiring>,
 ) -> Result<Lease<Held>, Lease<Watching>> {
     let answer = write(instance, acquiring.write()).await;
-    let mut unclear = match acquiring.answer(answer, Instant::now()) {
+    let mut pending = match acquiring.answer(answer, Instant::now()) {
         Acquired::Held(held) => return Ok(held),
         Acquired::Lost(watching) => return Err(watching),
         Acquired::Unclear(acquiring) => acquiring,
     };
     loop {
-        compio::time::sleep(UNCLEAR_PAUSE).await;
+        compio::time::sleep(REREAD_DELAY).await;
         let Ok(stored) = read(instance, shard).await else { continue };
-        match unclear.settle(stored, Instant::now()) {
+        match pending.settle(stored, Instant::now()) {
             Acquired::Held(held) => return Ok(held),
             Acquired::Lost(watching) => return Err(watching),
-            Acquired::Unclear(acquiring) => unclear = acquiring,
+            Acquired::Unclear(acquiring) => pending = acquiring,
         }
     }
 }
 
 /// Renews the lease until it is lost or given up.
-async fn lead(instance: &Rc<Instance>, shard: &ShardId) -> Lease<Watching> {
+async fn renew_until_lost(
+    instance: &Rc<Instance>,
+    shard: &ShardId,
+) -> Lease<Watching> {
     let renew_every = instance.settings.lease.times().renew_every;
     loop {
         let Some(held) = leader::lease(instance, shard) else {
             return Lease::new(shard.clone(), instance.settings.lease.times());
         };
-        let is_unwanted = instance.stage.get() == Stage::Leaving
+        let must_release = instance.stage.get() == Stage::Leaving
             || !is_configured(instance, shard)
-            || leader::is_deposed(instance, shard);
-        if is_unwanted {
+            || leader::is_superseded(instance, shard);
+        if must_release {
             return release(instance, held).await;
         }
         let sent = Instant::now();
@@ -220,7 +227,7 @@
     ids.push(instance.id());
     rendezvous::ranking(ids, shard)
         .into_iter()
-        .take(CANDIDATES_LEN)
+        .take(MAX_CANDIDATES)
         .position(|id| id == instance.id())
 }
 
@@ -253,15 +260,15 @@
 }
 
 /// Reads who leads a shard, for an entry that hears of no leader.
-pub(crate) async fn look_up(instance: &Rc<Instance>, shard: &str) {
+pub(crate) async fn look_up_leader(instance: &Rc<Instance>, shard: &str) {
     if let Ok(stored) = read(instance, shard).await {
         let record = stored.map(|stored| stored.record);
-        note_seen(instance, shard, record.as_ref());
+        record_holder(instance, shard, record.as_ref());
     }
 }
 
 /// Takes in a lease record that a read showed.
-fn note_seen(
+fn record_holder(
     instance: &Rc<Instance>,
     shard: &str,
     record: Option<&LeaseRecord>,
@@ -276,11 +283,11 @@
         peer_url: record.peer_url.clone(),
         epoch: record.epoch,
     };
-    learn_leader(instance, shard, leader);
+    apply_leader(instance, shard, leader);
 }
 
 /// Takes in that somebody leads a shard, and turns to them if that is news.
-pub(crate) fn learn_leader(
+pub(crate) fn apply_leader(
     instance: &Rc<Instance>,
     shard: &str,
     leader: Leader,
--- a/crates/sedgewalld/src/heartbeat.rs
+++ b/crates/sedgewalld/src/heartbeat.rs
@@ -9,46 +9,47 @@
 use crate::{election, entry, instance::Instance};
 
 /// How often heartbeats are sent to few peers.
-const HEARTBEAT_EVERY: Duration = Duration::from_millis(250);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// So many peers count as few; with more, heartbeats go out more seldom.
 const MAX_DIRECT_PEERS: u32 = 8;
 
 /// The longest time between heartbeats. An entry counts as lost after 3 s.
-const LONGEST_GAP: Duration = Duration::from_secs(1);
+const MAX_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How often what lost messages left behind is repaired.
-const REPAIR_EVERY: Duration = Duration::from_secs(1);
+const REPAIR_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long a submission stays unanswered before it is sent again.
 const RESUBMIT_AFTER: Duration = Duration::from_millis(900);
 
 /// Sends heartbeats for ever.
 pub(crate) async fn run(instance: Rc<Instance>) {
-    let mut repaired = Instant::now();
+    let mut last_repair = Instant::now();
     loop {
         let sent = send_heartbeats(&instance);
-        if repaired.elapsed() >= REPAIR_EVERY {
-            repaired = Instant::now();
+        if last_repair.elapsed() >= REPAIR_INTERVAL {
+            last_repair = Instant::now();
             send_running(&instance);
             resubmit_waiting(&instance);
             instance.membership.borrow_mut().sweep(Instant::now());
-            close_old_links(&instance);
+            close_stale_connections(&instance);
         }
-        compio::time::sleep(gap(sent as u32)).await;
+        compio::time::sleep(heartbeat_interval(sent as u32)).await;
     }
 }
 
 /// A leader that a hundred entries use would spend its allowance on
 /// heartbeats alone, four times a second each.
-fn gap(peers: u32) -> Duration {
-    let gap = HEARTBEAT_EVERY * peers.div_ceil(MAX_DIRECT_PEERS).max(1);
-    gap.min(LONGEST_GAP)
+fn heartbeat_interval(peers: u32) -> Duration {
+    let interval =
+        HEARTBEAT_INTERVAL * peers.div_ceil(MAX_DIRECT_PEERS).max(1);
+    interval.min(MAX_HEARTBEAT_INTERVAL)
 }
 
 /// Closes the links to addresses that no known instance has any more; nng
 /// would dial them for ever.
-fn close_old_links(instance: &Rc<Instance>) {
+fn close_stale_connections(instance: &Rc<Instance>) {
     let known: BTreeSet<String> =
         instance.membership.borrow().peer_urls().into_values().collect();
     instance.peers.borrow_mut().retain(|url| known.contains(url));
@@ -134,17 +135,17 @@
         entry::send_submit(instance, id);
     }
     for shard in unanswered {
-        let is_silent = instance.leader_of(&shard).is_none_or(|leader| {
+        let is_leader_lost = instance.leader_of(&shard).is_none_or(|leader| {
             leader.incarnation != instance.incarnation
                 && !instance
                     .membership
                     .borrow()
                     .is_live(&leader.instance, Instant::now())
         });
-        if is_silent {
+        if is_leader_lost {
             let instance = instance.clone();
             compio::runtime::spawn(async move {
-                election::look_up(&instance, &shard).await;
+                election::look_up_leader(&instance, &shard).await;
             })
             .detach();
         }
--- a/crates/sedgewalld/src/inbox.rs
+++ b/crates/sedgewalld/src/inbox.rs
@@ -20,7 +20,7 @@
 ///
 /// Streams and messages share one loop; a bound on either keeps the other on
 /// time.
-const TURN_LEN: usize = 128;
+const MAX_BATCH_LEN: usize = 128;
 
 /// Takes in messages for ever.
 pub(crate) async fn run(
@@ -34,21 +34,21 @@
             envelope = local.next() => envelope,
         };
         let Some(envelope) = envelope else { return };
-        take(&instance, envelope);
-        for _ in 1..TURN_LEN {
+        dispatch(&instance, envelope);
+        for _ in 1..MAX_BATCH_LEN {
             let next = match local.try_recv() {
                 Ok(envelope) => Some(envelope),
                 Err(_) => listener.try_next(),
             };
             let Some(envelope) = next else { break };
-            take(&instance, envelope);
+            dispatch(&instance, envelope);
         }
         let dropped = listener.dropped();
         metrics::counter!("sedgewall_inbox_dropped_total").absolute(dropped);
     }
 }
 
-fn take(instance: &Rc<Instance>, envelope: Envelope) {
+fn dispatch(instance: &Rc<Instance>, envelope: Envelope) {
     let is_for_us = envelope
         .to_incarnation
         .is_none_or(|incarnation| incarnation == instance.incarnation);
@@ -126,7 +126,7 @@
             peer_url: heartbeat.peer_url.clone(),
             epoch: lead.epoch,
         };
-        election::learn_leader(instance, &lead.shard, leader);
+        election::apply_leader(instance, &lead.shard, leader);
     }
     if heartbeat.config_version > instance.config.borrow().version()
         && !instance.is_platform_reached.get()
--- a/crates/sedgewalld/src/leader.rs
+++ b/crates/sedgewalld/src/leader.rs
@@ -80,7 +80,7 @@
     pub(crate) acked: HashSet<Incarnation>,
     pub(crate) guard_until: Instant,
     pub(crate) is_barrier_passed: bool,
-    pub(crate) is_deposed: bool,
+    pub(crate) is_superseded: bool,
     /// The part of the weight store, beside what is guaranteed.
     pub(crate) allotment: StorePart,
 }
@@ -168,7 +168,7 @@
         acked: HashSet::new(),
         guard_until,
         is_barrier_passed: false,
-        is_deposed: false,
+        is_superseded: false,
         allotment: StorePart::default(),
     };
     info!("lease: this instance leads {shard_id} in epoch {epoch}.");
@@ -183,7 +183,7 @@
         peer_url: instance.settings.peer_url(),
         epoch,
     };
-    election::learn_leader(instance, shard_id, own);
+    election::apply_leader(instance, shard_id, own);
     crate::heartbeat::send_heartbeats(instance);
     upkeep::start(instance, shard_id, epoch);
 }
@@ -221,10 +221,10 @@
 }
 
 /// Returns whether an engine or a peer told of a later epoch.
-pub(crate) fn is_deposed(instance: &Instance, shard_id: &str) -> bool {
+pub(crate) fn is_superseded(instance: &Instance, shard_id: &str) -> bool {
     let shards = instance.shards.borrow();
     let Some(leader) = shards.get(shard_id) else { return true };
-    leader.is_deposed || instance.highest_epoch(shard_id) > leader.epoch()
+    leader.is_superseded || instance.highest_epoch(shard_id) > leader.epoch()
 }
 
 /// Brings all led shards up to date with the configuration.
--- a/crates/sedgewalld/src/orders.rs
+++ b/crates/sedgewalld/src/orders.rs
@@ -87,7 +87,7 @@
             return;
         }
         let is_old = answer == OrderAnswer::Failed(OrderFailure::OldEpoch);
-        leader.is_deposed |= is_old && link.checks_fences;
+        leader.is_superseded |= is_old && link.checks_fences;
         let LoadOrder { engine, adapter, .. } = order;
         if answer == OrderAnswer::Failed(OrderFailure::NoSlot) {
             leader.shard.record_slot_shortage(engine);
