--- a/crates/sedgewalld/src/election.rs
+++ b/crates/sedgewalld/src/election.rs
@@ -58,7 +58,7 @@
         else {
             break;
         };
-        leader::take_up(&instance, &shard, held);
+        leader::start_leading(&instance, &shard, held);
         watching = renew_until_lost(&instance, &shard).await;
         leader::step_down(&instance, &shard);
     }
--- a/crates/sedgewalld/src/led_requests.rs
+++ b/crates/sedgewalld/src/entry_messages.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     instance::Instance,
-    leader::{ShardLeader, act, send_grant},
+    leader::{ShardLeader, apply_change, send_grant},
 };
 
 /// Takes in a submission.
@@ -26,8 +26,8 @@
     let is_newer = submit.config_version > instance.config.borrow().version();
     let id = submit.request;
     let mut resend = None;
-    let is_led = act(instance, &submit.shard, |leader, actions| {
-        leader.note_entry(envelope, submit.stamp_ms, &url);
+    let is_led = apply_change(instance, &submit.shard, |leader, actions| {
+        leader.record_entry(envelope, submit.stamp_ms, &url);
         if let Some(grant) = leader.shard.grant(id) {
             // The grant was lost on its way, or still is.
             if grant.expires > now {
@@ -69,7 +69,7 @@
 
 /// Takes in that a caller gave up.
 pub(crate) fn on_cancel(instance: &Rc<Instance>, cancel: &RequestRef) {
-    act(instance, &cancel.shard, |leader, actions| {
+    apply_change(instance, &cancel.shard, |leader, actions| {
         leader.shard.cancel(cancel.request, Instant::now(), actions);
     });
 }
@@ -82,7 +82,7 @@
         EndKind::Unreachable => RequestEnd::Unreachable,
         EndKind::Failed => RequestEnd::Failed,
     };
-    act(instance, &ended.shard, |leader, actions| {
+    apply_change(instance, &ended.shard, |leader, actions| {
         leader.shard.finish(ended.request, end, Instant::now(), actions);
     });
 }
@@ -94,7 +94,7 @@
     running: &Running,
 ) {
     let now = Instant::now();
-    act(instance, &running.shard, |leader, actions| {
+    apply_change(instance, &running.shard, |leader, actions| {
         if running.epoch == leader.epoch() {
             leader.acked.insert(envelope.incarnation);
         }
@@ -145,7 +145,7 @@
     for leader in shards.values_mut() {
         if let Some(entry) = leader.entries.get_mut(&envelope.incarnation) {
             entry.stamp_ms = entry.stamp_ms.max(stamp);
-            entry.heard = Instant::now();
+            entry.last_heard = Instant::now();
         }
     }
 }
--- a/crates/sedgewalld/src/inbox.rs
+++ b/crates/sedgewalld/src/inbox.rs
@@ -11,9 +11,9 @@
 use sedgewall_transport::PeerListener;
 
 use crate::{
-    claims, config_sync, election, entry,
+    claims, config_sync, election, entry, entry_messages,
     instance::{Instance, Leader},
-    led_requests, store,
+    store,
 };
 
 /// Messages handled in one turn before others get theirs.
@@ -62,14 +62,14 @@
             on_heartbeat(instance, &envelope, heartbeat);
         }
         PeerMessage::Submit(submit) => {
-            led_requests::on_submit(instance, &envelope, submit.clone());
+            entry_messages::on_submit(instance, &envelope, submit.clone());
         }
         PeerMessage::Cancel(cancel) => {
-            led_requests::on_cancel(instance, cancel)
+            entry_messages::on_cancel(instance, cancel)
         }
-        PeerMessage::Ended(ended) => led_requests::on_ended(instance, ended),
+        PeerMessage::Ended(ended) => entry_messages::on_ended(instance, ended),
         PeerMessage::Running(running) => {
-            led_requests::on_running(instance, &envelope, running);
+            entry_messages::on_running(instance, &envelope, running);
         }
         PeerMessage::Granted(granted) => entry::on_granted(instance, granted),
         PeerMessage::Refused(refused) => entry::on_refused(instance, refused),
@@ -118,7 +118,7 @@
             detail,
         );
     }
-    led_requests::on_heartbeat(instance, envelope, heartbeat.stamp_ms);
+    entry_messages::on_heartbeat(instance, envelope, heartbeat.stamp_ms);
     for lead in &heartbeat.leads {
         let leader = Leader {
             instance: heartbeat.instance.clone(),
--- a/crates/sedgewalld/src/leader.rs
+++ b/crates/sedgewalld/src/leader.rs
@@ -33,9 +33,8 @@
 use crate::{
     election,
     instance::{Instance, Leader},
-    orders,
-    store::StorePart,
-    upkeep,
+    leader_tasks, orders,
+    store::StoreAllotment,
 };
 
 /// What a new leader waits beyond the validity of its predecessor's grants
@@ -44,7 +43,7 @@
 
 /// Evictions on engines without fences wait for the entries; this is far
 /// enough away to mean "not yet".
-const NOT_YET: Duration = Duration::from_secs(86_400);
+const INDEFINITE_DEFERRAL: Duration = Duration::from_secs(86_400);
 
 /// An engine as the leader reaches it.
 #[derive(Clone, Debug)]
@@ -53,7 +52,7 @@
     pub(crate) address: String,
     pub(crate) checks_fences: bool,
     pub(crate) boot: Option<u64>,
-    pub(crate) is_asked: bool,
+    pub(crate) is_report_pending: bool,
 }
 
 /// An entry as the leader reaches it.
@@ -63,7 +62,7 @@
     pub(crate) url: String,
     /// The entry's clock, as of its last message.
     pub(crate) stamp_ms: u64,
-    pub(crate) heard: Instant,
+    pub(crate) last_heard: Instant,
 }
 
 /// One shard that this instance leads.
@@ -78,11 +77,11 @@
     pub(crate) entries: BTreeMap<Incarnation, EntryLink>,
     /// Entries that know this epoch and use no older grants.
     pub(crate) acked: HashSet<Incarnation>,
-    pub(crate) guard_until: Instant,
+    pub(crate) evict_after: Instant,
     pub(crate) is_barrier_passed: bool,
     pub(crate) is_superseded: bool,
     /// The part of the weight store, beside what is guaranteed.
-    pub(crate) allotment: StorePart,
+    pub(crate) allotment: StoreAllotment,
 }
 
 impl ShardLeader {
@@ -120,7 +119,7 @@
         format!("{}@{}", name.adapter, name.version)
     }
 
-    pub(crate) fn note_entry(
+    pub(crate) fn record_entry(
         &mut self,
         envelope: &Envelope,
         stamp_ms: u64,
@@ -130,14 +129,14 @@
             instance: envelope.from.clone(),
             url: url.to_owned(),
             stamp_ms,
-            heard: Instant::now(),
+            last_heard: Instant::now(),
         };
         self.entries.insert(envelope.incarnation, entry);
     }
 }
 
 /// Takes up the leadership of a shard.
-pub(crate) fn take_up(
+pub(crate) fn start_leading(
     instance: &Rc<Instance>,
     shard_id: &ShardId,
     lease: Lease<Held>,
@@ -151,7 +150,7 @@
         rest.rsplit_once('.').map_or("", |(model, _)| model).to_owned()
     });
     let epoch = lease.epoch();
-    let guard_until = now + policy.settings().grant_validity + EVICTION_MARGIN;
+    let evict_after = now + policy.settings().grant_validity + EVICTION_MARGIN;
     let leader = ShardLeader {
         shard_id: shard_id.clone(),
         base_model: base_model.unwrap_or_default(),
@@ -166,10 +165,10 @@
         engines: Vec::new(),
         entries: BTreeMap::new(),
         acked: HashSet::new(),
-        guard_until,
+        evict_after,
         is_barrier_passed: false,
         is_superseded: false,
-        allotment: StorePart::default(),
+        allotment: StoreAllotment::default(),
     };
     info!("lease: this instance leads {shard_id} in epoch {epoch}.");
     metrics::counter!("sedgewall_leaderships_total").increment(1);
@@ -185,7 +184,7 @@
     };
     election::apply_leader(instance, shard_id, own);
     crate::heartbeat::send_heartbeats(instance);
-    upkeep::start(instance, shard_id, epoch);
+    leader_tasks::start(instance, shard_id, epoch);
 }
 
 /// Ends the leadership of a shard; what waits is sent to the successor by the
@@ -274,10 +273,11 @@
     for leader in shards.values_mut() {
         let mut listed = HashSet::new();
         for listed_instance in &list.instances {
-            let Some(place) = view.engine_place(listed_instance) else {
+            let Some(assignment) = view.engine_assignment(listed_instance)
+            else {
                 continue;
             };
-            if place.shard != leader.shard_id {
+            if assignment.shard != leader.shard_id {
                 continue;
             }
             listed.insert(listed_instance.id.clone());
@@ -290,16 +290,16 @@
             }
             let idx = leader.shard.add_engine(
                 &listed_instance.id,
-                place.slots_len,
-                place.seats,
+                assignment.slots_len,
+                assignment.seats,
                 now,
             );
             let link = EngineLink {
                 endpoint: listed_instance.id.clone(),
                 address: listed_instance.address.clone(),
-                checks_fences: place.checks_fences,
+                checks_fences: assignment.checks_fences,
                 boot: None,
-                is_asked: false,
+                is_report_pending: false,
             };
             match leader.engines.get_mut(idx as usize) {
                 Some(old) if old.address == link.address => {
@@ -314,26 +314,26 @@
                 leader.shard.mark_engine_leaving(idx as EngineIdx, now);
             }
         }
-        set_eviction_guard(leader);
+        update_eviction_deferrals(leader);
     }
 }
 
 /// Engines that check fences and idleness may be evicted from once the
 /// predecessor's grants have expired; the others only when all entries know
 /// this epoch.
-pub(crate) fn set_eviction_guard(leader: &mut ShardLeader) {
+pub(crate) fn update_eviction_deferrals(leader: &mut ShardLeader) {
     for (idx, link) in leader.engines.iter().enumerate() {
         let is_open = link.checks_fences || leader.is_barrier_passed;
         let until = match is_open {
-            true => leader.guard_until,
-            false => leader.guard_until + NOT_YET,
+            true => leader.evict_after,
+            false => leader.evict_after + INDEFINITE_DEFERRAL,
         };
         leader.shard.defer_evictions(idx as EngineIdx, until);
     }
 }
 
 /// Runs a function on a led shard and carries out what it wants done.
-pub(crate) fn act(
+pub(crate) fn apply_change(
     instance: &Rc<Instance>,
     shard_id: &str,
     change: impl FnOnce(&mut ShardLeader, &mut Vec<ShardAction>),
@@ -345,12 +345,12 @@
         change(leader, &mut actions);
     }
     for action in actions {
-        carry_out(instance, shard_id, action);
+        execute(instance, shard_id, action);
     }
     true
 }
 
-fn carry_out(instance: &Rc<Instance>, shard_id: &str, action: ShardAction) {
+fn execute(instance: &Rc<Instance>, shard_id: &str, action: ShardAction) {
     match action {
         ShardAction::Grant {
             request,
@@ -365,7 +365,7 @@
             };
             metrics::histogram!(name).record(waited.as_secs_f64());
             send_grant(instance, shard_id, request, engine);
-            note_grant(instance, shard_id, request, engine, adapter, waited);
+            record_grant(instance, shard_id, request, engine, adapter, waited);
         }
         ShardAction::Refuse { request, refusal } => {
             let epoch = lease(instance, shard_id).map_or(0, |l| l.epoch());
@@ -384,7 +384,7 @@
     }
 }
 
-fn note_grant(
+fn record_grant(
     instance: &Rc<Instance>,
     shard_id: &str,
     request: RequestId,
@@ -423,7 +423,7 @@
         let Some(entry) = entry else { return };
         // Counted from the entry's own clock as we last heard it, so that a
         // late or paused entry finds the grant expired.
-        let left = grant.expires.saturating_duration_since(entry.heard);
+        let left = grant.expires.saturating_duration_since(entry.last_heard);
         Granted {
             shard: shard_id.to_owned(),
             request,
--- a/crates/sedgewalld/src/upkeep.rs
+++ b/crates/sedgewalld/src/leader_tasks.rs
@@ -15,56 +15,62 @@
 
 use crate::{
     instance::Instance,
-    leader::{EntryLink, ShardLeader, act, set_eviction_guard},
+    leader::{
+        EntryLink, ShardLeader, apply_change, update_eviction_deferrals,
+    },
     store,
 };
 
 /// How often time is passed to the policy.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How often engines are asked for reports.
-const REPORT_EVERY: Duration = Duration::from_millis(500);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How often the engines of a large shard are; an engine is silent after 2.5 s.
-const LARGE_REPORT_EVERY: Duration = Duration::from_millis(1_000);
+const LARGE_SHARD_REPORT_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// A shard with more engines is large. A report costs a leader 0.1 ms.
-const LARGE_SHARD: usize = 16;
+const LARGE_SHARD_ENGINES: usize = 16;
 
 /// How often slow matters are looked after.
-const UPKEEP_EVERY: Duration = Duration::from_millis(500);
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How early a declared spike is prepared for.
-const SPIKE_LEAD: Duration = Duration::from_secs(120);
+const SPIKE_LEAD_TIME: Duration = Duration::from_secs(120);
 
 /// Reports may be this old when they are given out.
-const REPORT_LAG: Duration = Duration::from_secs(1);
+const MAX_REPORT_LAG: Duration = Duration::from_secs(1);
 
 /// An entry that is silent for this long has no grants left either, and is
 /// forgotten, so that restarts do not add up.
-const FORGET_ENTRY: Duration = Duration::from_secs(60);
+const ENTRY_RETENTION: Duration = Duration::from_secs(60);
 
 /// An entry that is silent for this long has lost its requests.
-const ENTRY_SILENCE: Duration = Duration::from_secs(3);
+const ENTRY_TIMEOUT: Duration = Duration::from_secs(3);
 
 #[derive(Clone, Copy, Debug)]
-enum Upkeep {
+enum LeaderTask {
     Tick,
     Reports,
-    Slow,
+    Housekeeping,
     Store,
 }
 
-impl Upkeep {
-    const ALL: [Upkeep; 4] =
-        [Upkeep::Tick, Upkeep::Reports, Upkeep::Slow, Upkeep::Store];
+impl LeaderTask {
+    const ALL: [LeaderTask; 4] = [
+        LeaderTask::Tick,
+        LeaderTask::Reports,
+        LeaderTask::Housekeeping,
+        LeaderTask::Store,
+    ];
 
-    fn every(self, instance: &Instance, shard_id: &str) -> Duration {
+    fn interval(self, instance: &Instance, shard_id: &str) -> Duration {
         match self {
-            Upkeep::Tick => TICK,
-            Upkeep::Reports => report_every(instance, shard_id),
-            Upkeep::Slow => UPKEEP_EVERY,
-            Upkeep::Store => ALLOCATION_INTERVAL,
+            LeaderTask::Tick => TICK_INTERVAL,
+            LeaderTask::Reports => report_interval(instance, shard_id),
+            LeaderTask::Housekeeping => HOUSEKEEPING_INTERVAL,
+            LeaderTask::Store => ALLOCATION_INTERVAL,
         }
     }
 }
@@ -75,20 +81,20 @@
     shard_id: &ShardId,
     epoch: Epoch,
 ) {
-    for task in Upkeep::ALL {
+    for task in LeaderTask::ALL {
         let instance = instance.clone();
         let shard_id = shard_id.clone();
-        compio::runtime::spawn(run_upkeep(instance, shard_id, epoch, task))
+        compio::runtime::spawn(run_task(instance, shard_id, epoch, task))
             .detach();
     }
 }
 
 /// Does one kind of periodic work until the leadership ends.
-async fn run_upkeep(
+async fn run_task(
     instance: Rc<Instance>,
     shard_id: ShardId,
     epoch: Epoch,
-    task: Upkeep,
+    task: LeaderTask,
 ) {
     loop {
         let is_led = instance
@@ -100,35 +106,35 @@
             return;
         }
         match task {
-            Upkeep::Tick => tick(&instance, &shard_id),
-            Upkeep::Reports => ask_reports(&instance, &shard_id),
-            Upkeep::Slow => look_after(&instance, &shard_id),
-            Upkeep::Store => store::ask(&instance, &shard_id),
+            LeaderTask::Tick => tick(&instance, &shard_id),
+            LeaderTask::Reports => request_reports(&instance, &shard_id),
+            LeaderTask::Housekeeping => run_housekeeping(&instance, &shard_id),
+            LeaderTask::Store => store::ask(&instance, &shard_id),
         }
-        compio::time::sleep(task.every(&instance, &shard_id)).await;
+        compio::time::sleep(task.interval(&instance, &shard_id)).await;
     }
 }
 
-fn report_every(instance: &Instance, shard_id: &str) -> Duration {
+fn report_interval(instance: &Instance, shard_id: &str) -> Duration {
     let shards = instance.shards.borrow();
     let engines = shards.get(shard_id).map_or(0, |l| l.engines.len());
-    match engines > LARGE_SHARD {
-        true => LARGE_REPORT_EVERY,
-        false => REPORT_EVERY,
+    match engines > LARGE_SHARD_ENGINES {
+        true => LARGE_SHARD_REPORT_INTERVAL,
+        false => REPORT_INTERVAL,
     }
 }
 
 fn tick(instance: &Rc<Instance>, shard_id: &str) {
-    act(instance, shard_id, |leader, actions| {
+    apply_change(instance, shard_id, |leader, actions| {
         leader.shard.tick(Instant::now(), actions);
     });
 }
 
-fn ask_reports(instance: &Rc<Instance>, shard_id: &ShardId) {
+fn request_reports(instance: &Rc<Instance>, shard_id: &ShardId) {
     let mut shards = instance.shards.borrow_mut();
     let Some(leader) = shards.get_mut(shard_id) else { return };
     for (idx, link) in leader.engines.iter_mut().enumerate() {
-        if std::mem::replace(&mut link.is_asked, true) {
+        if std::mem::replace(&mut link.is_report_pending, true) {
             continue;
         }
         let instance = instance.clone();
@@ -136,26 +142,26 @@
         let address = link.address.clone();
         let engine = idx as EngineIdx;
         compio::runtime::spawn(async move {
-            let made = Instant::now();
+            let requested = Instant::now();
             let report = instance.engines.report(&address).await.ok();
-            take_report(&instance, &shard_id, engine, report, made);
+            record_report(&instance, &shard_id, engine, report, requested);
         })
         .detach();
     }
 }
 
-fn take_report(
+fn record_report(
     instance: &Rc<Instance>,
     shard_id: &str,
     engine: EngineIdx,
     report: Option<EngineReport>,
-    asked: Instant,
+    requested: Instant,
 ) {
-    act(instance, shard_id, |leader, actions| {
+    apply_change(instance, shard_id, |leader, actions| {
         let Some(link) = leader.engines.get_mut(engine as usize) else {
             return;
         };
-        link.is_asked = false;
+        link.is_report_pending = false;
         let Some(report) = report else { return };
         let now = Instant::now();
         let is_restarted =
@@ -173,20 +179,20 @@
             })
             .collect();
         // Reports lag, so they only count for what is older than the lag.
-        let made = asked.checked_sub(REPORT_LAG).unwrap_or(asked);
-        leader.shard.apply_report(engine, &slots, made, now, actions);
+        let as_of = requested.checked_sub(MAX_REPORT_LAG).unwrap_or(requested);
+        leader.shard.apply_report(engine, &slots, as_of, now, actions);
     });
 }
 
 /// Looks after lost entries, the barrier of the epoch and declared spikes.
-fn look_after(instance: &Rc<Instance>, shard_id: &str) {
+fn run_housekeeping(instance: &Rc<Instance>, shard_id: &str) {
     let now = Instant::now();
     let view = instance.view();
-    act(instance, shard_id, |leader, actions| {
-        forget_lost_entries(instance, leader, now, actions);
+    apply_change(instance, shard_id, |leader, actions| {
+        remove_lost_entries(instance, leader, now, actions);
         if !leader.is_barrier_passed && all_entries_acked(instance, leader) {
             leader.is_barrier_passed = true;
-            set_eviction_guard(leader);
+            update_eviction_deferrals(leader);
         }
         for spike in &view.config.expected_spikes {
             let name = EngineAdapter {
@@ -194,21 +200,21 @@
                 version: spike.version.clone(),
             };
             let Some(idx) = leader.index.get(&name).copied() else { continue };
-            let starts = spike.starts.checked_sub(SPIKE_LEAD);
-            let starts = starts.unwrap_or(spike.starts);
+            let prepare_from = spike.starts.checked_sub(SPIKE_LEAD_TIME);
+            let prepare_from = prepare_from.unwrap_or(spike.starts);
             let wall = SystemTime::now();
             let Ok(left) = (spike.starts + spike.lasts).duration_since(wall)
             else {
                 continue;
             };
-            if starts <= wall {
+            if prepare_from <= wall {
                 leader.shard.expect_rate(idx, spike.rate_per_s, now + left);
             }
         }
     });
 }
 
-fn forget_lost_entries(
+fn remove_lost_entries(
     instance: &Rc<Instance>,
     leader: &mut ShardLeader,
     now: Instant,
@@ -218,7 +224,7 @@
         .entries
         .iter()
         .filter(|(incarnation, entry)| {
-            !is_heard(instance, entry, **incarnation, now)
+            !is_entry_live(instance, entry, **incarnation, now)
         })
         .map(|(incarnation, _)| *incarnation)
         .collect();
@@ -227,13 +233,14 @@
     }
     leader.entries.retain(|incarnation, entry| {
         *incarnation == instance.incarnation
-            || now.saturating_duration_since(entry.heard) < FORGET_ENTRY
+            || now.saturating_duration_since(entry.last_heard)
+                < ENTRY_RETENTION
     });
 }
 
 /// An entry that is stopping still finishes its requests, so leaving does not
 /// count as lost; silence and a newer incarnation do.
-fn is_heard(
+fn is_entry_live(
     instance: &Instance,
     entry: &EntryLink,
     incarnation: Incarnation,
@@ -244,8 +251,8 @@
     }
     let membership = instance.membership.borrow();
     let Some(peer) = membership.peer(&entry.instance) else { return false };
-    let silence = now.saturating_duration_since(entry.heard);
-    peer.last.incarnation == incarnation && silence < ENTRY_SILENCE
+    let silence = now.saturating_duration_since(entry.last_heard);
+    peer.last.incarnation == incarnation && silence < ENTRY_TIMEOUT
 }
 
 /// Whether every listed instance knows this epoch.
--- a/crates/sedgewalld/src/main.rs
+++ b/crates/sedgewalld/src/main.rs
@@ -10,6 +10,7 @@
 mod daemon;
 mod election;
 mod entry;
+mod entry_messages;
 mod explain;
 mod fleet;
 mod heartbeat;
@@ -17,7 +18,7 @@
 mod instance;
 mod instance_list;
 mod leader;
-mod led_requests;
+mod leader_tasks;
 mod operator;
 mod orders;
 mod process;
@@ -28,7 +29,6 @@
 mod services;
 mod signals;
 mod store;
-mod upkeep;
 
 use std::{path::PathBuf, process::ExitCode};
 
--- a/crates/sedgewalld/src/orders.rs
+++ b/crates/sedgewalld/src/orders.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     instance::Instance,
-    leader::{EngineLink, act},
+    leader::{EngineLink, apply_change},
 };
 
 pub(crate) fn start_load(
@@ -82,7 +82,7 @@
         metrics::counter!("sedgewall_load_failures_total").increment(1);
         warn!("leader: {label} on {}: {answer:?}.", link.endpoint);
     }
-    act(instance, shard_id, |leader, actions| {
+    apply_change(instance, shard_id, |leader, actions| {
         if leader.epoch() != epoch {
             return;
         }
--- a/crates/sedgewalld/src/routes.rs
+++ b/crates/sedgewalld/src/routes.rs
@@ -21,7 +21,7 @@
 
 /// Where an engine belongs.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) struct EnginePlace {
+pub(crate) struct EngineAssignment {
     pub(crate) shard: ShardId,
     pub(crate) slots_len: usize,
     pub(crate) seats: u32,
@@ -63,10 +63,10 @@
 
     /// Returns where a listed endpoint belongs, if it is an engine that the
     /// configuration knows.
-    pub(crate) fn engine_place(
+    pub(crate) fn engine_assignment(
         &self,
         listed: &ListedInstance,
-    ) -> Option<EnginePlace> {
+    ) -> Option<EngineAssignment> {
         let group = self.config.group(&listed.group)?;
         if group.kind != EndpointKind::Engine {
             return None;
@@ -74,7 +74,7 @@
         let model = self.config.base_model(group.base_model.as_ref()?)?;
         let region = self.config.region_of(&listed.zone);
         let idx = pick_shard(model, &listed.id);
-        Some(EnginePlace {
+        Some(EngineAssignment {
             shard: shard_id(region, &model.name, idx),
             slots_len: group.adapter_slots as usize,
             seats: group.seats,
--- a/crates/sedgewalld/src/store.rs
+++ b/crates/sedgewalld/src/store.rs
@@ -21,7 +21,7 @@
 
 /// A shard's part of the store, as its leader holds it.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct StorePart {
+pub(crate) struct StoreAllotment {
     /// The allocator's epoch; parts of an older one are not taken.
     epoch: Epoch,
     /// Until when it holds, in milliseconds on our own clock.
@@ -104,6 +104,6 @@
     if allotment.epoch < leader.allotment.epoch {
         return;
     }
-    leader.allotment = StorePart { epoch: allotment.epoch, until_ms };
+    leader.allotment = StoreAllotment { epoch: allotment.epoch, until_ms };
     leader.set_store_limits(allotment.limits);
 }
