--- a/crates/sedgewalld/src/call.rs
+++ b/crates/sedgewalld/src/call.rs
@@ -345,12 +345,12 @@
     answer: OpenAnswer,
     sent: Instant,
 ) -> Result<Response<LocalBody>, AttemptError> {
-    let kind = media_type(&answer);
+    let media_type = media_type(&answer);
     let whole = answer.whole().await.map_err(classify_error)?;
     shard_request.record_first_token(sent.elapsed());
     record_first_token_time(call, sent);
     let mut response = Response::new(LocalBody::whole(whole.body));
-    responses::set_type(&mut response, &kind);
+    responses::set_content_type(&mut response, &media_type);
     Ok(response)
 }
 
--- a/crates/sedgewalld/src/inbox.rs
+++ b/crates/sedgewalld/src/inbox.rs
@@ -87,7 +87,7 @@
             store::on_demand(instance, &envelope, demand);
         }
         PeerMessage::Allotted(allotment) => {
-            store::on_allotted(instance, allotment);
+            store::on_allotment(instance, allotment);
         }
         PeerMessage::AskConfig(ask) => {
             config_sync::on_request(instance, &envelope, ask);
--- a/crates/sedgewalld/src/leader_tasks.rs
+++ b/crates/sedgewalld/src/leader_tasks.rs
@@ -109,7 +109,9 @@
             LeaderTask::Tick => tick(&instance, &shard_id),
             LeaderTask::Reports => request_reports(&instance, &shard_id),
             LeaderTask::Housekeeping => run_housekeeping(&instance, &shard_id),
-            LeaderTask::Store => store::ask(&instance, &shard_id),
+            LeaderTask::Store => {
+                store::request_allotment(&instance, &shard_id)
+            }
         }
         compio::time::sleep(task.interval(&instance, &shard_id)).await;
     }
--- a/crates/sedgewalld/src/operator.rs
+++ b/crates/sedgewalld/src/operator.rs
@@ -34,7 +34,7 @@
         "/healthz" => responses::text(StatusCode::OK, "live\n"),
         "/readyz" => readiness(&instance),
         "/metrics" => {
-            note_gauges(&instance);
+            update_gauges(&instance);
             responses::text(StatusCode::OK, metrics.render())
         }
         STATUS_PATH => responses::json(&status(&instance)),
@@ -63,15 +63,15 @@
     }
 }
 
-fn note_gauges(instance: &Instance) {
-    let held = instance.requests.borrow().open_len();
-    metrics::gauge!("sedgewall_requests_open").set(held as f64);
+fn update_gauges(instance: &Instance) {
+    let open_requests = instance.requests.borrow().open_len();
+    metrics::gauge!("sedgewall_requests_open").set(open_requests as f64);
     let resident = process::resident_bytes();
     metrics::gauge!("sedgewall_resident_bytes").set(resident as f64);
     let cpu_s = process::cpu_ms() as f64 / 1_000.0;
     metrics::gauge!("sedgewall_cpu_seconds").set(cpu_s);
-    let led = instance.shards.borrow().len();
-    metrics::gauge!("sedgewall_led_shards").set(led as f64);
+    let led_shards = instance.shards.borrow().len();
+    metrics::gauge!("sedgewall_led_shards").set(led_shards as f64);
     let peers = instance.peers.borrow();
     metrics::counter!("sedgewall_peer_messages_total").absolute(peers.sent());
     metrics::counter!("sedgewall_peer_bytes_total")
--- a/crates/sedgewalld/src/orders.rs
+++ b/crates/sedgewalld/src/orders.rs
@@ -24,20 +24,22 @@
         let Some(leader) = shards.get(shard_id) else { return };
         let link = leader.engines[order.engine as usize].clone();
         let name = |idx: AdapterIdx| leader.names[idx as usize].clone();
-        let wire = Order {
+        let engine_order = Order {
             epoch: leader.epoch(),
             base_model: leader.base_model.clone(),
             load: Some(name(order.adapter)),
             unload: order.evict.map(name),
             only_if_idle: true,
         };
-        let is_allowed =
+        let may_send =
             link.checks_fences || leader.lease.is_current(Instant::now());
-        (link, wire, is_allowed, leader.label(order.adapter))
+        (link, engine_order, may_send, leader.label(order.adapter))
     };
-    let (link, wire, is_allowed, label) = prepared;
-    let detail = match &wire.unload {
-        Some(out) => format!("replaces {}@{}", out.adapter, out.version),
+    let (link, engine_order, may_send, label) = prepared;
+    let detail = match &engine_order.unload {
+        Some(evicted) => {
+            format!("replaces {}@{}", evicted.adapter, evicted.version)
+        }
         None => "into an empty slot".to_owned(),
     };
     instance.record_event(
@@ -50,10 +52,10 @@
     metrics::counter!("sedgewall_loads_total").increment(1);
     let instance = instance.clone();
     let shard_id = shard_id.to_owned();
-    let epoch = wire.epoch;
+    let epoch = engine_order.epoch;
     compio::runtime::spawn(async move {
-        let answer = match is_allowed {
-            true => instance.engines.order(&link.address, &wire).await,
+        let answer = match may_send {
+            true => instance.engines.order(&link.address, &engine_order).await,
             // Somebody else may give orders there by now.
             false => OrderAnswer::Failed(OrderFailure::OldEpoch),
         };
--- a/crates/sedgewalld/src/relay.rs
+++ b/crates/sedgewalld/src/relay.rs
@@ -68,7 +68,7 @@
         Some((item, relay))
     });
     let mut response = Response::new(LocalBody::chunks(events));
-    responses::set_type(&mut response, &media_type);
+    responses::set_content_type(&mut response, &media_type);
     response
 }
 
--- a/crates/sedgewalld/src/responses.rs
+++ b/crates/sedgewalld/src/responses.rs
@@ -13,9 +13,9 @@
     let body = serde_json::to_vec(problem).unwrap_or_default();
     let mut response = Response::new(LocalBody::whole(body));
     *response.status_mut() = problem.status_code();
-    set_type(&mut response, PROBLEM_TYPE);
+    set_content_type(&mut response, PROBLEM_TYPE);
     if let Some(secs) = problem.retry_after_s() {
-        set(&mut response, header::RETRY_AFTER, &secs.to_string());
+        set_header(&mut response, header::RETRY_AFTER, &secs.to_string());
     }
     metrics::counter!(
         "sedgewall_problems_total",
@@ -29,7 +29,7 @@
 pub(crate) fn json<T: Serialize>(value: &T) -> Response<LocalBody> {
     let body = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(LocalBody::whole(body));
-    set_type(&mut response, "application/json");
+    set_content_type(&mut response, "application/json");
     response
 }
 
@@ -40,7 +40,7 @@
 ) -> Response<LocalBody> {
     let mut response = Response::new(LocalBody::whole(text.into()));
     *response.status_mut() = status;
-    set_type(&mut response, "text/plain; charset=utf-8");
+    set_content_type(&mut response, "text/plain; charset=utf-8");
     response
 }
 
@@ -56,11 +56,14 @@
 }
 
 /// Sets the media type.
-pub(crate) fn set_type(response: &mut Response<LocalBody>, kind: &str) {
-    set(response, header::CONTENT_TYPE, kind);
+pub(crate) fn set_content_type(
+    response: &mut Response<LocalBody>,
+    media_type: &str,
+) {
+    set_header(response, header::CONTENT_TYPE, media_type);
 }
 
-fn set(
+fn set_header(
     response: &mut Response<LocalBody>,
     name: header::HeaderName,
     value: &str,
--- a/crates/sedgewalld/src/services.rs
+++ b/crates/sedgewalld/src/services.rs
@@ -38,11 +38,11 @@
 pub(crate) const SERVICES_PREFIX: &str = "/services/";
 
 /// When to come back to a service whose endpoints are all at their limits.
-const BUSY_RETRY: Duration = Duration::from_millis(500);
+const BUSY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// The longest rest that an endpoint may ask for; a longer one counts as this, so
 /// that it can be added to any point in time.
-const LONGEST_REST: Duration = Duration::from_secs(86_400);
+const MAX_COOLDOWN: Duration = Duration::from_secs(86_400);
 
 /// The endpoints of all plain services, with the calls from here.
 #[derive(Debug, Default)]
@@ -80,7 +80,7 @@
         }
     }
 
-    fn take(&mut self, group: &str, limit: u32) -> Option<Target> {
+    fn acquire(&mut self, group: &str, limit: u32) -> Option<Target> {
         let endpoints = self.groups.get_mut(group)?;
         let idx = pick_endpoint(endpoints, limit, Instant::now())?;
         endpoints[idx].outstanding += 1;
@@ -90,31 +90,34 @@
     }
 
     /// Returns when the first endpoint of a group that rests takes calls again.
-    fn rests_for(&self, group: &str) -> Option<Duration> {
+    fn remaining_cooldown(&self, group: &str) -> Option<Duration> {
         let now = Instant::now();
         let endpoints = self.groups.get(group)?.iter();
-        let resting =
+        let cooling_down =
             endpoints.filter(|e| e.takes_work && e.is_cooling_down(now));
-        let first = resting.filter_map(|e| e.cooldown_until).min()?;
+        let first = cooling_down.filter_map(|e| e.cooldown_until).min()?;
         Some(first.saturating_duration_since(now))
     }
 
     /// Takes in that an endpoint wants no calls for a time.
-    fn rest(&mut self, target: &Target, time: Duration) {
-        if let Some(endpoint) = self.endpoint(target) {
-            let until = Instant::now() + time;
+    fn start_cooldown(&mut self, target: &Target, cooldown: Duration) {
+        if let Some(endpoint) = self.endpoint_mut(target) {
+            let until = Instant::now() + cooldown;
             let known = endpoint.cooldown_until.unwrap_or(until);
             endpoint.cooldown_until = Some(known.max(until));
         }
     }
 
-    fn endpoint(&mut self, target: &Target) -> Option<&mut ServiceEndpoint> {
+    fn endpoint_mut(
+        &mut self,
+        target: &Target,
+    ) -> Option<&mut ServiceEndpoint> {
         let endpoints = self.groups.get_mut(&target.group)?;
         endpoints.iter_mut().find(|e| e.endpoint == target.endpoint)
     }
 
-    fn give_back(&mut self, target: &Target, is_failed: bool) {
-        let Some(endpoint) = self.endpoint(target) else { return };
+    fn release(&mut self, target: &Target, is_failed: bool) {
+        let Some(endpoint) = self.endpoint_mut(target) else { return };
         endpoint.outstanding = endpoint.outstanding.saturating_sub(1);
         endpoint.failures = match is_failed {
             true => endpoint.failures.saturating_add(1),
@@ -131,16 +134,16 @@
 }
 
 /// A seat at a service's endpoint, given back when dropped.
-struct ServiceSeat {
+struct OutstandingCallGuard {
     instance: Rc<Instance>,
     target: Target,
     is_failed: bool,
 }
 
-impl Drop for ServiceSeat {
+impl Drop for OutstandingCallGuard {
     fn drop(&mut self) {
         let mut services = self.instance.services.borrow_mut();
-        services.give_back(&self.target, self.is_failed);
+        services.release(&self.target, self.is_failed);
     }
 }
 
@@ -184,16 +187,16 @@
     let (group, path) = split_path(&parts.uri)?;
     let body = read_request_body(instance, body).await?;
     let limits = &instance.settings.limits;
-    let asked =
+    let requested =
         options.deadline.unwrap_or(Duration::from_millis(limits.deadline_ms));
-    let within = asked.min(Duration::from_millis(limits.max_deadline_ms));
+    let within = requested.min(Duration::from_millis(limits.max_deadline_ms));
     let is_repeatable =
         options.is_repeatable.unwrap_or(is_idempotent(&parts.method));
     let call = ServiceCall {
         group,
         path,
         method: parts.method,
-        headers: forwarded(&parts.headers),
+        headers: forwarded_headers(&parts.headers),
         body,
         is_repeatable,
         within,
@@ -231,27 +234,32 @@
     instance: &Rc<Instance>,
     call: &ServiceCall,
 ) -> Result<Response<LocalBody>, Problem> {
-    let mut tries = 0;
+    let mut failures = 0;
     loop {
-        let mut seat = seat(instance, call)?;
-        match send(instance, call, &seat.target).await {
+        let mut outstanding_call = acquire_endpoint(instance, call)?;
+        match send(instance, call, &outstanding_call.target).await {
             Ok(answer) => {
-                if let Some(rest) = stated_rest(&answer) {
-                    note_rest(instance, call, &seat.target, rest);
+                if let Some(cooldown) = requested_cooldown(&answer) {
+                    record_cooldown(
+                        instance,
+                        call,
+                        &outstanding_call.target,
+                        cooldown,
+                    );
                 }
-                return Ok(pass_on(answer));
+                return Ok(to_response(answer));
             }
             Err(err) => {
-                seat.is_failed = true;
-                tries += 1;
+                outstanding_call.is_failed = true;
+                failures += 1;
                 let may_repeat = call.is_repeatable || err.is_not_sent();
                 let may_retry = may_repeat
-                    && tries <= instance.settings.limits.retries
+                    && failures <= instance.settings.limits.retries
                     && instance.requests.borrow_mut().take_retry();
                 if !may_retry {
                     return Err(call_problem(call, &err));
                 }
-                let endpoint = seat.target.endpoint.clone();
+                let endpoint = outstanding_call.target.endpoint.clone();
                 instance.record_event(
                     EventKind::Retry,
                     Some(call.id),
@@ -265,36 +273,37 @@
 }
 
 /// Returns for how long an endpoint that turned a call away wants no other.
-fn stated_rest(answer: &WholeAnswer) -> Option<Duration> {
-    let is_turned_away = matches!(
+fn requested_cooldown(answer: &WholeAnswer) -> Option<Duration> {
+    let is_overload_answer = matches!(
         answer.status,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
     );
     let value = answer.headers.get(header::RETRY_AFTER)?.to_str().ok()?;
-    let rest_s: u64 = value.trim().parse().ok()?;
-    is_turned_away.then(|| Duration::from_secs(rest_s).min(LONGEST_REST))
+    let cooldown_s: u64 = value.trim().parse().ok()?;
+    is_overload_answer
+        .then(|| Duration::from_secs(cooldown_s).min(MAX_COOLDOWN))
 }
 
-fn note_rest(
+fn record_cooldown(
     instance: &Rc<Instance>,
     call: &ServiceCall,
     target: &Target,
-    rest: Duration,
+    cooldown: Duration,
 ) {
-    instance.services.borrow_mut().rest(target, rest);
+    instance.services.borrow_mut().start_cooldown(target, cooldown);
     instance.record_event(
         EventKind::Call,
         Some(call.id),
         &call.group,
         &target.endpoint,
-        format!("asks for {} s of rest", rest.as_secs()),
+        format!("asks for {} s of rest", cooldown.as_secs()),
     );
 }
 
-fn seat(
+fn acquire_endpoint(
     instance: &Rc<Instance>,
     call: &ServiceCall,
-) -> Result<ServiceSeat, Problem> {
+) -> Result<OutstandingCallGuard, Problem> {
     let view = instance.view();
     let group = view
         .config
@@ -308,18 +317,24 @@
                 format!("no service is named {:?}", call.group),
             )
         })?;
-    let target = instance.services.borrow_mut().take(&call.group, group.seats);
+    let target =
+        instance.services.borrow_mut().acquire(&call.group, group.seats);
     let target = target.ok_or_else(|| {
-        let rest = instance.services.borrow().rests_for(&call.group);
+        let cooldown =
+            instance.services.borrow().remaining_cooldown(&call.group);
         Problem::new(
             StatusCode::SERVICE_UNAVAILABLE,
             "service_busy",
             RunState::NotRun,
             "all endpoints of the service are at their limits or rest",
         )
-        .with_retry_after(rest.unwrap_or(BUSY_RETRY))
+        .with_retry_after(cooldown.unwrap_or(BUSY_RETRY_AFTER))
     })?;
-    Ok(ServiceSeat { instance: instance.clone(), target, is_failed: false })
+    Ok(OutstandingCallGuard {
+        instance: instance.clone(),
+        target,
+        is_failed: false,
+    })
 }
 
 async fn send(
@@ -356,7 +371,7 @@
             RunState::NotRun,
             detail,
         )
-        .with_retry_after(BUSY_RETRY);
+        .with_retry_after(BUSY_RETRY_AFTER);
     }
     Problem::new(
         StatusCode::BAD_GATEWAY,
@@ -366,7 +381,7 @@
     )
 }
 
-fn pass_on(answer: WholeAnswer) -> Response<LocalBody> {
+fn to_response(answer: WholeAnswer) -> Response<LocalBody> {
     let mut response = Response::new(LocalBody::whole(answer.body));
     *response.status_mut() = answer.status;
     for (name, value) in &answer.headers {
@@ -388,15 +403,16 @@
     Ok((group.to_owned(), format!("/{path}{query}")))
 }
 
-fn forwarded(headers: &HeaderMap) -> HeaderMap {
-    let mut kept = HeaderMap::new();
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    let mut forwarded = HeaderMap::new();
     for (name, value) in headers {
-        let is_ours = name == REPEATABLE_HEADER || name == REQUEST_ID_HEADER;
-        if !is_hop_by_hop(name) && !is_ours && name != header::HOST {
-            kept.insert(name.clone(), value.clone());
+        let is_own_header =
+            name == REPEATABLE_HEADER || name == REQUEST_ID_HEADER;
+        if !is_hop_by_hop(name) && !is_own_header && name != header::HOST {
+            forwarded.insert(name.clone(), value.clone());
         }
     }
-    kept
+    forwarded
 }
 
 /// Headers that belong to one connection (RFC 9110, section 7.6.1).
--- a/crates/sedgewalld/src/store.rs
+++ b/crates/sedgewalld/src/store.rs
@@ -25,29 +25,29 @@
     /// The allocator's epoch; parts of an older one are not taken.
     epoch: Epoch,
     /// Until when it holds, in milliseconds on our own clock.
-    until_ms: u64,
+    valid_until_ms: u64,
 }
 
 /// The allocator of this instance, while it leads the first shard.
-struct OwnAllocator {
+struct LocalAllocator {
     epoch: Epoch,
     allocator: Allocator,
 }
 
 thread_local! {
-    static ALLOCATOR: RefCell<Option<OwnAllocator>> = const {
+    static ALLOCATOR: RefCell<Option<LocalAllocator>> = const {
         RefCell::new(None)
     };
 }
 
 /// Asks for a part of the store, and lets go of one that has run out.
-pub(crate) fn ask(instance: &Rc<Instance>, shard: &str) {
+pub(crate) fn request_allotment(instance: &Rc<Instance>, shard: &str) {
     let view = instance.view();
     let stamp_ms = instance.stamp_ms();
     let demand = {
         let mut shards = instance.shards.borrow_mut();
         let Some(leader) = shards.get_mut(shard) else { return };
-        if leader.allotment.until_ms <= stamp_ms {
+        if leader.allotment.valid_until_ms <= stamp_ms {
             leader.set_store_limits(view.config.guaranteed_store());
         }
         leader.store_demand()
@@ -70,17 +70,18 @@
     let epoch = instance.shards.borrow().get(&first).map(|l| l.epoch());
     let Some(epoch) = epoch else { return };
     let now = Instant::now();
-    let limits = ALLOCATOR.with_borrow_mut(|own| {
-        let is_current = own.as_ref().is_some_and(|o| o.epoch == epoch);
+    let limits = ALLOCATOR.with_borrow_mut(|local| {
+        let is_current =
+            local.as_ref().is_some_and(|local| local.epoch == epoch);
         let total = view.config.store_limits();
         if !is_current {
             let shards = view.config.shard_ids();
             let allocator = Allocator::new(total, shards, now);
-            *own = Some(OwnAllocator { epoch, allocator });
+            *local = Some(LocalAllocator { epoch, allocator });
         }
-        let own = own.as_mut()?;
-        own.allocator.reconfigure(total, view.config.shard_ids());
-        Some(own.allocator.allocate(&demand.shard, demand.demand, now))
+        let local = local.as_mut()?;
+        local.allocator.reconfigure(total, view.config.shard_ids());
+        Some(local.allocator.allocate(&demand.shard, demand.demand, now))
     });
     let Some(limits) = limits else { return };
     let message = PeerMessage::Allotted(Allotment {
@@ -93,10 +94,10 @@
 }
 
 /// Takes in a part of the store.
-pub(crate) fn on_allotted(instance: &Rc<Instance>, allotment: &Allotment) {
+pub(crate) fn on_allotment(instance: &Rc<Instance>, allotment: &Allotment) {
     let validity_ms = ALLOTMENT_VALIDITY.as_millis() as u64;
-    let until_ms = allotment.stamp_ms + validity_ms;
-    if until_ms <= instance.stamp_ms() {
+    let valid_until_ms = allotment.stamp_ms + validity_ms;
+    if valid_until_ms <= instance.stamp_ms() {
         return;
     }
     let mut shards = instance.shards.borrow_mut();
@@ -104,6 +105,7 @@
     if allotment.epoch < leader.allotment.epoch {
         return;
     }
-    leader.allotment = StoreAllotment { epoch: allotment.epoch, until_ms };
+    leader.allotment =
+        StoreAllotment { epoch: allotment.epoch, valid_until_ms };
     leader.set_store_limits(allotment.limits);
 }
