--- a/crates/sedgewalld/src/call.rs
+++ b/crates/sedgewalld/src/call.rs
@@ -1,8 +1,9 @@
-//! One completion: wait for a seat, call the engine, pass the answer on.
+//! One completion: waits for a grant, calls the engine, and returns the
+//! answer.
 //!
-//! The module keeps the rules on repetition: a request is sent again only if
-//! the last try certainly did not run, or if it is repeatable; and `not_run`
-//! is answered only when no try can have run.
+//! This module enforces the retry rules: a request is sent again only if the
+//! last attempt certainly did not run, or if the request is repeatable; and
+//! `not_run` is answered only if no attempt can have run.
 
 use std::{rc::Rc, time::Duration};
 
@@ -39,10 +40,11 @@
     responses,
 };
 
-/// When to come back when a shard has no leader.
+/// The `Retry-After` value while a shard has no leader, and after the last
+/// permitted retry failed.
 const NO_LEADER_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A completion request that was read and checked.
+/// A completion request whose headers and body were read and validated.
 pub(crate) struct ModelCall {
     pub(crate) instance: Rc<Instance>,
     pub(crate) open_request: OpenRequestGuard,
@@ -60,8 +62,8 @@
     pub(crate) ticket: Option<ClaimTicket>,
 }
 
-/// A request's place at its shard. Dropping it gives the place up, wherever
-/// the request stands.
+/// A request submitted to its shard. Dropping it cancels the request, whether
+/// it waits or runs.
 pub(crate) struct ShardRequest {
     instance: Rc<Instance>,
     id: RequestId,
@@ -70,21 +72,22 @@
     is_over: bool,
 }
 
-/// How one try at an engine failed.
+/// The error of one attempt to run a request on an engine.
 #[derive(Clone, Debug)]
 pub(crate) enum AttemptError {
-    /// The engine certainly did not run it.
+    /// The engine certainly did not run the request, as it has not loaded the
+    /// adapter.
     NotLoaded(String),
     /// No connection to the engine could be made.
     Unreachable(String),
-    /// The engine, or the way to it, failed.
+    /// The engine or the connection to it failed; the request may have run.
     OutcomeUnknown(String),
-    /// The engine refused the request itself.
+    /// The engine rejected the request with a client error and did not run it.
     Rejected(StatusCode, String),
 }
 
 impl ShardRequest {
-    /// Submits a request.
+    /// Starts to track a request and submits it to the leader of its shard.
     pub(crate) fn submit(call: &ModelCall) -> ShardRequest {
         let (tx, rx) = mpsc::unbounded();
         let instance = call.instance.clone();
@@ -112,7 +115,7 @@
         }
     }
 
-    /// Waits for a seat, until the deadline.
+    /// Waits for a grant until the deadline.
     pub(crate) async fn wait_for_grant(
         &mut self,
         deadline: Instant,
@@ -136,7 +139,8 @@
         }
     }
 
-    /// Marks the request as running, if the grant may still be used.
+    /// Marks the request as running, if the grant is still valid. Returns
+    /// whether it is.
     fn use_grant(&mut self, granted: &Granted) -> bool {
         let is_valid = self.instance.stamp_ms() < granted.valid_until_stamp_ms
             && granted.epoch >= self.instance.highest_epoch(&self.shard);
@@ -157,9 +161,11 @@
         Refusal { reason, retry_after: NO_LEADER_RETRY_AFTER }
     }
 
-    /// Tells the leader how a try ended. After `NotLoaded` and `Unreachable` the leader gives the
-    /// request another seat by itself; after `Failed` it must be submitted
-    /// anew.
+    /// Tells the leader how an attempt ended.
+    ///
+    /// After `NotLoaded` and `Unreachable` the leader gives the request
+    /// another grant by itself; after `Failed` the request must be submitted
+    /// again.
     pub(crate) fn report_end(&mut self, end: EndKind) {
         if let Some(leader) = self.instance.leader_of(&self.shard) {
             let message = PeerMessage::Ended(Ended {
@@ -182,12 +188,12 @@
         }
     }
 
-    /// Submits the request again after a failed try.
+    /// Submits the request again after a failed attempt.
     pub(crate) fn resubmit(&self) {
         send_submit(&self.instance, self.id);
     }
 
-    /// Notes how long the first token took, for the leader.
+    /// Records the first-token time of the request for its leader.
     pub(crate) fn record_first_token(&self, took: Duration) {
         let mut requests = self.instance.requests.borrow_mut();
         requests.record_first_token(self.id, took);
@@ -208,7 +214,8 @@
     }
 }
 
-/// Runs a completion to the head of its answer, or to its refusal.
+/// Runs a completion. Returns the response once its head is known if it is
+/// streamed, otherwise once it is complete.
 pub(crate) async fn run(
     call: ModelCall,
 ) -> Result<Response<LocalBody>, Problem> {
@@ -242,7 +249,8 @@
     }
 }
 
-/// Ends a request that ran to its end.
+/// Reports a request that was answered in full to its leader, and records its
+/// duration.
 pub(crate) fn finish(
     call: &ModelCall,
     shard_request: &mut ShardRequest,
@@ -263,7 +271,8 @@
     );
 }
 
-/// Sends the call to the engine and waits for the head of the answer.
+/// Sends the request to the granted engine and waits for the head of the
+/// answer.
 pub(crate) async fn send_to_engine(
     call: &ModelCall,
     granted: &Granted,
@@ -330,7 +339,7 @@
     Err(AttemptError::OutcomeUnknown(detail))
 }
 
-/// The urgency that engines get for each class.
+/// Returns the urgency (RFC 9218) that an engine receives for a priority.
 fn urgency(priority: Priority) -> &'static str {
     match priority {
         Priority::High => "u=1",
@@ -354,7 +363,7 @@
     Ok(response)
 }
 
-/// Returns the media type of an engine's answer.
+/// Returns the media type of an engine's answer, JSON if it has none.
 pub(crate) fn media_type(answer: &OpenAnswer) -> String {
     answer
         .headers()
@@ -364,7 +373,7 @@
         .to_owned()
 }
 
-/// Notes that the first bytes of an answer came.
+/// Records the metric and the event of the first bytes of an answer.
 pub(crate) fn record_first_token_time(call: &ModelCall, sent: Instant) {
     metrics::histogram!("sedgewall_first_token_seconds")
         .record(call.arrived.elapsed().as_secs_f64());
@@ -378,11 +387,11 @@
     call.instance.record_event(EventKind::FirstToken, id, subject, "", detail);
 }
 
-/// Counts the tries of one request and decides whether there is another.
+/// The failed attempts of one request, and the limit on its retries.
 pub(crate) struct RetryState {
     failures: u32,
     limit: u32,
-    /// Whether some try may have run.
+    /// Whether some attempt may have run.
     may_have_run: bool,
 }
 
@@ -392,8 +401,8 @@
         RetryState { failures: 0, limit, may_have_run: false }
     }
 
-    /// Takes in a failed try; returns if there is another, and fails with the
-    /// answer to the caller if there is not.
+    /// Records a failed attempt. Returns `Ok` if the request may be tried
+    /// again, otherwise the problem to answer with.
     pub(crate) fn record_failure(
         &mut self,
         call: &ModelCall,
@@ -436,7 +445,8 @@
         Ok(())
     }
 
-    /// Returns the answer when no further seat is given.
+    /// Returns the problem to answer with when the request gets no further
+    /// grant.
     pub(crate) fn refusal_problem(&self, refusal: &Refusal) -> Problem {
         let mut problem = Problem::from_refusal(refusal);
         if self.may_have_run {
--- a/crates/sedgewalld/src/claims.rs
+++ b/crates/sedgewalld/src/claims.rs
@@ -1,8 +1,9 @@
-//! Claims of idempotency keys, on both sides: entries ask, claimers write.
+//! Claims of idempotency keys, on both sides: the entry, which requests a
+//! claim, and the claimer, which writes it to the log.
 //!
-//! Any instance may be asked for any partition; the preferred one is found by
-//! rendezvous. Safety does not rest on that preference but on the log's
-//! create-if-absent, see `sedgewall_coordination::claim`.
+//! Any instance can be the claimer of any partition; entries prefer one by
+//! rendezvous hashing. Correctness does not depend on that choice but on the
+//! log's create-if-absent writes, see `sedgewall_coordination::claim`.
 
 use std::{
     collections::HashMap,
@@ -34,32 +35,35 @@
 
 use crate::instance::{Instance, Stage};
 
-/// The least time between two segments of one log.
+/// The minimum time between two segments of one log.
 ///
-/// Four logs at 150 ms, each segment written and later deleted, are at most 54
-/// of the platform's 100 writes a second. A first claim after a pause is
-/// written at once.
+/// Four logs that each write a segment every 150 ms, and later delete it, make
+/// at most 54 of the 100 writes per second that the platform allows. The first
+/// claim after an idle time is written at once.
 const SEGMENT_INTERVAL: Duration = Duration::from_millis(150);
 
-/// How long a claimer is waited for before it is asked again.
+/// How long an entry waits for the claimer's answer before it sends the claim
+/// again.
 const CLAIM_RETRY_INTERVAL: Duration = Duration::from_millis(700);
 
-/// How long a claim may take in all; then the request is refused as not run.
+/// The time limit of a claim, retries included; after it the request is
+/// refused as not run.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long a key is remembered.
+/// How long a claimed key is kept.
 pub(crate) const RETENTION: Duration = Duration::from_secs(3_600);
 
-/// A log that was not read or written for this long is read anew, because
-/// others may have written and trimmed it.
+/// The age after which the state of a log in memory is discarded and read
+/// again, because other instances may have written to the log and trimmed it.
 const STALE_AFTER: Duration = Duration::from_secs(600);
 
+/// The delay before a failed read or a write with unclear outcome is repeated.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// When to come back while claims cannot be written.
+/// The `Retry-After` value while claims cannot be written.
 const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// What became of a claim, for the request.
+/// The outcome of a claim, for the request that needs it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum ClaimOutcome {
     Granted,
@@ -68,7 +72,7 @@
 }
 
 impl ClaimOutcome {
-    /// Returns the problem of a claim that was not granted.
+    /// Returns the problem to answer with when the claim was not granted.
     pub(crate) fn problem(self) -> Problem {
         if self == ClaimOutcome::Taken {
             return Problem::new(
@@ -96,7 +100,8 @@
 }
 
 impl ClaimTicket {
-    /// Returns the ticket of a request that is not repeatable and has a key.
+    /// Returns a ticket if the request is not repeatable and has an
+    /// idempotency key.
     pub(crate) fn new(
         options: &CallOptions,
         is_repeatable: bool,
@@ -111,7 +116,7 @@
         Some(ClaimTicket { claim })
     }
 
-    /// Waits until the key is this request's, or not.
+    /// Claims the key, and waits for the outcome for at most `within`.
     pub(crate) async fn obtain(
         &self,
         instance: &Rc<Instance>,
@@ -147,7 +152,7 @@
         ClaimOutcome::Unavailable
     }
 
-    /// Gives the key up, because the request was not run and never will be.
+    /// Releases the key, because the request was not run and never will be.
     pub(crate) fn release(&self, instance: &Rc<Instance>) {
         self.send_to_claimer(
             instance,
@@ -184,8 +189,8 @@
     }
 }
 
-/// The instance that should claim for a partition: where it is reached, and
-/// its incarnation if we know it.
+/// Returns the peer URL of the instance that should write the claims of a
+/// partition, and its incarnation if it is this instance.
 fn preferred_claimer(
     instance: &Instance,
     key: &str,
@@ -199,7 +204,8 @@
     let own = (instance.settings.peer_url(), Some(instance.incarnation));
     match rendezvous::owner(ids, key) {
         Some(owner) if owner != instance.id() => {
-            // A claim is harmless to any life of an instance.
+            // Without an incarnation: a claim is safe with any incarnation of
+            // the instance.
             let url = membership.url_of(owner).map(str::to_owned);
             url.map_or(own, |url| (url, None))
         }
@@ -207,14 +213,14 @@
     }
 }
 
-/// Where an answer goes.
+/// The receiver of a claim's answer.
 #[derive(Clone, Debug)]
 struct ReplyTo {
     url: String,
     incarnation: Incarnation,
 }
 
-/// One partition's log, with those who wait for answers.
+/// The log of one partition, and the requests that wait for an answer.
 #[derive(Debug, Default)]
 struct LogState {
     log: ClaimLog,
@@ -224,14 +230,15 @@
     last_written: Option<Instant>,
 }
 
-/// All claims of one instance, on both sides.
+/// The claims that this instance awaits as an entry, and the logs that it
+/// writes as a claimer.
 #[derive(Debug, Default)]
 pub(crate) struct ClaimTable {
     pending_answers: HashMap<RequestId, oneshot::Sender<ClaimAnswer>>,
     logs: HashMap<PartitionIdx, LogState>,
 }
 
-/// Takes in an answer, at the entry.
+/// Handles the answer to a claim, at the entry.
 pub(crate) fn on_reply(instance: &Rc<Instance>, reply: &ClaimReply) {
     let tx =
         instance.claims.borrow_mut().pending_answers.remove(&reply.request);
@@ -240,7 +247,7 @@
     }
 }
 
-/// Takes in a claim, at the claimer.
+/// Handles a claim, at the claimer.
 pub(crate) fn on_claim(
     instance: &Rc<Instance>,
     envelope: &Envelope,
@@ -266,7 +273,7 @@
     start_writer(instance, request.partition);
 }
 
-/// Takes in that a claim is given up, at the claimer.
+/// Handles the release of a claim, at the claimer.
 pub(crate) fn on_release(instance: &Rc<Instance>, request: &ClaimRequest) {
     let mut claims = instance.claims.borrow_mut();
     let state = claims.logs.entry(request.partition).or_default();
@@ -278,7 +285,8 @@
 }
 
 impl LogState {
-    /// Forgets a log that others may have moved far beyond what we know.
+    /// Discards the state of a log that other instances may have extended and
+    /// trimmed far beyond it.
     fn reset_if_stale(&mut self) {
         let is_stale =
             self.last_synced.is_some_and(|t| t.elapsed() > STALE_AFTER);
@@ -301,7 +309,7 @@
     .detach();
 }
 
-/// Writes segments until nothing waits.
+/// Writes segments until nothing is left to write.
 async fn write_log(instance: &Rc<Instance>, partition: PartitionIdx) {
     loop {
         if !recover(instance, partition).await {
@@ -313,7 +321,7 @@
         let answer = create(instance, partition, &write).await;
         let is_outcome_unknown = answer == SegmentAnswer::Unclear;
         if matches!(answer, SegmentAnswer::Exists(_)) {
-            info!("claims: log {partition} was moved on by another instance.");
+            info!("claims: another instance wrote to log {partition}.");
         }
         finish_write(instance, partition, answer);
         if is_outcome_unknown {
@@ -324,7 +332,7 @@
     }
 }
 
-/// Runs a function on a partition's state.
+/// Runs a function on the state of a partition.
 fn with_state<T>(
     instance: &Instance,
     partition: PartitionIdx,
@@ -354,7 +362,7 @@
     }
 }
 
-/// Reads all segments from the next one on.
+/// Reads all segments from the first unknown one on.
 async fn read_new_segments(
     instance: &Rc<Instance>,
     partition: PartitionIdx,
--- a/crates/sedgewalld/src/daemon.rs
+++ b/crates/sedgewalld/src/daemon.rs
@@ -1,4 +1,5 @@
-//! Starts all parts on the one loop, and stops them as planned.
+//! Starts all tasks of the daemon on one event loop, and shuts them down
+//! gracefully.
 
 use std::{rc::Rc, time::Duration};
 
@@ -21,44 +22,45 @@
     signals::Signals,
 };
 
-/// Error of a daemon that cannot start.
+/// An error that keeps the daemon from starting.
 #[derive(Debug, displaydoc::Display)]
 pub(crate) enum DaemonError {
-    /// cannot start the loop: {0}
+    /// cannot start the event loop: {0}
     Loop(std::io::Error),
     /// cannot listen at {address}: {source}
     Listen {
-        /// The address.
+        /// The address that could not be bound.
         address: String,
-        /// The cause.
+        /// The error that the system returned.
         source: std::io::Error,
     },
     /// {0}
     Peers(PeerError),
-    /// cannot set up HTTP: {0}
+    /// cannot create the HTTP client: {0}
     Http(CallError),
     /// platform_url: {0} is not http://IP:PORT
     StoreAddress(String),
-    /// cannot set up metrics: {0}
+    /// cannot install the metrics recorder: {0}
     Metrics(String),
 }
 
 impl std::error::Error for DaemonError {}
 
-/// Connections of operators at once.
+/// The maximum number of concurrent connections of operators.
 const OPERATOR_CONNECTIONS: usize = 64;
 
-/// How often a stop looks whether all requests have ended.
+/// The interval at which the daemon polls for a requested stop and, while it
+/// stops, for open requests.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// After a stop is announced, requests still come for this long, until the
-/// balancer has noticed.
+/// How long a stopping daemon at least keeps running, because requests still
+/// arrive until the load balancer has noticed the stop.
 const LOAD_BALANCER_GRACE: Duration = Duration::from_secs(2);
 
-/// What the end of a stop leaves for the last messages to go out.
+/// The delay before the exit in which the last queued messages are sent.
 const FLUSH_TIME: Duration = Duration::from_millis(200);
 
-/// Runs the daemon until it is told to stop.
+/// Runs the daemon until a signal or an operator stops it.
 pub(crate) fn run(settings: Settings) -> Result<(), DaemonError> {
     let runtime =
         compio::runtime::Runtime::new().map_err(DaemonError::Loop)?;
@@ -134,7 +136,7 @@
     serve(listener, limits, handler).await;
 }
 
-/// Waits for a signal or an operator's word.
+/// Returns when a stop signal arrives or an operator requests a drain.
 async fn wait_for_stop(instance: &Rc<Instance>, mut signals: Signals) {
     let mut interrupt = Box::pin(compio::signal::ctrl_c()).fuse();
     while instance.stage.get() != Stage::Leaving {
@@ -144,15 +146,18 @@
             _ = interrupt => return,
             _ = signals.stop.next() => return,
             _ = signals.reload.next() => {
-                info!("daemon: settings are read at the start alone.");
+                info!("daemon: SIGHUP ignored; settings are read at start.");
             }
             () = poll => {}
         }
     }
 }
 
-/// Leaves: takes nothing new after the balancer had time to notice, hands the
-/// leases over, and finishes every request that it holds.
+/// Stops the instance gracefully.
+///
+/// Marks the instance as leaving, so that the load balancer stops sending
+/// requests and the leases are released for successors. Then waits until all
+/// open requests have ended, up to the drain timeout.
 async fn stop(instance: &Rc<Instance>) {
     info!("daemon: stopping.");
     instance.record_event(EventKind::Member, None, "", "", "stopping");
@@ -170,7 +175,7 @@
         }
         if started.elapsed() >= drain_timeout {
             warn!(
-                "daemon: {open_requests} requests were cut off by the stop."
+                "daemon: drain timed out with {open_requests} requests open."
             );
             break;
         }
--- a/crates/sedgewalld/src/instance.rs
+++ b/crates/sedgewalld/src/instance.rs
@@ -1,7 +1,7 @@
-//! What all parts of one instance share.
+//! The state that all tasks of one instance share.
 //!
-//! Everything runs on one thread, so the parts share cells. The rule that
-//! keeps this safe: no borrow lives across an `await`.
+//! All tasks run on one thread, so the shared state is in cells. To rule out a
+//! borrow that fails at run time, no borrow is held across an `await`.
 
 use std::{
     cell::{Cell, RefCell},
@@ -31,18 +31,18 @@
     routes::ConfigView, services::ServiceTable,
 };
 
-/// Whether the instance takes requests.
+/// The lifecycle stage of an instance.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Stage {
-    /// No configuration is in force yet.
+    /// No configuration has been adopted yet.
     Starting,
-    /// It takes requests.
+    /// The instance accepts requests.
     Ready,
-    /// It finishes what it has.
+    /// The instance finishes its open requests and then exits.
     Leaving,
 }
 
-/// Who leads a shard, as this instance believes.
+/// The leader of a shard, as far as this instance knows.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Leader {
     pub(crate) instance: InstanceId,
@@ -51,7 +51,7 @@
     pub(crate) epoch: Epoch,
 }
 
-/// One instance.
+/// The shared state of this instance.
 pub(crate) struct Instance {
     pub(crate) settings: Settings,
     pub(crate) incarnation: Incarnation,
@@ -77,7 +77,8 @@
 }
 
 impl Instance {
-    /// Returns the node and where its messages to itself come out.
+    /// Returns the instance and the receiver of the messages that it sends to
+    /// itself.
     pub(crate) fn new(
         settings: Settings,
         http: HttpClient,
@@ -119,7 +120,7 @@
         &self.settings.instance
     }
 
-    /// Returns milliseconds on this process's own clock.
+    /// Returns the time since this process started, in milliseconds.
     pub(crate) fn stamp_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
@@ -129,8 +130,10 @@
         self.view.borrow().clone()
     }
 
-    /// Sends a message to a peer, or to this very instance. A message that
-    /// cannot be queued is dropped; the protocol repairs that.
+    /// Sends a message to a peer or to this instance itself.
+    ///
+    /// A message that cannot be queued is dropped; the periodic repair makes
+    /// up for the loss.
     pub(crate) fn send(
         &self,
         url: &str,
@@ -154,14 +157,14 @@
         }
     }
 
-    /// Sends a message back to the sender of another.
+    /// Sends a message to the sender of `envelope`, if its address is known.
     pub(crate) fn reply(&self, envelope: &Envelope, message: PeerMessage) {
         if let Some(url) = self.sender_url(envelope) {
             self.send(&url, Some(envelope.incarnation), message);
         }
     }
 
-    /// Returns where the sender of a message is reached, as far as we know.
+    /// Returns the peer URL of the sender of a message, if it is known.
     pub(crate) fn sender_url(&self, envelope: &Envelope) -> Option<String> {
         if envelope.incarnation == self.incarnation {
             return Some(self.settings.peer_url());
@@ -170,12 +173,12 @@
         membership.url_of(&envelope.from).map(str::to_owned)
     }
 
-    /// Takes in the time of a message.
+    /// Advances the clock past the timestamp of a received message.
     pub(crate) fn update_clock(&self, envelope: &Envelope) {
         self.clock.borrow_mut().receive(envelope.stamp);
     }
 
-    /// Adds an event to the time line.
+    /// Appends an event to the timeline.
     pub(crate) fn record_event(
         &self,
         kind: EventKind,
@@ -196,12 +199,12 @@
         self.timeline.borrow_mut().push(event);
     }
 
-    /// Returns the events of the time line, oldest first.
+    /// Returns the events of the timeline, oldest first.
     pub(crate) fn events(&self) -> Vec<Event> {
         self.timeline.borrow().events().cloned().collect()
     }
 
-    /// Notes whether the platform answered.
+    /// Records whether the platform answered a call; logs each change.
     pub(crate) fn set_platform_reached(&self, is_reached: bool) {
         if self.is_platform_reached.replace(is_reached) == is_reached {
             return;
@@ -235,13 +238,13 @@
         }
     }
 
-    /// Returns who leads a shard.
+    /// Returns the known leader of a shard.
     pub(crate) fn leader_of(&self, shard: &str) -> Option<Leader> {
         self.leaders.borrow().get(shard).cloned()
     }
 
-    /// Takes in that somebody leads a shard. Returns whether that is news; an
-    /// older epoch never is.
+    /// Records the leader of a shard. Returns whether the record changed,
+    /// which only a higher epoch than the known one does.
     pub(crate) fn update_leader(&self, shard: &str, leader: Leader) -> bool {
         let mut leaders = self.leaders.borrow_mut();
         if leaders.get(shard).is_some_and(|known| known.epoch >= leader.epoch)
@@ -256,13 +259,14 @@
         true
     }
 
-    /// Returns the highest epoch that was seen for a shard.
+    /// Returns the highest epoch that is known of a shard, or 0.
     pub(crate) fn highest_epoch(&self, shard: &str) -> Epoch {
         self.leaders.borrow().get(shard).map_or(0, |leader| leader.epoch)
     }
 }
 
-/// A short pause with a random part, so that instances do not act in step.
+/// Sleeps for `base`, give or take a random 25 %, so that instances do not act
+/// in lockstep.
 pub(crate) async fn sleep_with_jitter(base: Duration) {
     let factor: f64 = rand::random_range(0.75..1.25);
     compio::time::sleep(base.mul_f64(factor)).await;
--- a/crates/sedgewalld/src/main.rs
+++ b/crates/sedgewalld/src/main.rs
@@ -1,8 +1,9 @@
 //! `sedgewalld`: the daemon between callers and endpoints.
 //!
-//! One process, one loop, one thread. The layers below decide and encode; the
-//! modules here wire them to sockets and clocks. All instances are alike: each
-//! is an entry for callers, and takes up the leadership of shards at run time.
+//! Each process runs one event loop on one thread. The crates below make the
+//! decisions and encode messages; the modules here connect them to sockets and
+//! clocks. All instances run the same code: each accepts requests from callers
+//! (the entry role), and may become the leader of shards at run time.
 
 mod call;
 mod claims;
@@ -37,32 +38,32 @@
 use sedgewall_protocol::settings::{LogLevel, Settings, SettingsError};
 use simplelog::{ColorChoice, ConfigBuilder, TermLogger, TerminalMode};
 
-/// The exit code of settings that cannot be used.
+/// The exit code for settings that cannot be read or are invalid.
 const EXIT_SETTINGS: u8 = 2;
 
-/// The exit code of a daemon that could not start or go on.
+/// The exit code for a daemon that failed to start or to keep running.
 const EXIT_FAILED: u8 = 1;
 
-/// Serves LoRA adapters: stands between callers and model engines.
+/// Serves LoRA adapters: routes requests from callers to model engines.
 #[derive(Debug, Parser)]
 #[command(version, after_help = EXAMPLES)]
 struct Args {
-    /// The file of settings.
+    /// Path of the settings file.
     #[arg(long, env = "SEDGEWALL_SETTINGS")]
     settings: PathBuf,
-    /// Replaces the setting `instance`.
+    /// Overrides the setting `instance`.
     #[arg(long, env = "SEDGEWALL_INSTANCE")]
     instance: Option<String>,
-    /// Replaces the setting `zone`.
+    /// Overrides the setting `zone`.
     #[arg(long, env = "SEDGEWALL_ZONE")]
     zone: Option<String>,
-    /// Replaces the setting `log_level`.
+    /// Overrides the setting `log_level`.
     #[arg(long, env = "SEDGEWALL_LOG_LEVEL")]
     log_level: Option<String>,
-    /// Checks the settings and ends.
+    /// Checks the settings and exits.
     #[arg(long)]
     check_settings: bool,
-    /// Prints the settings in force, defaults included, and ends.
+    /// Prints the effective settings, defaults included, and exits.
     #[arg(long)]
     print_settings: bool,
 }
@@ -89,7 +90,7 @@
         return ExitCode::SUCCESS;
     }
     if args.check_settings {
-        println!("{}: settings are sound.", args.settings.display());
+        println!("{}: settings are valid.", args.settings.display());
         return ExitCode::SUCCESS;
     }
     let ended = match settings.fleet {
@@ -138,6 +139,6 @@
         .add_filter_allow_str("sedgewall")
         .build();
     let terminal = TerminalMode::Stderr;
-    // A second logger cannot be set; the first one stays.
+    // Setting a second logger fails; the first one stays in use.
     let _ = TermLogger::init(filter, config, terminal, ColorChoice::Never);
 }
