--- a/crates/sedgewalld/src/config_sync.rs
+++ b/crates/sedgewalld/src/config_sync.rs
@@ -1,5 +1,5 @@
-//! Brings each newer configuration into force, from the platform or, while
-//! that is out of reach, from peers.
+//! Adopts each newer configuration, from the platform or, while the platform
+//! is unreachable, from peers.
 
 use std::{rc::Rc, time::Duration};
 
@@ -23,15 +23,15 @@
     routes::ConfigView,
 };
 
-/// How long a watch waits.
+/// How long a watch request waits for a change.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
 
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Chunks fetched at once.
+/// The maximum number of chunks fetched concurrently.
 const MAX_CONCURRENT_FETCHES: usize = 8;
 
-/// Follows the head of the configuration for ever.
+/// Watches the head of the configuration; never returns.
 pub(crate) async fn watch(instance: Rc<Instance>) {
     let mut known: Option<ObjectVersion> = None;
     loop {
@@ -93,7 +93,7 @@
     Ok(chunks)
 }
 
-/// Puts a configuration in force if it is newer than the present one.
+/// Adopts a configuration if it is newer than the current one.
 fn adopt(instance: &Rc<Instance>, head: ConfigHead, chunks: Vec<Chunk>) {
     let version = head.version;
     let applied_by = head.applied_by.clone();
@@ -125,7 +125,7 @@
     election::start_missing_tasks(instance);
 }
 
-/// Asks a peer for its configuration, because it has a newer one.
+/// Asks the sender of `envelope` for its configuration, which is newer.
 pub(crate) fn request_from_peer(instance: &Rc<Instance>, envelope: &Envelope) {
     instance.reply(
         envelope,
@@ -133,7 +133,7 @@
     );
 }
 
-/// Answers a peer that asks for our configuration.
+/// Answers a peer that asks for the configuration of this instance.
 pub(crate) fn on_request(
     instance: &Rc<Instance>,
     envelope: &Envelope,
@@ -154,7 +154,8 @@
     instance.reply(envelope, PeerMessage::ConfigPart(part));
 }
 
-/// Takes in a part of a peer's configuration.
+/// Handles a part of a peer's configuration: adopts it if no chunk is missing,
+/// otherwise asks for the missing chunks.
 pub(crate) fn on_config_part(
     instance: &Rc<Instance>,
     envelope: &Envelope,
--- a/crates/sedgewalld/src/election.rs
+++ b/crates/sedgewalld/src/election.rs
@@ -1,7 +1,7 @@
-//! Takes, renews and gives up the leases of shards.
+//! Acquires, renews and releases the leases of shards.
 //!
-//! One task for each shard. Only the few instances that a shard prefers look
-//! at its lease; all others learn of leaders from heartbeats.
+//! There is one task for each shard. Only the few instances that rank highest
+//! for a shard read its lease; all others learn the leader from heartbeats.
 
 use std::{cell::RefCell, collections::HashSet, rc::Rc, time::Duration};
 
@@ -25,12 +25,14 @@
     leader,
 };
 
-/// Instances that look at a shard's lease.
+/// The number of instances that poll a shard's lease.
 const MAX_CANDIDATES: usize = 3;
 
-/// How much longer than the one before it each candidate waits.
+/// The additional time for which each candidate waits, compared with the one
+/// ranked before it, before it acquires a free lease.
 const RANK_DELAY: Duration = Duration::from_millis(200);
 
+/// The delay before a lease is read after a write with an unclear outcome.
 const REREAD_DELAY: Duration = Duration::from_millis(100);
 
 thread_local! {
@@ -49,7 +51,7 @@
     }
 }
 
-/// Follows one shard's lease until the configuration drops the shard.
+/// Runs the lease task of a shard until the configuration drops the shard.
 async fn run(instance: Rc<Instance>, shard: ShardId) {
     let times = instance.settings.lease.times();
     let mut watching = Lease::new(shard.clone(), times);
@@ -63,10 +65,11 @@
         leader::step_down(&instance, &shard);
     }
     SHARDS_WITH_TASK.with_borrow_mut(|shards| shards.remove(&shard));
-    debug!("lease: {shard} is not watched any more.");
+    debug!("lease: {shard} was removed from the configuration.");
 }
 
-/// Waits until the lease is ours; none if the shard is gone.
+/// Waits until this instance holds the lease. Returns `None` if the
+/// configuration no longer has the shard.
 async fn wait_for_lease(
     instance: &Rc<Instance>,
     shard: &ShardId,
@@ -128,7 +131,7 @@
     }
 }
 
-/// Renews the lease until it is lost or given up.
+/// Renews the lease until it is lost or released.
 async fn renew_until_lost(
     instance: &Rc<Instance>,
     shard: &ShardId,
@@ -152,7 +155,8 @@
             (WriteAnswer::Unclear, Renewed::Held(held)) => {
                 reconcile(instance, shard, held).await
             }
-            // A conflict may be our own renewal whose answer was lost.
+            // The conflict may be with an earlier renewal by this instance
+            // whose answer was lost.
             (WriteAnswer::Conflict, _) => match leader::lease(instance, shard)
             {
                 Some(held) => reconcile(instance, shard, held).await,
@@ -184,7 +188,8 @@
 ) -> Renewed {
     match read(instance, shard).await {
         Ok(stored) => held.reconcile(stored, Instant::now()),
-        // The platform is out: nobody else can take the lease through it.
+        // The platform is unreachable, and no other instance can take the
+        // lease without it.
         Err(_) => Renewed::Held(held),
     }
 }
@@ -202,7 +207,8 @@
     instance.view().config.shard_ids().iter().any(|id| id == shard)
 }
 
-/// Our place among the shard's candidates; none if we are not one.
+/// Returns this instance's rank among the shard's candidates, or `None` if it
+/// is not a candidate.
 fn rank(instance: &Instance, shard: &str) -> Option<usize> {
     if instance.stage.get() == Stage::Leaving {
         return None;
@@ -219,7 +225,8 @@
         others.iter().copied().filter(|id| in_region(id)).collect();
     if view.config.region_of(&instance.settings.zone) != region {
         if !ids.is_empty() {
-            // A region's own instances lead its shards while there are any.
+            // While the region has instances of its own, these lead its
+            // shards.
             return None;
         }
         ids = others;
@@ -259,7 +266,8 @@
     answer
 }
 
-/// Reads who leads a shard, for an entry that hears of no leader.
+/// Reads the leader of a shard from its lease, for an entry that receives no
+/// heartbeat from a leader.
 pub(crate) async fn look_up_leader(instance: &Rc<Instance>, shard: &str) {
     if let Ok(stored) = read(instance, shard).await {
         let record = stored.map(|stored| stored.record);
@@ -267,7 +275,8 @@
     }
 }
 
-/// Takes in a lease record that a read showed.
+/// Records the holder of a lease that was read as the shard's leader, unless
+/// the lease is released.
 fn record_holder(
     instance: &Rc<Instance>,
     shard: &str,
@@ -286,7 +295,8 @@
     apply_leader(instance, shard, leader);
 }
 
-/// Takes in that somebody leads a shard, and turns to them if that is news.
+/// Records the leader of a shard, and resynchronises with a leader that was
+/// not known yet.
 pub(crate) fn apply_leader(
     instance: &Rc<Instance>,
     shard: &str,
--- a/crates/sedgewalld/src/entry.rs
+++ b/crates/sedgewalld/src/entry.rs
@@ -1,7 +1,9 @@
-//! The callers' side: takes requests in, gets seats for them, answers.
+//! The entry role: accepts requests of callers, obtains grants for them, and
+//! answers.
 //!
-//! A request is held here from its arrival to its end. Leaders may come and go
-//! meanwhile; the entry submits again to whoever leads.
+//! The entry keeps a request from its arrival to its end. If the leader of the
+//! shard changes in between, the entry submits the request again to the new
+//! leader.
 
 use std::{rc::Rc, time::Duration};
 
@@ -38,20 +40,21 @@
     services::{self, SERVICES_PREFIX},
 };
 
-/// Where the adapters are listed.
+/// The path that lists the adapters.
 const MODELS_PATH: &str = "/v1/models";
 
-/// When to come back to an instance that is full.
+/// The `Retry-After` value while the instance is full or has no configuration.
 const FULL_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// A place in the table of open requests, given back when dropped.
+/// Counts one open request of the instance until it is dropped.
 pub(crate) struct OpenRequestGuard {
     instance: Rc<Instance>,
     pub(crate) id: RequestId,
 }
 
 impl OpenRequestGuard {
-    /// Opens a request, unless the instance is full.
+    /// Counts a new request as open and assigns its id. Fails if the instance
+    /// is full.
     pub(crate) fn open(
         instance: &Rc<Instance>,
     ) -> Result<OpenRequestGuard, Problem> {
@@ -65,7 +68,7 @@
         Ok(OpenRequestGuard { instance: instance.clone(), id })
     }
 
-    /// Returns the id as callers see it.
+    /// Returns the id as callers see it, in 32 hexadecimal digits.
     pub(crate) fn hex(&self) -> String {
         format!("{:032x}", self.id)
     }
@@ -132,7 +135,7 @@
     responses::with_request_id(response, &id)
 }
 
-/// Reads and checks a completion request.
+/// Reads and validates a completion request.
 async fn prepare(
     instance: &Rc<Instance>,
     open_request: OpenRequestGuard,
@@ -207,7 +210,7 @@
     outcome
 }
 
-/// Finds the shard and the default class of an adapter.
+/// Returns the shard and the default priority of an adapter.
 fn route(
     instance: &Instance,
     model: &ModelRef,
@@ -251,7 +254,8 @@
     ModelList { object: "list".to_owned(), data }
 }
 
-/// Reads the body of a caller's request, within the limits.
+/// Reads the body of a caller's request, within the configured limits on its
+/// length and time.
 pub(crate) async fn read_request_body(
     instance: &Instance,
     body: Incoming,
@@ -280,7 +284,8 @@
     }
 }
 
-/// Sends a request's submission to the present leader, if there is one.
+/// Submits a request to the current leader of its shard, if there is one and
+/// the request does not run yet.
 pub(crate) fn send_submit(instance: &Rc<Instance>, id: RequestId) {
     let submit = {
         let mut requests = instance.requests.borrow_mut();
@@ -308,7 +313,7 @@
     instance.send(&leader.peer_url, Some(leader.incarnation), message);
 }
 
-/// Tells the leader that a request is given up.
+/// Tells the leader that a request is cancelled.
 pub(crate) fn send_cancel(
     instance: &Rc<Instance>,
     shard: &str,
@@ -320,8 +325,8 @@
     instance.send(&leader.peer_url, Some(leader.incarnation), message);
 }
 
-/// Turns to a new leader: tells it all that runs here, and submits again all
-/// that waits.
+/// Sends a new leader the running requests of its shard, and submits the
+/// waiting ones to it.
 pub(crate) fn resync_with_leader(instance: &Rc<Instance>, shard: &str) {
     let Some(leader) = instance.leader_of(shard) else { return };
     let running = instance.requests.borrow_mut().running().remove(shard);
@@ -341,8 +346,10 @@
     }
 }
 
-/// Takes in a seat. One that comes too late, twice or from a deposed leader
-/// is not used.
+/// Handles a grant.
+///
+/// A late or repeated grant, or one from a superseded leader, is not used. The
+/// leader of a grant for an unknown request is told to cancel the request.
 pub(crate) fn on_granted(instance: &Rc<Instance>, granted: &Granted) {
     if granted.epoch < instance.highest_epoch(&granted.shard) {
         return;
@@ -362,7 +369,8 @@
     }
 }
 
-/// Takes in a refusal.
+/// Handles a refusal. One from a superseded leader, or of a request that runs,
+/// is ignored.
 pub(crate) fn on_refused(instance: &Rc<Instance>, refused: &Refused) {
     if refused.epoch < instance.highest_epoch(&refused.shard) {
         return;
--- a/crates/sedgewalld/src/explain.rs
+++ b/crates/sedgewalld/src/explain.rs
@@ -1,5 +1,5 @@
-//! What a leader tells operators: the state of its shard, and why an adapter
-//! is where it is.
+//! What a leader reports to operators: the state of its shards, and the reason
+//! for the placement of an adapter.
 
 use sedgewall_clock::Instant;
 use sedgewall_protocol::{
@@ -10,7 +10,7 @@
 
 use crate::{instance::Instance, leader::ShardLeader};
 
-/// Returns the status of all led shards.
+/// Returns the status of all shards that this instance leads.
 pub(crate) fn statuses(instance: &Instance) -> Vec<ShardStatus> {
     let shards = instance.shards.borrow();
     let mut statuses: Vec<ShardStatus> =
@@ -19,7 +19,7 @@
     statuses
 }
 
-/// Says why an adapter is where it is, if its shard is led here.
+/// Explains the placement of an adapter, if this instance leads its shard.
 pub(crate) fn explain(
     instance: &Instance,
     adapter: &EngineAdapter,
--- a/crates/sedgewalld/src/heartbeat.rs
+++ b/crates/sedgewalld/src/heartbeat.rs
@@ -1,4 +1,5 @@
-//! Heartbeats to peers, and the periodic repair of what lost messages left.
+//! Heartbeats to peers, and the periodic repair of the state that lost
+//! messages left inconsistent.
 
 use std::{collections::BTreeSet, rc::Rc, time::Duration};
 
@@ -8,22 +9,25 @@
 
 use crate::{election, entry, instance::Instance};
 
-/// How often heartbeats are sent to few peers.
+/// The interval of heartbeats to at most [`MAX_DIRECT_PEERS`] peers.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// So many peers count as few; with more, heartbeats go out more seldom.
+/// The number of peers up to which heartbeats are sent at the shortest
+/// interval; the interval grows with more peers.
 const MAX_DIRECT_PEERS: u32 = 8;
 
-/// The longest time between heartbeats. An entry counts as lost after 3 s.
+/// The maximum interval of heartbeats. An entry counts as lost after 3 s
+/// without one.
 const MAX_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How often what lost messages left behind is repaired.
+/// The interval of the repair of the state that lost messages left
+/// inconsistent.
 const REPAIR_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long a submission stays unanswered before it is sent again.
 const RESUBMIT_AFTER: Duration = Duration::from_millis(900);
 
-/// Sends heartbeats for ever.
+/// Sends heartbeats and repairs inconsistent state; never returns.
 pub(crate) async fn run(instance: Rc<Instance>) {
     let mut last_repair = Instant::now();
     loop {
@@ -39,24 +43,26 @@
     }
 }
 
-/// A leader that a hundred entries use would spend its allowance on
-/// heartbeats alone, four times a second each.
+/// Returns the interval of heartbeats to a number of peers.
+///
+/// It grows with the number: a leader that sends four heartbeats a second to
+/// each of a hundred entries would spend its whole allowance on heartbeats.
 fn heartbeat_interval(peers: u32) -> Duration {
     let interval =
         HEARTBEAT_INTERVAL * peers.div_ceil(MAX_DIRECT_PEERS).max(1);
     interval.min(MAX_HEARTBEAT_INTERVAL)
 }
 
-/// Closes the links to addresses that no known instance has any more; nng
-/// would dial them for ever.
+/// Closes the connections to addresses that no known instance has any more,
+/// because nng would dial them forever.
 fn close_stale_connections(instance: &Rc<Instance>) {
     let known: BTreeSet<String> =
         instance.membership.borrow().peer_urls().into_values().collect();
     instance.peers.borrow_mut().retain(|url| known.contains(url));
 }
 
-/// Sends one heartbeat to each peer that should hear us, and returns how many
-/// that are.
+/// Sends a heartbeat to each peer that should receive those of this instance,
+/// and returns the number of these peers.
 pub(crate) fn send_heartbeats(instance: &Rc<Instance>) -> usize {
     let heartbeat = instance.heartbeat();
     let partners = partners(instance);
@@ -71,7 +77,8 @@
     targets.len()
 }
 
-/// The leaders that we use, and the entries that use us as a leader.
+/// Returns the leaders that this instance knows, and the entries of the shards
+/// that it leads.
 fn partners(instance: &Instance) -> BTreeSet<String> {
     let mut ids: BTreeSet<String> = instance
         .leaders
@@ -85,7 +92,7 @@
     ids
 }
 
-/// Tells each leader all that we run on its grants.
+/// Sends each leader the requests that this entry runs on its grants.
 fn send_running(instance: &Rc<Instance>) {
     let mut running = instance.requests.borrow().running();
     let shards: Vec<ShardId> =
@@ -111,10 +118,10 @@
     }
 }
 
-/// Sends submissions again that no leader has answered.
+/// Submits requests again that no leader has answered.
 ///
-/// The leader that we know may be gone, and its successor may not know that we
-/// exist; so the lease itself is looked up too.
+/// The known leader may be gone, and its successor may not know of this
+/// instance and send it no heartbeat; so the lease is read too.
 fn resubmit_waiting(instance: &Rc<Instance>) {
     let waiting = instance.requests.borrow().waiting();
     let mut unanswered = BTreeSet::new();
--- a/crates/sedgewalld/src/inbox.rs
+++ b/crates/sedgewalld/src/inbox.rs
@@ -1,4 +1,4 @@
-//! Takes in messages of peers, and of this instance to itself.
+//! Receives messages from peers, and from this instance to itself.
 
 use std::rc::Rc;
 
@@ -16,13 +16,13 @@
     store,
 };
 
-/// Messages handled in one turn before others get theirs.
+/// The maximum number of messages handled before the task yields.
 ///
-/// Streams and messages share one loop; a bound on either keeps the other on
-/// time.
+/// Streams and messages share one event loop; a limit on each keeps the other
+/// from being delayed.
 const MAX_BATCH_LEN: usize = 128;
 
-/// Takes in messages for ever.
+/// Dispatches messages until a source of messages ends.
 pub(crate) async fn run(
     instance: Rc<Instance>,
     mut listener: PeerListener,
@@ -53,7 +53,7 @@
         .to_incarnation
         .is_none_or(|incarnation| incarnation == instance.incarnation);
     if !is_for_us {
-        // It was meant for an earlier life of this instance.
+        // The message was meant for an earlier incarnation of this instance.
         return;
     }
     instance.update_clock(&envelope);
@@ -74,7 +74,8 @@
         PeerMessage::Granted(granted) => entry::on_granted(instance, granted),
         PeerMessage::Refused(refused) => entry::on_refused(instance, refused),
         PeerMessage::NotLeader(_) => {
-            // The periodic repair submits again, to whoever leads by then.
+            // The periodic repair submits the request again, to the leader
+            // that is known by then.
         }
         PeerMessage::Claim(claim) => {
             claims::on_claim(instance, &envelope, claim)
@@ -108,7 +109,7 @@
         .borrow_mut()
         .heard(heartbeat.clone(), Instant::now());
     if is_new {
-        info!("member: {} is heard.", heartbeat.instance);
+        info!("member: {} is a new or restarted peer.", heartbeat.instance);
         let detail = "heard";
         instance.record_event(
             EventKind::Member,
--- a/crates/sedgewalld/src/instance_list.rs
+++ b/crates/sedgewalld/src/instance_list.rs
@@ -1,4 +1,4 @@
-//! Follows the platform's instance list.
+//! Watches the platform's list of instances.
 
 use std::{rc::Rc, time::Duration};
 
@@ -14,12 +14,12 @@
     leader,
 };
 
-/// How long a watch waits.
+/// How long a watch request waits for a change.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(30);
 
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Follows the list for ever.
+/// Watches the list; never returns.
 pub(crate) async fn watch(instance: Rc<Instance>) {
     loop {
         let revision = instance.instances.borrow().revision;
@@ -37,7 +37,7 @@
     }
 }
 
-/// Puts a newer list in force.
+/// Adopts a list if it is newer than the current one.
 fn adopt(instance: &Rc<Instance>, list: InstanceList) {
     if list.revision <= instance.instances.borrow().revision {
         return;
@@ -48,7 +48,7 @@
     refresh(instance);
 }
 
-/// Brings endpoints up to date with list and configuration.
+/// Updates services and engines from the current list and configuration.
 pub(crate) fn refresh(instance: &Rc<Instance>) {
     let view = instance.view();
     let list = instance.instances.borrow().clone();
