--- a/crates/sedgewalld/src/entry_messages.rs
+++ b/crates/sedgewalld/src/entry_messages.rs
@@ -1,4 +1,5 @@
-//! What entries tell the leader of a shard about their requests.
+//! Handlers of the messages that entries send to the leader of a shard about
+//! their requests.
 
 use std::rc::Rc;
 
@@ -15,7 +16,7 @@
     leader::{ShardLeader, apply_change, send_grant},
 };
 
-/// Takes in a submission.
+/// Handles a submission: queues the request, or sends its grant again.
 pub(crate) fn on_submit(
     instance: &Rc<Instance>,
     envelope: &Envelope,
@@ -29,12 +30,12 @@
     let is_led = apply_change(instance, &submit.shard, |leader, actions| {
         leader.record_entry(envelope, submit.stamp_ms, &url);
         if let Some(grant) = leader.shard.grant(id) {
-            // The grant was lost on its way, or still is.
+            // The grant was lost or is still in transit.
             if grant.expires > now {
                 resend = Some(grant.engine);
                 return;
             }
-            // It can be used no more; the request waits again, from now.
+            // The grant has expired; the request is queued again from now on.
             leader.shard.finish(id, RequestEnd::Finished, now, actions);
         }
         let adapter = leader.intern(EngineAdapter {
@@ -42,7 +43,8 @@
             version: submit.version.clone(),
         });
         if is_newer {
-            // The entry has a configuration that we are yet to get.
+            // The entry has a newer configuration, which this instance has not
+            // received yet.
             leader.shard.set_configured(adapter, true);
         }
         let request = Request {
@@ -67,14 +69,14 @@
     }
 }
 
-/// Takes in that a caller gave up.
+/// Handles the cancellation of a request by its caller.
 pub(crate) fn on_cancel(instance: &Rc<Instance>, cancel: &RequestRef) {
     apply_change(instance, &cancel.shard, |leader, actions| {
         leader.shard.cancel(cancel.request, Instant::now(), actions);
     });
 }
 
-/// Takes in the end of a request.
+/// Handles the end of an attempt to run a request.
 pub(crate) fn on_ended(instance: &Rc<Instance>, ended: &Ended) {
     let end = match ended.end {
         EndKind::Finished => RequestEnd::Finished,
@@ -87,7 +89,7 @@
     });
 }
 
-/// Takes in all that an entry runs here.
+/// Handles the list of the requests that an entry runs on this shard.
 pub(crate) fn on_running(
     instance: &Rc<Instance>,
     envelope: &Envelope,
@@ -135,7 +137,7 @@
     }
 }
 
-/// Takes in the clock of an entry that uses led shards.
+/// Records the clock of an entry in the led shards that it uses.
 pub(crate) fn on_heartbeat(
     instance: &Rc<Instance>,
     envelope: &Envelope,
--- a/crates/sedgewalld/src/leader.rs
+++ b/crates/sedgewalld/src/leader.rs
@@ -1,10 +1,9 @@
-//! The leader of a shard: feeds the policy with events and carries out what
-//! it wants done.
+//! The leader of a shard: passes events to the scheduling policy and executes
+//! the actions that it returns.
 //!
-//! The policy's state is in `sedgewall_state::Shard`. This module translates
-//! names to indices and actions to messages and orders, and keeps the rule
-//! that orders go only to engines that either check fences or cannot have a
-//! newer leader yet.
+//! The policy's state is in `sedgewall_state::Shard`. This module maps names
+//! to indices, and actions to messages and orders. It ensures that orders go
+//! only to engines that check fences, or that cannot have a newer leader yet.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -37,15 +36,15 @@
     store::StoreAllotment,
 };
 
-/// What a new leader waits beyond the validity of its predecessor's grants
-/// before it evicts anything.
+/// How long a new leader waits, beyond the validity of its predecessor's
+/// grants, before it evicts adapters.
 const EVICTION_MARGIN: Duration = Duration::from_millis(500);
 
-/// Evictions on engines without fences wait for the entries; this is far
-/// enough away to mean "not yet".
+/// The deferral of evictions on engines that do not check fences, until all
+/// entries have acknowledged the epoch. It only has to exceed any such wait.
 const INDEFINITE_DEFERRAL: Duration = Duration::from_secs(86_400);
 
-/// An engine as the leader reaches it.
+/// An engine, and what the leader knows of its process.
 #[derive(Clone, Debug)]
 pub(crate) struct EngineLink {
     pub(crate) endpoint: EndpointId,
@@ -55,17 +54,17 @@
     pub(crate) is_report_pending: bool,
 }
 
-/// An entry as the leader reaches it.
+/// An entry, and where and when the leader last heard from it.
 #[derive(Clone, Debug)]
 pub(crate) struct EntryLink {
     pub(crate) instance: InstanceId,
     pub(crate) url: String,
-    /// The entry's clock, as of its last message.
+    /// The entry's own clock at its last message, in milliseconds.
     pub(crate) stamp_ms: u64,
     pub(crate) last_heard: Instant,
 }
 
-/// One shard that this instance leads.
+/// The state of a shard that this instance leads.
 pub(crate) struct ShardLeader {
     pub(crate) shard_id: ShardId,
     pub(crate) base_model: ModelName,
@@ -75,22 +74,23 @@
     pub(crate) names: Vec<EngineAdapter>,
     pub(crate) engines: Vec<EngineLink>,
     pub(crate) entries: BTreeMap<Incarnation, EntryLink>,
-    /// Entries that know this epoch and use no older grants.
+    /// Entries that know this epoch and use no grants of older ones.
     pub(crate) acked: HashSet<Incarnation>,
     pub(crate) evict_after: Instant,
     pub(crate) is_barrier_passed: bool,
     pub(crate) is_superseded: bool,
-    /// The part of the weight store, beside what is guaranteed.
+    /// The allotment of the weight store's limits, beside the guaranteed
+    /// limits.
     pub(crate) allotment: StoreAllotment,
 }
 
 impl ShardLeader {
-    /// Returns what the shard would do with the weight store.
+    /// Returns the shard's demand on the weight store.
     pub(crate) fn store_demand(&self) -> StoreDemand {
         self.shard.store_demand()
     }
 
-    /// Replaces the shard's part of the weight store.
+    /// Replaces the shard's limits on the weight store.
     pub(crate) fn set_store_limits(&mut self, limits: StoreLimits) {
         self.shard.set_store_limits(limits);
     }
@@ -135,7 +135,7 @@
     }
 }
 
-/// Takes up the leadership of a shard.
+/// Starts to lead a shard whose lease this instance has acquired.
 pub(crate) fn start_leading(
     instance: &Rc<Instance>,
     shard_id: &ShardId,
@@ -145,7 +145,7 @@
     let view = instance.view();
     let policy = &view.config.policy;
     let base_model = shard_id.rsplit('.').nth(1).map(|_| {
-        // A shard's id is region, model and number; a model may hold dots.
+        // A shard id is `REGION.MODEL.NUMBER`, and the model may contain dots.
         let rest = shard_id.split_once('.').map_or("", |(_, rest)| rest);
         rest.rsplit_once('.').map_or("", |(model, _)| model).to_owned()
     });
@@ -187,8 +187,8 @@
     leader_tasks::start(instance, shard_id, epoch);
 }
 
-/// Ends the leadership of a shard; what waits is sent to the successor by the
-/// entries.
+/// Stops leading a shard. The entries submit its waiting requests to the
+/// successor.
 pub(crate) fn step_down(instance: &Rc<Instance>, shard_id: &str) {
     let Some(leader) = instance.shards.borrow_mut().remove(shard_id) else {
         return;
@@ -208,7 +208,7 @@
     Some(shards.get(shard_id)?.lease.clone())
 }
 
-/// Puts the renewed lease in force.
+/// Stores the renewed lease of a shard.
 pub(crate) fn set_lease(
     instance: &Instance,
     shard_id: &str,
@@ -219,14 +219,15 @@
     }
 }
 
-/// Returns whether an engine or a peer told of a later epoch.
+/// Returns whether an engine or a peer has reported a later epoch, or this
+/// instance does not lead the shard any more.
 pub(crate) fn is_superseded(instance: &Instance, shard_id: &str) -> bool {
     let shards = instance.shards.borrow();
     let Some(leader) = shards.get(shard_id) else { return true };
     leader.is_superseded || instance.highest_epoch(shard_id) > leader.epoch()
 }
 
-/// Brings all led shards up to date with the configuration.
+/// Applies the current configuration to all led shards.
 pub(crate) fn reconfigure(instance: &Rc<Instance>) {
     let view = instance.view();
     let settings = view.config.policy.settings();
@@ -265,7 +266,7 @@
     }
 }
 
-/// Brings the engines of all led shards up to date with the instance list.
+/// Updates the engines of all led shards from the instance list.
 pub(crate) fn refresh_engines(instance: &Rc<Instance>, list: &InstanceList) {
     let view = instance.view();
     let now = Instant::now();
@@ -318,9 +319,11 @@
     }
 }
 
-/// Engines that check fences and idleness may be evicted from once the
-/// predecessor's grants have expired; the others only when all entries know
-/// this epoch.
+/// Sets from when on adapters may be evicted from each engine.
+///
+/// On engines that check fences and idleness, evictions may start once the
+/// predecessor's grants have expired; on other engines all entries must know
+/// this epoch as well.
 pub(crate) fn update_eviction_deferrals(leader: &mut ShardLeader) {
     for (idx, link) in leader.engines.iter().enumerate() {
         let is_open = link.checks_fences || leader.is_barrier_passed;
@@ -332,7 +335,8 @@
     }
 }
 
-/// Runs a function on a led shard and carries out what it wants done.
+/// Runs `change` on a led shard and executes the resulting actions. Returns
+/// whether this instance leads the shard.
 pub(crate) fn apply_change(
     instance: &Rc<Instance>,
     shard_id: &str,
@@ -421,8 +425,8 @@
         let Some(grant) = leader.shard.grant(request) else { return };
         let entry = leader.entries.get(&request_incarnation(request));
         let Some(entry) = entry else { return };
-        // Counted from the entry's own clock as we last heard it, so that a
-        // late or paused entry finds the grant expired.
+        // The expiry is stated on the entry's own clock, as of its last
+        // message, so that a late or paused entry finds the grant expired.
         let left = grant.expires.saturating_duration_since(entry.last_heard);
         Granted {
             shard: shard_id.to_owned(),
--- a/crates/sedgewalld/src/operator.rs
+++ b/crates/sedgewalld/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' port: health, metrics, status, time line, explanations.
+//! The operators' API: health, metrics, status, timeline and explanations.
 
 use std::rc::Rc;
 
@@ -142,7 +142,7 @@
 }
 
 fn drain(instance: &Rc<Instance>) -> Response<LocalBody> {
-    info!("daemon: an operator asked for a stop.");
+    info!("daemon: an operator requested a drain.");
     instance.stage.set(Stage::Leaving);
     responses::text(StatusCode::ACCEPTED, "leaving\n")
 }
--- a/crates/sedgewalld/src/orders.rs
+++ b/crates/sedgewalld/src/orders.rs
@@ -1,4 +1,4 @@
-//! Load orders to engines, and what becomes of them.
+//! Load orders to engines, and the handling of their results.
 
 use std::rc::Rc;
 
@@ -56,7 +56,7 @@
     compio::runtime::spawn(async move {
         let answer = match may_send {
             true => instance.engines.order(&link.address, &engine_order).await,
-            // Somebody else may give orders there by now.
+            // A newer leader may send orders to this engine by now.
             false => OrderAnswer::Failed(OrderFailure::OldEpoch),
         };
         finish_load(&instance, &shard_id, epoch, order, &label, &link, answer);
@@ -82,7 +82,10 @@
     instance.record_event(kind, None, label, &link.endpoint, detail);
     if !is_loaded {
         metrics::counter!("sedgewall_load_failures_total").increment(1);
-        warn!("leader: {label} on {}: {answer:?}.", link.endpoint);
+        warn!(
+            "leader: load of {label} on {} not confirmed: {answer:?}.",
+            link.endpoint
+        );
     }
     apply_change(instance, shard_id, |leader, actions| {
         if leader.epoch() != epoch {
--- a/crates/sedgewalld/src/process.rs
+++ b/crates/sedgewalld/src/process.rs
@@ -1,12 +1,12 @@
-//! What the process itself uses: memory and processor time, from `/proc`.
+//! Resource usage of this process, memory and CPU time, from `/proc`.
 
-/// The size of a page, in bytes.
+/// The size of a memory page, in bytes.
 const PAGE_BYTES: u64 = 4_096;
 
-/// The kernel's clock ticks, in milliseconds.
+/// The length of a clock tick of the kernel, in milliseconds.
 const TICK_MS: u64 = 10;
 
-/// Returns the resident memory in bytes; 0 where it cannot be read.
+/// Returns the resident memory in bytes, or 0 if it cannot be read.
 pub(crate) fn resident_bytes() -> u64 {
     let Ok(text) = std::fs::read_to_string("/proc/self/statm") else {
         return 0;
@@ -15,13 +15,12 @@
     pages.unwrap_or(0u64) * PAGE_BYTES
 }
 
-/// Returns the processor time used, in milliseconds; 0 where it cannot be
-/// read.
+/// Returns the CPU time used, in milliseconds, or 0 if it cannot be read.
 pub(crate) fn cpu_ms() -> u64 {
     let Ok(text) = std::fs::read_to_string("/proc/self/stat") else {
         return 0;
     };
-    // Fields count from after the name, which may hold spaces.
+    // The fields are counted after the process name, which may contain spaces.
     let Some((_, fields)) = text.rsplit_once(") ") else { return 0 };
     let mut fields = fields.split(' ').skip(11);
     let mut ticks =
--- a/crates/sedgewalld/src/relay.rs
+++ b/crates/sedgewalld/src/relay.rs
@@ -1,9 +1,8 @@
-//! Passes a stream of events from an engine on to a caller.
+//! Relays a stream of events from an engine to a caller.
 //!
-//! Only whole events are passed on, so that a stream which breaks off can go
-//! on at another engine exactly after the last one. The module keeps one
-//! invariant: the caller gets each event once and in order, or is told that
-//! the answer is not whole.
+//! Only complete events are relayed, so that a broken stream can resume on
+//! another engine exactly after the last event. Invariant: the caller receives
+//! each event once and in order, or is told that the answer is incomplete.
 
 use std::{pin::Pin, time::Duration};
 
@@ -26,25 +25,25 @@
 /// The blank line that ends an event.
 const EVENT_END: &[u8] = b"\n\n";
 
-/// The longest event that is waited for, in bytes.
+/// The maximum length of an event, in bytes.
 const MAX_EVENT_LEN: usize = 1 << 20;
 
-/// A stream on its way from engine to caller.
+/// The state of a stream from an engine to a caller.
 struct Relay {
     call: ModelCall,
     shard_request: ShardRequest,
     retry_state: RetryState,
     chunks: EngineChunks,
-    /// Bytes of an event that is not whole yet.
+    /// The bytes of an incomplete event.
     partial: BytesMut,
-    /// Events that the caller got.
+    /// The number of events that were passed to the caller.
     delivered: u64,
     sent: Instant,
     has_first_chunk: bool,
     is_over: bool,
 }
 
-/// Returns the answer that streams an engine's events.
+/// Returns the response that streams an engine's events.
 pub(crate) fn stream(
     call: ModelCall,
     shard_request: ShardRequest,
@@ -72,14 +71,14 @@
     response
 }
 
-/// What the engine's stream brought.
+/// The result of a read from the engine's stream.
 enum StreamRead {
     Events(Bytes),
     Failed(AttemptError),
 }
 
 impl Relay {
-    /// Returns the next events for the caller; none after the end.
+    /// Returns the next events for the caller, or `None` after the end.
     async fn next(&mut self) -> Option<Result<Bytes, std::io::Error>> {
         while !self.is_over {
             match self.read_events().await {
@@ -95,7 +94,7 @@
         None
     }
 
-    /// Waits for at least one whole event.
+    /// Reads from the engine until there is at least one complete event.
     async fn read_events(&mut self) -> StreamRead {
         let idle_ms = self.call.instance.settings.limits.stream_idle_ms;
         let idle = Duration::from_millis(idle_ms);
@@ -121,7 +120,7 @@
         }
     }
 
-    /// Cuts the whole events from what has come.
+    /// Adds a chunk, and returns all complete events if there are any.
     fn take_events(&mut self, chunk: Bytes) -> Option<Bytes> {
         let is_complete =
             self.partial.is_empty() && chunk.ends_with(EVENT_END);
@@ -148,7 +147,8 @@
         call::record_first_token_time(&self.call, self.sent);
     }
 
-    /// Goes on at another engine after the last event that was passed.
+    /// Resumes the stream on another engine after the last event that was
+    /// passed to the caller.
     async fn resume(&mut self, err: AttemptError) -> Result<(), Problem> {
         let mut err = err;
         loop {
@@ -177,7 +177,9 @@
         }
     }
 
-    /// A stream that began in time may take as long again to go on.
+    /// Returns the deadline for the grant to resume the stream.
+    ///
+    /// A stream that started in time may take its whole time limit once more.
     fn resume_deadline(&self) -> Instant {
         let total = self.call.deadline - self.call.arrived;
         Instant::now() + total
@@ -187,7 +189,8 @@
 impl Drop for Relay {
     fn drop(&mut self) {
         if !self.is_over {
-            // The caller went away; dropping the chunks cancels the engine.
+            // The caller disconnected; dropping the chunks cancels the request
+            // at the engine.
             self.shard_request.report_end(EndKind::Finished);
         }
     }
@@ -197,7 +200,8 @@
     StreamRead::Failed(AttemptError::OutcomeUnknown(detail))
 }
 
-/// Something has run by now, whatever the last try did.
+/// Marks the outcome of a request as unknown or partial, because something has
+/// run by now, whatever the last attempt did.
 fn mark_partial(mut problem: Problem, delivered: u64) -> Problem {
     problem.run_state = match delivered {
         0 => RunState::Unknown,
@@ -209,7 +213,8 @@
     problem
 }
 
-/// Tells the caller, inside the stream, that the answer is not whole.
+/// Returns an event that tells the caller, inside the stream, that the answer
+/// is incomplete.
 fn error_event(problem: &Problem) -> Bytes {
     let json = serde_json::to_string(problem).unwrap_or_default();
     Bytes::from(format!("event: error\ndata: {json}\n\n"))
--- a/crates/sedgewalld/src/requests.rs
+++ b/crates/sedgewalld/src/requests.rs
@@ -1,7 +1,7 @@
-//! The requests that this entry holds, waiting for a seat or running.
+//! The requests of this entry that wait for a grant or run.
 //!
-//! The table keeps one invariant: a request is in it from its submission to
-//! its end, and only a request that is in it may use a grant.
+//! Invariant: a request is in the table from its submission to its end, and
+//! only a request in the table may use a grant.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -19,14 +19,14 @@
     ShardId, admission::Refusal, id::request_id,
 };
 
-/// What a leader decided for a request.
+/// A leader's decision on a request.
 #[derive(Clone, Debug)]
 pub(crate) enum Decision {
     Granted(Granted),
     Refused(Refusal),
 }
 
-/// One request at a shard.
+/// A request that was submitted to a shard.
 #[derive(Debug)]
 pub(crate) struct TrackedRequest {
     pub(crate) shard: ShardId,
@@ -36,31 +36,32 @@
     pub(crate) caller_hash: u64,
     pub(crate) submitted: Instant,
     pub(crate) deadline: Instant,
-    /// When its submission was last sent.
+    /// When the submission was last sent.
     pub(crate) sent: Instant,
-    /// The endpoint on which it runs, if it does.
+    /// The endpoint that runs the request, once it runs.
     pub(crate) endpoint: Option<EndpointId>,
     pub(crate) tx: mpsc::UnboundedSender<Decision>,
 }
 
-/// All requests of this entry.
+/// All requests of this entry, and its retry budget.
 #[derive(Debug)]
 pub(crate) struct RequestTable {
     tracked: BTreeMap<RequestId, TrackedRequest>,
     sequence: u64,
     max_open: usize,
-    /// Requests of any kind, services included.
+    /// The number of open requests of any kind, calls of services included.
     open: usize,
     retry_tokens: f64,
     retry_share: f64,
-    /// First tokens that leaders have not been told yet.
+    /// First-token times that were not yet sent to the leaders.
     first_tokens: HashMap<ShardId, Vec<FirstToken>>,
 }
 
-/// First tokens kept for one leader; a few dozen tell enough.
+/// The maximum number of first-token times kept for one leader, as a few dozen
+/// are a sufficient sample.
 const MAX_FIRST_TOKENS: usize = 64;
 
-/// Retries that may be saved up.
+/// The capacity of the retry budget.
 const RETRY_BURST: f64 = 20.0;
 
 impl RequestTable {
@@ -76,7 +77,8 @@
         }
     }
 
-    /// Returns the id of a new request, unless too many are open.
+    /// Counts a new request as open and returns its id, or `None` if too many
+    /// are open.
     pub(crate) fn open(
         &mut self,
         incarnation: Incarnation,
@@ -91,7 +93,7 @@
         Some(request_id(incarnation, self.sequence))
     }
 
-    /// Counts a request out.
+    /// Subtracts a request from the open ones.
     pub(crate) fn close(&mut self) {
         self.open = self.open.saturating_sub(1);
     }
@@ -101,7 +103,7 @@
         self.open
     }
 
-    /// Takes one retry from the budget, if there is one.
+    /// Takes one retry from the budget. Returns whether there was one.
     pub(crate) fn take_retry(&mut self) -> bool {
         if self.retry_tokens < 1.0 {
             return false;
@@ -129,7 +131,7 @@
         self.tracked.get_mut(&id)
     }
 
-    /// Notes how long the first token of a running request took.
+    /// Records the first-token time of a running request.
     pub(crate) fn record_first_token(
         &mut self,
         id: RequestId,
@@ -144,7 +146,8 @@
         }
     }
 
-    /// Takes what a shard's leader has not been told yet.
+    /// Removes and returns the first-token times that were not yet sent to a
+    /// shard's leader.
     pub(crate) fn take_first_tokens(
         &mut self,
         shard: &str,
@@ -161,7 +164,7 @@
             .collect()
     }
 
-    /// Returns the ids of all requests that wait for a seat, sorted.
+    /// Returns the ids of all requests that wait for a grant, sorted.
     pub(crate) fn waiting(&self) -> Vec<RequestId> {
         self.tracked
             .iter()
@@ -170,8 +173,7 @@
             .collect()
     }
 
-    /// Returns all requests that run, by shard; shards without any are left
-    /// out.
+    /// Returns all running requests by shard; shards without any are left out.
     pub(crate) fn running(&self) -> HashMap<ShardId, Vec<RunningRequest>> {
         let mut by_shard: HashMap<ShardId, Vec<RunningRequest>> =
             HashMap::new();
