--- a/crates/sedgewalld/src/leader.rs
+++ b/crates/sedgewalld/src/leader.rs
@@ -3,7 +3,8 @@
 //!
 //! The policy's state is in `sedgewall_state::Shard`. This module maps names
 //! to indices, and actions to messages and orders. It ensures that orders go
-//! only to engines that check fences, or that cannot have a newer leader yet.
+//! only to engines that check fences (refuse orders of an older epoch), or
+//! that cannot have a newer leader yet.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
--- a/crates/sedgewalld/src/leader_tasks.rs
+++ b/crates/sedgewalld/src/leader_tasks.rs
@@ -1,5 +1,5 @@
-//! What a leader does from time to time: passes time to the policy, reads
-//! reports, looks after lost entries, asks for the weight store.
+//! The periodic tasks of a shard's leader: ticks of the policy, reports of
+//! engines, removal of lost entries, and demands on the weight store.
 
 use std::{
     rc::Rc,
@@ -21,32 +21,34 @@
     store,
 };
 
-/// How often time is passed to the policy.
+/// The interval of the policy's ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How often engines are asked for reports.
+/// The interval at which engines are asked for reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How often the engines of a large shard are; an engine is silent after 2.5 s.
+/// The interval of reports in a large shard. An engine counts as silent after
+/// 2.5 s without a report.
 const LARGE_SHARD_REPORT_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// A shard with more engines is large. A report costs a leader 0.1 ms.
+/// The number of engines above which a shard counts as large, because each
+/// report costs the leader 0.1 ms.
 const LARGE_SHARD_ENGINES: usize = 16;
 
-/// How often slow matters are looked after.
+/// The interval of [`run_housekeeping`].
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How early a declared spike is prepared for.
+/// How long before its start a declared spike is prepared for.
 const SPIKE_LEAD_TIME: Duration = Duration::from_secs(120);
 
-/// Reports may be this old when they are given out.
+/// The maximum age of a report when the engine sends it.
 const MAX_REPORT_LAG: Duration = Duration::from_secs(1);
 
-/// An entry that is silent for this long has no grants left either, and is
-/// forgotten, so that restarts do not add up.
+/// The silence after which an entry is removed, so that restarts do not
+/// accumulate entries. The entry has no grants left by then.
 const ENTRY_RETENTION: Duration = Duration::from_secs(60);
 
-/// An entry that is silent for this long has lost its requests.
+/// The silence after which an entry counts as lost, along with its requests.
 const ENTRY_TIMEOUT: Duration = Duration::from_secs(3);
 
 #[derive(Clone, Copy, Debug)]
@@ -75,7 +77,7 @@
     }
 }
 
-/// Starts all periodic work of a leadership.
+/// Starts the periodic tasks of a leader, for one epoch of a shard.
 pub(crate) fn start(
     instance: &Rc<Instance>,
     shard_id: &ShardId,
@@ -89,7 +91,8 @@
     }
 }
 
-/// Does one kind of periodic work until the leadership ends.
+/// Runs a periodic task until this instance no longer leads the shard in this
+/// epoch.
 async fn run_task(
     instance: Rc<Instance>,
     shard_id: ShardId,
@@ -180,13 +183,15 @@
                 running_len: slot.running_len,
             })
             .collect();
-        // Reports lag, so they only count for what is older than the lag.
+        // Reports lag, so they only count for what is older than the maximum
+        // lag.
         let as_of = requested.checked_sub(MAX_REPORT_LAG).unwrap_or(requested);
         leader.shard.apply_report(engine, &slots, as_of, now, actions);
     });
 }
 
-/// Looks after lost entries, the barrier of the epoch and declared spikes.
+/// Removes lost entries, checks whether all entries know the epoch, and
+/// announces declared spikes to the policy.
 fn run_housekeeping(instance: &Rc<Instance>, shard_id: &str) {
     let now = Instant::now();
     let view = instance.view();
@@ -240,8 +245,10 @@
     });
 }
 
-/// An entry that is stopping still finishes its requests, so leaving does not
-/// count as lost; silence and a newer incarnation do.
+/// Returns whether an entry is live.
+///
+/// An entry that is stopping still finishes its requests, so it counts as
+/// live; a silent one and one with a newer incarnation do not.
 fn is_entry_live(
     instance: &Instance,
     entry: &EntryLink,
@@ -257,7 +264,7 @@
     peer.last.incarnation == incarnation && silence < ENTRY_TIMEOUT
 }
 
-/// Whether every listed instance knows this epoch.
+/// Returns whether every listed instance knows this epoch.
 fn all_entries_acked(instance: &Instance, leader: &ShardLeader) -> bool {
     let membership = instance.membership.borrow();
     membership.listed_live().all(|id| {
--- a/crates/sedgewalld/src/responses.rs
+++ b/crates/sedgewalld/src/responses.rs
@@ -1,4 +1,4 @@
-//! Answers to callers and operators: problems, JSON and headers.
+//! Responses to callers and operators: problems, JSON, plain text and headers.
 
 use http::{HeaderValue, Response, StatusCode, header};
 use sedgewall_protocol::{
@@ -8,7 +8,7 @@
 use sedgewall_transport::LocalBody;
 use serde::Serialize;
 
-/// Returns the answer that tells a problem.
+/// Returns the response of a problem, and counts it by its kind.
 pub(crate) fn problem(problem: &Problem) -> Response<LocalBody> {
     let body = serde_json::to_vec(problem).unwrap_or_default();
     let mut response = Response::new(LocalBody::whole(body));
@@ -25,7 +25,7 @@
     response
 }
 
-/// Returns an answer with a JSON body.
+/// Returns a response with a JSON body.
 pub(crate) fn json<T: Serialize>(value: &T) -> Response<LocalBody> {
     let body = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(LocalBody::whole(body));
@@ -33,7 +33,7 @@
     response
 }
 
-/// Returns an answer with a text.
+/// Returns a response with a plain-text body.
 pub(crate) fn text(
     status: StatusCode,
     text: impl Into<String>,
@@ -44,7 +44,7 @@
     response
 }
 
-/// Adds the request's id.
+/// Sets the header with the request's id.
 pub(crate) fn with_request_id(
     mut response: Response<LocalBody>,
     id: &str,
@@ -55,7 +55,7 @@
     response
 }
 
-/// Sets the media type.
+/// Sets the `Content-Type` header.
 pub(crate) fn set_content_type(
     response: &mut Response<LocalBody>,
     media_type: &str,
--- a/crates/sedgewalld/src/routes.rs
+++ b/crates/sedgewalld/src/routes.rs
@@ -1,8 +1,8 @@
-//! The configuration in force, indexed for routing.
+//! The current configuration, indexed for routing.
 //!
-//! A view is immutable and shared; a new configuration brings a new view. The
-//! module keeps one invariant: the same adapter in the same region always maps
-//! to the same shard, on every instance with the same configuration.
+//! A view is immutable and shared; each new configuration gets a new view.
+//! Invariant: the same adapter in the same region maps to the same shard on
+//! every instance with the same configuration.
 
 use std::{collections::HashMap, rc::Rc};
 
@@ -12,14 +12,15 @@
     config::{AdapterConfig, BaseModel, Config, EndpointKind, shard_id},
 };
 
-/// One configuration, ready for look-ups.
+/// A configuration with an index of its adapters by name.
 #[derive(Debug, Default)]
 pub(crate) struct ConfigView {
     pub(crate) config: Config,
     adapters: HashMap<String, usize>,
 }
 
-/// Where an engine belongs.
+/// The shard of an engine, and the capacity that the configuration gives the
+/// engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct EngineAssignment {
     pub(crate) shard: ShardId,
@@ -39,7 +40,7 @@
         Rc::new(ConfigView { config, adapters })
     }
 
-    /// Returns an adapter that has the version.
+    /// Returns the adapter of this name, if it has the version.
     pub(crate) fn adapter(
         &self,
         name: &str,
@@ -61,8 +62,8 @@
         Some(shard_id(region, &model.name, idx))
     }
 
-    /// Returns where a listed endpoint belongs, if it is an engine that the
-    /// configuration knows.
+    /// Returns the shard and capacity of a listed endpoint, if it is an engine
+    /// of a configured group.
     pub(crate) fn engine_assignment(
         &self,
         listed: &ListedInstance,
@@ -83,8 +84,8 @@
     }
 }
 
-/// Picks one of a model's shards by rendezvous, so that another number of
-/// shards moves as little as possible.
+/// Picks one of a model's shards by rendezvous hashing, so that a change of
+/// the number of shards moves as few keys as possible.
 fn pick_shard(model: &BaseModel, key: &str) -> u32 {
     (0..model.shards_per_region)
         .max_by_key(|idx| rendezvous::score(&idx.to_string(), key))
--- a/crates/sedgewalld/src/services.rs
+++ b/crates/sedgewalld/src/services.rs
@@ -1,7 +1,9 @@
-//! Plain services: routed by each entry alone, with limits of their own.
+//! Plain services: each entry routes their calls by itself, within limits of
+//! their own.
 //!
-//! A call goes to the endpoint with the fewest calls from here. Nothing of
-//! the model side takes part, so a storm there does not slow a lookup here.
+//! A call goes to the endpoint with the fewest outstanding calls from this
+//! instance. No part of the scheduling of completions takes part, so that a
+//! surge of completions does not slow the calls of services.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
@@ -34,17 +36,19 @@
     routes::ConfigView,
 };
 
-/// Where plain services are reached: `/services/GROUP/PATH`.
+/// The path prefix of plain services: `/services/GROUP/PATH`.
 pub(crate) const SERVICES_PREFIX: &str = "/services/";
 
-/// When to come back to a service whose endpoints are all at their limits.
+/// The `Retry-After` value while all endpoints of a service are at their
+/// limits, or if none could be reached.
 const BUSY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// The longest rest that an endpoint may ask for; a longer one counts as this, so
-/// that it can be added to any point in time.
+/// The maximum cooldown. A longer one that an endpoint requests is cut to
+/// this, so that it can be added to any point in time.
 const MAX_COOLDOWN: Duration = Duration::from_secs(86_400);
 
-/// The endpoints of all plain services, with the calls from here.
+/// The endpoints of all plain services, with their outstanding calls from this
+/// instance.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceTable {
     groups: HashMap<GroupName, Vec<ServiceEndpoint>>,
@@ -52,8 +56,8 @@
 }
 
 impl ServiceTable {
-    /// Takes in a new instance list or configuration; calls under way keep
-    /// their counts.
+    /// Rebuilds the table from an instance list and a configuration. The
+    /// counts of calls in flight are kept.
     pub(crate) fn update(&mut self, view: &ConfigView, list: &InstanceList) {
         let old = std::mem::take(&mut self.groups);
         self.addresses.clear();
@@ -89,7 +93,8 @@
         Some(Target { group: group.to_owned(), endpoint, address })
     }
 
-    /// Returns when the first endpoint of a group that rests takes calls again.
+    /// Returns how long it takes until the first endpoint of a group that is
+    /// cooling down takes calls again.
     fn remaining_cooldown(&self, group: &str) -> Option<Duration> {
         let now = Instant::now();
         let endpoints = self.groups.get(group)?.iter();
@@ -99,7 +104,7 @@
         Some(first.saturating_duration_since(now))
     }
 
-    /// Takes in that an endpoint wants no calls for a time.
+    /// Starts a cooldown of an endpoint, or extends the current one.
     fn start_cooldown(&mut self, target: &Target, cooldown: Duration) {
         if let Some(endpoint) = self.endpoint_mut(target) {
             let until = Instant::now() + cooldown;
@@ -133,7 +138,7 @@
     address: String,
 }
 
-/// A seat at a service's endpoint, given back when dropped.
+/// Counts an outstanding call of an endpoint until it is dropped.
 struct OutstandingCallGuard {
     instance: Rc<Instance>,
     target: Target,
@@ -272,7 +277,8 @@
     }
 }
 
-/// Returns for how long an endpoint that turned a call away wants no other.
+/// Returns the cooldown that an endpoint requests by `Retry-After` with an
+/// overload answer.
 fn requested_cooldown(answer: &WholeAnswer) -> Option<Duration> {
     let is_overload_answer = matches!(
         answer.status,
@@ -392,7 +398,8 @@
     response
 }
 
-/// Takes `/services/GROUP/PATH?QUERY` apart.
+/// Splits `/services/GROUP/PATH?QUERY` into the group and the path with its
+/// query.
 fn split_path(uri: &http::Uri) -> Result<(GroupName, String), Problem> {
     let rest = uri.path().strip_prefix(SERVICES_PREFIX).unwrap_or("");
     let (group, path) = rest.split_once('/').unwrap_or((rest, ""));
@@ -415,7 +422,8 @@
     forwarded
 }
 
-/// Headers that belong to one connection (RFC 9110, section 7.6.1).
+/// Returns whether a header belongs to a single connection (RFC 9110, section
+/// 7.6.1).
 fn is_hop_by_hop(name: &header::HeaderName) -> bool {
     matches!(
         name.as_str(),
@@ -430,7 +438,8 @@
     )
 }
 
-/// Methods that HTTP calls idempotent (RFC 9110, section 9.2.2).
+/// Returns whether HTTP defines a method as idempotent (RFC 9110, section
+/// 9.2.2).
 fn is_idempotent(method: &Method) -> bool {
     matches!(
         *method,
--- a/crates/sedgewalld/src/signals.rs
+++ b/crates/sedgewalld/src/signals.rs
@@ -1,29 +1,32 @@
-//! Signals that the process answers for all of its life.
+//! Signal handlers that stay installed for the lifetime of the process.
 //!
-//! The runtime gives a signal its default back once nothing waits for it, and
-//! the default ends the process, with all its requests. The invariant: a signal
-//! that is heard here never does that, also while the process stops.
+//! The runtime restores a signal's default action once no task waits for the
+//! signal, and the default action ends the process with all its requests.
+//! Invariant: a signal that is handled here never does that, not even while
+//! the process stops.
 
 use futures_channel::mpsc;
 
-/// The number of the signal that tells of changed settings (POSIX).
+/// The number of the signal that requests a reload of the settings (POSIX).
 const SIGHUP: i32 = 1;
 
-/// The number of the signal that asks for a planned stop (POSIX).
+/// The number of the signal that requests a graceful stop (POSIX).
 const SIGTERM: i32 = 15;
 
-/// What the process was told by signals. Those that come faster than they are
-/// taken count once.
+/// The signals that were received. Those that arrive faster than they are read
+/// count once.
 pub(crate) struct Signals {
-    /// To stop as planned.
+    /// Requests for a graceful stop.
     pub(crate) stop: mpsc::Receiver<()>,
-    /// That settings have changed.
+    /// Requests for a reload of the settings.
     pub(crate) reload: mpsc::Receiver<()>,
 }
 
 impl Signals {
-    /// Hears signals from now on, for ever: what is dropped is not told any
-    /// more, and still ends nothing.
+    /// Installs the handlers for the lifetime of the process.
+    ///
+    /// Once a receiver is dropped, its signals are no longer reported, and
+    /// still do not end the process.
     pub(crate) fn install() -> Signals {
         Signals { stop: install(SIGTERM), reload: install(SIGHUP) }
     }
@@ -32,11 +35,13 @@
 fn install(signal: i32) -> mpsc::Receiver<()> {
     let (mut tx, rx) = mpsc::channel(0);
     compio::runtime::spawn(listen(signal, move || {
-        // A signal before this one has not been heard yet, or nothing hears.
+        // The channel is full as an earlier signal was not read yet, or the
+        // receiver was dropped.
         let _ = tx.try_send(());
     }))
     .detach();
-    // Between two turns of a listener the other one holds the signal.
+    // Between two waits of one listener the other one keeps the signal's
+    // handler installed.
     compio::runtime::spawn(listen(signal, || {})).detach();
     rx
 }
@@ -48,7 +53,8 @@
             Err(err) => {
                 let cause = err.to_string();
                 tracing::error!(event = "signal_not_heard", signal, cause);
-                // Not told is not the same as told to stop.
+                // A handler that failed to install must not count as a
+                // received signal.
                 std::future::pending::<()>().await;
             }
         }
--- a/crates/sedgewalld/src/store.rs
+++ b/crates/sedgewalld/src/store.rs
@@ -1,9 +1,10 @@
-//! The division of the weight store, on both sides.
+//! The division of the weight store's limits among shards, on both sides.
 //!
-//! Each shard's leader asks the allocator, which is the leader of the first
-//! shard, for a part of the store and keeps it for a short time. A leader that
-//! hears nothing falls back to the part that is guaranteed to its shard. The
-//! arithmetic and its invariant are in `sedgewall_state::allocation`.
+//! Each shard's leader requests an allotment from the allocator, which is the
+//! leader of the first shard, and keeps it for a short time. A leader that
+//! receives no answer falls back to the limits that are guaranteed to its
+//! shard. The arithmetic and its invariant are in
+//! `sedgewall_state::allocation`.
 
 use std::{cell::RefCell, rc::Rc};
 
@@ -19,12 +20,13 @@
 
 use crate::instance::Instance;
 
-/// A shard's part of the store, as its leader holds it.
+/// The current allotment of a shard, as its leader keeps it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct StoreAllotment {
-    /// The allocator's epoch; parts of an older one are not taken.
+    /// The allocator's epoch; allotments of an older epoch are ignored.
     epoch: Epoch,
-    /// Until when it holds, in milliseconds on our own clock.
+    /// The end of the allotment's validity, in milliseconds on this instance's
+    /// clock.
     valid_until_ms: u64,
 }
 
@@ -40,7 +42,8 @@
     };
 }
 
-/// Asks for a part of the store, and lets go of one that has run out.
+/// Requests an allotment, and falls back to the guaranteed limits once the
+/// current one has expired.
 pub(crate) fn request_allotment(instance: &Rc<Instance>, shard: &str) {
     let view = instance.view();
     let stamp_ms = instance.stamp_ms();
@@ -59,7 +62,7 @@
     instance.send(&allocator.peer_url, Some(allocator.incarnation), message);
 }
 
-/// Takes in a demand, if this instance leads the first shard.
+/// Answers a demand with an allotment, if this instance leads the first shard.
 pub(crate) fn on_demand(
     instance: &Rc<Instance>,
     envelope: &Envelope,
@@ -93,7 +96,7 @@
     instance.reply(envelope, message);
 }
 
-/// Takes in a part of the store.
+/// Applies an allotment, unless it has expired or is of an older epoch.
 pub(crate) fn on_allotment(instance: &Rc<Instance>, allotment: &Allotment) {
     let validity_ms = ALLOTMENT_VALIDITY.as_millis() as u64;
     let valid_until_ms = allotment.stamp_ms + validity_ms;
