--- a/crates/sedgewalld/src/call.rs
+++ b/crates/sedgewalld/src/call.rs
@@ -69,7 +69,7 @@
     id: RequestId,
     shard: ShardId,
     rx: mpsc::UnboundedReceiver<Decision>,
-    is_over: bool,
+    is_finished: bool,
 }
 
 /// The error of one attempt to run a request on an engine.
@@ -111,7 +111,7 @@
             id: call.open_request.id,
             shard,
             rx,
-            is_over: false,
+            is_finished: false,
         }
     }
 
@@ -130,7 +130,7 @@
                     }
                 }
                 Ok(Some(Decision::Refused(refusal))) => {
-                    self.is_over = true;
+                    self.is_finished = true;
                     self.untrack();
                     return Err(refusal);
                 }
@@ -177,7 +177,7 @@
             self.instance.send(&leader.peer_url, to, message);
         }
         if end == EndKind::Finished {
-            self.is_over = true;
+            self.is_finished = true;
             self.untrack();
             return;
         }
@@ -206,7 +206,7 @@
 
 impl Drop for ShardRequest {
     fn drop(&mut self) {
-        if self.is_over {
+        if self.is_finished {
             return;
         }
         self.untrack();
--- a/crates/sedgewalld/src/relay.rs
+++ b/crates/sedgewalld/src/relay.rs
@@ -40,7 +40,7 @@
     delivered: u64,
     sent: Instant,
     has_first_chunk: bool,
-    is_over: bool,
+    is_finished: bool,
 }
 
 /// Returns the response that streams an engine's events.
@@ -60,7 +60,7 @@
         delivered: 0,
         sent,
         has_first_chunk: false,
-        is_over: false,
+        is_finished: false,
     };
     let events = futures_util::stream::unfold(relay, |mut relay| async move {
         let item = relay.next().await?;
@@ -80,12 +80,12 @@
 impl Relay {
     /// Returns the next events for the caller, or `None` after the end.
     async fn next(&mut self) -> Option<Result<Bytes, std::io::Error>> {
-        while !self.is_over {
+        while !self.is_finished {
             match self.read_events().await {
                 StreamRead::Events(events) => return Some(Ok(events)),
                 StreamRead::Failed(err) => {
                     if let Err(problem) = self.resume(err).await {
-                        self.is_over = true;
+                        self.is_finished = true;
                         return Some(Ok(error_event(&problem)));
                     }
                 }
@@ -133,7 +133,7 @@
         };
         self.delivered += count_events(&events);
         if ends_stream(&events) {
-            self.is_over = true;
+            self.is_finished = true;
             call::finish(&self.call, &mut self.shard_request, "streamed");
         }
         Some(events)
@@ -188,7 +188,7 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        if !self.is_over {
+        if !self.is_finished {
             // The caller disconnected; dropping the chunks cancels the request
             // at the engine.
             self.shard_request.report_end(EndKind::Finished);
