--- a/crates/sedgewalld/src/claims.rs
+++ b/crates/sedgewalld/src/claims.rs
@@ -226,6 +226,7 @@
     log: ClaimLog,
     waiters: HashMap<RequestId, ReplyTo>,
     is_writer_running: bool,
+    /// The last read or write with a known outcome.
     last_synced: Option<Instant>,
     last_written: Option<Instant>,
 }
--- a/crates/sedgewalld/src/instance.rs
+++ b/crates/sedgewalld/src/instance.rs
@@ -60,19 +60,24 @@
     pub(crate) platform: PlatformClient,
     pub(crate) engines: EngineClient,
     pub(crate) stage: Cell<Stage>,
+    /// Whether the platform answered the last call.
     pub(crate) is_platform_reached: Cell<bool>,
     pub(crate) peers: RefCell<PeerSender>,
     pub(crate) membership: RefCell<Membership>,
     pub(crate) instances: RefCell<InstanceList>,
     pub(crate) config: RefCell<ConfigTracker>,
+    /// The current configuration, indexed for routing.
     pub(crate) view: RefCell<Rc<ConfigView>>,
+    /// The known leaders of all shards.
     pub(crate) leaders: RefCell<HashMap<ShardId, Leader>>,
+    /// The shards that this instance leads.
     pub(crate) shards: RefCell<HashMap<ShardId, ShardLeader>>,
     pub(crate) requests: RefCell<RequestTable>,
     pub(crate) claims: RefCell<ClaimTable>,
     pub(crate) services: RefCell<ServiceTable>,
     clock: RefCell<HybridClock>,
     timeline: RefCell<Timeline>,
+    /// The messages from this instance to itself.
     local_tx: mpsc::UnboundedSender<Envelope>,
 }
 
--- a/crates/sedgewalld/src/leader.rs
+++ b/crates/sedgewalld/src/leader.rs
@@ -50,8 +50,11 @@
 pub(crate) struct EngineLink {
     pub(crate) endpoint: EndpointId,
     pub(crate) address: String,
+    /// Whether the engine refuses orders of an older epoch.
     pub(crate) checks_fences: bool,
+    /// The boot id in the engine's last report; a new one means a restart.
     pub(crate) boot: Option<u64>,
+    /// Whether a request for a report has not been answered yet.
     pub(crate) is_report_pending: bool,
 }
 
@@ -71,14 +74,19 @@
     pub(crate) base_model: ModelName,
     pub(crate) lease: Lease<Held>,
     pub(crate) shard: Shard,
+    /// The index of each interned adapter version.
     pub(crate) index: HashMap<EngineAdapter, AdapterIdx>,
+    /// The interned adapter versions by index.
     pub(crate) names: Vec<EngineAdapter>,
     pub(crate) engines: Vec<EngineLink>,
     pub(crate) entries: BTreeMap<Incarnation, EntryLink>,
     /// Entries that know this epoch and use no grants of older ones.
     pub(crate) acked: HashSet<Incarnation>,
+    /// When the grants of the predecessor have certainly expired.
     pub(crate) evict_after: Instant,
+    /// Whether all entries have acknowledged this epoch.
     pub(crate) is_barrier_passed: bool,
+    /// Whether an engine has refused an order because of a later epoch.
     pub(crate) is_superseded: bool,
     /// The allotment of the weight store's limits, beside the guaranteed
     /// limits.
