--- a/crates/sedgewalld/src/instance.rs
+++ b/crates/sedgewalld/src/instance.rs
@@ -130,7 +130,7 @@
         self.started.elapsed().as_millis() as u64
     }
 
-    /// Returns the configuration in force.
+    /// Returns the current configuration.
     pub(crate) fn view(&self) -> Rc<ConfigView> {
         self.view.borrow().clone()
     }
