--- a/crates/sedgewalld/src/claims.rs
+++ b/crates/sedgewalld/src/claims.rs
@@ -1,8 +1,9 @@
-//! Claims of idempotency keys, on both sides: entries ask, claimers write.
+//! Claims of idempotency keys, on both sides: the entry, which requests a
+//! claim, and the claimer, which writes it to the log.
 //!
-//! Any instance may be asked for any partition; the preferred one is found by
-//! rendezvous. Safety does not rest on that preference but on the log's
-//! create-if-absent, see `sedgewall_coordination::claim`.
+//! Any instance can be the claimer of any partition; entries prefer one by
+//! rendezvous hashing. Correctness does not depend on that choice but on the
+//! log's create-if-absent writes, see `sedgewall_coordination::claim`.
 
 use std::{
     collections::HashMap,
@@ -32,34 +33,37 @@
 use sedgewall_state::{Incarnation, RequestId};
 use sedgewall_transport::PlatformError;
 
-use crate::node::{Node, Stage};
+use crate::instance::{Instance, Stage};
 
-/// The least time between two segments of one log.
+/// The minimum time between two segments of one log.
 ///
-/// Four logs at 150 ms, each segment written and later deleted, are at most 54
-/// of the platform's 100 writes a second. A first claim after a pause is
-/// written at once.
-const SEGMENT_GAP: Duration = Duration::from_millis(150);
+/// Four logs that each write a segment every 150 ms, and later delete it, make
+/// at most 54 of the 100 writes per second that the platform allows. The first
+/// claim after an idle time is written at once.
+const SEGMENT_INTERVAL: Duration = Duration::from_millis(150);
 
-/// How long a claimer is waited for before it is asked again.
-const ASK_TIME: Duration = Duration::from_millis(700);
+/// How long an entry waits for the claimer's answer before it sends the claim
+/// again.
+const CLAIM_RETRY_INTERVAL: Duration = Duration::from_millis(700);
 
-/// How long a claim may take in all; then the request is refused as not run.
-const CLAIM_TIME: Duration = Duration::from_secs(3);
+/// The time limit of a claim, retries included; after it the request is
+/// refused as not run.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long a key is remembered.
+/// How long a claimed key is kept.
 pub(crate) const RETENTION: Duration = Duration::from_secs(3_600);
 
-/// A log that was not read or written for this long is read anew, because
-/// others may have written and trimmed it.
+/// The age after which the state of a log in memory is discarded and read
+/// again, because other instances may have written to the log and trimmed it.
 const STALE_AFTER: Duration = Duration::from_secs(600);
 
-const UNCLEAR_PAUSE: Duration = Duration::from_millis(100);
+/// The delay before a failed read or a write with unclear outcome is repeated.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// When to come back while claims cannot be written.
-const UNAVAILABLE_RETRY: Duration = Duration::from_secs(2);
+/// The `Retry-After` value while claims cannot be written.
+const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// What became of a claim, for the request.
+/// The outcome of a claim, for the request that needs it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum ClaimOutcome {
     Granted,
@@ -68,7 +72,7 @@
 }
 
 impl ClaimOutcome {
-    /// Returns the problem of a claim that was not granted.
+    /// Returns the problem to answer with when the claim was not granted.
     pub(crate) fn problem(self) -> Problem {
         if self == ClaimOutcome::Taken {
             return Problem::new(
@@ -85,7 +89,7 @@
             RunState::NotRun,
             "idempotency keys cannot be claimed at the moment",
         )
-        .with_retry_after(UNAVAILABLE_RETRY)
+        .with_retry_after(UNAVAILABLE_RETRY_AFTER)
     }
 }
 
@@ -96,7 +100,8 @@
 }
 
 impl ClaimTicket {
-    /// Returns the ticket of a request that is not repeatable and has a key.
+    /// Returns a ticket if the request is not repeatable and has an
+    /// idempotency key.
     pub(crate) fn new(
         options: &CallOptions,
         is_repeatable: bool,
@@ -111,47 +116,59 @@
         Some(ClaimTicket { claim })
     }
 
-    /// Waits until the key is this request's, or not.
+    /// Claims the key, and waits for the outcome for at most `within`.
     pub(crate) async fn obtain(
         &self,
-        node: &Rc<Node>,
+        instance: &Rc<Instance>,
         within: Duration,
     ) -> ClaimOutcome {
-        let until = Instant::now() + within.min(CLAIM_TIME);
-        while Instant::now() < until {
-            let left = until.saturating_duration_since(Instant::now());
-            let rx = self.ask(node);
-            let answer = compio::time::timeout(left.min(ASK_TIME), rx).await;
+        let deadline = Instant::now() + within.min(CLAIM_TIMEOUT);
+        while Instant::now() < deadline {
+            let left = deadline.saturating_duration_since(Instant::now());
+            let rx = self.send_claim(instance);
+            let answer =
+                compio::time::timeout(left.min(CLAIM_RETRY_INTERVAL), rx)
+                    .await;
             match answer {
                 Ok(Ok(ClaimAnswer::Granted)) => {
-                    self.note(node, "granted");
+                    self.record_outcome(instance, "granted");
                     return ClaimOutcome::Granted;
                 }
                 Ok(Ok(ClaimAnswer::Taken)) => {
-                    self.note(node, "taken");
+                    self.record_outcome(instance, "taken");
                     return ClaimOutcome::Taken;
                 }
                 Ok(Ok(ClaimAnswer::Unavailable)) => break,
                 _ => {}
             }
         }
-        node.claims.borrow_mut().asked.remove(&self.claim.request);
-        self.release(node);
-        self.note(node, "unavailable");
+        instance
+            .claims
+            .borrow_mut()
+            .pending_answers
+            .remove(&self.claim.request);
+        self.release(instance);
+        self.record_outcome(instance, "unavailable");
         ClaimOutcome::Unavailable
     }
 
-    /// Gives the key up, because the request was not run and never will be.
-    pub(crate) fn release(&self, node: &Rc<Node>) {
-        self.tell(node, PeerMessage::ReleaseClaim(self.request()));
+    /// Releases the key, because the request was not run and never will be.
+    pub(crate) fn release(&self, instance: &Rc<Instance>) {
+        self.send_to_claimer(
+            instance,
+            PeerMessage::ReleaseClaim(self.request()),
+        );
     }
 
-    fn ask(&self, node: &Rc<Node>) -> oneshot::Receiver<ClaimAnswer> {
+    fn send_claim(
+        &self,
+        instance: &Rc<Instance>,
+    ) -> oneshot::Receiver<ClaimAnswer> {
         let (tx, rx) = oneshot::channel();
-        let mut claims = node.claims.borrow_mut();
-        claims.asked.insert(self.claim.request, tx);
+        let mut claims = instance.claims.borrow_mut();
+        claims.pending_answers.insert(self.claim.request, tx);
         drop(claims);
-        self.tell(node, PeerMessage::Claim(self.request()));
+        self.send_to_claimer(instance, PeerMessage::Claim(self.request()));
         rx
     }
 
@@ -160,31 +177,35 @@
         ClaimRequest { partition, claim: self.claim }
     }
 
-    fn tell(&self, node: &Rc<Node>, message: PeerMessage) {
+    fn send_to_claimer(&self, instance: &Rc<Instance>, message: PeerMessage) {
         let key = claims_prefix(partition(self.claim.key));
-        let (url, incarnation) = preferred(node, &key);
-        node.send(&url, incarnation, message);
+        let (url, incarnation) = preferred_claimer(instance, &key);
+        instance.send(&url, incarnation, message);
     }
 
-    fn note(&self, node: &Rc<Node>, detail: &str) {
+    fn record_outcome(&self, instance: &Rc<Instance>, detail: &str) {
         let request = Some(self.claim.request);
-        node.event(EventKind::Claim, request, "", "", detail);
+        instance.record_event(EventKind::Claim, request, "", "", detail);
     }
 }
 
-/// The instance that should claim for a partition: where it is reached, and
-/// its incarnation if we know it.
-fn preferred(node: &Node, key: &str) -> (String, Option<Incarnation>) {
+/// Returns the peer URL of the instance that should write the claims of a
+/// partition, and its incarnation if it is this instance.
+fn preferred_claimer(
+    instance: &Instance,
+    key: &str,
+) -> (String, Option<Incarnation>) {
     let now = Instant::now();
-    let membership = node.membership.borrow();
-    let mut ids = membership.candidates(node.id(), now);
-    if node.stage.get() != Stage::Leaving || ids.is_empty() {
-        ids.push(node.id());
+    let membership = instance.membership.borrow();
+    let mut ids = membership.candidates(instance.id(), now);
+    if instance.stage.get() != Stage::Leaving || ids.is_empty() {
+        ids.push(instance.id());
     }
-    let own = (node.settings.peer_url(), Some(node.incarnation));
+    let own = (instance.settings.peer_url(), Some(instance.incarnation));
     match rendezvous::owner(ids, key) {
-        Some(owner) if owner != node.id() => {
-            // A claim is harmless to any life of an instance.
+        Some(owner) if owner != instance.id() => {
+            // Without an incarnation: a claim is safe with any incarnation of
+            // the instance.
             let url = membership.url_of(owner).map(str::to_owned);
             url.map_or(own, |url| (url, None))
         }
@@ -192,142 +213,147 @@
     }
 }
 
-/// Where an answer goes.
+/// The receiver of a claim's answer.
 #[derive(Clone, Debug)]
 struct ReplyTo {
     url: String,
     incarnation: Incarnation,
 }
 
-/// One partition's log, with those who wait for answers.
+/// The log of one partition, and the requests that wait for an answer.
 #[derive(Debug, Default)]
 struct LogState {
     log: ClaimLog,
-    waiting: HashMap<RequestId, ReplyTo>,
-    is_running: bool,
-    touched: Option<Instant>,
-    written: Option<Instant>,
+    waiters: HashMap<RequestId, ReplyTo>,
+    is_writer_running: bool,
+    /// The last read or write with a known outcome.
+    last_synced: Option<Instant>,
+    last_written: Option<Instant>,
 }
 
-/// All claims of one instance, on both sides.
+/// The claims that this instance awaits as an entry, and the logs that it
+/// writes as a claimer.
 #[derive(Debug, Default)]
 pub(crate) struct ClaimTable {
-    asked: HashMap<RequestId, oneshot::Sender<ClaimAnswer>>,
+    pending_answers: HashMap<RequestId, oneshot::Sender<ClaimAnswer>>,
     logs: HashMap<PartitionIdx, LogState>,
 }
 
-/// Takes in an answer, at the entry.
-pub(crate) fn on_reply(node: &Rc<Node>, reply: &ClaimReply) {
-    let tx = node.claims.borrow_mut().asked.remove(&reply.request);
+/// Handles the answer to a claim, at the entry.
+pub(crate) fn on_reply(instance: &Rc<Instance>, reply: &ClaimReply) {
+    let tx =
+        instance.claims.borrow_mut().pending_answers.remove(&reply.request);
     if let Some(tx) = tx {
         let _ = tx.send(reply.answer);
     }
 }
 
-/// Takes in a claim, at the claimer.
+/// Handles a claim, at the claimer.
 pub(crate) fn on_claim(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     envelope: &Envelope,
     request: &ClaimRequest,
 ) {
-    let Some(url) = node.sender_url(envelope) else { return };
+    let Some(url) = instance.sender_url(envelope) else { return };
     let reply_to = ReplyTo { url, incarnation: envelope.incarnation };
     let claim = request.claim;
-    let mut claims = node.claims.borrow_mut();
+    let mut claims = instance.claims.borrow_mut();
     let state = claims.logs.entry(request.partition).or_default();
-    state.refresh();
-    let is_asked_again = state.waiting.contains_key(&claim.request);
-    state.waiting.insert(claim.request, reply_to);
-    if is_asked_again {
+    state.reset_if_stale();
+    let is_repeated = state.waiters.contains_key(&claim.request);
+    state.waiters.insert(claim.request, reply_to);
+    if is_repeated {
         return;
     }
     let answer = state.log.claim(claim);
     drop(claims);
     if let Some(answer) = answer {
         let answered = AnsweredClaim { request: claim.request, answer };
-        send_answers(node, request.partition, vec![answered]);
+        send_answers(instance, request.partition, vec![answered]);
     }
-    start_writer(node, request.partition);
+    start_writer(instance, request.partition);
 }
 
-/// Takes in that a claim is given up, at the claimer.
-pub(crate) fn on_release(node: &Rc<Node>, request: &ClaimRequest) {
-    let mut claims = node.claims.borrow_mut();
+/// Handles the release of a claim, at the claimer.
+pub(crate) fn on_release(instance: &Rc<Instance>, request: &ClaimRequest) {
+    let mut claims = instance.claims.borrow_mut();
     let state = claims.logs.entry(request.partition).or_default();
-    state.refresh();
-    state.waiting.remove(&request.claim.request);
+    state.reset_if_stale();
+    state.waiters.remove(&request.claim.request);
     state.log.release(request.claim);
     drop(claims);
-    start_writer(node, request.partition);
+    start_writer(instance, request.partition);
 }
 
 impl LogState {
-    /// Forgets a log that others may have moved far beyond what we know.
-    fn refresh(&mut self) {
-        let is_stale = self.touched.is_some_and(|t| t.elapsed() > STALE_AFTER);
-        if is_stale && !self.is_running {
+    /// Discards the state of a log that other instances may have extended and
+    /// trimmed far beyond it.
+    fn reset_if_stale(&mut self) {
+        let is_stale =
+            self.last_synced.is_some_and(|t| t.elapsed() > STALE_AFTER);
+        if is_stale && !self.is_writer_running {
             self.log.reset();
         }
     }
 }
 
-fn start_writer(node: &Rc<Node>, partition: PartitionIdx) {
-    let mut claims = node.claims.borrow_mut();
+fn start_writer(instance: &Rc<Instance>, partition: PartitionIdx) {
+    let mut claims = instance.claims.borrow_mut();
     let state = claims.logs.entry(partition).or_default();
-    if std::mem::replace(&mut state.is_running, true) {
+    if std::mem::replace(&mut state.is_writer_running, true) {
         return;
     }
-    let node = node.clone();
+    let instance = instance.clone();
     compio::runtime::spawn(async move {
-        write_log(&node, partition).await;
+        write_log(&instance, partition).await;
     })
     .detach();
 }
 
-/// Writes segments until nothing waits.
-async fn write_log(node: &Rc<Node>, partition: PartitionIdx) {
+/// Writes segments until nothing is left to write.
+async fn write_log(instance: &Rc<Instance>, partition: PartitionIdx) {
     loop {
-        if !recover(node, partition).await {
-            compio::time::sleep(UNCLEAR_PAUSE).await;
+        if !recover(instance, partition).await {
+            compio::time::sleep(RETRY_DELAY).await;
             continue;
         }
-        wait_for_gap(node, partition).await;
-        let Some(write) = next_write(node, partition) else { return };
-        let answer = create(node, partition, &write).await;
-        let is_unclear = answer == SegmentAnswer::Unclear;
+        wait_for_segment_interval(instance, partition).await;
+        let Some(write) = next_write(instance, partition) else { return };
+        let answer = create(instance, partition, &write).await;
+        let is_outcome_unknown = answer == SegmentAnswer::Unclear;
         if matches!(answer, SegmentAnswer::Exists(_)) {
-            info!("claims: log {partition} was moved on by another instance.");
+            info!("claims: another instance wrote to log {partition}.");
         }
-        finish_write(node, partition, answer);
-        if is_unclear {
-            compio::time::sleep(UNCLEAR_PAUSE).await;
+        finish_write(instance, partition, answer);
+        if is_outcome_unknown {
+            compio::time::sleep(RETRY_DELAY).await;
         } else {
-            trim(node, partition).await;
+            trim(instance, partition).await;
         }
     }
 }
 
-/// Runs a function on a partition's state.
+/// Runs a function on the state of a partition.
 fn with_state<T>(
-    node: &Node,
+    instance: &Instance,
     partition: PartitionIdx,
     change: impl FnOnce(&mut LogState) -> T,
 ) -> T {
-    let mut claims = node.claims.borrow_mut();
+    let mut claims = instance.claims.borrow_mut();
     change(claims.logs.entry(partition).or_default())
 }
 
-async fn recover(node: &Rc<Node>, partition: PartitionIdx) -> bool {
-    if with_state(node, partition, |state| state.log.is_recovered()) {
+async fn recover(instance: &Rc<Instance>, partition: PartitionIdx) -> bool {
+    if with_state(instance, partition, |state| state.log.is_recovered()) {
         return true;
     }
-    match read_on(node, partition).await {
+    match read_new_segments(instance, partition).await {
         Ok(()) => {
-            let answers = with_state(node, partition, |state| {
-                state.touched = Some(Instant::now());
+            let answers = with_state(instance, partition, |state| {
+                state.last_synced = Some(Instant::now());
                 state.log.finish_recovery()
             });
-            send_answers(node, partition, answers);
+            send_answers(instance, partition, answers);
             true
         }
         Err(err) => {
@@ -337,16 +363,16 @@
     }
 }
 
-/// Reads all segments from the next one on.
-async fn read_on(
-    node: &Rc<Node>,
+/// Reads all segments from the first unknown one on.
+async fn read_new_segments(
+    instance: &Rc<Instance>,
     partition: PartitionIdx,
 ) -> Result<(), PlatformError> {
     let prefix = claims_prefix(partition);
-    let next = with_state(node, partition, |state| state.log.next());
+    let next = with_state(instance, partition, |state| state.log.next());
     let mut from = segment_key(partition, next);
     loop {
-        let page = node.platform.list(&prefix, &from).await?;
+        let page = instance.platform.list(&prefix, &from).await?;
         for object in &page.objects {
             let idx = segment_idx(&object.key);
             let segment = serde_json::from_str::<Segment>(&object.value);
@@ -354,7 +380,7 @@
                 let key = object.key.clone();
                 return Err(PlatformError::Unreadable(key));
             };
-            with_state(node, partition, |s| {
+            with_state(instance, partition, |s| {
                 s.log.apply_segment(idx, &segment)
             });
         }
@@ -365,41 +391,48 @@
     }
 }
 
-async fn wait_for_gap(node: &Rc<Node>, partition: PartitionIdx) {
-    let written = with_state(node, partition, |state| state.written);
-    let Some(written) = written else { return };
-    let gap = SEGMENT_GAP.saturating_sub(written.elapsed());
-    if !gap.is_zero() {
-        compio::time::sleep(gap).await;
+async fn wait_for_segment_interval(
+    instance: &Rc<Instance>,
+    partition: PartitionIdx,
+) {
+    let last_written =
+        with_state(instance, partition, |state| state.last_written);
+    let Some(last_written) = last_written else { return };
+    let remaining = SEGMENT_INTERVAL.saturating_sub(last_written.elapsed());
+    if !remaining.is_zero() {
+        compio::time::sleep(remaining).await;
     }
 }
 
-fn next_write(node: &Node, partition: PartitionIdx) -> Option<SegmentWrite> {
+fn next_write(
+    instance: &Instance,
+    partition: PartitionIdx,
+) -> Option<SegmentWrite> {
     let now_ms = unix_ms(SystemTime::now());
-    with_state(node, partition, |state| {
+    with_state(instance, partition, |state| {
         if let Some(write) = state.log.unresolved_write() {
             return Some(write.clone());
         }
         let write = state.log.next_write(now_ms);
-        state.is_running = write.is_some();
+        state.is_writer_running = write.is_some();
         write
     })
 }
 
 async fn create(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     partition: PartitionIdx,
     write: &SegmentWrite,
 ) -> SegmentAnswer {
     let key = segment_key(partition, write.idx);
     let value = serde_json::to_vec(&write.segment).unwrap_or_default();
-    let answer = node.platform.put(&key, value, None).await;
-    node.note_platform(answer != WriteAnswer::Unclear);
+    let answer = instance.platform.put(&key, value, None).await;
+    instance.set_platform_reached(answer != WriteAnswer::Unclear);
     match answer {
         WriteAnswer::Done(_) => SegmentAnswer::Created,
         WriteAnswer::Unclear => SegmentAnswer::Unclear,
         WriteAnswer::Conflict => {
-            let found = node.platform.get(&key).await;
+            let found = instance.platform.get(&key).await;
             let Ok(Some(object)) = found else {
                 return SegmentAnswer::Unclear;
             };
@@ -410,42 +443,43 @@
 }
 
 fn finish_write(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     partition: PartitionIdx,
     answer: SegmentAnswer,
 ) {
-    let answers = with_state(node, partition, |state| {
+    let answers = with_state(instance, partition, |state| {
         if answer != SegmentAnswer::Unclear {
-            state.touched = Some(Instant::now());
-            state.written = Some(Instant::now());
+            state.last_synced = Some(Instant::now());
+            state.last_written = Some(Instant::now());
         }
         state.log.complete_write(answer)
     });
-    send_answers(node, partition, answers);
+    send_answers(instance, partition, answers);
 }
 
-async fn trim(node: &Rc<Node>, partition: PartitionIdx) {
+async fn trim(instance: &Rc<Instance>, partition: PartitionIdx) {
     let now_ms = unix_ms(SystemTime::now());
     let before_ms = now_ms.saturating_sub(RETENTION.as_millis() as u64);
-    let oldest = with_state(node, partition, |s| s.log.trim(before_ms));
-    let Some(idx) = oldest else { return };
+    let oldest_expired =
+        with_state(instance, partition, |s| s.log.trim(before_ms));
+    let Some(idx) = oldest_expired else { return };
     let key = segment_key(partition, idx);
-    if let Err(err) = node.platform.delete(&key).await {
+    if let Err(err) = instance.platform.delete(&key).await {
         warn!("claims: {key} cannot be deleted: {err}.");
     }
 }
 
 fn send_answers(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     partition: PartitionIdx,
     answers: Vec<AnsweredClaim>,
 ) {
     for AnsweredClaim { request, answer } in answers {
-        let reply_to = with_state(node, partition, |state| {
-            state.waiting.remove(&request)
+        let reply_to = with_state(instance, partition, |state| {
+            state.waiters.remove(&request)
         });
         let Some(to) = reply_to else { continue };
         let reply = PeerMessage::Claimed(ClaimReply { request, answer });
-        node.send(&to.url, Some(to.incarnation), reply);
+        instance.send(&to.url, Some(to.incarnation), reply);
     }
 }
--- a/crates/sedgewalld/src/explain.rs
+++ b/crates/sedgewalld/src/explain.rs
@@ -1,5 +1,5 @@
-//! What a leader tells operators: the state of its shard, and why an adapter
-//! is where it is.
+//! What a leader reports to operators: the state of its shards, and the reason
+//! for the placement of an adapter.
 
 use sedgewall_clock::Instant;
 use sedgewall_protocol::{
@@ -8,24 +8,24 @@
 };
 use sedgewall_state::{AdapterIdx, EngineIdx, engine::Health};
 
-use crate::{leader::ShardLeader, node::Node};
+use crate::{instance::Instance, leader::ShardLeader};
 
-/// Returns the status of all led shards.
-pub(crate) fn statuses(node: &Node) -> Vec<ShardStatus> {
-    let shards = node.shards.borrow();
+/// Returns the status of all shards that this instance leads.
+pub(crate) fn statuses(instance: &Instance) -> Vec<ShardStatus> {
+    let shards = instance.shards.borrow();
     let mut statuses: Vec<ShardStatus> =
         shards.values().map(ShardLeader::status).collect();
     statuses.sort_by(|a, b| a.shard.cmp(&b.shard));
     statuses
 }
 
-/// Says why an adapter is where it is, if its shard is led here.
+/// Explains the placement of an adapter, if this instance leads its shard.
 pub(crate) fn explain(
-    node: &Node,
+    instance: &Instance,
     adapter: &EngineAdapter,
 ) -> Option<AdapterExplanation> {
     let now = Instant::now();
-    let shards = node.shards.borrow();
+    let shards = instance.shards.borrow();
     let (leader, idx) = shards
         .values()
         .find_map(|leader| Some((leader, *leader.index.get(adapter)?)))?;
--- a/crates/sedgewalld/src/heartbeat.rs
+++ b/crates/sedgewalld/src/heartbeat.rs
@@ -1,4 +1,5 @@
-//! Heartbeats to peers, and the periodic repair of what lost messages left.
+//! Heartbeats to peers, and the periodic repair of the state that lost
+//! messages left inconsistent.
 
 use std::{collections::BTreeSet, rc::Rc, time::Duration};
 
@@ -6,90 +7,98 @@
 use sedgewall_protocol::{PeerMessage, message::Running};
 use sedgewall_state::ShardId;
 
-use crate::{election, entry, node::Node};
+use crate::{election, entry, instance::Instance};
 
-/// How often heartbeats are sent to few peers.
-const HEARTBEAT_EVERY: Duration = Duration::from_millis(250);
+/// The interval of heartbeats to at most [`MAX_DIRECT_PEERS`] peers.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// So many peers count as few; with more, heartbeats go out more seldom.
+/// The number of peers up to which heartbeats are sent at the shortest
+/// interval; the interval grows with more peers.
 const MAX_DIRECT_PEERS: u32 = 8;
 
-/// The longest time between heartbeats. An entry counts as lost after 3 s.
-const LONGEST_GAP: Duration = Duration::from_secs(1);
+/// The maximum interval of heartbeats. An entry counts as lost after 3 s
+/// without one.
+const MAX_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How often what lost messages left behind is repaired.
-const REPAIR_EVERY: Duration = Duration::from_secs(1);
+/// The interval of the repair of the state that lost messages left
+/// inconsistent.
+const REPAIR_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long a submission stays unanswered before it is sent again.
 const RESUBMIT_AFTER: Duration = Duration::from_millis(900);
 
-/// Sends heartbeats for ever.
-pub(crate) async fn run(node: Rc<Node>) {
-    let mut repaired = Instant::now();
+/// Sends heartbeats and repairs inconsistent state; never returns.
+pub(crate) async fn run(instance: Rc<Instance>) {
+    let mut last_repair = Instant::now();
     loop {
-        let sent = send_heartbeats(&node);
-        if repaired.elapsed() >= REPAIR_EVERY {
-            repaired = Instant::now();
-            send_running(&node);
-            resubmit_waiting(&node);
-            node.membership.borrow_mut().remove_expired(Instant::now());
-            close_old_links(&node);
+        let sent = send_heartbeats(&instance);
+        if last_repair.elapsed() >= REPAIR_INTERVAL {
+            last_repair = Instant::now();
+            send_running(&instance);
+            resubmit_waiting(&instance);
+            instance.membership.borrow_mut().remove_expired(Instant::now());
+            close_stale_connections(&instance);
         }
-        compio::time::sleep(gap(sent as u32)).await;
+        compio::time::sleep(heartbeat_interval(sent as u32)).await;
     }
 }
 
-/// A leader that a hundred entries use would spend its allowance on
-/// heartbeats alone, four times a second each.
-fn gap(peers: u32) -> Duration {
-    let gap = HEARTBEAT_EVERY * peers.div_ceil(MAX_DIRECT_PEERS).max(1);
-    gap.min(LONGEST_GAP)
+/// Returns the interval of heartbeats to a number of peers.
+///
+/// It grows with the number: a leader that sends four heartbeats a second to
+/// each of a hundred entries would spend its whole allowance on heartbeats.
+fn heartbeat_interval(peers: u32) -> Duration {
+    let interval =
+        HEARTBEAT_INTERVAL * peers.div_ceil(MAX_DIRECT_PEERS).max(1);
+    interval.min(MAX_HEARTBEAT_INTERVAL)
 }
 
-/// Closes the links to addresses that no known instance has any more; nng
-/// would dial them for ever.
-fn close_old_links(node: &Rc<Node>) {
+/// Closes the connections to addresses that no known instance has any more,
+/// because nng would dial them forever.
+fn close_stale_connections(instance: &Rc<Instance>) {
     let known: BTreeSet<String> =
-        node.membership.borrow().peer_urls().into_values().collect();
-    node.peers.borrow_mut().retain(|url| known.contains(url));
+        instance.membership.borrow().peer_urls().into_values().collect();
+    instance.peers.borrow_mut().retain(|url| known.contains(url));
 }
 
-/// Sends one heartbeat to each peer that should hear us, and returns how many
-/// that are.
-pub(crate) fn send_heartbeats(node: &Rc<Node>) -> usize {
-    let heartbeat = node.heartbeat();
-    let partners = partners(node);
-    let targets = node
+/// Sends a heartbeat to each peer that should receive those of this instance,
+/// and returns the number of these peers.
+pub(crate) fn send_heartbeats(instance: &Rc<Instance>) -> usize {
+    let heartbeat = instance.heartbeat();
+    let partners = partners(instance);
+    let targets = instance
         .membership
         .borrow()
-        .heartbeat_targets(node.id(), |id| partners.contains(id));
+        .heartbeat_targets(instance.id(), |id| partners.contains(id));
     for url in &targets {
         let message = PeerMessage::Heartbeat(heartbeat.clone());
-        node.send(url, None, message);
+        instance.send(url, None, message);
     }
     targets.len()
 }
 
-/// The leaders that we use, and the entries that use us as a leader.
-fn partners(node: &Node) -> BTreeSet<String> {
-    let mut ids: BTreeSet<String> = node
+/// Returns the leaders that this instance knows, and the entries of the shards
+/// that it leads.
+fn partners(instance: &Instance) -> BTreeSet<String> {
+    let mut ids: BTreeSet<String> = instance
         .leaders
         .borrow()
         .values()
         .map(|leader| leader.instance.clone())
         .collect();
-    for leader in node.shards.borrow().values() {
+    for leader in instance.shards.borrow().values() {
         ids.extend(leader.entry_ids());
     }
     ids
 }
 
-/// Tells each leader all that we run on its grants.
-fn send_running(node: &Rc<Node>) {
-    let mut running = node.requests.borrow().running();
-    let shards: Vec<ShardId> = node.leaders.borrow().keys().cloned().collect();
+/// Sends each leader the requests that this entry runs on its grants.
+fn send_running(instance: &Rc<Instance>) {
+    let mut running = instance.requests.borrow().running();
+    let shards: Vec<ShardId> =
+        instance.leaders.borrow().keys().cloned().collect();
     for shard in shards {
-        let Some(leader) = node.leader_of(&shard) else { continue };
+        let Some(leader) = instance.leader_of(&shard) else { continue };
         let ids = running
             .remove(&shard)
             .unwrap_or_default()
@@ -97,7 +106,7 @@
             .map(|request| request.request)
             .collect();
         let first_tokens =
-            node.requests.borrow_mut().take_first_tokens(&shard);
+            instance.requests.borrow_mut().take_first_tokens(&shard);
         let message = PeerMessage::Running(Running {
             shard,
             epoch: leader.epoch,
@@ -105,43 +114,45 @@
             details: Vec::new(),
             first_tokens,
         });
-        node.send(&leader.peer_url, Some(leader.incarnation), message);
+        instance.send(&leader.peer_url, Some(leader.incarnation), message);
     }
 }
 
-/// Sends submissions again that no leader has answered.
+/// Submits requests again that no leader has answered.
 ///
-/// The leader that we know may be gone, and its successor may not know that we
-/// exist; so the lease itself is looked up too.
-fn resubmit_waiting(node: &Rc<Node>) {
-    let waiting = node.requests.borrow().waiting();
+/// The known leader may be gone, and its successor may not know of this
+/// instance and send it no heartbeat; so the lease is read too.
+fn resubmit_waiting(instance: &Rc<Instance>) {
+    let waiting = instance.requests.borrow().waiting();
     let mut unanswered = BTreeSet::new();
     for id in waiting {
-        let is_due = node
-            .requests
-            .borrow()
-            .get(id)
-            .is_some_and(|held| held.sent.elapsed() >= RESUBMIT_AFTER);
+        let is_due =
+            instance.requests.borrow().get(id).is_some_and(|tracked| {
+                tracked.sent.elapsed() >= RESUBMIT_AFTER
+            });
         if !is_due {
             continue;
         }
-        let shard =
-            node.requests.borrow().get(id).map(|held| held.shard.clone());
+        let shard = instance
+            .requests
+            .borrow()
+            .get(id)
+            .map(|tracked| tracked.shard.clone());
         unanswered.extend(shard);
-        entry::send_submit(node, id);
+        entry::send_submit(instance, id);
     }
     for shard in unanswered {
-        let is_silent = node.leader_of(&shard).is_none_or(|leader| {
-            leader.incarnation != node.incarnation
-                && !node
+        let is_leader_lost = instance.leader_of(&shard).is_none_or(|leader| {
+            leader.incarnation != instance.incarnation
+                && !instance
                     .membership
                     .borrow()
                     .is_live(&leader.instance, Instant::now())
         });
-        if is_silent {
-            let node = node.clone();
+        if is_leader_lost {
+            let instance = instance.clone();
             compio::runtime::spawn(async move {
-                election::look_up(&node, &shard).await;
+                election::look_up_leader(&instance, &shard).await;
             })
             .detach();
         }
--- a/crates/sedgewalld/src/inbox.rs
+++ b/crates/sedgewalld/src/inbox.rs
@@ -1,4 +1,4 @@
-//! Takes in messages of peers, and of this instance to itself.
+//! Receives messages from peers, and from this instance to itself.
 
 use std::rc::Rc;
 
@@ -11,20 +11,20 @@
 use sedgewall_transport::PeerListener;
 
 use crate::{
-    claims, config_sync, election, entry, led_requests,
-    node::{Leader, Node},
+    claims, config_sync, election, entry, entry_messages,
+    instance::{Instance, Leader},
     store,
 };
 
-/// Messages handled in one turn before others get theirs.
+/// The maximum number of messages handled before the task yields.
 ///
-/// Streams and messages share one loop; a bound on either keeps the other on
-/// time.
-const TURN_LEN: usize = 128;
+/// Streams and messages share one event loop; a limit on each keeps the other
+/// from being delayed.
+const MAX_BATCH_LEN: usize = 128;
 
-/// Takes in messages for ever.
+/// Dispatches messages until a source of messages ends.
 pub(crate) async fn run(
-    node: Rc<Node>,
+    instance: Rc<Instance>,
     mut listener: PeerListener,
     mut local: mpsc::UnboundedReceiver<Envelope>,
 ) {
@@ -34,75 +34,93 @@
             envelope = local.next() => envelope,
         };
         let Some(envelope) = envelope else { return };
-        take(&node, envelope);
-        for _ in 1..TURN_LEN {
+        dispatch(&instance, envelope);
+        for _ in 1..MAX_BATCH_LEN {
             let next = match local.try_recv() {
                 Ok(envelope) => Some(envelope),
                 Err(_) => listener.try_next(),
             };
             let Some(envelope) = next else { break };
-            take(&node, envelope);
+            dispatch(&instance, envelope);
         }
         let dropped = listener.dropped();
         metrics::counter!("sedgewall_inbox_dropped_total").absolute(dropped);
     }
 }
 
-fn take(node: &Rc<Node>, envelope: Envelope) {
+fn dispatch(instance: &Rc<Instance>, envelope: Envelope) {
     let is_for_us = envelope
         .to_incarnation
-        .is_none_or(|incarnation| incarnation == node.incarnation);
+        .is_none_or(|incarnation| incarnation == instance.incarnation);
     if !is_for_us {
-        // It was meant for an earlier life of this instance.
+        // The message was meant for an earlier incarnation of this instance.
         return;
     }
-    node.note_stamp(&envelope);
+    instance.update_clock(&envelope);
     match &envelope.message {
         PeerMessage::Heartbeat(heartbeat) => {
-            on_heartbeat(node, &envelope, heartbeat);
+            on_heartbeat(instance, &envelope, heartbeat);
         }
         PeerMessage::Submit(submit) => {
-            led_requests::on_submit(node, &envelope, submit.clone());
+            entry_messages::on_submit(instance, &envelope, submit.clone());
         }
-        PeerMessage::Cancel(cancel) => led_requests::on_cancel(node, cancel),
-        PeerMessage::Ended(ended) => led_requests::on_ended(node, ended),
+        PeerMessage::Cancel(cancel) => {
+            entry_messages::on_cancel(instance, cancel)
+        }
+        PeerMessage::Ended(ended) => entry_messages::on_ended(instance, ended),
         PeerMessage::Running(running) => {
-            led_requests::on_running(node, &envelope, running);
+            entry_messages::on_running(instance, &envelope, running);
         }
-        PeerMessage::Granted(granted) => entry::on_granted(node, granted),
-        PeerMessage::Refused(refused) => entry::on_refused(node, refused),
+        PeerMessage::Granted(granted) => entry::on_granted(instance, granted),
+        PeerMessage::Refused(refused) => entry::on_refused(instance, refused),
         PeerMessage::NotLeader(_) => {
-            // The periodic repair submits again, to whoever leads by then.
+            // The periodic repair submits the request again, to the leader
+            // that is known by then.
+        }
+        PeerMessage::Claim(claim) => {
+            claims::on_claim(instance, &envelope, claim)
         }
-        PeerMessage::Claim(claim) => claims::on_claim(node, &envelope, claim),
-        PeerMessage::ReleaseClaim(claim) => claims::on_release(node, claim),
-        PeerMessage::Claimed(reply) => claims::on_reply(node, reply),
+        PeerMessage::ReleaseClaim(claim) => {
+            claims::on_release(instance, claim)
+        }
+        PeerMessage::Claimed(reply) => claims::on_reply(instance, reply),
         PeerMessage::Demand(demand) => {
-            store::on_demand(node, &envelope, demand);
+            store::on_demand(instance, &envelope, demand);
         }
         PeerMessage::Allotted(allotment) => {
-            store::on_allotted(node, allotment);
+            store::on_allotment(instance, allotment);
         }
         PeerMessage::AskConfig(ask) => {
-            config_sync::on_ask(node, &envelope, ask);
+            config_sync::on_request(instance, &envelope, ask);
         }
         PeerMessage::ConfigPart(part) => {
-            config_sync::on_part(node, &envelope, part.clone());
+            config_sync::on_config_part(instance, &envelope, part.clone());
         }
     }
 }
 
-fn on_heartbeat(node: &Rc<Node>, envelope: &Envelope, heartbeat: &Heartbeat) {
-    let is_new = node
+fn on_heartbeat(
+    instance: &Rc<Instance>,
+    envelope: &Envelope,
+    heartbeat: &Heartbeat,
+) {
+    let is_new = instance
+        
         .membership
         .borrow_mut()
         .record_heartbeat(heartbeat.clone(), Instant::now());
     if is_new {
-        info!("member: {} is heard.", heartbeat.instance);
+        info!("member: {} is a new or restarted peer.", heartbeat.instance);
         let detail = "heard";
-        node.event(EventKind::Member, None, "", &heartbeat.instance, detail);
+        instance.record_event(
+            EventKind::Member,
+            None,
+            "",
+            &heartbeat.instance,
+            detail,
+        );
     }
-    led_requests::on_heartbeat(node, envelope, heartbeat.stamp_ms);
+    entry_messages::on_heartbeat(instance, envelope, heartbeat.stamp_ms);
     for lead in &heartbeat.leads {
         let leader = Leader {
             instance: heartbeat.instance.clone(),
@@ -110,11 +128,11 @@
             peer_url: heartbeat.peer_url.clone(),
             epoch: lead.epoch,
         };
-        election::learn_leader(node, &lead.shard, leader);
+        election::apply_leader(instance, &lead.shard, leader);
     }
-    if heartbeat.config_version > node.config.borrow().version()
-        && !node.is_platform_reached.get()
+    if heartbeat.config_version > instance.config.borrow().version()
+        && !instance.is_platform_reached.get()
     {
-        config_sync::ask_peer(node, envelope);
+        config_sync::request_from_peer(instance, envelope);
     }
 }
--- a/crates/sedgewalld/src/orders.rs
+++ b/crates/sedgewalld/src/orders.rs
@@ -1,4 +1,4 @@
-//! Load orders to engines, and what becomes of them.
+//! Load orders to engines, and the handling of their results.
 
 use std::rc::Rc;
 
@@ -10,50 +10,62 @@
 use sedgewall_transport::engine_client::OrderAnswer;
 
 use crate::{
-    leader::{EngineLink, act},
-    node::Node,
+    instance::Instance,
+    leader::{EngineLink, apply_change},
 };
 
-pub(crate) fn start_load(node: &Rc<Node>, shard_id: &str, order: LoadOrder) {
+pub(crate) fn start_load(
+    instance: &Rc<Instance>,
+    shard_id: &str,
+    order: LoadOrder,
+) {
     let prepared = {
-        let shards = node.shards.borrow();
+        let shards = instance.shards.borrow();
         let Some(leader) = shards.get(shard_id) else { return };
         let link = leader.engines[order.engine as usize].clone();
         let name = |idx: AdapterIdx| leader.names[idx as usize].clone();
-        let wire = Order {
+        let engine_order = Order {
             epoch: leader.epoch(),
             base_model: leader.base_model.clone(),
             load: Some(name(order.adapter)),
             unload: order.evict.map(name),
             only_if_idle: true,
         };
-        let is_allowed =
+        let may_send =
             link.checks_fences || leader.lease.is_current(Instant::now());
-        (link, wire, is_allowed, leader.label(order.adapter))
+        (link, engine_order, may_send, leader.label(order.adapter))
     };
-    let (link, wire, is_allowed, label) = prepared;
-    let detail = match &wire.unload {
-        Some(out) => format!("replaces {}@{}", out.adapter, out.version),
+    let (link, engine_order, may_send, label) = prepared;
+    let detail = match &engine_order.unload {
+        Some(evicted) => {
+            format!("replaces {}@{}", evicted.adapter, evicted.version)
+        }
         None => "into an empty slot".to_owned(),
     };
-    node.event(EventKind::Load, None, &label, &link.endpoint, detail);
+    instance.record_event(
+        EventKind::Load,
+        None,
+        &label,
+        &link.endpoint,
+        detail,
+    );
     metrics::counter!("sedgewall_loads_total").increment(1);
-    let node = node.clone();
+    let instance = instance.clone();
     let shard_id = shard_id.to_owned();
-    let epoch = wire.epoch;
+    let epoch = engine_order.epoch;
     compio::runtime::spawn(async move {
-        let answer = match is_allowed {
-            true => node.engines.order(&link.address, &wire).await,
-            // Somebody else may give orders there by now.
+        let answer = match may_send {
+            true => instance.engines.order(&link.address, &engine_order).await,
+            // A newer leader may send orders to this engine by now.
             false => OrderAnswer::Failed(OrderFailure::OldEpoch),
         };
-        finish_load(&node, &shard_id, epoch, order, &label, &link, answer);
+        finish_load(&instance, &shard_id, epoch, order, &label, &link, answer);
     })
     .detach();
 }
 
 fn finish_load(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     shard_id: &str,
     epoch: Epoch,
     order: LoadOrder,
@@ -67,17 +79,20 @@
         false => EventKind::LoadFailed,
     };
     let detail = format!("{answer:?}").to_lowercase();
-    node.event(kind, None, label, &link.endpoint, detail);
+    instance.record_event(kind, None, label, &link.endpoint, detail);
     if !is_loaded {
         metrics::counter!("sedgewall_load_failures_total").increment(1);
-        warn!("leader: {label} on {}: {answer:?}.", link.endpoint);
+        warn!(
+            "leader: load of {label} on {} not confirmed: {answer:?}.",
+            link.endpoint
+        );
     }
-    act(node, shard_id, |leader, actions| {
+    apply_change(instance, shard_id, |leader, actions| {
         if leader.epoch() != epoch {
             return;
         }
         let is_old = answer == OrderAnswer::Failed(OrderFailure::OldEpoch);
-        leader.is_deposed |= is_old && link.checks_fences;
+        leader.is_superseded |= is_old && link.checks_fences;
         let LoadOrder { engine, adapter, .. } = order;
         if answer == OrderAnswer::Failed(OrderFailure::NoSlot) {
             leader.shard.record_slot_shortage(engine);
--- a/crates/sedgewalld/src/responses.rs
+++ b/crates/sedgewalld/src/responses.rs
@@ -1,4 +1,4 @@
-//! Answers to callers and operators: problems, JSON and headers.
+//! Responses to callers and operators: problems, JSON, plain text and headers.
 
 use http::{HeaderValue, Response, StatusCode, header};
 use sedgewall_protocol::{
@@ -8,14 +8,14 @@
 use sedgewall_transport::LocalBody;
 use serde::Serialize;
 
-/// Returns the answer that tells a problem.
+/// Returns the response of a problem, and counts it by its kind.
 pub(crate) fn problem(problem: &Problem) -> Response<LocalBody> {
     let body = serde_json::to_vec(problem).unwrap_or_default();
     let mut response = Response::new(LocalBody::whole(body));
     *response.status_mut() = problem.status_code();
-    set_type(&mut response, PROBLEM_TYPE);
+    set_content_type(&mut response, PROBLEM_TYPE);
     if let Some(secs) = problem.retry_after_s() {
-        set(&mut response, header::RETRY_AFTER, &secs.to_string());
+        set_header(&mut response, header::RETRY_AFTER, &secs.to_string());
     }
     metrics::counter!(
         "sedgewall_problems_total",
@@ -25,26 +25,26 @@
     response
 }
 
-/// Returns an answer with a JSON body.
+/// Returns a response with a JSON body.
 pub(crate) fn json<T: Serialize>(value: &T) -> Response<LocalBody> {
     let body = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(LocalBody::whole(body));
-    set_type(&mut response, "application/json");
+    set_content_type(&mut response, "application/json");
     response
 }
 
-/// Returns an answer with a text.
+/// Returns a response with a plain-text body.
 pub(crate) fn text(
     status: StatusCode,
     text: impl Into<String>,
 ) -> Response<LocalBody> {
     let mut response = Response::new(LocalBody::whole(text.into()));
     *response.status_mut() = status;
-    set_type(&mut response, "text/plain; charset=utf-8");
+    set_content_type(&mut response, "text/plain; charset=utf-8");
     response
 }
 
-/// Adds the request's id.
+/// Sets the header with the request's id.
 pub(crate) fn with_request_id(
     mut response: Response<LocalBody>,
     id: &str,
@@ -55,12 +55,15 @@
     response
 }
 
-/// Sets the media type.
-pub(crate) fn set_type(response: &mut Response<LocalBody>, kind: &str) {
-    set(response, header::CONTENT_TYPE, kind);
+/// Sets the `Content-Type` header.
+pub(crate) fn set_content_type(
+    response: &mut Response<LocalBody>,
+    media_type: &str,
+) {
+    set_header(response, header::CONTENT_TYPE, media_type);
 }
 
-fn set(
+fn set_header(
     response: &mut Response<LocalBody>,
     name: header::HeaderName,
     value: &str,
