--- a/crates/state/src/engine.rs
+++ b/crates/state/src/engine.rs
@@ -80,7 +80,7 @@
     pub configured_slots: usize,
     /// The number of adapters that the engine can hold according to its own
     /// answers and reports, at most `configured_slots`.
-    pub slot_capacity: usize,
+    pub observed_slots: usize,
     /// The number of requests that the engine runs in one batch.
     pub seats: u32,
     /// The slots that hold or load an adapter; empty slots are not listed.
@@ -120,16 +120,16 @@
     /// Returns a live engine without adapters that has not reported.
     pub fn new(
         endpoint: EndpointId,
-        slot_capacity: usize,
+        configured_slots: usize,
         seats: u32,
         now: Instant,
     ) -> Engine {
         Engine {
             endpoint,
-            configured_slots: slot_capacity,
-            slot_capacity,
+            configured_slots,
+            observed_slots: configured_slots,
             seats,
-            slots: Vec::with_capacity(slot_capacity),
+            slots: Vec::with_capacity(configured_slots),
             running: [0; CLASSES],
             health: Health::Live,
             has_reported: false,
@@ -183,7 +183,7 @@
 
     /// Returns whether the engine has an empty slot.
     pub fn has_empty_slot(&self) -> bool {
-        self.slots.len() < self.slot_capacity
+        self.slots.len() < self.observed_slots
     }
 
     /// Returns whether the engine is loading an adapter.
--- a/crates/state/src/load.rs
+++ b/crates/state/src/load.rs
@@ -64,7 +64,7 @@
             .iter()
             .filter(|slot| slot.state != SlotState::Loading)
             .count();
-        engine.slot_capacity = engine.slot_capacity.min(held.max(1));
+        engine.observed_slots = engine.observed_slots.min(held.max(1));
     }
 
     pub(crate) fn begin_load(
--- a/crates/state/src/report.rs
+++ b/crates/state/src/report.rs
@@ -33,7 +33,7 @@
         self.record_report(engine, now);
         let host = &mut self.engines[engine as usize];
         let shown = reported.len().min(host.configured_slots);
-        host.slot_capacity = host.slot_capacity.max(shown);
+        host.observed_slots = host.observed_slots.max(shown);
         self.remove_unreported(engine, reported, report_time);
         for slot in reported {
             self.apply_reported_slot(engine, slot, report_time, now);
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -194,15 +194,15 @@
     pub fn add_engine(
         &mut self,
         endpoint: &str,
-        slot_capacity: usize,
+        configured_slots: usize,
         seats: u32,
         now: Instant,
     ) -> EngineIdx {
         if let Some(idx) = self.engine_idx(endpoint) {
             let engine = &mut self.engines[idx as usize];
-            if engine.configured_slots != slot_capacity {
-                engine.configured_slots = slot_capacity;
-                engine.slot_capacity = slot_capacity;
+            if engine.configured_slots != configured_slots {
+                engine.configured_slots = configured_slots;
+                engine.observed_slots = configured_slots;
             }
             engine.seats = seats;
             if engine.health == Health::Leaving {
@@ -212,7 +212,7 @@
         }
         let idx = self.engines.len() as EngineIdx;
         let engine =
-            Engine::new(endpoint.to_owned(), slot_capacity, seats, now);
+            Engine::new(endpoint.to_owned(), configured_slots, seats, now);
         self.engines.push(engine);
         self.engine_by_id.insert(endpoint.to_owned(), idx);
         idx
--- a/crates/state/tests/shard_rules.rs
+++ b/crates/state/tests/shard_rules.rs
@@ -660,7 +660,7 @@
 /// than its endpoint group is configured with: the engine rejected one load
 /// after another, and the shard backed off from it instead of evicting.
 #[test]
-fn a_reported_slot_shortage_reduces_slot_capacity() {
+fn a_slot_shortage_reduces_observed_slots() {
     let now = Instant::now();
     let limits = StoreLimits { rate_per_s: 100.0, concurrency: 100.0 };
     let mut shard = Shard::new(PolicySettings::default(), limits, now);
