--- a/crates/state/src/allocation.rs
+++ b/crates/state/src/allocation.rs
@@ -111,13 +111,13 @@
     let exact: Vec<f64> = parts.iter().map(|part| part * total).collect();
     let mut whole: Vec<f64> =
         exact.iter().map(|value| value.floor()).collect();
-    let fractions: f64 = exact
+    let fractional_sum: f64 = exact
         .iter()
         .zip(&whole)
         .filter(|(_, whole)| **whole == 0.0)
         .map(|(exact, _)| exact)
         .sum();
-    let mut left = total - whole.iter().sum::<f64>() - fractions;
+    let mut left = total - whole.iter().sum::<f64>() - fractional_sum;
     let mut order: Vec<usize> =
         (0..parts.len()).filter(|idx| whole[*idx] > 0.0).collect();
     order.sort_by(|a, b| exact[*b].fract().total_cmp(&exact[*a].fract()));
