--- a/crates/state/src/admission.rs
+++ b/crates/state/src/admission.rs
@@ -198,7 +198,7 @@
     fn loads_ahead(&self, request: &Request) -> f64 {
         let own = self.adapters[request.adapter as usize].queue.weight()
             + request.priority.weight();
-        self.unplaced
+        self.awaiting_load
             .iter()
             .filter(|idx| {
                 let adapter = &self.adapters[**idx as usize];
--- a/crates/state/src/placement.rs
+++ b/crates/state/src/placement.rs
@@ -85,7 +85,7 @@
         now: Instant,
         actions: &mut Vec<ShardAction>,
     ) {
-        if self.adapters.is_empty() || !self.unplaced.is_empty() {
+        if self.adapters.is_empty() || !self.awaiting_load.is_empty() {
             return;
         }
         let len = self.adapters.len() as AdapterIdx;
@@ -104,7 +104,7 @@
         now: Instant,
         actions: &mut Vec<ShardAction>,
     ) {
-        if !self.unplaced.is_empty() || !self.budget.may_start(now) {
+        if !self.awaiting_load.is_empty() || !self.budget.may_start(now) {
             return;
         }
         if self.budget.in_flight() + PREFETCH_RESERVE
@@ -131,8 +131,8 @@
     /// Returns the adapter whose load removes the largest weighted wait, if
     /// any adapter needs a load.
     fn next_to_load(&self, now: Instant) -> Option<AdapterIdx> {
-        let unplaced = self
-            .unplaced
+        let awaiting_load = self
+            .awaiting_load
             .iter()
             .copied()
             .filter(|idx| self.adapters[*idx as usize].may_load(now))
@@ -143,7 +143,7 @@
             .copied()
             .filter(|idx| self.needs_replica(*idx, now))
             .map(|idx| (idx, self.replica_value(idx, now)));
-        unplaced
+        awaiting_load
             .chain(backlogged)
             .max_by(|a, b| a.1.total_cmp(&b.1).then(b.0.cmp(&a.0)))
             .map(|(idx, _)| idx)
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -44,7 +44,7 @@
     pub(crate) grants: BTreeMap<RequestId, Grant>,
     /// Adapters with waiting requests that no available engine serves or
     /// loads.
-    pub(crate) unplaced: BTreeSet<AdapterIdx>,
+    pub(crate) awaiting_load: BTreeSet<AdapterIdx>,
     /// Adapters with waiting requests that an available engine serves.
     pub(crate) backlogged: BTreeSet<AdapterIdx>,
     pub(crate) budget: LoadBudget,
@@ -77,7 +77,7 @@
             engines: Vec::new(),
             waiting: WaitingRequests::default(),
             grants: BTreeMap::new(),
-            unplaced: BTreeSet::new(),
+            awaiting_load: BTreeSet::new(),
             backlogged: BTreeSet::new(),
             budget: LoadBudget::new(limits, now),
             service_s: DEFAULT_SERVICE_S,
@@ -170,11 +170,11 @@
     /// Returns the shard's demand for the weight store, by which the allocator
     /// divides it: the requests that wait for a load, and their adapters.
     pub fn store_demand(&self) -> StoreDemand {
-        let waiting = self.unplaced.iter();
+        let waiting = self.awaiting_load.iter();
         let waiting_weight = waiting
             .map(|idx| self.adapters[*idx as usize].queue.weight())
             .sum();
-        let adapters = self.unplaced.len() as f64;
+        let adapters = self.awaiting_load.len() as f64;
         StoreDemand { waiting_weight, adapters }
     }
 
@@ -345,14 +345,14 @@
         request
     }
 
-    /// Recomputes whether one adapter belongs to `unplaced` and `backlogged`.
+    /// Recomputes whether one adapter belongs to `awaiting_load` and `backlogged`.
     pub(crate) fn update_waiting_sets(&mut self, idx: AdapterIdx) {
         let adapter = &self.adapters[idx as usize];
         let waits = !adapter.queue.is_empty();
         let is_served = self.is_served(idx);
-        let is_coming = self.is_loading(idx);
-        let is_unplaced = waits && !is_served && !is_coming;
-        set_membership(&mut self.unplaced, idx, is_unplaced);
+        let is_loading = self.is_loading(idx);
+        let awaits_load = waits && !is_served && !is_loading;
+        set_membership(&mut self.awaiting_load, idx, awaits_load);
         set_membership(&mut self.backlogged, idx, waits && is_served);
     }
 
