--- a/crates/sedgewalld/src/services.rs
+++ b/crates/sedgewalld/src/services.rs
@@ -20,7 +20,7 @@
 use sedgewall_state::{
     EndpointId, GroupName, RequestId,
     config::EndpointKind,
-    service::{ServiceEndpoint, pick_endpoint},
+    plain_service::{ServiceEndpoint, pick_endpoint},
 };
 use sedgewall_transport::{
     CallError, LocalBody, client::Call, client::WholeAnswer,
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -37,11 +37,11 @@
 pub mod id;
 pub mod load;
 pub mod placement;
+pub mod plain_service;
 pub mod popularity;
 pub mod priority;
 pub mod queue;
 pub mod report;
-pub mod service;
 pub mod settings;
 pub mod shard;
 
