--- a/crates/state/src/entry.rs
+++ b/crates/state/src/entry.rs
@@ -56,7 +56,7 @@
     ) {
         for id in self.expired_grants_of(entry, now) {
             if running.binary_search(&id).is_err() {
-                self.abandon_grant(id, now, actions);
+                self.release_expired_grant(id, now, actions);
             }
         }
     }
@@ -82,7 +82,7 @@
             self.remove_waiting(id);
         }
         for id in self.expired_grants_of(entry, now) {
-            self.abandon_grant(id, now, actions);
+            self.release_expired_grant(id, now, actions);
         }
     }
 
@@ -103,7 +103,7 @@
     ///
     /// The engine may still run the request, so the slot counts as busy until
     /// a later report of the engine shows that it is idle.
-    pub(crate) fn abandon_grant(
+    pub(crate) fn release_expired_grant(
         &mut self,
         id: RequestId,
         now: Instant,
