--- a/crates/bench/src/replay/ours.rs
+++ b/crates/bench/src/replay/ours.rs
@@ -150,7 +150,7 @@
             caller_hash: wanted.caller,
             submitted: now,
             deadline: now + wanted.within,
-            was_resident: false,
+            had_available_replica: false,
         }
     }
 }
--- a/crates/sedgewalld/src/led_requests.rs
+++ b/crates/sedgewalld/src/led_requests.rs
@@ -48,7 +48,7 @@
             caller_hash: submit.caller_hash,
             submitted: now.checked_sub(submit.waited).unwrap_or(now),
             deadline: now + submit.time_left,
-            was_resident: false,
+            had_available_replica: false,
         };
         leader.shard.submit(request, now, actions);
     });
@@ -125,7 +125,7 @@
             caller_hash: 0,
             submitted: now,
             deadline: now,
-            was_resident: true,
+            had_available_replica: true,
         };
         leader.shard.adopt_running(request, engine, now);
     }
--- a/crates/state/benches/decisions.rs
+++ b/crates/state/benches/decisions.rs
@@ -58,7 +58,7 @@
             caller_hash: u64::from(adapter),
             submitted: self.now,
             deadline: self.now + Duration::from_secs(10),
-            was_resident: false,
+            had_available_replica: false,
         };
         self.actions.clear();
         self.shard.submit(request, self.now, &mut self.actions);
--- a/crates/state/src/admission.rs
+++ b/crates/state/src/admission.rs
@@ -173,7 +173,7 @@
             !self.engines.iter().any(|engine| engine.has_empty_slot());
         is_filled
             && request.priority == Priority::Normal
-            && !self.is_served(request.adapter)
+            && !self.has_available_replica(request.adapter)
             && !self.is_loading(request.adapter)
             && adapter.queue.is_empty()
     }
@@ -181,7 +181,7 @@
     /// Returns the time that a new request is expected to wait for a seat.
     pub fn predicted_wait(&self, request: &Request) -> Duration {
         let seat_wait = self.predicted_seat_wait(request.priority);
-        if self.is_served(request.adapter) {
+        if self.has_available_replica(request.adapter) {
             return seat_wait;
         }
         let load_time = self.budget.load_time();
--- a/crates/state/src/dispatch.rs
+++ b/crates/state/src/dispatch.rs
@@ -166,7 +166,7 @@
             engine,
             adapter,
             waited: now.saturating_duration_since(request.submitted),
-            is_stalled: !request.was_resident,
+            is_stalled: !request.had_available_replica,
         });
     }
 }
--- a/crates/state/src/queue.rs
+++ b/crates/state/src/queue.rs
@@ -31,7 +31,7 @@
     /// The time after which the caller has no use for the answer.
     pub deadline: Instant,
     /// Whether an engine served the adapter when the request was submitted.
-    pub was_resident: bool,
+    pub had_available_replica: bool,
 }
 
 /// The queue of the requests that wait for one adapter.
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -257,9 +257,9 @@
             actions.push(ShardAction::Refuse { request: id, refusal });
             return;
         }
-        let is_served = self.is_served(idx);
+        let is_available = self.has_available_replica(idx);
         let adapter = &mut self.adapters[idx as usize];
-        request.was_resident = is_served;
+        request.had_available_replica = is_available;
         self.waiting.push(&mut adapter.queue, request);
         self.update_waiting_sets(idx);
         self.dispatch_adapter(idx, now, actions);
@@ -349,29 +349,29 @@
     pub(crate) fn update_waiting_sets(&mut self, idx: AdapterIdx) {
         let adapter = &self.adapters[idx as usize];
         let waits = !adapter.queue.is_empty();
-        let is_served = self.is_served(idx);
+        let is_available = self.has_available_replica(idx);
         let is_loading = self.is_loading(idx);
-        let awaits_load = waits && !is_served && !is_loading;
+        let awaits_load = waits && !is_available && !is_loading;
         set_membership(&mut self.awaiting_load, idx, awaits_load);
-        set_membership(&mut self.backlogged, idx, waits && is_served);
+        set_membership(&mut self.backlogged, idx, waits && is_available);
     }
 
     /// Returns whether an available engine serves an adapter.
     ///
     /// A replica on a leaving or silent engine, or in a draining slot, does
     /// not count, because it takes no new requests.
-    pub fn is_served(&self, idx: AdapterIdx) -> bool {
-        self.adapters[idx as usize].ready.iter().any(|engine| {
+    pub fn has_available_replica(&self, adapter: AdapterIdx) -> bool {
+        self.adapters[adapter as usize].ready.iter().any(|engine| {
             let engine = &self.engines[*engine as usize];
-            let slot = engine.slot(idx);
+            let slot = engine.slot(adapter);
             engine.takes_work()
                 && slot.is_some_and(|slot| slot.state == SlotState::Ready)
         })
     }
 
     /// Returns whether an available engine is loading an adapter.
-    pub fn is_loading(&self, idx: AdapterIdx) -> bool {
-        self.adapters[idx as usize]
+    pub fn is_loading(&self, adapter: AdapterIdx) -> bool {
+        self.adapters[adapter as usize]
             .loading
             .iter()
             .any(|engine| self.engines[*engine as usize].takes_work())
--- a/crates/state/tests/shard_rules.rs
+++ b/crates/state/tests/shard_rules.rs
@@ -135,7 +135,7 @@
             caller_hash: u64::from(adapter % 3),
             submitted: self.now,
             deadline: self.now + Duration::from_millis(within_ms),
-            was_resident: false,
+            had_available_replica: false,
         }
     }
 
@@ -459,7 +459,7 @@
         caller_hash: 0,
         submitted: now,
         deadline: now + Duration::from_secs(10),
-        was_resident: false,
+        had_available_replica: false,
     };
     shard.submit(request, now, &mut actions);
     actions
@@ -760,7 +760,7 @@
             caller_hash: id,
             submitted: at,
             deadline: at + Duration::from_secs(600),
-            was_resident: false,
+            had_available_replica: false,
         };
         shard.submit(request, at, &mut actions);
         let is_refusal = |action: &&ShardAction| {
