--- a/crates/sedgewalld/src/explain.rs
+++ b/crates/sedgewalld/src/explain.rs
@@ -51,7 +51,7 @@
             .map(|engine| EngineStatus {
                 endpoint: engine.endpoint.clone(),
                 health: format!("{:?}", engine.health).to_lowercase(),
-                running_len: engine.running_len(),
+                running_len: engine.granted_len(),
                 seats: engine.seats,
                 adapters: engine
                     .slots
--- a/crates/state/src/engine.rs
+++ b/crates/state/src/engine.rs
@@ -86,7 +86,7 @@
     /// The slots that hold or load an adapter; empty slots are not listed.
     pub slots: Vec<Slot>,
     /// The number of granted requests that have not ended, by priority class.
-    pub running: [u32; CLASSES],
+    pub granted_by_class: [u32; CLASSES],
     /// The health of the engine, which limits the work that it gets.
     pub health: Health,
     /// Whether the engine has reported to this leader. A new leader orders no
@@ -130,7 +130,7 @@
             observed_slots: configured_slots,
             seats,
             slots: Vec::with_capacity(configured_slots),
-            running: [0; CLASSES],
+            granted_by_class: [0; CLASSES],
             health: Health::Live,
             has_reported: false,
             last_report: now,
@@ -143,8 +143,8 @@
     }
 
     /// Returns the number of granted requests that have not ended.
-    pub fn running_len(&self) -> u32 {
-        self.running.iter().sum()
+    pub fn granted_len(&self) -> u32 {
+        self.granted_by_class.iter().sum()
     }
 
     /// Returns whether the engine may get new requests: it is live or on
@@ -165,8 +165,8 @@
             Health::Silent | Health::Leaving => return 0,
         };
         let taken = match priority {
-            Priority::Batch => self.running_len(),
-            _ => self.running[0] + self.running[1],
+            Priority::Batch => self.granted_len(),
+            _ => self.granted_by_class[0] + self.granted_by_class[1],
         };
         seats.saturating_sub(taken)
     }
--- a/crates/state/src/eviction.rs
+++ b/crates/state/src/eviction.rs
@@ -57,7 +57,7 @@
             return None;
         }
         let busy =
-            f64::from(host.running_len()) / f64::from(host.seats.max(1));
+            f64::from(host.granted_len()) / f64::from(host.seats.max(1));
         let busy_cost = busy * BUSY_COST * self.settings.spread_preference();
         if host.has_empty_slot() {
             return Some(PlacementTarget {
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -379,7 +379,7 @@
 
     pub(crate) fn acquire_seat(&mut self, grant: &Grant, now: Instant) {
         let engine = &mut self.engines[grant.engine as usize];
-        engine.running[grant.priority.rank()] += 1;
+        engine.granted_by_class[grant.priority.rank()] += 1;
         if let Some(slot) = engine.slot_mut(grant.adapter) {
             slot.granted_len += 1;
             slot.last_used = now;
@@ -388,7 +388,7 @@
 
     pub(crate) fn release_seat(&mut self, grant: &Grant) {
         let engine = &mut self.engines[grant.engine as usize];
-        let count = &mut engine.running[grant.priority.rank()];
+        let count = &mut engine.granted_by_class[grant.priority.rank()];
         *count = count.saturating_sub(1);
         if let Some(slot) = engine.slot_mut(grant.adapter) {
             slot.granted_len = slot.granted_len.saturating_sub(1);
--- a/crates/state/tests/shard_rules.rs
+++ b/crates/state/tests/shard_rules.rs
@@ -363,7 +363,8 @@
         let engines = self.shard.engines();
         for (idx, engine) in engines.iter().enumerate() {
             assert!(engine.slots.len() <= SLOTS, "more adapters than slots");
-            let interactive = engine.running[0] + engine.running[1];
+            let interactive =
+                engine.granted_by_class[0] + engine.granted_by_class[1];
             assert!(interactive <= SEATS, "more requests than seats");
             for slot in &engine.slots {
                 let adapter = self.shard.adapter(slot.adapter);
