--- a/crates/state/src/action.rs
+++ b/crates/state/src/action.rs
@@ -55,7 +55,7 @@
         adapter: AdapterIdx,
         /// The time from the submission of the request to the grant.
         waited: Duration,
-        /// Whether no engine served the adapter when the request was
+        /// Whether the adapter had no available replica when the request was
         /// submitted, so that the request waited for a load.
         is_stalled: bool,
     },
