--- a/crates/state/src/admission.rs
+++ b/crates/state/src/admission.rs
@@ -21,8 +21,9 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// The predicted wait exceeds the time until the deadline or, during a
-    /// sustained overload, the target wait.
+    /// The predicted wait exceeds the time until the deadline or, for a
+    /// request of normal priority during a sustained overload, the target
+    /// wait.
     DeadlineUnreachable,
     /// The deadline passed while the request waited.
     DeadlinePassed,
@@ -31,7 +32,8 @@
     /// The request was removed from a full queue in favour of a request of
     /// higher priority.
     Shed,
-    /// The caller holds its maximum share of the queue.
+    /// The queue is at least half full, and the caller holds its maximum share
+    /// of the queue.
     CallerShare,
     /// No engine of the shard is available.
     NoEngine,
@@ -43,7 +45,8 @@
     NoLeader,
     /// The entry instance holds its maximum number of requests.
     EntryFull,
-    /// Engines rejected the request too often.
+    /// No further retry is allowed after an engine rejected the request or
+    /// could not be reached.
     RetriesSpent,
 }
 
@@ -85,17 +88,21 @@
 ///
 /// In a sustained overload, the queue grows until waits reach the longest
 /// deadline. That delays all requests without a gain in throughput, because
-/// the weight store serves as many requests with a short queue. So once
-/// predicted waits have been above the target for [`OVERLOAD_AFTER`], requests
-/// whose predicted wait is above the target are refused at once. This is the
-/// idea of controlled delay (CoDel, RFC 8289), applied to admission.
+/// the weight store serves as many requests with a short queue as with a long
+/// one. So once predicted waits have been above the target for
+/// [`OVERLOAD_AFTER`], a new request of normal priority whose predicted wait
+/// is above the target is refused at once. Requests of the other classes are
+/// refused only if their predicted wait exceeds the time until their deadline.
+/// This is the idea of controlled delay (CoDel, RFC 8289), applied to
+/// admission.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct OverloadDetector {
     above_since: Option<Instant>,
 }
 
-/// The time for which predicted waits must stay above the target before the
-/// shard counts as overloaded. A wait of at most half the target ends it.
+/// The time from the first predicted wait above the target until the shard
+/// counts as overloaded. A predicted wait of at most half the target ends the
+/// overload or resets this time.
 const OVERLOAD_AFTER: Duration = Duration::from_secs(3);
 
 impl OverloadDetector {
@@ -165,8 +172,8 @@
     /// loads: the request has normal priority and is the first that needs its
     /// adapter.
     ///
-    /// While an engine has an empty slot, the shard is still being filled.
-    /// That backlog ends by itself and is not an overload.
+    /// While an engine has an empty slot, the shard is still being filled. The
+    /// backlog of loads then ends by itself and is not an overload.
     fn indicates_load_backlog(&self, request: &Request) -> bool {
         let adapter = &self.adapters[request.adapter as usize];
         let is_filled =
@@ -193,7 +200,7 @@
         seat_wait + load_time + Duration::from_secs_f64(ahead / rate)
     }
 
-    /// Returns the number of loads that come before the one that a request
+    /// Returns the number of loads that come before the load that a request
     /// needs.
     fn loads_ahead(&self, request: &Request) -> f64 {
         let own = self.adapters[request.adapter as usize].queue.weight()
@@ -259,9 +266,9 @@
         false
     }
 
-    /// Returns a refusal whose retry time is the predicted wait, within the
-    /// limits, times a jitter between 1 and 2. The jitter is derived from the
-    /// request id, because this crate draws no random numbers.
+    /// Returns a refusal whose retry time is `wait`, within [`MIN_RETRY`] and
+    /// [`MAX_RETRY`], times a jitter between 1 and 2. The jitter is derived
+    /// from the request id, because this crate draws no random numbers.
     pub(crate) fn refusal(
         &self,
         reason: RefusalReason,
