--- a/crates/state/src/allocation.rs
+++ b/crates/state/src/allocation.rs
@@ -3,9 +3,10 @@
 //! With fixed shares, the share of a shard without loads would be unused. So
 //! every shard has a small guaranteed share, and the rest is allocated
 //! according to the requests that wait in each shard, by allotments that
-//! expire. The module keeps
-//! one invariant: the limits that all shards may use never add up to more than
-//! the limits of the store.
+//! expire. The module keeps one invariant: the limits that all shards may use
+//! never add up to more than the limits of the store. After a change of the
+//! limits or of the set of shards, the invariant holds once the earlier
+//! allotments have expired.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -38,10 +39,11 @@
 /// two to three seconds.
 const DEMAND_SMOOTHING: f64 = 0.1;
 
-/// The score of a shard without demand, about that of two waiting adapters.
+/// The score of a shard without demand. Two adapters, each with one waiting
+/// request of normal priority, add about as much to a score.
 ///
-/// Without it, the first requests after an idle period would find their shard
-/// with only its guaranteed share.
+/// Without this score, the first requests after an idle period would find
+/// their shard with only its guaranteed share.
 const BASE_SCORE: f64 = 5.0;
 
 impl StoreDemand {
