--- a/crates/state/src/budget.rs
+++ b/crates/state/src/budget.rs
@@ -9,7 +9,8 @@
 use sedgewall_clock::Instant;
 use serde::{Deserialize, Serialize};
 
-/// The capacity of the token bucket, in seconds of the allowed rate.
+/// The capacity of the token bucket, in seconds of the allowed rate. The
+/// bucket holds at least one token.
 const BURST_S: f64 = 1.0;
 
 /// The limits of the weight store, or one shard's share of them.
@@ -52,8 +53,8 @@
 }
 
 impl LoadBudget {
-    /// Returns a budget without loads in flight, whose bucket holds
-    /// one second of the allowed rate.
+    /// Returns a budget without loads in flight, whose bucket holds one second
+    /// of the allowed rate.
     pub fn new(limits: StoreLimits, now: Instant) -> LoadBudget {
         LoadBudget {
             limits,
