--- a/crates/state/src/config.rs
+++ b/crates/state/src/config.rs
@@ -3,7 +3,8 @@
 //! Reading files belongs to `sedgewall-protocol`; versions, and the agreement
 //! of instances on one of them, belong to `sedgewall-coordination`. The module
 //! keeps one invariant: a [`Config`] for which [`Config::validation_errors`]
-//! is empty has no dangling references and no duplicate names.
+//! is empty has no duplicate names and no dangling references, apart from the
+//! base model of a group of plain services, which is not checked.
 
 use std::{
     collections::HashSet,
@@ -150,7 +151,8 @@
     /// The weight of avoiding stalls, which are requests that wait for their
     /// adapter to load.
     pub stall_weight: f64,
-    /// The weight of filling batches.
+    /// The weight of filling engines' batches, as opposed to spreading
+    /// requests over engines. It does not concern [`Priority::Batch`].
     pub batch_weight: f64,
     /// The maximum number of waiting requests in one shard.
     pub queue_len: u32,
