--- a/crates/state/src/dispatch.rs
+++ b/crates/state/src/dispatch.rs
@@ -1,9 +1,11 @@
 //! Dispatch of waiting requests to free seats.
 //!
 //! Requests are bound late: a request is assigned to an engine only when a
-//! seat is free on an engine that has its adapter ready. Requests are ordered
-//! by priority class, then by deadline. Each aging time that a request has
-//! waited raises it by one class, so that no request starves.
+//! seat is free on an engine that has its adapter ready. Requests of one
+//! adapter and priority class keep their order of arrival; the first requests
+//! of these queues are ordered by priority class, then by deadline. Each aging
+//! time that a request has waited raises it by one class, so that no request
+//! starves.
 
 use sedgewall_clock::Instant;
 
@@ -15,8 +17,8 @@
     shard::{Grant, Shard, ShardAction},
 };
 
-/// The key by which waiting requests are ordered; the smallest is dispatched
-/// first.
+/// The key by which the first requests of queues are ordered; the smallest is
+/// dispatched first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct DispatchKey {
     rank: usize,
@@ -54,9 +56,9 @@
 
     /// Returns the engine on which a request of one adapter should run.
     ///
-    /// If the batch weight exceeds the stall weight, it is the engine with the
-    /// fewest free seats. Otherwise it is the engine with the most, which
-    /// keeps the steps of its batch short.
+    /// If the batch weight exceeds the stall weight, this is the engine with
+    /// the fewest free seats. Otherwise it is the engine with the most free
+    /// seats, which keeps the steps of its batch short.
     pub(crate) fn engine_for(
         &self,
         adapter: AdapterIdx,
