--- a/crates/state/src/engine.rs
+++ b/crates/state/src/engine.rs
@@ -37,13 +37,13 @@
     pub granted_len: u32,
     /// The number of requests that may run in the slot without a grant of this
     /// leader: those of a previous leader that the engine reported, and those
-    /// whose grant was given up.
+    /// whose grant expired and was released.
     pub untracked_len: u32,
     /// The time at which the adapter became ready or, while it loads, at which
     /// the load was ordered.
     pub ready_at: Instant,
-    /// The time at which the adapter last became ready, got a grant or lost a
-    /// grant that was given up.
+    /// The time at which the adapter was last used: its load was ordered, the
+    /// adapter became ready or got a grant, or an expired grant was released.
     pub last_used: Instant,
 }
 
@@ -57,10 +57,12 @@
 /// The health of an engine, which limits the work that it gets.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Health {
-    /// The engine gets as many requests as it has seats.
+    /// The engine gets as many requests as it has seats; see
+    /// [`Engine::free_seats`] for batch requests.
     Live,
-    /// The engine came back, failed or was slow, and gets at most
-    /// [`PROBATION_SEATS`] requests at a time.
+    /// The engine restarted, returned to service, failed or was slow. It gets
+    /// requests as if it had at most [`PROBATION_SEATS`] seats; see
+    /// [`Engine::free_seats`].
     Probation,
     /// The engine's reports stopped, or it could not be connected to. It gets
     /// no requests.
@@ -78,8 +80,10 @@
     /// The number of adapters that the engine can hold according to the
     /// configuration.
     pub configured_slots: usize,
-    /// The number of adapters that the engine can hold according to its own
-    /// answers and reports, at most `configured_slots`.
+    /// The number of adapters that the engine can hold as observed:
+    /// `configured_slots` until the engine rejects a load for lack of a slot.
+    /// Reports that list more adapters raise the number again, up to
+    /// `configured_slots`.
     pub observed_slots: usize,
     /// The number of requests that the engine runs in one batch.
     pub seats: u32,
@@ -98,8 +102,8 @@
     pub last_report: Instant,
     /// The time at which `health` last changed.
     pub health_since: Instant,
-    /// The moving average of the time to the first token, in seconds; 0 before
-    /// the first sample.
+    /// The moving average of the time to the first token, in seconds, which
+    /// starts at 0.
     pub first_token_s: f64,
     /// The end of the back-off after failed loads; no load starts before it.
     pub load_after: Option<Instant>,
@@ -110,7 +114,9 @@
     pub evict_after: Instant,
 }
 
-/// The number of requests that an engine on probation runs at once.
+/// The maximum number of seats that an engine on probation has for new
+/// requests. As on a live engine, batch requests do not take seats from the
+/// higher classes.
 pub const PROBATION_SEATS: u32 = 4;
 
 /// The shortest time for which an engine stays on probation.
@@ -156,8 +162,9 @@
     /// Returns the number of seats that are available to requests of a
     /// priority class.
     ///
-    /// The engine honours priorities: batch requests give way. So a request of
-    /// a higher class may take a seat that a batch request holds.
+    /// The engine honours priorities: batch requests give way. So batch
+    /// requests are not counted for the higher classes, and a request of a
+    /// higher class may take a seat that a batch request holds.
     pub fn free_seats(&self, priority: Priority) -> u32 {
         let seats = match self.health {
             Health::Live => self.seats,
