--- a/crates/state/src/entry.rs
+++ b/crates/state/src/entry.rs
@@ -2,7 +2,7 @@
 //!
 //! Messages may be lost, so each entry instance periodically reports all
 //! requests that it runs. A grant that has expired and whose request is not
-//! among them is given up.
+//! among the reported ones is released.
 
 use sedgewall_clock::Instant;
 
@@ -18,8 +18,8 @@
     /// instance runs.
     ///
     /// The request takes a seat like one that this leader granted. Its grant
-    /// is already expired, so that it is given up once the entry instance no
-    /// longer reports the request.
+    /// is already expired, so that the grant is released once the entry
+    /// instance no longer reports the request.
     pub fn adopt_running(
         &mut self,
         request: Request,
@@ -43,7 +43,7 @@
     }
 
     /// Compares the grants of one entry instance with all requests that it
-    /// runs, and gives up those whose end was not received.
+    /// runs, and releases the expired grants of requests that do not run.
     ///
     /// An expired grant whose request does not run can never be used, so its
     /// seat is free. `running` must be sorted.
@@ -62,10 +62,11 @@
     }
 
     /// Removes the waiting requests of an entry instance that is lost, and
-    /// gives up its grants that have expired.
+    /// releases its grants that have expired.
     ///
-    /// Grants that are still valid stay. Call the method again until the entry
-    /// instance is heard from or forgotten.
+    /// Grants that are still valid stay, because the entry instance may still
+    /// start their requests. Call the method again until the entry instance is
+    /// heard from or forgotten.
     pub fn entry_lost(
         &mut self,
         entry: Incarnation,
@@ -99,10 +100,11 @@
             .collect()
     }
 
-    /// Frees the seat of a grant whose end was not received.
+    /// Removes an expired grant whose end was not received, and releases its
+    /// seat.
     ///
     /// The engine may still run the request, so the slot counts as busy until
-    /// a later report of the engine shows that it is idle.
+    /// a later report of the engine shows that the slot is idle.
     pub(crate) fn release_expired_grant(
         &mut self,
         id: RequestId,
