--- a/crates/state/src/eviction.rs
+++ b/crates/state/src/eviction.rs
@@ -2,8 +2,9 @@
 //!
 //! The victim is the idle adapter with the lowest expected request rate per
 //! replica. The module keeps one invariant: an adapter with granted or running
-//! requests is never evicted. If every slot is busy, a slot may be *drained*:
-//! it gets no new requests and can be evicted when its last request ends.
+//! requests is never evicted. If a load finds no engine with an empty or
+//! evictable slot, a busy slot may be *drained*: the slot gets no new requests
+//! and can be evicted when its last request ends.
 
 use std::time::Duration;
 
@@ -15,8 +16,8 @@
     shard::Shard,
 };
 
-/// The engine for a load, the adapter to evict there, and the cost, in
-/// expected requests per second.
+/// The engine for a load, the adapter to evict there, which is `None` if the
+/// engine has an empty slot, and the cost, in expected requests per second.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct PlacementTarget {
     pub(crate) engine: EngineIdx,
@@ -29,13 +30,15 @@
 const MIN_RESIDENCY: Duration = Duration::from_millis(500);
 
 /// The cost of placing a load on an engine whose batch is full, in the unit of
-/// a victim's retention value, requests per second. If full batches are
-/// preferred, it is a gain.
+/// a victim's retention value, requests per second. The cost is multiplied by
+/// `PolicySettings::spread_preference`, so that it is negative if full batches
+/// are preferred.
 const BUSY_COST: f64 = 0.05;
 
 impl Shard {
-    /// Returns the target with the lowest cost for the load of an adapter, if
-    /// there is any.
+    /// Returns the engine on which the load of an adapter costs least, with
+    /// the adapter to evict there if the engine has no empty slot. Returns
+    /// `None` if no engine can load the adapter now.
     pub(crate) fn cheapest_target(
         &self,
         adapter: AdapterIdx,
@@ -100,9 +103,9 @@
     }
 
     /// Starts to drain a busy slot for an adapter for which there is no
-    /// placement target: the slot with the lowest sum of running requests and
-    /// retention value, of those whose own queue weighs less than that of the
-    /// adapter.
+    /// placement target. Of the slots whose adapter has a queue of lower
+    /// weight than the queue of `adapter`, this is the slot with the lowest
+    /// sum of running requests and retention value.
     ///
     /// Returns whether a drain was started. At most one slot of the shard
     /// drains at a time.
