--- a/crates/state/src/health.rs
+++ b/crates/state/src/health.rs
@@ -1,8 +1,8 @@
 //! Health of engines: silence, slowness and probation.
 //!
-//! An engine loses work only on evidence: missing reports, failed requests or
-//! connections, or a time to the first token far above that of its peers. It
-//! returns to service with a few requests at a time.
+//! An engine loses work only on evidence: missing reports, a restart, failed
+//! requests or connections, or a time to the first token far above that of its
+//! peers. The engine returns to service with a few requests at a time.
 
 use std::time::Duration;
 
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Sets an engine's health. If it changes, recomputes which adapters count
-    /// as served.
+    /// Sets an engine's health. If the health changes, recomputes which
+    /// adapters have an available replica.
     pub(crate) fn set_health(
         &mut self,
         idx: EngineIdx,
