--- a/crates/state/src/id.rs
+++ b/crates/state/src/id.rs
@@ -2,7 +2,7 @@
 //!
 //! Names come from the configuration files of operators and stay strings.
 //! Indices are dense and local to one shard leader, so that the policy indexes
-//! vectors and never hashes a name.
+//! vectors by them instead of hashing names.
 
 /// The name of an adapter, unique in a configuration.
 pub type AdapterName = String;
