--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,10 +1,11 @@
 //! The scheduling policy of shards with leaders, as a state machine without
 //! I/O.
 //!
-//! Every method takes an event and appends the resulting actions. Nothing here
-//! does I/O, reads a clock or draws random numbers: the caller passes the time
-//! as an [`Instant`](sedgewall_clock::Instant), so that a replay in virtual
-//! time and a daemon on a real clock run the same code.
+//! The methods of [`Shard`] that handle events append the resulting actions to
+//! a list, for the caller to carry out. The crate does no I/O, reads no clock
+//! and draws no random numbers: the caller passes the time as an
+//! [`Instant`](sedgewall_clock::Instant), so that a replay in virtual time and
+//! a daemon on a real clock run the same code.
 //!
 //! Leases, membership and configuration versions belong to
 //! `sedgewall-coordination`, and all wire formats to `sedgewall-protocol`.
