--- a/crates/state/src/load.rs
+++ b/crates/state/src/load.rs
@@ -1,8 +1,9 @@
 //! The life cycle of a load: ordered, completed, failed or abandoned.
 //!
 //! A load changes the slots of its engine and the replica lists of its adapter
-//! together, here. A failed load is first retried on another engine, and backs
-//! off with jitter.
+//! together, here. After a failed load, the engine backs off from loads. The
+//! adapter backs off only from its second consecutive failure on, so that its
+//! load may be retried at once on another engine. Back-offs have jitter.
 
 use std::time::Duration;
 
@@ -52,11 +53,12 @@
         self.schedule_loads(now, actions);
     }
 
-    /// Records that an engine rejected a load for lack of a slot, although it
-    /// has an empty one according to the configuration.
+    /// Records that an engine rejected a load for lack of a slot, although the
+    /// engine has an empty slot according to
+    /// [`Engine::observed_slots`](crate::engine::Engine::observed_slots).
     ///
-    /// The engine's capacity is set to the number of adapters that it holds,
-    /// until a report lists more.
+    /// Lowers `observed_slots` to the number of adapters that the engine
+    /// holds, but not below 1, until a report lists more.
     pub fn record_slot_shortage(&mut self, idx: EngineIdx) {
         let engine = &mut self.engines[idx as usize];
         let held = engine
