--- a/crates/state/src/placement.rs
+++ b/crates/state/src/placement.rs
@@ -1,10 +1,11 @@
 //! Placement: the choice of the adapter to load next and of its engine.
 //!
-//! The weight store is the bottleneck during a spike, so each load goes to the
-//! adapter that removes the largest weighted wait: that of the waiting
-//! requests and of those expected to arrive during a load. The module keeps
-//! one invariant: an adapter is never loaded twice for the same waiting
-//! requests.
+//! The weight store is the bottleneck during a spike, so the next adapter to
+//! load is the one whose load removes the largest weighted wait: that of the
+//! waiting requests and of those expected to arrive during a load. The module
+//! keeps one invariant: no load of an adapter is ordered while an available
+//! engine is loading it, so that the same waiting requests do not cause two
+//! loads.
 
 use sedgewall_clock::Instant;
 
@@ -27,7 +28,9 @@
 /// The number of adapters that one tick considers for prefetching.
 const PREFETCH_SCAN: AdapterIdx = 256;
 
-/// The number of concurrent loads that prefetching leaves to new requests.
+/// A prefetch starts only if the loads in flight plus this number do not
+/// exceed the limit on concurrent loads. With 1, a prefetch may fill the
+/// limit; only a limit below one concurrent load is left to new requests.
 const PREFETCH_RESERVE: u32 = 1;
 
 impl Shard {
@@ -53,9 +56,10 @@
         }
     }
 
-    /// Puts a draining slot of an adapter back into service, if there is one.
+    /// Puts a draining slot of an adapter on an available engine back into
+    /// service.
     ///
-    /// Returns whether there was one.
+    /// Returns whether there was such a slot.
     fn cancel_drain(&mut self, adapter: AdapterIdx) -> bool {
         let ready = self.adapters[adapter as usize].ready.clone();
         for engine in ready {
@@ -96,8 +100,8 @@
         }
     }
 
-    /// Prefetches an adapter if no request waits for a load and the budget
-    /// allows.
+    /// Prefetches an adapter if no request waits for a load, the budget
+    /// allows, and the expected request rate of the adapter is high enough.
     fn prefetch(
         &mut self,
         candidate: AdapterIdx,
@@ -177,9 +181,11 @@
             .sum()
     }
 
-    /// Returns the weighted wait that a further replica of an adapter removes.
+    /// Returns the weighted wait that a further replica of an adapter removes:
+    /// the value of a first replica, divided by the number of replicas
+    /// including the further one.
     ///
-    /// That replica serves only the part of the queue that the present
+    /// The division approximates the part of the queue that the present
     /// replicas cannot serve within the time of a load.
     fn replica_value(&self, idx: AdapterIdx, now: Instant) -> f64 {
         let adapter = &self.adapters[idx as usize];
