--- a/crates/state/src/plain_service.rs
+++ b/crates/state/src/plain_service.rs
@@ -3,27 +3,30 @@
 //!
 //! Plain services, which run no model, share no state with the queues for
 //! engines, so that a spike of model requests cannot slow them. The module
-//! keeps one invariant: an endpoint never has more calls from this instance
-//! than the limit, and gets no call during its cooldown.
+//! keeps one invariant: an endpoint gets no call from an instance that already
+//! has as many outstanding calls there as the limit, and no call during its
+//! cooldown.
 
 use sedgewall_clock::Instant;
 
 use crate::id::EndpointId;
 
-/// The state of one endpoint of a plain service, as one instance sees it.
+/// The state of one endpoint of a plain service. Each instance of the daemon
+/// keeps a record of its own.
 #[derive(Clone, Debug)]
 pub struct ServiceEndpoint {
     /// The id that the platform gives to the endpoint.
     pub endpoint: EndpointId,
-    /// The number of calls from this instance that have not ended.
+    /// The number of calls from the instance that keeps this record that have
+    /// not ended.
     pub outstanding: u32,
-    /// Whether the endpoint may get new calls: it is listed as live.
+    /// Whether the endpoint is listed as live, so that it may get new calls.
     pub takes_work: bool,
     /// The number of consecutive failed calls. Endpoints with fewer failures
     /// are preferred.
     pub failures: u32,
     /// The end of the cooldown that the endpoint requested when it last
-    /// rejected a call of this instance.
+    /// rejected a call of the instance that keeps this record.
     pub cooldown_until: Option<Instant>,
 }
 
