--- a/crates/state/src/priority.rs
+++ b/crates/state/src/priority.rs
@@ -1,8 +1,8 @@
 //! Priority classes of requests.
 //!
 //! Callers send an RFC 9218 urgency from 0 to 7, which is mapped to three
-//! classes. An engine's batch has few seats, and finer classes made no
-//! difference in the queues.
+//! classes. Finer classes make no difference in the queues, because an
+//! engine's batch has few seats.
 
 use serde::{Deserialize, Serialize};
 
