--- a/crates/state/src/queue.rs
+++ b/crates/state/src/queue.rs
@@ -30,7 +30,8 @@
     pub submitted: Instant,
     /// The time after which the caller has no use for the answer.
     pub deadline: Instant,
-    /// Whether an engine served the adapter when the request was submitted.
+    /// Whether the adapter had an available replica when the request was
+    /// submitted.
     pub had_available_replica: bool,
 }
 
