--- a/crates/state/src/report.rs
+++ b/crates/state/src/report.rs
@@ -18,10 +18,14 @@
     /// Applies an engine's report of the adapters that it holds and the number
     /// of requests that it runs on each.
     ///
+    /// Removes adapters that the engine no longer holds, adds adapters that
+    /// the leader does not know, and sets the number of untracked requests of
+    /// each slot. Raises `observed_slots` if the report lists more adapters,
+    /// and updates the health of the engine. Then dispatches waiting requests
+    /// to the engine and orders loads.
+    ///
     /// Reports lag, so a report never overrides a load that was ordered or a
-    /// request that was granted after `report_time`. It only removes adapters
-    /// that the engine no longer holds, and adds adapters and running requests
-    /// that the leader does not know.
+    /// request that was granted after `report_time`.
     pub fn apply_report(
         &mut self,
         engine: EngineIdx,
@@ -42,10 +46,11 @@
         self.schedule_loads(now, actions);
     }
 
-    /// Removes all adapters of an engine that restarted and holds none.
+    /// Removes all adapters of an engine that restarted and holds none, and
+    /// puts the engine on probation.
     ///
     /// The entry instances report the end of the requests that ran on the
-    /// engine, because their connections to it break.
+    /// engine, because their connections to the engine break.
     pub fn engine_restarted(&mut self, idx: EngineIdx, now: Instant) {
         let adapters: Vec<AdapterIdx> = self.engines[idx as usize]
             .slots
