--- a/crates/state/src/settings.rs
+++ b/crates/state/src/settings.rs
@@ -8,8 +8,10 @@
     /// The weight of avoiding stalls, which are requests that wait for their
     /// adapter to load. Only its ratio to `batch_weight` matters.
     pub stall_weight: f64,
-    /// The weight of filling batches. Only its ratio to `stall_weight`
-    /// matters.
+    /// The weight of filling engines' batches, as opposed to spreading
+    /// requests over engines. It does not concern
+    /// [`Priority::Batch`](crate::Priority::Batch). Only its ratio to
+    /// `stall_weight` matters.
     pub batch_weight: f64,
     /// The maximum number of waiting requests in one shard.
     pub queue_len: usize,
