--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -3,12 +3,13 @@
 //!
 //! [`Shard`] owns the state and keeps its parts consistent. The decisions are
 //! in [`admission`](crate::admission), [`dispatch`](crate::dispatch),
-//! [`placement`](crate::placement) and [`eviction`](crate::eviction). Each
-//! method takes one event and appends the resulting actions.
+//! [`placement`](crate::placement) and [`eviction`](crate::eviction). Methods
+//! that handle an event append the resulting actions to a list, for the caller
+//! to carry out.
 //!
 //! The invariant is that every submitted request gets exactly one grant or one
 //! refusal, unless it is cancelled, its entry instance is lost, or it is
-//! requeued because its engine rejected it.
+//! requeued because its engine rejected it or could not be reached.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -42,10 +43,10 @@
     /// adjacent, because a request id begins with the incarnation of its entry
     /// instance.
     pub(crate) grants: BTreeMap<RequestId, Grant>,
-    /// Adapters with waiting requests that no available engine serves or
-    /// loads.
+    /// Adapters with waiting requests that have no available replica and that
+    /// no available engine is loading.
     pub(crate) awaiting_load: BTreeSet<AdapterIdx>,
-    /// Adapters with waiting requests that an available engine serves.
+    /// Adapters with waiting requests that have an available replica.
     pub(crate) backlogged: BTreeSet<AdapterIdx>,
     pub(crate) budget: LoadBudget,
     /// The moving average of the time for which a request holds its seat, in
@@ -278,7 +279,8 @@
         }
     }
 
-    /// Records the outcome of a granted request and dispatches to its seat.
+    /// Records the outcome of a granted request, releases its seat and
+    /// dispatches waiting requests.
     ///
     /// A request without a grant is ignored, so that a repeated message is
     /// harmless.
@@ -311,8 +313,8 @@
     }
 
     /// Handles events that only the passing of time causes: deadlines, silent
-    /// engines, and loads that may now start. Must be called at least ten
-    /// times a second.
+    /// engines, and loads and prefetches that may now start. Must be called at
+    /// least ten times a second.
     pub fn tick(&mut self, now: Instant, actions: &mut Vec<ShardAction>) {
         self.refuse_expired(now, actions);
         self.check_health(now);
@@ -345,7 +347,8 @@
         request
     }
 
-    /// Recomputes whether one adapter belongs to `awaiting_load` and `backlogged`.
+    /// Recomputes whether an adapter belongs to `awaiting_load` and
+    /// `backlogged`.
     pub(crate) fn update_waiting_sets(&mut self, idx: AdapterIdx) {
         let adapter = &self.adapters[idx as usize];
         let waits = !adapter.queue.is_empty();
@@ -356,7 +359,8 @@
         set_membership(&mut self.backlogged, idx, waits && is_available);
     }
 
-    /// Returns whether an available engine serves an adapter.
+    /// Returns whether an adapter has an available replica: an available
+    /// engine has the adapter ready.
     ///
     /// A replica on a leaving or silent engine, or in a draining slot, does
     /// not count, because it takes no new requests.
@@ -401,8 +405,9 @@
         self.service_s = (1.0 - share) * self.service_s + share * took;
     }
 
-    /// Removes a replica after its engine rejected a request because it does
-    /// not hold the adapter, unless the adapter was loaded after the grant.
+    /// Removes a replica after its engine rejected a request because the
+    /// engine does not hold the adapter, unless the adapter became ready after
+    /// the grant or is being loaded again.
     fn remove_stale_replica(&mut self, grant: &Grant) {
         let is_gone = self.engines[grant.engine as usize]
             .slot(grant.adapter)
