--- a/crates/state/tests/shard_rules.rs
+++ b/crates/state/tests/shard_rules.rs
@@ -659,7 +659,8 @@
 
 /// Guards against repeated failures of loads on an engine that has fewer slots
 /// than its endpoint group is configured with: the engine rejected one load
-/// after another, and the shard backed off from it instead of evicting.
+/// after another, and the shard backed off from the engine instead of
+/// evicting.
 #[test]
 fn a_slot_shortage_reduces_observed_slots() {
     let now = Instant::now();
@@ -686,8 +687,8 @@
 }
 
 /// Guards against a new leader that takes full engines for empty ones before
-/// their first report: it ordered loads for adapters that an engine already
-/// held, and requests were rejected until their retries were spent.
+/// their first report: the leader ordered loads for adapters that an engine
+/// already held, and requests were rejected until their retries were spent.
 #[test]
 fn a_new_leader_orders_no_load_before_it_knows_what_an_engine_holds() {
     let now = Instant::now();
