--- a/crates/state/src/allocation.rs
+++ b/crates/state/src/allocation.rs
@@ -137,8 +137,8 @@
         .collect()
 }
 
-/// The validity of an allotment, which the shard counts from its request for
-/// it.
+/// The validity of an allotment, which the shard counts from the time at which
+/// it requested the allotment.
 pub const ALLOTMENT_VALIDITY: Duration = Duration::from_millis(800);
 
 /// The interval at which each shard requests an allotment.
@@ -151,8 +151,8 @@
     until: Instant,
 }
 
-/// The allocator's record of one shard: its demand, and the allotments that it
-/// may still use.
+/// The allocator's record of one shard: its demand, and the allotments that
+/// the shard may still use.
 ///
 /// An answer can be lost, in which case the shard uses an earlier allotment.
 /// So all allotments are kept until they expire.
@@ -177,9 +177,9 @@
 
 /// Issues allotments of the weight store's limits to shards.
 ///
-/// There is one active allocator, at the leader of the first shard. A new one
-/// issues only the guaranteed limits until all allotments of its predecessor
-/// have expired.
+/// There is one active allocator, at the leader of the first shard. A new
+/// allocator issues only the guaranteed limits until all allotments of its
+/// predecessor have expired.
 #[derive(Clone, Debug)]
 pub struct Allocator {
     limits: StoreLimits,
