--- a/crates/state/src/dispatch.rs
+++ b/crates/state/src/dispatch.rs
@@ -1,11 +1,11 @@
 //! Dispatch of waiting requests to free seats.
 //!
 //! Requests are bound late: a request is assigned to an engine only when a
-//! seat is free on an engine that has its adapter ready. Requests of one
-//! adapter and priority class keep their order of arrival; the first requests
-//! of these queues are ordered by priority class, then by deadline. Each aging
-//! time that a request has waited raises it by one class, so that no request
-//! starves.
+//! seat is free on an engine that has the request's adapter ready. Requests of
+//! one adapter and priority class keep their order of arrival; the first
+//! requests of these queues are ordered by priority class, then by deadline.
+//! Each aging time that a request has waited raises it by one class, so that
+//! no request starves.
 
 use sedgewall_clock::Instant;
 
