--- a/crates/state/src/entry.rs
+++ b/crates/state/src/entry.rs
@@ -17,8 +17,8 @@
     /// Records a request that a previous leader granted and that an entry
     /// instance runs.
     ///
-    /// The request takes a seat like one that this leader granted. Its grant
-    /// is already expired, so that the grant is released once the entry
+    /// The request takes a seat like a request that this leader granted. Its
+    /// grant is already expired, so that the grant is released once the entry
     /// instance no longer reports the request.
     pub fn adopt_running(
         &mut self,
