--- a/crates/state/src/load.rs
+++ b/crates/state/src/load.rs
@@ -1,7 +1,7 @@
 //! The life cycle of a load: ordered, completed, failed or abandoned.
 //!
-//! A load changes the slots of its engine and the replica lists of its adapter
-//! together, here. After a failed load, the engine backs off from loads. The
+//! This module changes the slots of the engine and the replica lists of the
+//! adapter together. After a failed load, the engine backs off from loads. The
 //! adapter backs off only from its second consecutive failure on, so that its
 //! load may be retried at once on another engine. Back-offs have jitter.
 
