--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -39,7 +39,7 @@
     pub(crate) adapters: Vec<Adapter>,
     pub(crate) engines: Vec<Engine>,
     pub(crate) waiting: WaitingRequests,
-    /// The grants that have not ended. Those of one entry instance are
+    /// The grants that have not ended. The grants of one entry instance are
     /// adjacent, because a request id begins with the incarnation of its entry
     /// instance.
     pub(crate) grants: BTreeMap<RequestId, Grant>,
@@ -59,7 +59,8 @@
     pub(crate) load_started: HashMap<(EngineIdx, AdapterIdx), Instant>,
 }
 
-/// The weight of a new sample in the moving average of the service time.
+/// The weight of a new sample in the moving average of the service time, for
+/// which a request holds its seat.
 const SERVICE_SMOOTHING: f64 = 0.05;
 
 /// The service time that is assumed before the first sample, in seconds.
@@ -191,7 +192,9 @@
 
     /// Adds an engine or updates a known one, and returns its index.
     ///
-    /// A known engine that is leaving returns to service on probation.
+    /// A known engine that is leaving returns to service on probation. If the
+    /// configured number of slots of a known engine changed, the observed
+    /// number is reset to it.
     pub fn add_engine(
         &mut self,
         endpoint: &str,
