--- a/crates/sedgewalld/src/entry_messages.rs
+++ b/crates/sedgewalld/src/entry_messages.rs
@@ -54,7 +54,7 @@
             caller_hash: submit.caller_hash,
             submitted: now.checked_sub(submit.waited).unwrap_or(now),
             deadline: now + submit.time_left,
-            was_resident: false,
+            had_available_replica: false,
         };
         leader.shard.submit(request, now, actions);
     });
@@ -131,7 +131,7 @@
             caller_hash: 0,
             submitted: now,
             deadline: now,
-            was_resident: true,
+            had_available_replica: true,
         };
         leader.shard.adopt_running(request, engine, now);
     }
--- a/crates/state/tests/shard_rules.rs
+++ b/crates/state/tests/shard_rules.rs
@@ -135,7 +135,7 @@
             caller_hash: u64::from(adapter % 3),
             submitted: self.now,
             deadline: self.now + Duration::from_millis(within_ms),
-            was_resident: false,
+            had_available_replica: false,
         }
     }
 
@@ -363,7 +363,8 @@
         let engines = self.shard.engines();
         for (idx, engine) in engines.iter().enumerate() {
             assert!(engine.slots.len() <= SLOTS, "more adapters than slots");
-            let interactive = engine.running[0] + engine.running[1];
+            let interactive =
+                engine.granted_by_class[0] + engine.granted_by_class[1];
             assert!(interactive <= SEATS, "more requests than seats");
             for slot in &engine.slots {
                 let adapter = self.shard.adapter(slot.adapter);
@@ -459,7 +460,7 @@
         caller_hash: 0,
         submitted: now,
         deadline: now + Duration::from_secs(10),
-        was_resident: false,
+        had_available_replica: false,
     };
     shard.submit(request, now, &mut actions);
     actions
@@ -658,9 +659,10 @@
 
 /// Guards against repeated failures of loads on an engine that has fewer slots
 /// than its endpoint group is configured with: the engine rejected one load
-/// after another, and the shard backed off from it instead of evicting.
+/// after another, and the shard backed off from the engine instead of
+/// evicting.
 #[test]
-fn a_reported_slot_shortage_reduces_slot_capacity() {
+fn a_slot_shortage_reduces_observed_slots() {
     let now = Instant::now();
     let limits = StoreLimits { rate_per_s: 100.0, concurrency: 100.0 };
     let mut shard = Shard::new(PolicySettings::default(), limits, now);
@@ -685,8 +687,8 @@
 }
 
 /// Guards against a new leader that takes full engines for empty ones before
-/// their first report: it ordered loads for adapters that an engine already
-/// held, and requests were rejected until their retries were spent.
+/// their first report: the leader ordered loads for adapters that an engine
+/// already held, and requests were rejected until their retries were spent.
 #[test]
 fn a_new_leader_orders_no_load_before_it_knows_what_an_engine_holds() {
     let now = Instant::now();
@@ -760,7 +762,7 @@
             caller_hash: id,
             submitted: at,
             deadline: at + Duration::from_secs(600),
-            was_resident: false,
+            had_available_replica: false,
         };
         shard.submit(request, at, &mut actions);
         let is_refusal = |action: &&ShardAction| {
