--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -124,7 +124,7 @@
 
 /// The number of ring neighbours that an instance sends heartbeats to, if
 /// there are more than [`MAX_FULL_MESH`] instances.
-pub const RING_NEIGHBOURS: usize = 4;
+pub const HASHED_HEARTBEAT_TARGETS: usize = 4;
 
 /// The maximum number of absences that damping counts.
 const MAX_FLAPS: u32 = 8;
@@ -286,12 +286,12 @@
     /// In a full mesh, heartbeats decide. In a partial mesh, most healthy
     /// instances send no heartbeats to this one, so the platform's list
     /// decides, which all instances see alike.
-    pub fn candidates(&self, own: &str, now: Instant) -> Vec<&str> {
+    pub fn candidates(&self, own_id: &str, now: Instant) -> Vec<&str> {
         if !self.is_partial_mesh() {
             return self.stable(now);
         }
         self.listed_live()
-            .filter(|id| *id != own)
+            .filter(|id| *id != own_id)
             .filter(|id| {
                 self.peers
                     .get(*id)
@@ -318,20 +318,22 @@
     /// stays constant as instances are added.
     pub fn heartbeat_targets(
         &self,
-        own: &str,
+        own_id: &str,
         is_partner: impl Fn(&str) -> bool,
     ) -> Vec<String> {
         let urls = self.peer_urls();
-        let others = || urls.iter().filter(|(id, _)| id.as_str() != own);
+        let others = || urls.iter().filter(|(id, _)| id.as_str() != own_id);
         if urls.len() <= MAX_FULL_MESH {
             return others().map(|(_, url)| url.clone()).collect();
         }
         let ids = others().map(|(id, _)| id.as_str());
-        let neighbours: BTreeSet<&str> =
-            ranking(ids, own).into_iter().take(RING_NEIGHBOURS).collect();
+        let hashed_targets: BTreeSet<&str> = ranking(ids, own_id)
+            .into_iter()
+            .take(HASHED_HEARTBEAT_TARGETS)
+            .collect();
         others()
             .filter(|(id, _)| {
-                neighbours.contains(id.as_str()) || is_partner(id)
+                hashed_targets.contains(id.as_str()) || is_partner(id)
             })
             .map(|(_, url)| url.clone())
             .collect()
--- a/crates/coordination/tests/membership_rules.rs
+++ b/crates/coordination/tests/membership_rules.rs
@@ -5,8 +5,8 @@
 use sedgewall_clock::Instant;
 use sedgewall_coordination::{
     membership::{
-        Heartbeat, InstanceList, ListedInstance, ListedState, MAX_FULL_MESH,
-        Membership, MembershipTimeouts, OWN_GROUP, RING_NEIGHBOURS,
+        HASHED_HEARTBEAT_TARGETS, Heartbeat, InstanceList, ListedInstance,
+        ListedState, MAX_FULL_MESH, Membership, MembershipTimeouts, OWN_GROUP,
     },
     rendezvous::ranking,
 };
@@ -101,8 +101,8 @@
     };
     assert_eq!(targets(7), 6);
     assert_eq!(targets(MAX_FULL_MESH), MAX_FULL_MESH - 1);
-    assert!(targets(100) <= RING_NEIGHBOURS + 1);
-    assert!(targets(400) <= RING_NEIGHBOURS + 1);
+    assert!(targets(100) <= HASHED_HEARTBEAT_TARGETS + 1);
+    assert!(targets(400) <= HASHED_HEARTBEAT_TARGETS + 1);
 }
 
 /// Guards against a read load that grows with the number of instances: with
