--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -65,11 +65,14 @@
     /// so that endpoints may still receive orders of that holder. A record
     /// written by a software version without this field counts as pending:
     /// its own holder then waits once more.
-    #[serde(rename = "is_turn_pending", default = "unknown_is_pending")]
+    #[serde(
+        rename = "is_turn_pending",
+        default = "default_is_handover_pending"
+    )]
     pub is_handover_pending: bool,
 }
 
-fn unknown_is_pending() -> bool {
+fn default_is_handover_pending() -> bool {
     true
 }
 
