--- a/crates/coordination/tests/handover_rules.rs
+++ b/crates/coordination/tests/handover_rules.rs
@@ -143,11 +143,11 @@
             }
             Some(_) => self.watching = new_lease(),
             None if fault == Fault::Unreachable => {}
-            None => self.take(store, fault, now),
+            None => self.try_acquire(store, fault, now),
         }
     }
 
-    fn take(&mut self, store: &mut Store, fault: Fault, now: Instant) {
+    fn try_acquire(&mut self, store: &mut Store, fault: Fault, now: Instant) {
         self.watching.observe(store.stored.clone(), now);
         let before = self.watching.seen().cloned();
         let own = &self.candidate.instance;
--- a/crates/coordination/tests/lease_rules.rs
+++ b/crates/coordination/tests/lease_rules.rs
@@ -36,11 +36,11 @@
     }
 }
 
-enum State {
+enum InstanceLease {
     Watching(Lease<Watching>),
     Unclear(Lease<Acquiring>),
     Held(Lease<Held>),
-    Gone,
+    Moved,
 }
 
 #[derive(Clone, Debug)]
@@ -74,13 +74,13 @@
 }
 
 fn act(
-    state: State,
+    state: InstanceLease,
     instance: usize,
     platform: &mut Platform,
     now: Instant,
     loses_answer: bool,
     is_unreachable: bool,
-) -> State {
+) -> InstanceLease {
     let send = |platform: &mut Platform, write: &LeaseWrite| {
         if is_unreachable {
             return WriteAnswer::Unclear;
@@ -89,56 +89,62 @@
         if loses_answer { WriteAnswer::Unclear } else { answer }
     };
     match state {
-        State::Watching(mut watching) => {
+        InstanceLease::Watching(mut watching) => {
             if is_unreachable {
-                return State::Watching(watching);
+                return InstanceLease::Watching(watching);
             }
             watching.observe(platform.stored.clone(), now);
             if !watching.is_free(now) {
-                return State::Watching(watching);
+                return InstanceLease::Watching(watching);
             }
             let acquiring = watching.acquire(&candidate(instance), now);
             let answer = send(platform, acquiring.write());
             match acquiring.complete_acquire(answer, now) {
-                AcquireOutcome::Held(held) => State::Held(held),
-                AcquireOutcome::Lost(watching) => State::Watching(watching),
+                AcquireOutcome::Held(held) => InstanceLease::Held(held),
+                AcquireOutcome::Lost(watching) => {
+                    InstanceLease::Watching(watching)
+                }
                 AcquireOutcome::Unclear(acquiring) => {
-                    State::Unclear(acquiring)
+                    InstanceLease::Unclear(acquiring)
                 }
             }
         }
-        State::Unclear(acquiring) => {
+        InstanceLease::Unclear(acquiring) => {
             if is_unreachable {
-                return State::Unclear(acquiring);
+                return InstanceLease::Unclear(acquiring);
             }
             match acquiring.resolve(platform.stored.clone(), now) {
-                AcquireOutcome::Held(held) => State::Held(held),
-                AcquireOutcome::Lost(watching) => State::Watching(watching),
+                AcquireOutcome::Held(held) => InstanceLease::Held(held),
+                AcquireOutcome::Lost(watching) => {
+                    InstanceLease::Watching(watching)
+                }
                 AcquireOutcome::Unclear(acquiring) => {
-                    State::Unclear(acquiring)
+                    InstanceLease::Unclear(acquiring)
                 }
             }
         }
-        State::Held(held) => {
+        InstanceLease::Held(held) => {
             let write = held.renewal();
             let answer = send(platform, &write);
             match held.complete_renewal(write, answer, now, now) {
                 RenewOutcome::Held(held) if answer == WriteAnswer::Unclear => {
                     if is_unreachable {
-                        return State::Held(held);
+                        return InstanceLease::Held(held);
                     }
                     match held.reconcile(platform.stored.clone(), now) {
-                        RenewOutcome::Held(held) => State::Held(held),
+                        RenewOutcome::Held(held) => InstanceLease::Held(held),
                         RenewOutcome::Lost(watching) => {
-                            State::Watching(watching)
+                            InstanceLease::Watching(watching)
                         }
                     }
                 }
-                RenewOutcome::Held(held) => State::Held(held),
-                RenewOutcome::Lost(watching) => State::Watching(watching),
+                RenewOutcome::Held(held) => InstanceLease::Held(held),
+                RenewOutcome::Lost(watching) => {
+                    InstanceLease::Watching(watching)
+                }
             }
         }
-        State::Gone => State::Gone,
+        InstanceLease::Moved => InstanceLease::Moved,
     }
 }
 
@@ -152,14 +158,17 @@
         let timing = LeaseTiming::default();
         let mut now = Instant::now();
         let mut platform = Platform::default();
-        let mut states: Vec<State> = (0..INSTANCES)
-            .map(|_| State::Watching(Lease::new("s".to_owned(), timing)))
+        let mut states: Vec<InstanceLease> = (0..INSTANCES)
+            .map(|_| {
+                InstanceLease::Watching(Lease::new("s".to_owned(), timing))
+            })
             .collect();
         for step in steps {
             match step {
                 Step::Act { instance, loses_answer, is_unreachable } => {
-                    let state =
-                        std::mem::replace(&mut states[instance], State::Gone);
+                    let state = std::mem::replace(
+                        &mut states[instance], InstanceLease::Moved,
+                    );
                     states[instance] = act(
                         state, instance, &mut platform, now, loses_answer,
                         is_unreachable,
@@ -167,19 +176,22 @@
                 }
                 Step::AdvanceClock(ms) => now += Duration::from_millis(ms),
                 Step::Release(instance) => {
-                    let state =
-                        std::mem::replace(&mut states[instance], State::Gone);
+                    let state = std::mem::replace(
+                        &mut states[instance], InstanceLease::Moved,
+                    );
                     states[instance] = match state {
-                        State::Held(held) => {
+                        InstanceLease::Held(held) => {
                             platform.write(&held.release());
-                            State::Watching(held.into_watching(now))
+                            InstanceLease::Watching(held.into_watching(now))
                         }
                         other => other,
                     };
                 }
             }
             let current = states.iter().filter(|state| {
-                matches!(state, State::Held(held) if held.is_current(now))
+                matches!(
+                    state, InstanceLease::Held(held) if held.is_current(now)
+                )
             });
             prop_assert!(current.count() <= 1, "more than one holder with a valid lease");
         }
@@ -201,25 +213,32 @@
     let timing = LeaseTiming::default();
     let now = Instant::now();
     let mut platform = Platform::default();
-    let first = State::Watching(Lease::new("s".to_owned(), timing));
+    let first = InstanceLease::Watching(Lease::new("s".to_owned(), timing));
     let first = act(first, 0, &mut platform, now, false, false);
-    let State::Held(paused) = first else {
+    let InstanceLease::Held(paused) = first else {
         panic!("a lease without a record is free")
     };
 
-    let mut second = State::Watching(Lease::new("s".to_owned(), timing));
+    let mut second =
+        InstanceLease::Watching(Lease::new("s".to_owned(), timing));
     second = act(second, 1, &mut platform, now, false, false);
     let later = now + timing.time_to_live + timing.margin;
     second = act(second, 1, &mut platform, later, false, false);
     assert!(
-        matches!(second, State::Held(_)),
+        matches!(second, InstanceLease::Held(_)),
         "the lease of the first has expired"
     );
 
     assert!(!paused.is_current(later));
-    let resumed =
-        act(State::Held(paused), 0, &mut platform, later, false, false);
-    assert!(matches!(resumed, State::Watching(_)));
+    let resumed = act(
+        InstanceLease::Held(paused),
+        0,
+        &mut platform,
+        later,
+        false,
+        false,
+    );
+    assert!(matches!(resumed, InstanceLease::Watching(_)));
     let stored = platform.stored.expect("a lease record is stored");
     assert_eq!(stored.record.holder, "i1");
 }
@@ -229,11 +248,11 @@
     let timing = LeaseTiming::default();
     let now = Instant::now();
     let mut platform = Platform::default();
-    let state = State::Watching(Lease::new("s".to_owned(), timing));
+    let state = InstanceLease::Watching(Lease::new("s".to_owned(), timing));
     let state = act(state, 0, &mut platform, now, true, false);
-    assert!(matches!(state, State::Unclear(_)));
+    assert!(matches!(state, InstanceLease::Unclear(_)));
     let state = act(state, 0, &mut platform, now, false, false);
-    assert!(matches!(state, State::Held(_)));
+    assert!(matches!(state, InstanceLease::Held(_)));
 }
 
 const TIMING: LeaseTiming = LeaseTiming {
