--- a/crates/coordination/src/claim.rs
+++ b/crates/coordination/src/claim.rs
@@ -5,8 +5,8 @@
 //! segments in the object API. A segment is *created only if it does not
 //! exist*, so two claimers can never both write segment `n + 1`, whatever
 //! their clocks or leases say. A claimer batches many claims into one segment.
-//! If its segment already exists, it reads that segment, applies its claims
-//! and retries with the next number.
+//! If a segment with that number already exists, the claimer reads the
+//! existing segment, applies its claims and retries with the next number.
 //!
 //! The invariant: a key is granted to a request only once the log holds a
 //! segment with that claim and no earlier segment with the same key.
@@ -52,7 +52,7 @@
 pub struct Claim {
     /// The hash of the caller and the idempotency key.
     pub key: KeyHash,
-    /// The request that claims it.
+    /// The request that claims the key.
     pub request: RequestId,
 }
 
@@ -103,7 +103,8 @@
 pub enum SegmentAnswer {
     /// The segment was created.
     Created,
-    /// A segment with this content already exists at the position.
+    /// A segment with this content already exists at the position; usually
+    /// another claimer created it.
     Exists(Segment),
     /// The outcome is unknown, for instance because the response was lost.
     Unclear,
@@ -198,15 +199,16 @@
 
     /// Releases a claim whose request was not run and never will be.
     ///
-    /// Only the entry instance of the request may call for this.
+    /// Only the entry instance of the request, which accepted it from the
+    /// caller, may ask for the release.
     pub fn release(&mut self, claim: Claim) {
         self.pending.retain(|pending| pending.request != claim.request);
         self.releases.push(claim);
     }
 
     /// Removes the oldest segment and its keys if it was written before
-    /// `before_ms` and is not the last one. Returns its position, for the
-    /// caller to delete the object.
+    /// `before_ms` and is not the last one. Returns the position of the
+    /// removed segment, for the claimer to delete the object.
     ///
     /// The last segment is never removed: a claimer that found an empty log
     /// would restart it from 0 while another claimer continues the old one.
@@ -271,7 +273,8 @@
     /// An unknown outcome is resolved by creating the same segment again:
     /// either it is created now, or the content found there shows which
     /// claimer wrote it. Its claims stay in flight meanwhile and get no
-    /// answer; a caller that stops waiting calls [`ClaimLog::abandon`].
+    /// answer. [`ClaimLog::abandon`] removes the queued claim of a request
+    /// that stops waiting.
     pub fn complete_write(
         &mut self,
         answer: SegmentAnswer,
--- a/crates/coordination/src/config_version.rs
+++ b/crates/coordination/src/config_version.rs
@@ -21,7 +21,8 @@
 /// platform's limit of 1 MB, and a change of one adapter transfers one chunk.
 pub const MAX_ADAPTER_CHUNKS: u64 = 64;
 
-/// The target number of adapters per chunk, below [`MAX_ADAPTER_CHUNKS`].
+/// The target number of adapters per chunk, while fewer than
+/// [`MAX_ADAPTER_CHUNKS`] chunks are needed.
 ///
 /// A starting instance reads every chunk, so a small configuration must not be
 /// split into many.
@@ -42,7 +43,8 @@
     pub base: ChunkHash,
     /// The chunks of adapters, by hash bucket; empty buckets have no chunk.
     pub adapters: BTreeMap<u64, ChunkHash>,
-    /// The person or system that applied it, as given on the command line.
+    /// The person or system that applied this version, as given on the command
+    /// line.
     pub applied_by: String,
     /// A random number that identifies this apply, so that a client that lost
     /// the response can recognise its own head.
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -50,7 +50,8 @@
     pub shard: ShardId,
     /// The instance that holds the lease.
     pub holder: InstanceId,
-    /// The holder's incarnation; a restarted instance is another holder.
+    /// The holder's incarnation, which changes at each start of the process; a
+    /// restarted instance has to acquire the lease anew.
     pub incarnation: Incarnation,
     /// The URL at which peers reach the holder.
     pub peer_url: String,
@@ -64,7 +65,8 @@
     /// Whether the handover delay after the previous holder is still pending,
     /// so that endpoints may still receive orders of that holder. A record
     /// written by a software version without this field counts as pending:
-    /// its own holder then waits once more.
+    /// after a restart, the holder that reacquires the lease then waits for
+    /// the whole delay again.
     #[serde(
         rename = "is_turn_pending",
         default = "default_is_handover_pending"
@@ -97,7 +99,8 @@
     pub peer_url: String,
 }
 
-/// A conditional update of the lease record, for the caller to send.
+/// A conditional update of the lease record, for the code that drives the
+/// lease to send to the object API.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LeaseWrite {
     /// The record to write.
@@ -333,6 +336,8 @@
         Lease { state, timing: self.timing }
     }
 
+    /// Returns to watching after the lease was not acquired. No record counts
+    /// as observed, and the time is not used.
     fn into_watching(self, now: Instant) -> Lease<Watching> {
         let _ = now;
         Lease::new(self.state.write.record.shard, self.timing)
@@ -440,7 +445,10 @@
         }
     }
 
-    /// Returns to watching after the lease has expired or was released.
+    /// Returns to watching after the lease has expired, was released, or was
+    /// lost because another instance changed the record.
+    ///
+    /// No record counts as observed, and the time is not used.
     pub fn into_watching(self, now: Instant) -> Lease<Watching> {
         let _ = now;
         Lease::new(self.state.record.shard, self.timing)
--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -39,9 +39,10 @@
 pub struct ListedInstance {
     /// The platform's name for the instance or endpoint.
     pub id: EndpointId,
-    /// The endpoint group, or [`OWN_GROUP`].
+    /// The endpoint group (endpoints of one kind with the same base model,
+    /// slots and seats), or [`OWN_GROUP`].
     pub group: GroupName,
-    /// The availability zone that it runs in.
+    /// The availability zone of the instance or endpoint.
     pub zone: ZoneName,
     /// The address for requests: `ip:port` for an endpoint, a peer URL for an
     /// instance of sedgewall.
@@ -67,7 +68,8 @@
 pub struct Heartbeat {
     /// The name of the sender.
     pub instance: InstanceId,
-    /// The sender's incarnation.
+    /// The sender's incarnation: a number drawn at random at each start of the
+    /// process. It is compared for equality only, and does not count restarts.
     pub incarnation: Incarnation,
     /// The sender's availability zone.
     pub zone: ZoneName,
@@ -101,7 +103,7 @@
     /// The time without a heartbeat after which a peer counts as absent.
     pub silent_after: Duration,
     /// The time that a peer must be live without a gap before it counts as
-    /// stable, for each of its recent absences.
+    /// stable, for each absence or restart in [`Peer::flaps`].
     pub damping: Duration,
     /// The time without a heartbeat after which a peer that is not listed is
     /// removed.
@@ -122,11 +124,12 @@
 /// other (full mesh).
 pub const MAX_FULL_MESH: usize = 8;
 
-/// The number of ring neighbours that an instance sends heartbeats to, if
-/// there are more than [`MAX_FULL_MESH`] instances.
+/// The number of peers, chosen by rendezvous hashing of the instance's own
+/// name, that an instance sends heartbeats to if there are more than
+/// [`MAX_FULL_MESH`] instances.
 pub const HASHED_HEARTBEAT_TARGETS: usize = 4;
 
-/// The maximum number of absences that damping counts.
+/// The maximum number of absences and restarts that damping counts.
 const MAX_FLAPS: u32 = 8;
 
 /// An instance's view of one of its peers.
@@ -138,7 +141,8 @@
     pub last_heard: Instant,
     /// The time since which heartbeats have been received without a gap.
     pub live_since: Instant,
-    /// The number of absences and restarts, at most `MAX_FLAPS`.
+    /// The number of absences and restarts since the peer was first heard, at
+    /// most `MAX_FLAPS`. The number never decreases while the peer is known.
     pub flaps: u32,
 }
 
@@ -212,8 +216,8 @@
     }
 
     /// Returns whether an instance is stable, so that it may be preferred as
-    /// an owner: it is live, and has been for the damping time of its recent
-    /// absences.
+    /// an owner: it is live, and has been without a gap for the damping time
+    /// multiplied by [`Peer::flaps`].
     pub fn is_stable(&self, instance: &str, now: Instant) -> bool {
         let Some(peer) = self.peers.get(instance) else { return false };
         let live_for = now.saturating_duration_since(peer.live_since);
@@ -311,11 +315,13 @@
 
     /// Returns the peer URLs to send heartbeats to.
     ///
-    /// Up to [`MAX_FULL_MESH`] instances, these are all others. Beyond that,
-    /// they are the ring neighbours and the instances for which `is_partner`
-    /// returns true: the leaders that this instance sends requests to, and the
-    /// entry instances that send requests to it. The cost per instance then
-    /// stays constant as instances are added.
+    /// Up to [`MAX_FULL_MESH`] instances, these are all other instances.
+    /// Beyond that, they are [`HASHED_HEARTBEAT_TARGETS`] peers, chosen by
+    /// rendezvous hashing of `own_id`, and the instances for which
+    /// `is_partner` returns true: the leaders that this instance sends
+    /// requests to, and the entry instances that send requests to this one.
+    /// The choice by hashing is not mutual. The number of hashed targets, and
+    /// so their cost per instance, stays constant as instances are added.
     pub fn heartbeat_targets(
         &self,
         own_id: &str,
--- a/crates/coordination/src/timeline.rs
+++ b/crates/coordination/src/timeline.rs
@@ -2,7 +2,7 @@
 //!
 //! Events carry a hybrid logical timestamp: wall-clock milliseconds that never
 //! decrease and never fall behind a received timestamp, and a counter. Sorting
-//! by it places every cause before its effects, across all processes.
+//! by timestamp places every cause before its effects, across all processes.
 
 use std::{
     collections::VecDeque,
--- a/crates/coordination/tests/claim_rules.rs
+++ b/crates/coordination/tests/claim_rules.rs
@@ -43,7 +43,8 @@
     claimers: Vec<ClaimLog>,
     /// Requests whose claims were granted, by key.
     granted: HashMap<u128, BTreeSet<u128>>,
-    /// Requests whose claims were released; they never run afterwards.
+    /// Requests whose claims were released. The model assumes that their entry
+    /// does not run them any more, so later grants to them are not counted.
     released: BTreeSet<u128>,
     time: u64,
 }
--- a/crates/coordination/tests/handover_rules.rs
+++ b/crates/coordination/tests/handover_rules.rs
@@ -269,9 +269,9 @@
     }
 }
 
-/// Returns the store, and the second of two instances at the time at which it
-/// acquired the expired lease of the first. The last order of the first is as
-/// old as its lease.
+/// Returns the store, the second of two instances, and the time at which the
+/// second instance acquired the expired lease of the first one. The first
+/// instance may send orders from the start of its lease.
 fn taken_over() -> (Store, LeaseClient, Instant) {
     let start = Instant::now();
     let mut store = Store::default();
--- a/crates/coordination/tests/lease_rules.rs
+++ b/crates/coordination/tests/lease_rules.rs
@@ -19,6 +19,8 @@
 struct Platform {
     stored: Option<StoredLease>,
     version: u64,
+    /// The epoch and the holder's incarnation of each successful write, in
+    /// order.
     holders: Vec<(u64, u64)>,
 }
 
@@ -36,10 +38,12 @@
     }
 }
 
+/// The lease as one simulated instance sees it.
 enum InstanceLease {
     Watching(Lease<Watching>),
     Unclear(Lease<Acquiring>),
     Held(Lease<Held>),
+    /// A placeholder while a step owns the lease.
     Moved,
 }
 
--- a/crates/coordination/tests/membership_rules.rs
+++ b/crates/coordination/tests/membership_rules.rs
@@ -106,9 +106,9 @@
 }
 
 /// Guards against a read load that grows with the number of instances: with
-/// heartbeats from a few neighbours only, each of 24 instances considered
-/// itself a candidate for the shard and read its lease, 48 reads per second in
-/// total.
+/// heartbeats from only a few instances, each of 24 instances considered
+/// itself a candidate for the shard and read the shard's lease, 48 reads per
+/// second in total.
 #[test]
 fn instances_in_a_partial_mesh_agree_on_candidates() {
     let now = Instant::now();
