--- a/crates/protocol/src/engine.rs
+++ b/crates/protocol/src/engine.rs
@@ -99,7 +99,7 @@
     pub slots: Vec<SlotReport>,
     /// The number of running requests.
     pub running_len: u32,
-    /// The number of requests that the engine preempted in favour of more
+    /// The number of requests that are paused at present in favour of more
     /// urgent ones.
     pub paused_len: u32,
     /// The number of batch steps since the start.
--- a/crates/protocol/src/file.rs
+++ b/crates/protocol/src/file.rs
@@ -402,6 +402,8 @@
 #[derive(Serialize)]
 struct FileDocument<'a> {
     base_models: &'a [BaseModel],
+    /// Groups of endpoints of one kind with the same base model, slots and
+    /// seats.
     endpoint_groups: &'a [EndpointGroup],
     regions: &'a [Region],
     weight_store: WeightStore,
@@ -561,6 +563,8 @@
 
     fn policy(&mut self) -> Policy {
         let base = Policy::default();
+        // `stall_weight` is how much load stalls (waits for an adapter to
+        // load) count against full batches, which `batch_weight` weighs.
         let policy = Policy {
             stall_weight: self.optional("stall_weight", base.stall_weight),
             batch_weight: self.optional("batch_weight", base.batch_weight),
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -24,12 +24,12 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// A message together with its sender and addressee.
+/// A message together with its sender and the incarnation of its addressee.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Envelope {
     /// The instance that sent the message.
     pub from: InstanceId,
-    /// The sender's incarnation.
+    /// The sender's incarnation, which changes at each start of the process.
     pub incarnation: Incarnation,
     /// The incarnation of the addressee; `None` before the sender has received
     /// the addressee's first heartbeat.
@@ -71,9 +71,9 @@
     /// Allocator to leader: a shard's share of the weight store's limits, for
     /// a limited time.
     Allotted(Allotment),
-    /// Asks a peer for its configuration.
+    /// Asks a peer for the head of its configuration, or for chunks.
     AskConfig(AskConfig),
-    /// A configuration head and the requested chunks.
+    /// The head of the sender's configuration and the requested chunks.
     ConfigPart(ConfigPart),
 }
 
@@ -114,7 +114,8 @@
 /// How a granted request ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum EndKind {
-    /// The request ran, or its caller disconnected.
+    /// The request ran, its caller disconnected, or the engine rejected the
+    /// request itself; the request is not queued again.
     Finished,
     /// The engine has not loaded the adapter; the request is queued again.
     NotLoaded,
@@ -249,7 +250,10 @@
     pub answer: ClaimAnswer,
 }
 
-/// A request for a configuration newer than the sender's.
+/// A request for a peer's configuration.
+///
+/// The request carries no version: the peer replies with its own head, and the
+/// sender of this request compares the versions.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AskConfig {
     /// The names of the requested chunks; empty to request only the head.
--- a/crates/protocol/src/settings.rs
+++ b/crates/protocol/src/settings.rs
@@ -68,7 +68,8 @@
     pub store_overage: f64,
     /// The time within which a revoked key stops working on every instance,
     /// also on one that cannot learn of the revocation, in milliseconds.
-    /// Without it, a key stops working once the revocation is known.
+    /// Without this setting, a key stops working on an instance once that
+    /// instance knows of the revocation.
     #[serde(default)]
     pub revoke_within_ms: Option<u64>,
     /// The time within which a change that the store has acknowledged must be
@@ -82,8 +83,11 @@
     /// `operator_listen`.
     #[serde(default)]
     pub metrics_listen: Option<SocketAddr>,
-    /// The share of a processor core that this instance has; an instance with
-    /// a larger share acquires the lease on orders first.
+    /// The share of a processor core that this instance has. Instances with a
+    /// larger share are preferred for the lease on orders, which lets one
+    /// instance at a time send orders to engines: they rank first among the
+    /// candidates, and while no record of the lease exists, an instance with a
+    /// smaller share delays its attempt once.
     #[serde(default = "whole_core")]
     pub cpu_share: f64,
     /// Whether the system has run before this start. If so, the earlier run
