--- a/crates/coordination/tests/membership_rules.rs
+++ b/crates/coordination/tests/membership_rules.rs
@@ -5,8 +5,8 @@
 use sedgewall_clock::Instant;
 use sedgewall_coordination::{
     membership::{
-        Heartbeat, InstanceList, ListedInstance, ListedState, MAX_FULL_MESH,
-        Membership, MembershipTimeouts, OWN_GROUP, RING_NEIGHBOURS,
+        HASHED_HEARTBEAT_TARGETS, Heartbeat, InstanceList, ListedInstance,
+        ListedState, MAX_FULL_MESH, Membership, MembershipTimeouts, OWN_GROUP,
     },
     rendezvous::ranking,
 };
@@ -101,14 +101,14 @@
     };
     assert_eq!(targets(7), 6);
     assert_eq!(targets(MAX_FULL_MESH), MAX_FULL_MESH - 1);
-    assert!(targets(100) <= RING_NEIGHBOURS + 1);
-    assert!(targets(400) <= RING_NEIGHBOURS + 1);
+    assert!(targets(100) <= HASHED_HEARTBEAT_TARGETS + 1);
+    assert!(targets(400) <= HASHED_HEARTBEAT_TARGETS + 1);
 }
 
 /// Guards against a read load that grows with the number of instances: with
-/// heartbeats from a few neighbours only, each of 24 instances considered
-/// itself a candidate for the shard and read its lease, 48 reads per second in
-/// total.
+/// heartbeats from only a few instances, each of 24 instances considered
+/// itself a candidate for the shard and read the shard's lease, 48 reads per
+/// second in total.
 #[test]
 fn instances_in_a_partial_mesh_agree_on_candidates() {
     let now = Instant::now();
