--- a/crates/bench/src/cluster.rs
+++ b/crates/bench/src/cluster.rs
@@ -28,7 +28,7 @@
 };
 use sedgewall_transport::{
     CallError, HttpClient,
-    client::{Call, OpenAnswer, WholeAnswer},
+    client::{BufferedResponse, Call, OpenAnswer},
 };
 use serde::{Serialize, de::DeserializeOwned};
 
@@ -434,7 +434,7 @@
         model: &str,
         tokens: u64,
         headers: &[(&'static str, &str)],
-    ) -> Result<WholeAnswer, CallError> {
+    ) -> Result<BufferedResponse, CallError> {
         let call = self.completion(entry, model, tokens, false, headers);
         self.http.call(call, CALL_TIME).await
     }
--- a/crates/bench/tests/faults.rs
+++ b/crates/bench/tests/faults.rs
@@ -19,7 +19,7 @@
 };
 use sedgewall_coordination::timeline::EventKind;
 use sedgewall_protocol::{Problem, RunState};
-use sedgewall_transport::client::{Call, OpenAnswer, WholeAnswer};
+use sedgewall_transport::client::{BufferedResponse, Call, OpenAnswer};
 use serde::Serialize;
 
 const ENTRIES: [&str; 3] = ["entry-1", "entry-2", "entry-3"];
@@ -59,11 +59,11 @@
     cluster
 }
 
-fn problem(answer: &WholeAnswer) -> Problem {
+fn problem(answer: &BufferedResponse) -> Problem {
     serde_json::from_slice(&answer.body).expect("a problem document")
 }
 
-fn assert_whole(answer: &WholeAnswer, model: &str, tokens: u64) {
+fn assert_whole(answer: &BufferedResponse, model: &str, tokens: u64) {
     let text = String::from_utf8_lossy(&answer.body);
     assert_eq!(answer.status, StatusCode::OK, "{text}");
     assert_eq!(check::whole(&answer.body, model, PROMPT, tokens), None);
@@ -174,7 +174,11 @@
         .clone()
 }
 
-async fn transfer(cluster: &Cluster, entry: &str, key: &str) -> WholeAnswer {
+async fn transfer(
+    cluster: &Cluster,
+    entry: &str,
+    key: &str,
+) -> BufferedResponse {
     let address = cluster.address(entry);
     let url = format!("http://{address}/services/league/transfers");
     let call = Call::new(Method::POST, url).header(KEY, key).body("{}");
--- a/crates/sedgewall/src/cluster.rs
+++ b/crates/sedgewall/src/cluster.rs
@@ -7,7 +7,7 @@
 use sedgewall_protocol::operator::{InstanceStatus, STATUS_PATH};
 use sedgewall_transport::{
     HttpClient,
-    client::{Call, WholeAnswer},
+    client::{BufferedResponse, Call},
     platform_client::Watched,
 };
 use serde::de::DeserializeOwned;
@@ -84,7 +84,7 @@
     address: &str,
     path: &str,
     method: Method,
-) -> Result<WholeAnswer, CommandError> {
+) -> Result<BufferedResponse, CommandError> {
     let fail = |cause: String| CommandError::Instance {
         what: address.to_owned(),
         cause,
--- a/crates/sedgewalld/src/services.rs
+++ b/crates/sedgewalld/src/services.rs
@@ -23,7 +23,7 @@
     service::{ServiceEndpoint, pick_endpoint},
 };
 use sedgewall_transport::{
-    CallError, LocalBody, client::Call, client::WholeAnswer,
+    CallError, LocalBody, client::BufferedResponse, client::Call,
 };
 
 use crate::{
@@ -264,7 +264,7 @@
 }
 
 /// Returns for how long an endpoint that turned a call away wants no other.
-fn stated_rest(answer: &WholeAnswer) -> Option<Duration> {
+fn stated_rest(answer: &BufferedResponse) -> Option<Duration> {
     let is_turned_away = matches!(
         answer.status,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
@@ -322,7 +322,7 @@
     node: &Rc<Node>,
     call: &ServiceCall,
     target: &Target,
-) -> Result<WholeAnswer, CallError> {
+) -> Result<BufferedResponse, CallError> {
     node.event(
         EventKind::Call,
         Some(call.id),
@@ -362,7 +362,7 @@
     )
 }
 
-fn pass_on(answer: WholeAnswer) -> Response<LocalBody> {
+fn pass_on(answer: BufferedResponse) -> Response<LocalBody> {
     let mut response = Response::new(LocalBody::whole(answer.body));
     *response.status_mut() = answer.status;
     for (name, value) in &answer.headers {
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -70,7 +70,7 @@
 
 /// A whole answer.
 #[derive(Clone, Debug)]
-pub struct WholeAnswer {
+pub struct BufferedResponse {
     /// The status.
     pub status: StatusCode,
     /// The headers.
@@ -107,7 +107,7 @@
     /// # Errors
     ///
     /// When the connection fails before the body's end.
-    pub async fn whole(self) -> Result<WholeAnswer, CallError> {
+    pub async fn whole(self) -> Result<BufferedResponse, CallError> {
         let status = self.response.status();
         let headers = self.response.headers().clone();
         let body = self
@@ -115,7 +115,7 @@
             .bytes()
             .await
             .map_err(|err| CallError::Broken(err.to_string()))?;
-        Ok(WholeAnswer { status, headers, body })
+        Ok(BufferedResponse { status, headers, body })
     }
 }
 
@@ -174,7 +174,7 @@
         &self,
         call: Call,
         within: Duration,
-    ) -> Result<WholeAnswer, CallError> {
+    ) -> Result<BufferedResponse, CallError> {
         let whole = async {
             let answer = self.open(call, within).await?;
             answer.whole().await
--- a/crates/transport/src/platform_client.rs
+++ b/crates/transport/src/platform_client.rs
@@ -11,7 +11,7 @@
     INSTANCES_PATH, LIST_PATH, OBJECTS_PATH, ObjectList,
 };
 
-use crate::client::{Call, CallError, HttpClient, WholeAnswer};
+use crate::client::{BufferedResponse, Call, CallError, HttpClient};
 
 /// Error of a call to the platform.
 #[derive(Clone, Debug, displaydoc::Display, Eq, PartialEq)]
@@ -211,7 +211,7 @@
         &self,
         call: Call,
         within: Duration,
-    ) -> Result<WholeAnswer, PlatformError> {
+    ) -> Result<BufferedResponse, PlatformError> {
         self.http.call(call, within).await.map_err(PlatformError::Unreachable)
     }
 
@@ -220,7 +220,7 @@
     }
 }
 
-fn stored(answer: &WholeAnswer) -> Result<StoredObject, PlatformError> {
+fn stored(answer: &BufferedResponse) -> Result<StoredObject, PlatformError> {
     let version = version_of(&answer.headers).ok_or_else(|| {
         PlatformError::Unreadable("no entity tag".to_owned())
     })?;
@@ -228,7 +228,7 @@
 }
 
 fn decode_ok<T: serde::de::DeserializeOwned>(
-    answer: &WholeAnswer,
+    answer: &BufferedResponse,
 ) -> Result<T, PlatformError> {
     if answer.status != StatusCode::OK {
         return Err(PlatformError::Status(answer.status.as_u16()));
