--- a/crates/bench/src/cluster.rs
+++ b/crates/bench/src/cluster.rs
@@ -28,7 +28,7 @@
 };
 use sedgewall_transport::{
     CallError, HttpClient,
-    client::{BufferedResponse, Call, OpenAnswer},
+    client::{BufferedResponse, Call, StreamingResponse},
 };
 use serde::{Serialize, de::DeserializeOwned};
 
@@ -450,7 +450,7 @@
         model: &str,
         tokens: u64,
         headers: &[(&'static str, &str)],
-    ) -> Result<OpenAnswer, CallError> {
+    ) -> Result<StreamingResponse, CallError> {
         let call = self.completion(entry, model, tokens, true, headers);
         self.http.open(call, CALL_TIME).await
     }
--- a/crates/bench/src/load/completion.rs
+++ b/crates/bench/src/load/completion.rs
@@ -14,7 +14,7 @@
     engine::COMPLETIONS_PATH,
 };
 use sedgewall_state::Priority;
-use sedgewall_transport::client::{Call, OpenAnswer};
+use sedgewall_transport::client::{Call, StreamingResponse};
 use serde::Serialize;
 
 use super::{
@@ -116,7 +116,7 @@
 }
 
 async fn read_whole(
-    answer: OpenAnswer,
+    answer: StreamingResponse,
     measured: &Rc<RefCell<Measured>>,
     completion: &Completion,
     sent: Instant,
@@ -134,7 +134,7 @@
 }
 
 async fn read_stream(
-    answer: OpenAnswer,
+    answer: StreamingResponse,
     measured: &Rc<RefCell<Measured>>,
     completion: &Completion,
     sent: Instant,
--- a/crates/bench/tests/faults.rs
+++ b/crates/bench/tests/faults.rs
@@ -19,7 +19,7 @@
 };
 use sedgewall_coordination::timeline::EventKind;
 use sedgewall_protocol::{Problem, RunState};
-use sedgewall_transport::client::{BufferedResponse, Call, OpenAnswer};
+use sedgewall_transport::client::{BufferedResponse, Call, StreamingResponse};
 use serde::Serialize;
 
 const ENTRIES: [&str; 3] = ["entry-1", "entry-2", "entry-3"];
@@ -71,7 +71,7 @@
 
 /// Reads a stream to its end and returns what was found.
 async fn read_stream(
-    answer: OpenAnswer,
+    answer: StreamingResponse,
     model: &str,
     tokens: u64,
     progress: Rc<RefCell<u64>>,
--- a/crates/sedgewalld/src/call.rs
+++ b/crates/sedgewalld/src/call.rs
@@ -27,7 +27,7 @@
 };
 use sedgewall_transport::{
     CallError, LocalBody,
-    client::{Call, OpenAnswer},
+    client::{Call, StreamingResponse},
 };
 
 use crate::{
@@ -250,7 +250,7 @@
     call: &ModelCall,
     granted: &Granted,
     resume_from: u64,
-) -> Result<OpenAnswer, TryError> {
+) -> Result<StreamingResponse, TryError> {
     let subject = call.model.to_string();
     call.node.event(
         EventKind::Call,
@@ -287,7 +287,9 @@
     }
 }
 
-async fn check_status(answer: OpenAnswer) -> Result<OpenAnswer, TryError> {
+async fn check_status(
+    answer: StreamingResponse,
+) -> Result<StreamingResponse, TryError> {
     let status = answer.status();
     if status == StatusCode::OK {
         return Ok(answer);
@@ -322,7 +324,7 @@
 async fn whole(
     call: &ModelCall,
     seat: &Seat,
-    answer: OpenAnswer,
+    answer: StreamingResponse,
     sent: Instant,
 ) -> Result<Response<LocalBody>, TryError> {
     let kind = media_type(&answer);
@@ -335,7 +337,7 @@
 }
 
 /// Returns the media type of an engine's answer.
-pub(crate) fn media_type(answer: &OpenAnswer) -> String {
+pub(crate) fn media_type(answer: &StreamingResponse) -> String {
     answer
         .headers()
         .get(http::header::CONTENT_TYPE)
--- a/crates/sedgewalld/src/relay.rs
+++ b/crates/sedgewalld/src/relay.rs
@@ -14,7 +14,7 @@
 use sedgewall_protocol::{
     Problem, RunState, engine::STREAM_END, message::EndKind,
 };
-use sedgewall_transport::{CallError, LocalBody, client::OpenAnswer};
+use sedgewall_transport::{CallError, LocalBody, client::StreamingResponse};
 
 use crate::{
     call::{self, ModelCall, Seat, Tries, TryError},
@@ -48,7 +48,7 @@
 pub(crate) fn stream(
     call: ModelCall,
     seat: Seat,
-    answer: OpenAnswer,
+    answer: StreamingResponse,
     sent: Instant,
 ) -> Response<LocalBody> {
     let kind = call::media_type(&answer);
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -80,11 +80,11 @@
 }
 
 /// An answer whose body is still to come. Dropping it closes the connection.
-pub struct OpenAnswer {
+pub struct StreamingResponse {
     response: Response,
 }
 
-impl OpenAnswer {
+impl StreamingResponse {
     /// Returns the status.
     pub fn status(&self) -> StatusCode {
         self.response.status()
@@ -150,7 +150,7 @@
         &self,
         call: Call,
         within: Duration,
-    ) -> Result<OpenAnswer, CallError> {
+    ) -> Result<StreamingResponse, CallError> {
         let sent = self
             .inner
             .request(call.method, &call.url)
@@ -159,7 +159,7 @@
             .body(call.body)
             .send();
         match compio::time::timeout(within, sent).await {
-            Ok(Ok(response)) => Ok(OpenAnswer { response }),
+            Ok(Ok(response)) => Ok(StreamingResponse { response }),
             Ok(Err(err)) => Err(convert(err)),
             Err(_) => Err(CallError::TimedOut(within)),
         }
