--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -25,7 +25,7 @@
     call::{Handover, to_endpoint},
 };
 use sedgewall_state::id::EndpointId;
-use sedgewall_transport::{PooledAnswer, SendError};
+use sedgewall_transport::{PooledResponse, SendError};
 
 use super::{
     announcements,
@@ -119,7 +119,7 @@
 
 /// An endpoint's answer that may be passed on.
 pub(crate) struct GoodAnswer {
-    pub(crate) answer: PooledAnswer,
+    pub(crate) answer: PooledResponse,
     pub(crate) under_way: UnderWay,
 }
 
@@ -251,10 +251,10 @@
 /// something went wrong.
 fn judge(
     call: &CallerRequest,
-    mut answer: PooledAnswer,
+    mut answer: PooledResponse,
     facts: AnswerFacts,
     is_last: bool,
-) -> Result<PooledAnswer, AttemptError> {
+) -> Result<PooledResponse, AttemptError> {
     answer.settle();
     let status = answer.status;
     if facts.is_not_run || status == StatusCode::MISDIRECTED_REQUEST {
@@ -288,7 +288,7 @@
     node: &FleetNode,
     call: &CallerRequest,
     target: &Target,
-    ended: &Result<PooledAnswer, AttemptError>,
+    ended: &Result<PooledResponse, AttemptError>,
     sent: Instant,
 ) {
     let Some(key) = call.key() else { return };
@@ -313,7 +313,7 @@
     node: &FleetNode,
     call: &CallerRequest,
     target: &Target,
-    ended: &Result<PooledAnswer, AttemptError>,
+    ended: &Result<PooledResponse, AttemptError>,
 ) {
     let now = Instant::now();
     let mut view = node.view.borrow_mut();
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -20,6 +20,6 @@
     engine_client::EngineClient,
     peer::{PeerListener, PeerSender},
     platform_client::{PlatformClient, PlatformError},
-    pool::{EndpointPool, PooledAnswer, PooledBody, Presence, SendError},
+    pool::{EndpointPool, PooledBody, PooledResponse, Presence, SendError},
     server::{Handler, ServerLimits, Stop, serve, serve_until, stop_signal},
 };
--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -85,7 +85,7 @@
 }
 
 /// The answer of an endpoint, with its body still to be read.
-pub struct PooledAnswer {
+pub struct PooledResponse {
     /// The status.
     pub status: StatusCode,
     /// The headers.
@@ -128,7 +128,7 @@
         address: SocketAddr,
         mut request: Request<Full<Bytes>>,
         connect_within: Duration,
-    ) -> Result<PooledAnswer, SendError> {
+    ) -> Result<PooledResponse, SendError> {
         while let Some(connection) = self.take(address) {
             match self.send_on(address, connection, request).await {
                 Ok(answer) => return Ok(answer),
@@ -219,7 +219,7 @@
         address: SocketAddr,
         mut connection: Connection,
         request: Request<Full<Bytes>>,
-    ) -> Result<PooledAnswer, Unsent> {
+    ) -> Result<PooledResponse, Unsent> {
         match connection.sender.try_send_request(request).await {
             Ok(response) => {
                 let (head, incoming) = response.into_parts();
@@ -228,7 +228,7 @@
                 let idle = self.idle.clone();
                 let body = PooledBody { incoming, connection, idle };
                 let (status, headers) = (head.status, head.headers);
-                Ok(PooledAnswer { status, headers, body })
+                Ok(PooledResponse { status, headers, body })
             }
             Err(mut err) => Err(match err.take_message() {
                 Some(request) => Unsent::Returned(Box::new(request)),
@@ -288,7 +288,7 @@
     })
 }
 
-impl PooledAnswer {
+impl PooledResponse {
     /// Closes the connection instead of keeping it, because what comes on it
     /// cannot be trusted.
     pub fn distrust(&mut self) {
