--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -15,7 +15,7 @@
     view::Target,
 };
 use sedgewall_state::id::EndpointId;
-use sedgewall_transport::Presence;
+use sedgewall_transport::ProbeOutcome;
 
 use super::{
     attempt::CallerRequest, instance::FleetNode, refusal::Reason, watch_poison,
@@ -138,13 +138,13 @@
             took_ms = began.elapsed().as_millis() as u64,
         );
         match presence {
-            Presence::Listens => {
+            ProbeOutcome::Listens => {
                 let mut poison = node.poison.borrow_mut();
                 poison.endpoint_alive(&life, began);
             }
-            Presence::Refuses => life_ended(&node, &life),
+            ProbeOutcome::Refuses => life_ended(&node, &life),
             // Its entry will go, or another instance can tell.
-            Presence::Unknown => {}
+            ProbeOutcome::Unknown => {}
         }
     })
     .detach();
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -20,6 +20,8 @@
     engine_client::EngineClient,
     peer::{PeerListener, PeerSender},
     platform_client::{PlatformClient, PlatformError},
-    pool::{EndpointPool, PooledBody, PooledResponse, Presence, SendError},
+    pool::{
+        EndpointPool, PooledBody, PooledResponse, ProbeOutcome, SendError,
+    },
     server::{Handler, ServerLimits, Stop, serve, serve_until, stop_signal},
 };
--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -68,7 +68,7 @@
 
 /// Whether something listens at an address.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Presence {
+pub enum ProbeOutcome {
     /// It takes connections.
     Listens,
     /// Its machine answers that nothing listens there.
@@ -153,7 +153,7 @@
         &self,
         address: SocketAddr,
         within: Duration,
-    ) -> Presence {
+    ) -> ProbeOutcome {
         let connecting = TcpStream::connect(address);
         match compio::time::timeout(within, connecting).await {
             Ok(Ok(stream)) => {
@@ -162,12 +162,12 @@
                     let mut idle = self.idle.borrow_mut();
                     idle.entry(address).or_default().push(connection);
                 }
-                Presence::Listens
+                ProbeOutcome::Listens
             }
             Ok(Err(err)) if err.kind() == ErrorKind::ConnectionRefused => {
-                Presence::Refuses
+                ProbeOutcome::Refuses
             }
-            Ok(Err(_)) | Err(_) => Presence::Unknown,
+            Ok(Err(_)) | Err(_) => ProbeOutcome::Unknown,
         }
     }
 
