--- a/crates/bench/src/load/target.rs
+++ b/crates/bench/src/load/target.rs
@@ -10,7 +10,7 @@
 };
 use sedgewall_transport::{
     CallError, HttpClient, PlatformClient, client::Call,
-    platform_client::Watched,
+    platform_client::WatchOutcome,
 };
 use serde::de::DeserializeOwned;
 
@@ -61,8 +61,8 @@
             .await
             .map_err(|err| CallError::Unreadable(err.to_string()))?;
         let list = match listed {
-            Watched::Changed(list) => list,
-            Watched::Unchanged => InstanceList::default(),
+            WatchOutcome::Changed(list) => list,
+            WatchOutcome::Unchanged => InstanceList::default(),
         };
         let of = |prefix: &str| {
             list.instances
--- a/crates/sedgewall/src/cluster.rs
+++ b/crates/sedgewall/src/cluster.rs
@@ -8,7 +8,7 @@
 use sedgewall_transport::{
     HttpClient,
     client::{BufferedResponse, Call},
-    platform_client::Watched,
+    platform_client::WatchOutcome,
 };
 use serde::de::DeserializeOwned;
 
@@ -42,7 +42,7 @@
     }
     let platform = store::platform(args)?;
     let listed = platform.watch_instances(0, Duration::ZERO).await?;
-    let Watched::Changed(list) = listed else { return Ok(Vec::new()) };
+    let WatchOutcome::Changed(list) = listed else { return Ok(Vec::new()) };
     let members = list
         .instances
         .into_iter()
--- a/crates/sedgewalld/src/config_sync.rs
+++ b/crates/sedgewalld/src/config_sync.rs
@@ -14,7 +14,7 @@
     message::{AskConfig, ChunkPart, ConfigPart},
     platform::{CONFIG_HEAD_KEY, chunk_key},
 };
-use sedgewall_transport::{PlatformError, platform_client::Watched};
+use sedgewall_transport::{PlatformError, platform_client::WatchOutcome};
 
 use crate::{
     election, instances, leader,
@@ -38,7 +38,7 @@
             node.platform.watch(CONFIG_HEAD_KEY, known, WATCH_TIME).await;
         node.note_platform(watched.is_ok());
         match watched {
-            Ok(Watched::Changed(object)) => {
+            Ok(WatchOutcome::Changed(object)) => {
                 match take_head(&node, &object.value).await {
                     Ok(()) => known = Some(object.version),
                     Err(err) => {
@@ -47,7 +47,7 @@
                     }
                 }
             }
-            Ok(Watched::Unchanged) => {}
+            Ok(WatchOutcome::Unchanged) => {}
             Err(err) => {
                 debug!("config: {err}.");
                 pause(RETRY_PAUSE).await;
--- a/crates/sedgewalld/src/instances.rs
+++ b/crates/sedgewalld/src/instances.rs
@@ -7,7 +7,7 @@
     membership::{InstanceList, ListedState, OWN_GROUP},
     timeline::EventKind,
 };
-use sedgewall_transport::platform_client::Watched;
+use sedgewall_transport::platform_client::WatchOutcome;
 
 use crate::{
     leader,
@@ -27,8 +27,8 @@
             node.platform.watch_instances(revision, WATCH_TIME).await;
         node.note_platform(watched.is_ok());
         match watched {
-            Ok(Watched::Changed(list)) => adopt(&node, list),
-            Ok(Watched::Unchanged) => {}
+            Ok(WatchOutcome::Changed(list)) => adopt(&node, list),
+            Ok(WatchOutcome::Unchanged) => {}
             Err(err) => {
                 debug!("instances: {err}.");
                 pause(RETRY_PAUSE).await;
--- a/crates/transport/src/platform_client.rs
+++ b/crates/transport/src/platform_client.rs
@@ -37,7 +37,7 @@
 
 /// What a watch brought.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Watched<T> {
+pub enum WatchOutcome<T> {
     /// Something newer than what was known.
     Changed(T),
     /// Nothing changed within the time.
@@ -91,15 +91,15 @@
         key: &str,
         known: Option<ObjectVersion>,
         wait: Duration,
-    ) -> Result<Watched<StoredObject>, PlatformError> {
+    ) -> Result<WatchOutcome<StoredObject>, PlatformError> {
         let call = Call::new(Method::GET, self.object_url(key))
             .header("prefer", &format!("wait={}", wait.as_secs()))
             .header("if-none-match", &tag(known.unwrap_or(0)));
         let answer = self.send(call, wait + WATCH_GRACE).await?;
         match answer.status {
-            StatusCode::OK => Ok(Watched::Changed(stored(&answer)?)),
+            StatusCode::OK => Ok(WatchOutcome::Changed(stored(&answer)?)),
             StatusCode::NOT_MODIFIED | StatusCode::NOT_FOUND => {
-                Ok(Watched::Unchanged)
+                Ok(WatchOutcome::Unchanged)
             }
             status => Err(PlatformError::Status(status.as_u16())),
         }
@@ -172,7 +172,7 @@
         prefix: &str,
         revision: u64,
         wait: Duration,
-    ) -> Result<Watched<ObjectList>, PlatformError> {
+    ) -> Result<WatchOutcome<ObjectList>, PlatformError> {
         let url = format!("{}{LIST_PATH}?prefix={prefix}", self.url);
         self.watch_document(url, revision, wait).await
     }
@@ -186,7 +186,7 @@
         &self,
         revision: u64,
         wait: Duration,
-    ) -> Result<Watched<InstanceList>, PlatformError> {
+    ) -> Result<WatchOutcome<InstanceList>, PlatformError> {
         let url = format!("{}{INSTANCES_PATH}", self.url);
         self.watch_document(url, revision, wait).await
     }
@@ -196,15 +196,15 @@
         url: String,
         revision: u64,
         wait: Duration,
-    ) -> Result<Watched<T>, PlatformError> {
+    ) -> Result<WatchOutcome<T>, PlatformError> {
         let call = Call::new(Method::GET, url)
             .header("prefer", &format!("wait={}", wait.as_secs()))
             .header("if-none-match", &tag(revision));
         let answer = self.send(call, wait + WATCH_GRACE).await?;
         if answer.status == StatusCode::NOT_MODIFIED {
-            return Ok(Watched::Unchanged);
+            return Ok(WatchOutcome::Unchanged);
         }
-        decode_ok(&answer).map(Watched::Changed)
+        decode_ok(&answer).map(WatchOutcome::Changed)
     }
 
     async fn send(
