--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -129,7 +129,7 @@
     let life = life_of(&node, &id);
     compio::runtime::spawn(async move {
         let began = Instant::now();
-        let presence = node.pool.presence(address, PRESENCE_TIME).await;
+        let presence = node.pool.probe(address, PRESENCE_TIME).await;
         node.looked_at.borrow_mut().remove(&id);
         tracing::info!(
             event = "endpoint_looked_at",
--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -149,7 +149,7 @@
 
     /// Sees whether something still listens at an address, by a connection that
     /// is kept for the next request.
-    pub async fn presence(
+    pub async fn probe(
         &self,
         address: SocketAddr,
         within: Duration,
