--- a/crates/bench/src/engine.rs
+++ b/crates/bench/src/engine.rs
@@ -678,7 +678,7 @@
             None => return broken(),
         }
     }
-    let mut response = Response::new(LocalBody::whole(shape.whole(&answer)));
+    let mut response = Response::new(LocalBody::full(shape.whole(&answer)));
     response.headers_mut().insert(
         http::header::CONTENT_TYPE,
         http::HeaderValue::from_static("application/json"),
--- a/crates/bench/src/http.rs
+++ b/crates/bench/src/http.rs
@@ -50,7 +50,7 @@
     value: &T,
 ) -> Response<LocalBody> {
     let body = serde_json::to_vec(value).unwrap_or_default();
-    let mut response = Response::new(LocalBody::whole(body));
+    let mut response = Response::new(LocalBody::full(body));
     *response.status_mut() = status;
     response.headers_mut().insert(
         http::header::CONTENT_TYPE,
--- a/crates/bench/src/object_api.rs
+++ b/crates/bench/src/object_api.rs
@@ -256,7 +256,7 @@
         if known == Some(object.version) {
             return None;
         }
-        let body = LocalBody::whole(object.value.clone());
+        let body = LocalBody::full(object.value.clone());
         Some(tagged(StatusCode::OK, object.version, body))
     }
 
--- a/crates/sedgewalld/src/call.rs
+++ b/crates/sedgewalld/src/call.rs
@@ -331,7 +331,7 @@
     let whole = answer.whole().await.map_err(convert)?;
     seat.first_token(sent.elapsed());
     note_first_token(call, sent);
-    let mut response = Response::new(LocalBody::whole(whole.body));
+    let mut response = Response::new(LocalBody::full(whole.body));
     responses::set_type(&mut response, &kind);
     Ok(response)
 }
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -535,7 +535,7 @@
             if status.is_success() {
                 poison::ended_well(node, &call);
             }
-            let mut response = Response::new(LocalBody::whole(body));
+            let mut response = Response::new(LocalBody::full(body));
             *response.status_mut() = status;
             *response.headers_mut() = headers;
             response
--- a/crates/sedgewalld/src/fleet/catch_up.rs
+++ b/crates/sedgewalld/src/fleet/catch_up.rs
@@ -200,7 +200,7 @@
     };
     match rmp_serde::to_vec(&missed_by(&node, known)) {
         Ok(body) => {
-            let mut response = Response::new(LocalBody::whole(body));
+            let mut response = Response::new(LocalBody::full(body));
             // One question a connection, so that those that rest take no place.
             let close = header::HeaderValue::from_static("close");
             response.headers_mut().insert(header::CONNECTION, close);
--- a/crates/sedgewalld/src/responses.rs
+++ b/crates/sedgewalld/src/responses.rs
@@ -11,7 +11,7 @@
 /// Returns the answer that tells a problem.
 pub(crate) fn problem(problem: &Problem) -> Response<LocalBody> {
     let body = serde_json::to_vec(problem).unwrap_or_default();
-    let mut response = Response::new(LocalBody::whole(body));
+    let mut response = Response::new(LocalBody::full(body));
     *response.status_mut() = problem.status_code();
     set_type(&mut response, PROBLEM_TYPE);
     if let Some(secs) = problem.retry_after_s() {
@@ -28,7 +28,7 @@
 /// Returns an answer with a JSON body.
 pub(crate) fn json<T: Serialize>(value: &T) -> Response<LocalBody> {
     let body = serde_json::to_vec(value).unwrap_or_default();
-    let mut response = Response::new(LocalBody::whole(body));
+    let mut response = Response::new(LocalBody::full(body));
     set_type(&mut response, "application/json");
     response
 }
@@ -38,7 +38,7 @@
     status: StatusCode,
     text: impl Into<String>,
 ) -> Response<LocalBody> {
-    let mut response = Response::new(LocalBody::whole(text.into()));
+    let mut response = Response::new(LocalBody::full(text.into()));
     *response.status_mut() = status;
     set_type(&mut response, "text/plain; charset=utf-8");
     response
--- a/crates/sedgewalld/src/services.rs
+++ b/crates/sedgewalld/src/services.rs
@@ -363,7 +363,7 @@
 }
 
 fn pass_on(answer: BufferedResponse) -> Response<LocalBody> {
-    let mut response = Response::new(LocalBody::whole(answer.body));
+    let mut response = Response::new(LocalBody::full(answer.body));
     *response.status_mut() = answer.status;
     for (name, value) in &answer.headers {
         if !is_hop_by_hop(name) {
--- a/crates/transport/src/body.rs
+++ b/crates/transport/src/body.rs
@@ -17,20 +17,20 @@
 /// A body that is whole, or comes in chunks.
 pub enum LocalBody {
     /// All bytes at once.
-    Whole(Option<Bytes>),
+    Full(Option<Bytes>),
     /// Chunks as they come.
     Chunks(ChunkStream),
 }
 
 impl LocalBody {
     /// Returns a body of these bytes.
-    pub fn whole(bytes: impl Into<Bytes>) -> LocalBody {
-        LocalBody::Whole(Some(bytes.into()))
+    pub fn full(bytes: impl Into<Bytes>) -> LocalBody {
+        LocalBody::Full(Some(bytes.into()))
     }
 
     /// Returns a body without bytes.
     pub fn empty() -> LocalBody {
-        LocalBody::Whole(None)
+        LocalBody::Full(None)
     }
 
     /// Returns a body of the chunks of a stream.
@@ -50,7 +50,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, std::io::Error>>> {
         match self.get_mut() {
-            LocalBody::Whole(bytes) => {
+            LocalBody::Full(bytes) => {
                 Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes))))
             }
             LocalBody::Chunks(stream) => stream
@@ -61,12 +61,12 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, LocalBody::Whole(None))
+        matches!(self, LocalBody::Full(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            LocalBody::Whole(bytes) => {
+            LocalBody::Full(bytes) => {
                 let len = bytes.as_ref().map_or(0, Bytes::len);
                 SizeHint::with_exact(len as u64)
             }
