--- a/crates/bench/src/load/completion.rs
+++ b/crates/bench/src/load/completion.rs
@@ -74,7 +74,7 @@
         }
     };
     if answer.status() != StatusCode::OK {
-        match answer.whole().await {
+        match answer.collect().await {
             Ok(whole) => measured.borrow_mut().problem(&whole.body),
             Err(_) => measured.borrow_mut().broken += 1,
         }
@@ -121,7 +121,7 @@
     completion: &Completion,
     sent: Instant,
 ) {
-    let Ok(whole) = answer.whole().await else {
+    let Ok(whole) = answer.collect().await else {
         measured.borrow_mut().broken += 1;
         return;
     };
--- a/crates/sedgewalld/src/call.rs
+++ b/crates/sedgewalld/src/call.rs
@@ -298,7 +298,7 @@
         .headers()
         .get(RUN_STATE_HEADER)
         .is_some_and(|value| value == NOT_RUN);
-    let detail = match answer.whole().await {
+    let detail = match answer.collect().await {
         Ok(whole) => String::from_utf8_lossy(&whole.body).into_owned(),
         Err(err) => err.to_string(),
     };
@@ -328,7 +328,7 @@
     sent: Instant,
 ) -> Result<Response<LocalBody>, TryError> {
     let kind = media_type(&answer);
-    let whole = answer.whole().await.map_err(convert)?;
+    let whole = answer.collect().await.map_err(convert)?;
     seat.first_token(sent.elapsed());
     note_first_token(call, sent);
     let mut response = Response::new(LocalBody::full(whole.body));
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -523,7 +523,8 @@
         return response;
     }
     let head = call.arrived.elapsed();
-    let whole = compio::time::timeout(call.left(), good.answer.whole()).await;
+    let whole =
+        compio::time::timeout(call.left(), good.answer.collect()).await;
     match whole {
         Ok(Ok(body)) => {
             let delivered = request_log::Delivered {
--- a/crates/sedgewalld/src/fleet/catch_up.rs
+++ b/crates/sedgewalld/src/fleet/catch_up.rs
@@ -131,7 +131,7 @@
     if answer.status != StatusCode::OK {
         return Err(AskError::Refused(answer.status));
     }
-    let body = answer.whole().await.map_err(AskError::Unreachable)?;
+    let body = answer.collect().await.map_err(AskError::Unreachable)?;
     let missed = rmp_serde::from_slice(&body)
         .map_err(|err| AskError::Unreadable(err.to_string()))?;
     Ok((missed, body.len()))
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -107,7 +107,7 @@
     /// # Errors
     ///
     /// When the connection fails before the body's end.
-    pub async fn whole(self) -> Result<BufferedResponse, CallError> {
+    pub async fn collect(self) -> Result<BufferedResponse, CallError> {
         let status = self.response.status();
         let headers = self.response.headers().clone();
         let body = self
@@ -177,7 +177,7 @@
     ) -> Result<BufferedResponse, CallError> {
         let whole = async {
             let answer = self.open(call, within).await?;
-            answer.whole().await
+            answer.collect().await
         };
         match compio::time::timeout(within, whole).await {
             Ok(answer) => answer,
--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -300,7 +300,7 @@
     /// # Errors
     ///
     /// When the connection fails before the end.
-    pub async fn whole(mut self) -> Result<Bytes, SendError> {
+    pub async fn collect(mut self) -> Result<Bytes, SendError> {
         let mut parts: Vec<Bytes> = Vec::new();
         self.settle();
         while let Some(part) = self.body.next().await {
