--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -268,12 +268,12 @@
     let is_ours =
         facts.request_id.as_deref() == Some(call.facts.request_id.as_str());
     if !is_ours {
-        answer.distrust();
+        answer.discard_connection();
         let of = facts.request_id.unwrap_or_default();
         return Err(AttemptError::Unclear(format!("the answer is to {of:?}")));
     }
     if status.is_success() && !facts.is_proven {
-        answer.distrust();
+        answer.discard_connection();
         return Err(AttemptError::Unclear("a success without proof".into()));
     }
     if status.is_server_error() && !(is_last && facts.is_proven) {
--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -291,7 +291,7 @@
 impl PooledResponse {
     /// Closes the connection instead of keeping it, because what comes on it
     /// cannot be trusted.
-    pub fn distrust(&mut self) {
+    pub fn discard_connection(&mut self) {
         self.body.connection = None;
     }
 
