--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -255,7 +255,7 @@
     facts: AnswerFacts,
     is_last: bool,
 ) -> Result<PooledResponse, AttemptError> {
-    answer.settle();
+    answer.apply_connection_header();
     let status = answer.status;
     if facts.is_not_run || status == StatusCode::MISDIRECTED_REQUEST {
         return Err(match status {
--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -302,7 +302,7 @@
     /// When the connection fails before the end.
     pub async fn collect(mut self) -> Result<Bytes, SendError> {
         let mut parts: Vec<Bytes> = Vec::new();
-        self.settle();
+        self.apply_connection_header();
         while let Some(part) = self.body.next().await {
             parts.push(part?);
         }
@@ -314,7 +314,7 @@
     }
 
     /// Gives up the connection after this answer if the endpoint says so.
-    pub fn settle(&mut self) {
+    pub fn apply_connection_header(&mut self) {
         if says_close(&self.headers)
             && let Some((_, connection)) = &mut self.body.connection
         {
