--- a/crates/sedgewalld/src/fleet/daemon.rs
+++ b/crates/sedgewalld/src/fleet/daemon.rs
@@ -214,7 +214,7 @@
     metrics::counter!("sedgewall_store_calls_total")
         .absolute(node.store.calls());
     metrics::counter!("sedgewall_endpoint_connections_total")
-        .absolute(node.pool.opened());
+        .absolute(node.pool.connections_opened());
     let leads = node.current_lease(Instant::now()).is_some();
     metrics::gauge!("sedgewall_leads").set(f64::from(u8::from(leads)));
 }
--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -108,7 +108,7 @@
     }
 
     /// Returns how many connections were opened.
-    pub fn opened(&self) -> u64 {
+    pub fn connections_opened(&self) -> u64 {
         self.opened.get()
     }
 
