--- a/crates/bench/src/http.rs
+++ b/crates/bench/src/http.rs
@@ -17,8 +17,10 @@
 /// The longest time that a stand-in waits for a body.
 pub const BODY_TIME: Duration = Duration::from_secs(30);
 
-const LIMITS: ServerLimits =
-    ServerLimits { connections: 65_536, header_time: Duration::from_secs(30) };
+const LIMITS: ServerLimits = ServerLimits {
+    connections: 65_536,
+    header_timeout: Duration::from_secs(30),
+};
 
 /// Serves requests at an address with an async function, for ever.
 ///
--- a/crates/sedgewalld/src/daemon.rs
+++ b/crates/sedgewalld/src/daemon.rs
@@ -106,7 +106,7 @@
 async fn serve_callers(node: Rc<Node>, listener: TcpListener) {
     let limits = ServerLimits {
         connections: node.settings.limits.connections,
-        header_time: Duration::from_millis(node.settings.limits.header_ms),
+        header_timeout: Duration::from_millis(node.settings.limits.header_ms),
     };
     let handler: Handler =
         Rc::new(move |request| Box::pin(entry::answer(node.clone(), request)));
@@ -120,7 +120,7 @@
 ) {
     let limits = ServerLimits {
         connections: OPERATOR_CONNECTIONS,
-        header_time: Duration::from_millis(node.settings.limits.header_ms),
+        header_timeout: Duration::from_millis(node.settings.limits.header_ms),
     };
     let handler: Handler = Rc::new(move |request| {
         Box::pin(operator::answer(node.clone(), metrics.clone(), request))
--- a/crates/sedgewalld/src/fleet/catch_up.rs
+++ b/crates/sedgewalld/src/fleet/catch_up.rs
@@ -173,7 +173,7 @@
 pub(crate) async fn answer_others(node: Rc<FleetNode>, listener: TcpListener) {
     let limits = ServerLimits {
         connections: ANSWERED_AT_ONCE,
-        header_time: QUESTION_TIME,
+        header_timeout: QUESTION_TIME,
     };
     let handler: Handler =
         Rc::new(move |request| Box::pin(answer(node.clone(), request)));
--- a/crates/sedgewalld/src/fleet/daemon.rs
+++ b/crates/sedgewalld/src/fleet/daemon.rs
@@ -144,7 +144,7 @@
     stop: Stop,
 ) {
     let connections = node.settings.limits.connections;
-    let limits = ServerLimits { connections, header_time: REST_TIME };
+    let limits = ServerLimits { connections, header_timeout: REST_TIME };
     let handler: Handler = Rc::new(move |request| {
         Box::pin(caller::answer(node.clone(), request))
     });
@@ -176,7 +176,7 @@
     metrics: PrometheusHandle,
 ) {
     let connections = OPERATOR_CONNECTIONS;
-    let limits = ServerLimits { connections, header_time: REST_TIME };
+    let limits = ServerLimits { connections, header_timeout: REST_TIME };
     let handler: Handler = Rc::new(move |request| {
         let response = operator_answer(&node, &metrics, &request);
         Box::pin(async move { response })
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -37,7 +37,7 @@
     /// Connections at once; one more is closed.
     pub connections: usize,
     /// The longest time for a request's headers.
-    pub header_time: Duration,
+    pub header_timeout: Duration,
 }
 
 /// Error of reading a request's body.
@@ -136,7 +136,7 @@
     let mut connection = pin!(
         http1::Builder::new()
             .timer(CompioTimer)
-            .header_read_timeout(limits.header_time)
+            .header_read_timeout(limits.header_timeout)
             .serve_connection(HyperStream::new_plain(stream), service)
     );
     let ended = select! {
