--- a/crates/bench/src/http.rs
+++ b/crates/bench/src/http.rs
@@ -40,7 +40,7 @@
     let listener = TcpListener::bind(listen).await?;
     let handler = Rc::new(move |request| {
         let answer = answer(state.clone(), request);
-        Box::pin(answer) as sedgewall_transport::server::Answer
+        Box::pin(answer) as sedgewall_transport::server::ResponseFuture
     });
     serve(listener, LIMITS, handler).await;
     Ok(())
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -26,10 +26,10 @@
 use crate::{body::LocalBody, pool::bound_silence};
 
 /// The answer that a handler is working on.
-pub type Answer = Pin<Box<dyn Future<Output = Response<LocalBody>>>>;
+pub type ResponseFuture = Pin<Box<dyn Future<Output = Response<LocalBody>>>>;
 
 /// What answers requests.
-pub type Handler = Rc<dyn Fn(Request<Incoming>) -> Answer>;
+pub type Handler = Rc<dyn Fn(Request<Incoming>) -> ResponseFuture>;
 
 /// What bounds a server.
 #[derive(Clone, Copy, Debug)]
