--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -29,7 +29,7 @@
 use socket2::SockRef;
 
 /// A connection without a stated time to rest is kept this long.
-const REST_UNSTATED: Duration = Duration::from_secs(20);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(20);
 
 /// What is taken off a stated time to rest, so that a request does not cross
 /// the endpoint's close.
@@ -210,7 +210,7 @@
             }
         });
         self.opened.set(self.opened.get() + 1);
-        let rest_until = Instant::now() + REST_UNSTATED;
+        let rest_until = Instant::now() + DEFAULT_KEEP_ALIVE;
         Ok(Connection { sender, _task: task, rest_until })
     }
 
@@ -266,7 +266,7 @@
 ) -> Option<Connection> {
     let rest = match stated_rest(headers) {
         Some(stated) => stated.saturating_sub(REST_MARGIN),
-        None => REST_UNSTATED,
+        None => DEFAULT_KEEP_ALIVE,
     };
     connection.rest_until = Instant::now() + rest;
     Some(connection)
