--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -33,7 +33,7 @@
 
 /// What is taken off a stated time to rest, so that a request does not cross
 /// the endpoint's close.
-const REST_MARGIN: Duration = Duration::from_millis(500);
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(500);
 
 /// Bytes that are not acknowledged for this long end a connection: a machine
 /// without power says nothing.
@@ -265,7 +265,7 @@
     headers: &HeaderMap,
 ) -> Option<Connection> {
     let rest = match stated_rest(headers) {
-        Some(stated) => stated.saturating_sub(REST_MARGIN),
+        Some(stated) => stated.saturating_sub(KEEP_ALIVE_MARGIN),
         None => DEFAULT_KEEP_ALIVE,
     };
     connection.rest_until = Instant::now() + rest;
