--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -61,7 +61,7 @@
     sender: SendRequest<Full<Bytes>>,
     /// Dropping the task closes the socket.
     _task: JoinHandle<()>,
-    rest_until: Instant,
+    reusable_until: Instant,
 }
 
 type Idle = Rc<RefCell<HashMap<SocketAddr, Vec<Connection>>>>;
@@ -175,7 +175,7 @@
         let mut idle = self.idle.borrow_mut();
         let resting = idle.get_mut(&address)?;
         let now = Instant::now();
-        resting.retain(|c| !c.sender.is_closed() && now < c.rest_until);
+        resting.retain(|c| !c.sender.is_closed() && now < c.reusable_until);
         let idx = resting.iter().rposition(|c| c.sender.is_ready())?;
         Some(resting.remove(idx))
     }
@@ -210,8 +210,8 @@
             }
         });
         self.opened.set(self.opened.get() + 1);
-        let rest_until = Instant::now() + DEFAULT_KEEP_ALIVE;
-        Ok(Connection { sender, _task: task, rest_until })
+        let reusable_until = Instant::now() + DEFAULT_KEEP_ALIVE;
+        Ok(Connection { sender, _task: task, reusable_until })
     }
 
     async fn send_on(
@@ -268,7 +268,7 @@
         Some(stated) => stated.saturating_sub(KEEP_ALIVE_MARGIN),
         None => DEFAULT_KEEP_ALIVE,
     };
-    connection.rest_until = Instant::now() + rest;
+    connection.reusable_until = Instant::now() + rest;
     Some(connection)
 }
 
@@ -318,7 +318,7 @@
         if says_close(&self.headers)
             && let Some((_, connection)) = &mut self.body.connection
         {
-            connection.rest_until = Instant::now();
+            connection.reusable_until = Instant::now();
         }
     }
 }
@@ -353,7 +353,7 @@
         let Some((address, connection)) = self.connection.take() else {
             return;
         };
-        if Instant::now() < connection.rest_until {
+        if Instant::now() < connection.reusable_until {
             let mut idle = self.idle.borrow_mut();
             idle.entry(address).or_default().push(connection);
         }
