--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -264,7 +264,7 @@
     mut connection: Connection,
     headers: &HeaderMap,
 ) -> Option<Connection> {
-    let rest = match stated_rest(headers) {
+    let rest = match keep_alive_timeout(headers) {
         Some(stated) => stated.saturating_sub(KEEP_ALIVE_MARGIN),
         None => DEFAULT_KEEP_ALIVE,
     };
@@ -273,7 +273,7 @@
 }
 
 /// Reads `Keep-Alive: timeout=N`.
-fn stated_rest(headers: &HeaderMap) -> Option<Duration> {
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = value
         .split(',')
