--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -223,7 +223,7 @@
         match connection.sender.try_send_request(request).await {
             Ok(response) => {
                 let (head, incoming) = response.into_parts();
-                let connection = kept(connection, &head.headers);
+                let connection = with_keep_alive(connection, &head.headers);
                 let connection = connection.map(|c| (address, c));
                 let idle = self.idle.clone();
                 let body = PooledBody { incoming, connection, idle };
@@ -260,7 +260,7 @@
 
 /// Notes how long the endpoint lets the connection rest. The task goes on
 /// either way until the body has been read.
-fn kept(
+fn with_keep_alive(
     mut connection: Connection,
     headers: &HeaderMap,
 ) -> Option<Connection> {
