--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -281,7 +281,7 @@
     seconds.trim().parse().ok().map(Duration::from_secs)
 }
 
-fn says_close(headers: &HeaderMap) -> bool {
+fn requests_close(headers: &HeaderMap) -> bool {
     let mut values = headers.get_all(header::CONNECTION).iter();
     values.any(|value| {
         value.to_str().is_ok_and(|v| v.to_ascii_lowercase().contains("close"))
@@ -315,7 +315,7 @@
 
     /// Gives up the connection after this answer if the endpoint says so.
     pub fn apply_connection_header(&mut self) {
-        if says_close(&self.headers)
+        if requests_close(&self.headers)
             && let Some((_, connection)) = &mut self.body.connection
         {
             connection.reusable_until = Instant::now();
