--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -200,7 +200,7 @@
         address: SocketAddr,
         stream: TcpStream,
     ) -> Result<Connection, hyper::Error> {
-        bound_silence(&stream);
+        set_socket_options(&stream);
         let (sender, connection) = http1::Builder::new()
             .handshake(HyperStream::new_plain(stream))
             .await?;
@@ -248,7 +248,7 @@
 
 /// Makes a silent peer end the connection. A failure to set the option leaves
 /// the connection as it is, which the request's own time bounds.
-pub(crate) fn bound_silence(stream: &TcpStream) {
+pub(crate) fn set_socket_options(stream: &TcpStream) {
     if let Err(err) = stream.set_nodelay(true) {
         debug!("pool: cannot set TCP_NODELAY: {err}.");
     }
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -23,7 +23,7 @@
 use hyper::{body::Incoming, server::conn::http1, service::service_fn};
 use log::{debug, warn};
 
-use crate::{body::LocalBody, pool::bound_silence};
+use crate::{body::LocalBody, pool::set_socket_options};
 
 /// The answer that a handler is working on.
 pub type ResponseFuture = Pin<Box<dyn Future<Output = Response<LocalBody>>>>;
@@ -128,7 +128,7 @@
 ) {
     // Tokens are small and must not wait for each other, and a caller that
     // lost power says nothing.
-    bound_silence(&stream);
+    set_socket_options(&stream);
     let service = service_fn(move |request| {
         let answer = handler(request);
         async move { Ok::<_, Infallible>(answer.await) }
