--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -37,7 +37,7 @@
 
 /// Bytes that are not acknowledged for this long end a connection: a machine
 /// without power says nothing.
-pub const UNACKNOWLEDGED_FOR: Duration = Duration::from_millis(1_500);
+pub const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Error of sending a request to an endpoint.
 #[derive(Clone, Debug, displaydoc::Display, Eq, PartialEq)]
@@ -253,7 +253,7 @@
         debug!("pool: cannot set TCP_NODELAY: {err}.");
     }
     let socket = SockRef::from(stream);
-    if let Err(err) = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_FOR)) {
+    if let Err(err) = socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT)) {
         debug!("pool: cannot set TCP_USER_TIMEOUT: {err}.");
     }
 }
