--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -157,7 +157,8 @@
         let connecting = TcpStream::connect(address);
         match compio::time::timeout(within, connecting).await {
             Ok(Ok(stream)) => {
-                if let Ok(connection) = self.shake_hands(address, stream).await
+                if let Ok(connection) =
+                    self.handshake_http1(address, stream).await
                 {
                     let mut idle = self.idle.borrow_mut();
                     idle.entry(address).or_default().push(connection);
@@ -191,11 +192,11 @@
                 .await
                 .map_err(|_| not_sent(format!("not within {within:?}")))?
                 .map_err(|err| not_sent(err.to_string()))?;
-        let connection = self.shake_hands(address, stream).await;
+        let connection = self.handshake_http1(address, stream).await;
         connection.map_err(|err| not_sent(err.to_string()))
     }
 
-    async fn shake_hands(
+    async fn handshake_http1(
         &self,
         address: SocketAddr,
         stream: TcpStream,
