--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -174,11 +174,13 @@
 
     fn take(&self, address: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let resting = idle.get_mut(&address)?;
+        let idle_connections = idle.get_mut(&address)?;
         let now = Instant::now();
-        resting.retain(|c| !c.sender.is_closed() && now < c.reusable_until);
-        let idx = resting.iter().rposition(|c| c.sender.is_ready())?;
-        Some(resting.remove(idx))
+        idle_connections
+            .retain(|c| !c.sender.is_closed() && now < c.reusable_until);
+        let idx =
+            idle_connections.iter().rposition(|c| c.sender.is_ready())?;
+        Some(idle_connections.remove(idx))
     }
 
     async fn open(
