--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -132,18 +132,18 @@
         while let Some(connection) = self.take(address) {
             match self.send_on(address, connection, request).await {
                 Ok(answer) => return Ok(answer),
-                Err(Unsent::Returned(back)) => request = *back,
-                Err(Unsent::Failed(err)) => return Err(err),
+                Err(SendFailure::Returned(back)) => request = *back,
+                Err(SendFailure::Failed(err)) => return Err(err),
             }
         }
         let connection = self.open(address, connect_within).await?;
         match self.send_on(address, connection, request).await {
             Ok(answer) => Ok(answer),
-            Err(Unsent::Returned(_)) => {
+            Err(SendFailure::Returned(_)) => {
                 let cause = "closed before the request was sent".to_owned();
                 Err(SendError::NotSent(cause))
             }
-            Err(Unsent::Failed(err)) => Err(err),
+            Err(SendFailure::Failed(err)) => Err(err),
         }
     }
 
@@ -222,7 +222,7 @@
         address: SocketAddr,
         mut connection: Connection,
         request: Request<Full<Bytes>>,
-    ) -> Result<PooledResponse, Unsent> {
+    ) -> Result<PooledResponse, SendFailure> {
         match connection.sender.try_send_request(request).await {
             Ok(response) => {
                 let (head, incoming) = response.into_parts();
@@ -234,17 +234,17 @@
                 Ok(PooledResponse { status, headers, body })
             }
             Err(mut err) => Err(match err.take_message() {
-                Some(request) => Unsent::Returned(Box::new(request)),
+                Some(request) => SendFailure::Returned(Box::new(request)),
                 None => {
                     let cause = err.into_error().to_string();
-                    Unsent::Failed(SendError::Broken(cause))
+                    SendFailure::Failed(SendError::Broken(cause))
                 }
             }),
         }
     }
 }
 
-enum Unsent {
+enum SendFailure {
     Returned(Box<Request<Full<Bytes>>>),
     Failed(SendError),
 }
