--- a/crates/transport/src/engine_client.rs
+++ b/crates/transport/src/engine_client.rs
@@ -21,7 +21,7 @@
 }
 
 /// The longest time that a load may take.
-const ORDER_TIME: Duration = Duration::from_secs(30);
+const ORDER_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The longest time for a report.
 const REPORT_TIME: Duration = Duration::from_millis(1_000);
@@ -45,7 +45,7 @@
             Call::new(Method::POST, format!("http://{address}{ORDERS_PATH}"))
                 .header("content-type", "application/json")
                 .body(body);
-        let answer = match self.http.call(call, ORDER_TIME).await {
+        let answer = match self.http.call(call, ORDER_TIMEOUT).await {
             Ok(answer) => answer,
             Err(err) => return OrderAnswer::Unclear(err),
         };
