--- a/crates/transport/src/engine_client.rs
+++ b/crates/transport/src/engine_client.rs
@@ -24,7 +24,7 @@
 const ORDER_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The longest time for a report.
-const REPORT_TIME: Duration = Duration::from_millis(1_000);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Speaks the engines' interface.
 #[derive(Clone, Debug)]
@@ -71,7 +71,7 @@
     ) -> Result<EngineReport, CallError> {
         let url = format!("http://{address}{REPORT_PATH}");
         let call = Call::new(Method::GET, url);
-        let answer = self.http.call(call, REPORT_TIME).await?;
+        let answer = self.http.call(call, REPORT_TIMEOUT).await?;
         serde_json::from_slice(&answer.body)
             .map_err(|err| CallError::Unreadable(err.to_string()))
     }
