--- a/crates/transport/src/platform_client.rs
+++ b/crates/transport/src/platform_client.rs
@@ -45,7 +45,7 @@
 }
 
 /// The longest time for one call.
-const CALL_TIME: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How much longer than asked for a watch may take.
 const WATCH_GRACE: Duration = Duration::from_secs(2);
@@ -73,7 +73,7 @@
         key: &str,
     ) -> Result<Option<StoredObject>, PlatformError> {
         let call = Call::new(Method::GET, self.object_url(key));
-        let answer = self.send(call, CALL_TIME).await?;
+        let answer = self.send(call, CALL_TIMEOUT).await?;
         match answer.status {
             StatusCode::OK => Ok(Some(stored(&answer)?)),
             StatusCode::NOT_FOUND => Ok(None),
@@ -118,7 +118,7 @@
             Some(version) => call.header("if-match", &tag(version)),
             None => call.header("if-none-match", "*"),
         };
-        let Ok(answer) = self.send(call, CALL_TIME).await else {
+        let Ok(answer) = self.send(call, CALL_TIMEOUT).await else {
             return WriteAnswer::Unclear;
         };
         match answer.status {
@@ -138,7 +138,7 @@
     /// When the platform does not answer as it should.
     pub async fn delete(&self, key: &str) -> Result<(), PlatformError> {
         let call = Call::new(Method::DELETE, self.object_url(key));
-        let answer = self.send(call, CALL_TIME).await?;
+        let answer = self.send(call, CALL_TIMEOUT).await?;
         match answer.status {
             StatusCode::NO_CONTENT | StatusCode::NOT_FOUND => Ok(()),
             status => Err(PlatformError::Status(status.as_u16())),
@@ -157,7 +157,8 @@
     ) -> Result<ObjectList, PlatformError> {
         let url =
             format!("{}{LIST_PATH}?prefix={prefix}&from={from}", self.url);
-        let answer = self.send(Call::new(Method::GET, url), CALL_TIME).await?;
+        let answer =
+            self.send(Call::new(Method::GET, url), CALL_TIMEOUT).await?;
         decode_ok(&answer)
     }
 
