--- a/crates/transport/src/platform_client.rs
+++ b/crates/transport/src/platform_client.rs
@@ -75,7 +75,7 @@
         let call = Call::new(Method::GET, self.object_url(key));
         let answer = self.send(call, CALL_TIMEOUT).await?;
         match answer.status {
-            StatusCode::OK => Ok(Some(stored(&answer)?)),
+            StatusCode::OK => Ok(Some(decode_object(&answer)?)),
             StatusCode::NOT_FOUND => Ok(None),
             status => Err(PlatformError::Status(status.as_u16())),
         }
@@ -97,7 +97,9 @@
             .header("if-none-match", &tag(known.unwrap_or(0)));
         let answer = self.send(call, wait + WATCH_GRACE).await?;
         match answer.status {
-            StatusCode::OK => Ok(WatchOutcome::Changed(stored(&answer)?)),
+            StatusCode::OK => {
+                Ok(WatchOutcome::Changed(decode_object(&answer)?))
+            }
             StatusCode::NOT_MODIFIED | StatusCode::NOT_FOUND => {
                 Ok(WatchOutcome::Unchanged)
             }
@@ -221,7 +223,9 @@
     }
 }
 
-fn stored(answer: &BufferedResponse) -> Result<StoredObject, PlatformError> {
+fn decode_object(
+    answer: &BufferedResponse,
+) -> Result<StoredObject, PlatformError> {
     let version = version_of(&answer.headers).ok_or_else(|| {
         PlatformError::Unreadable("no entity tag".to_owned())
     })?;
