--- a/crates/transport/src/platform_client.rs
+++ b/crates/transport/src/platform_client.rs
@@ -94,7 +94,7 @@
     ) -> Result<WatchOutcome<StoredObject>, PlatformError> {
         let call = Call::new(Method::GET, self.object_url(key))
             .header("prefer", &format!("wait={}", wait.as_secs()))
-            .header("if-none-match", &tag(known.unwrap_or(0)));
+            .header("if-none-match", &etag(known.unwrap_or(0)));
         let answer = self.send(call, wait + WATCH_GRACE).await?;
         match answer.status {
             StatusCode::OK => {
@@ -117,7 +117,7 @@
     ) -> WriteAnswer {
         let call = Call::new(Method::PUT, self.object_url(key)).body(value);
         let call = match expected {
-            Some(version) => call.header("if-match", &tag(version)),
+            Some(version) => call.header("if-match", &etag(version)),
             None => call.header("if-none-match", "*"),
         };
         let Ok(answer) = self.send(call, CALL_TIMEOUT).await else {
@@ -202,7 +202,7 @@
     ) -> Result<WatchOutcome<T>, PlatformError> {
         let call = Call::new(Method::GET, url)
             .header("prefer", &format!("wait={}", wait.as_secs()))
-            .header("if-none-match", &tag(revision));
+            .header("if-none-match", &etag(revision));
         let answer = self.send(call, wait + WATCH_GRACE).await?;
         if answer.status == StatusCode::NOT_MODIFIED {
             return Ok(WatchOutcome::Unchanged);
@@ -242,7 +242,7 @@
         .map_err(|err| PlatformError::Unreadable(err.to_string()))
 }
 
-fn tag(version: ObjectVersion) -> String {
+fn etag(version: ObjectVersion) -> String {
     format!("\"{version}\"")
 }
 
