--- a/crates/transport/src/platform_client.rs
+++ b/crates/transport/src/platform_client.rs
@@ -125,7 +125,7 @@
         };
         match answer.status {
             StatusCode::OK | StatusCode::CREATED => {
-                version_of(&answer.headers)
+                etag_version(&answer.headers)
                     .map_or(WriteAnswer::Unclear, WriteAnswer::Done)
             }
             StatusCode::PRECONDITION_FAILED => WriteAnswer::Conflict,
@@ -226,7 +226,7 @@
 fn decode_object(
     answer: &BufferedResponse,
 ) -> Result<StoredObject, PlatformError> {
-    let version = version_of(&answer.headers).ok_or_else(|| {
+    let version = etag_version(&answer.headers).ok_or_else(|| {
         PlatformError::Unreadable("no entity tag".to_owned())
     })?;
     Ok(StoredObject { value: answer.body.to_vec(), version })
@@ -246,7 +246,7 @@
     format!("\"{version}\"")
 }
 
-fn version_of(headers: &HeaderMap) -> Option<ObjectVersion> {
+fn etag_version(headers: &HeaderMap) -> Option<ObjectVersion> {
     let text = headers.get(http::header::ETAG)?.to_str().ok()?;
     text.trim_matches('"').parse().ok()
 }
