--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -54,7 +54,7 @@
 impl std::error::Error for BodyError {}
 
 /// How long to wait after an accept failed, for lack of descriptors mostly.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Tells a server to stop.
 pub type Stop = Shared<oneshot::Receiver<()>>;
@@ -100,7 +100,7 @@
             Ok((stream, _)) => stream,
             Err(err) => {
                 warn!("http: accept failed: {err}.");
-                compio::time::sleep(ACCEPT_PAUSE).await;
+                compio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
