--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -109,7 +109,7 @@
             continue;
         }
         open.set(open.get() + 1);
-        let slot = OpenSlot(open.clone());
+        let slot = ConnectionGuard(open.clone());
         let handler = handler.clone();
         let stop = stop.clone();
         compio::runtime::spawn(async move {
@@ -156,9 +156,9 @@
 }
 
 /// Counts a connection out when it is dropped.
-struct OpenSlot(Rc<Cell<usize>>);
+struct ConnectionGuard(Rc<Cell<usize>>);
 
-impl Drop for OpenSlot {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
