--- a/crates/transport/src/peer.rs
+++ b/crates/transport/src/peer.rs
@@ -27,7 +27,7 @@
 use sedgewall_protocol::Envelope;
 
 /// Messages that wait for the loop before more are dropped.
-const INBOX_LEN: usize = 16_384;
+const RECEIVE_QUEUE_LEN: usize = 16_384;
 
 /// Messages that wait for one peer before more are dropped.
 const OUTBOX_LEN: i32 = 4_096;
@@ -89,7 +89,7 @@
         let socket = Socket::new(Protocol::Pull0).map_err(err)?;
         socket.set_opt::<RecvBufferSize>(RECEIVE_BUFFER_LEN).map_err(err)?;
         socket.set_opt::<RecvMaxSize>(MAX_MESSAGE_LEN).map_err(err)?;
-        let (tx, messages) = mpsc::channel(INBOX_LEN);
+        let (tx, messages) = mpsc::channel(RECEIVE_QUEUE_LEN);
         let dropped = Arc::new(AtomicU64::new(0));
         let aio = receiver(&socket, tx, dropped.clone()).map_err(err)?;
         socket.listen(url).map_err(err)?;
