--- a/crates/transport/src/peer.rs
+++ b/crates/transport/src/peer.rs
@@ -30,7 +30,7 @@
 const RECEIVE_QUEUE_LEN: usize = 16_384;
 
 /// Messages that wait for one peer before more are dropped.
-const OUTBOX_LEN: i32 = 4_096;
+const SEND_QUEUE_LEN: i32 = 4_096;
 
 /// Messages that nng buffers before the loop's channel.
 const RECEIVE_BUFFER_LEN: i32 = 4_096;
@@ -217,7 +217,7 @@
 
 fn dial(url: &str) -> Result<Socket, nng::Error> {
     let socket = Socket::new(Protocol::Push0)?;
-    socket.set_opt::<SendBufferSize>(OUTBOX_LEN)?;
+    socket.set_opt::<SendBufferSize>(SEND_QUEUE_LEN)?;
     socket.set_opt::<ReconnectMinTime>(Some(RECONNECT_MIN))?;
     socket.set_opt::<ReconnectMaxTime>(Some(RECONNECT_MAX))?;
     socket.dial_async(url)?;
