--- a/crates/transport/src/peer.rs
+++ b/crates/transport/src/peer.rs
@@ -91,7 +91,8 @@
         socket.set_opt::<RecvMaxSize>(MAX_MESSAGE_LEN).map_err(err)?;
         let (tx, messages) = mpsc::channel(RECEIVE_QUEUE_LEN);
         let dropped = Arc::new(AtomicU64::new(0));
-        let aio = receiver(&socket, tx, dropped.clone()).map_err(err)?;
+        let aio =
+            start_receiving(&socket, tx, dropped.clone()).map_err(err)?;
         socket.listen(url).map_err(err)?;
         socket.recv_async(&aio).map_err(err)?;
         Ok(PeerListener { messages, dropped, _socket: socket, _aio: aio })
@@ -125,7 +126,7 @@
     }
 }
 
-fn receiver(
+fn start_receiving(
     socket: &Socket,
     tx: mpsc::Sender<Vec<u8>>,
     dropped: Arc<AtomicU64>,
