--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -109,12 +109,12 @@
             continue;
         }
         open.set(open.get() + 1);
-        let slot = ConnectionGuard(open.clone());
+        let guard = ConnectionGuard(open.clone());
         let handler = handler.clone();
         let stop = stop.clone();
         compio::runtime::spawn(async move {
             serve_connection(stream, limits, handler, stop).await;
-            drop(slot);
+            drop(guard);
         })
         .detach();
     }
