--- a/crates/sedgewall/src/cluster.rs
+++ b/crates/sedgewall/src/cluster.rs
@@ -15,7 +15,7 @@
 use crate::{args::Args, error::CommandError, store};
 
 /// How long an instance may take to answer.
-const ASK_TIME: Duration = Duration::from_secs(2);
+const INSTANCE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// An instance and where operators reach it.
 #[derive(Clone, Debug)]
@@ -92,7 +92,7 @@
     let http = HttpClient::new().map_err(CommandError::Http)?;
     let url = format!("http://{address}{path}");
     let answer = http
-        .call(Call::new(method, url), ASK_TIME)
+        .call(Call::new(method, url), INSTANCE_TIMEOUT)
         .await
         .map_err(|err| fail(err.to_string()))?;
     match answer.status {
