--- a/crates/sedgewall/src/apply.rs
+++ b/crates/sedgewall/src/apply.rs
@@ -26,7 +26,7 @@
 };
 
 /// Tries of one write whose answer is lost.
-const TRIES: u32 = 10;
+const MAX_WRITE_ATTEMPTS: u32 = 10;
 
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
@@ -123,7 +123,7 @@
     hash: &str,
     content: &[u8],
 ) -> Result<(), CommandError> {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_WRITE_ATTEMPTS {
         let key = chunk_key(hash);
         match platform.put(&key, content.to_vec(), None).await {
             // What is there under this name has this content.
@@ -142,7 +142,7 @@
     let expected = current.map(|stored| stored.object);
     let value = serde_json::to_vec(head)
         .map_err(|err| CommandError::Output(err.to_string()))?;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_WRITE_ATTEMPTS {
         let answer =
             platform.put(CONFIG_HEAD_KEY, value.clone(), expected).await;
         if let WriteAnswer::Done(_) = answer {
