--- a/crates/sedgewall/src/apply.rs
+++ b/crates/sedgewall/src/apply.rs
@@ -28,7 +28,7 @@
 /// Tries of one write whose answer is lost.
 const MAX_WRITE_ATTEMPTS: u32 = 10;
 
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 const LOOK_PAUSE: Duration = Duration::from_millis(50);
 
@@ -128,7 +128,7 @@
         match platform.put(&key, content.to_vec(), None).await {
             // What is there under this name has this content.
             WriteAnswer::Done(_) | WriteAnswer::Conflict => return Ok(()),
-            WriteAnswer::Unclear => compio::time::sleep(RETRY_PAUSE).await,
+            WriteAnswer::Unclear => compio::time::sleep(RETRY_DELAY).await,
         }
     }
     Err(CommandError::Unclear)
@@ -157,7 +157,7 @@
                 let StoredHead { head, .. } = stored;
                 return Err(CommandError::Race(head.version, head.applied_by));
             }
-            _ => compio::time::sleep(RETRY_PAUSE).await,
+            _ => compio::time::sleep(RETRY_DELAY).await,
         }
     }
     Err(CommandError::Unclear)
