--- a/crates/sedgewall/src/apply.rs
+++ b/crates/sedgewall/src/apply.rs
@@ -30,7 +30,7 @@
 
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Serialize)]
 struct Applied {
@@ -199,7 +199,7 @@
             let missing = missing.join(", ");
             return Err(CommandError::NotEverywhere { version, missing });
         }
-        compio::time::sleep(LOOK_PAUSE).await;
+        compio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
