--- a/crates/sedgewall/src/store.rs
+++ b/crates/sedgewall/src/store.rs
@@ -69,7 +69,9 @@
     let mut tries = 0;
     loop {
         match platform.get(key).await {
-            Err(PlatformError::Status(TOO_MANY)) if tries < READ_TRIES => {
+            Err(PlatformError::Status(TOO_MANY))
+                if tries < MAX_READ_RETRIES =>
+            {
                 tries += 1;
                 compio::time::sleep(READ_PAUSE * tries).await;
             }
@@ -81,7 +83,7 @@
 /// The status of a call beyond the platform's rates (RFC 6585).
 const TOO_MANY: u16 = 429;
 
-const READ_TRIES: u32 = 5;
+const MAX_READ_RETRIES: u32 = 5;
 
 const READ_PAUSE: Duration = Duration::from_millis(200);
 
