--- a/crates/sedgewall/src/store.rs
+++ b/crates/sedgewall/src/store.rs
@@ -73,7 +73,7 @@
                 if tries < MAX_READ_RETRIES =>
             {
                 tries += 1;
-                compio::time::sleep(READ_PAUSE * tries).await;
+                compio::time::sleep(READ_RETRY_DELAY * tries).await;
             }
             answer => return Ok(answer?),
         }
@@ -85,7 +85,7 @@
 
 const MAX_READ_RETRIES: u32 = 5;
 
-const READ_PAUSE: Duration = Duration::from_millis(200);
+const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Prints the configuration in force.
 pub(crate) async fn print(args: &Args) -> Result<(), CommandError> {
