--- a/crates/sedgewall/src/store.rs
+++ b/crates/sedgewall/src/store.rs
@@ -66,14 +66,14 @@
     platform: &PlatformClient,
     key: &str,
 ) -> Result<Option<StoredObject>, CommandError> {
-    let mut tries = 0;
+    let mut retries = 0;
     loop {
         match platform.get(key).await {
             Err(PlatformError::Status(TOO_MANY))
-                if tries < MAX_READ_RETRIES =>
+                if retries < MAX_READ_RETRIES =>
             {
-                tries += 1;
-                compio::time::sleep(READ_RETRY_DELAY * tries).await;
+                retries += 1;
+                compio::time::sleep(READ_RETRY_DELAY * retries).await;
             }
             answer => return Ok(answer?),
         }
