--- a/crates/sedgewall/src/store.rs
+++ b/crates/sedgewall/src/store.rs
@@ -69,7 +69,7 @@
     let mut retries = 0;
     loop {
         match platform.get(key).await {
-            Err(PlatformError::Status(TOO_MANY))
+            Err(PlatformError::Status(TOO_MANY_REQUESTS))
                 if retries < MAX_READ_RETRIES =>
             {
                 retries += 1;
@@ -81,7 +81,7 @@
 }
 
 /// The status of a call beyond the platform's rates (RFC 6585).
-const TOO_MANY: u16 = 429;
+const TOO_MANY_REQUESTS: u16 = 429;
 
 const MAX_READ_RETRIES: u32 = 5;
 
