--- a/crates/sedgewall/src/difference.rs
+++ b/crates/sedgewall/src/difference.rs
@@ -34,7 +34,7 @@
 }
 
 /// Lines that are printed for people before the rest is counted.
-const SHOWN: usize = 50;
+const MAX_PRINTED_DIFFERENCES: usize = 50;
 
 /// Compares files with the configuration in force.
 pub(crate) async fn run(
@@ -88,7 +88,7 @@
     if format == Format::Json {
         return output::json(&differences);
     }
-    for difference in differences.iter().take(SHOWN) {
+    for difference in differences.iter().take(MAX_PRINTED_DIFFERENCES) {
         let text = |value: &Option<Value>| {
             value.as_ref().map_or(String::new(), Value::to_string)
         };
@@ -108,8 +108,8 @@
         };
         output::line(&line)?;
     }
-    if differences.len() > SHOWN {
-        let more = differences.len() - SHOWN;
+    if differences.len() > MAX_PRINTED_DIFFERENCES {
+        let more = differences.len() - MAX_PRINTED_DIFFERENCES;
         output::line(&format!("and {more} more; see --output json"))?;
     }
     if differences.is_empty() {
