--- a/crates/sedgewall/src/apply.rs
+++ b/crates/sedgewall/src/apply.rs
@@ -67,7 +67,7 @@
             .await?;
         let won = write_head(&platform, &head, current.as_ref()).await;
         if let Err(CommandError::Race(..)) = &won {
-            show_winner(&platform, &config).await?;
+            print_conflict(&platform, &config).await?;
         }
         won?;
         applied.version = head.version;
@@ -163,7 +163,7 @@
     Err(CommandError::Unclear)
 }
 
-async fn show_winner(
+async fn print_conflict(
     platform: &PlatformClient,
     ours: &sedgewall_state::config::Config,
 ) -> Result<(), CommandError> {
