--- a/crates/sedgewall/src/apply.rs
+++ b/crates/sedgewall/src/apply.rs
@@ -65,11 +65,11 @@
     if is_new {
         write_chunks(&platform, &chunked, current.as_ref(), &mut applied)
             .await?;
-        let won = write_head(&platform, &head, current.as_ref()).await;
-        if let Err(CommandError::Race(..)) = &won {
+        let written = write_head(&platform, &head, current.as_ref()).await;
+        if let Err(CommandError::Race(..)) = &written {
             print_conflict(&platform, &config).await?;
         }
-        won?;
+        written?;
         applied.version = head.version;
     }
     let accepted = Instant::now();
