--- a/crates/sedgewall/src/apply.rs
+++ b/crates/sedgewall/src/apply.rs
@@ -106,9 +106,9 @@
     applied: &mut Applied,
 ) -> Result<(), CommandError> {
     for chunk in chunked.chunks() {
-        let is_there = current
+        let is_stored = current
             .is_some_and(|s| s.head.chunks().any(|hash| *hash == chunk.hash));
-        if is_there {
+        if is_stored {
             continue;
         }
         write_chunk(platform, &chunk.hash, &chunk.content).await?;
