--- a/crates/sedgewall/src/apply.rs
+++ b/crates/sedgewall/src/apply.rs
@@ -165,11 +165,11 @@
 
 async fn print_conflict(
     platform: &PlatformClient,
-    ours: &sedgewall_state::config::Config,
+    local: &sedgewall_state::config::Config,
 ) -> Result<(), CommandError> {
     let Some(stored) = store::head(platform).await? else { return Ok(()) };
     let theirs = store::config(platform, &stored.head).await?;
-    for difference in difference::between(&theirs, ours) {
+    for difference in difference::between(&theirs, local) {
         eprintln!("{:?} {}", difference.change, difference.item);
     }
     Ok(())
