--- a/crates/sedgewall/src/apply.rs
+++ b/crates/sedgewall/src/apply.rs
@@ -75,7 +75,7 @@
     let accepted = Instant::now();
     if apply.wait {
         let within = Duration::from_secs(apply.wait_s);
-        wait_everywhere(args, applied.version, within).await?;
+        wait_until_in_force(args, applied.version, within).await?;
         let took = accepted.elapsed().as_millis() as u64;
         applied.in_force_after_ms = Some(took);
     }
@@ -175,7 +175,7 @@
     Ok(())
 }
 
-async fn wait_everywhere(
+async fn wait_until_in_force(
     args: &Args,
     version: ConfigVersion,
     within: Duration,
