--- a/crates/sedgewall/src/apply.rs
+++ b/crates/sedgewall/src/apply.rs
@@ -197,7 +197,7 @@
         }
         if Instant::now() >= until {
             let missing = missing.join(", ");
-            return Err(CommandError::NotEverywhere { version, missing });
+            return Err(CommandError::NotYetInForce { version, missing });
         }
         compio::time::sleep(POLL_INTERVAL).await;
     }
--- a/crates/sedgewall/src/error.rs
+++ b/crates/sedgewall/src/error.rs
@@ -41,7 +41,7 @@
     /// the configuration was changed to version {0} by {1} meanwhile; nothing was written. Run `sedgewall diff` and apply again
     Race(ConfigVersion, String),
     /// version {version} was accepted, but not yet in force on: {missing}
-    NotEverywhere {
+    NotYetInForce {
         /// The version.
         version: ConfigVersion,
         /// The instances.
@@ -64,7 +64,7 @@
         match self {
             CommandError::Files(_) | CommandError::Config(_) => EXIT_FILES,
             CommandError::Race(..) => EXIT_RACE,
-            CommandError::NotEverywhere { .. } => EXIT_NOT_EVERYWHERE,
+            CommandError::NotYetInForce { .. } => EXIT_NOT_EVERYWHERE,
             CommandError::Differs => EXIT_DIFFERS,
             _ => EXIT_FAILED,
         }
