--- a/crates/sedgewall/src/error.rs
+++ b/crates/sedgewall/src/error.rs
@@ -15,7 +15,7 @@
 pub(crate) const EXIT_RACE: u8 = 3;
 
 /// The configuration was accepted but is not yet in force everywhere.
-pub(crate) const EXIT_NOT_EVERYWHERE: u8 = 4;
+pub(crate) const EXIT_NOT_YET_IN_FORCE: u8 = 4;
 
 /// `diff` found differences.
 pub(crate) const EXIT_DIFFERS: u8 = 5;
@@ -64,7 +64,7 @@
         match self {
             CommandError::Files(_) | CommandError::Config(_) => EXIT_FILES,
             CommandError::Race(..) => EXIT_RACE,
-            CommandError::NotYetInForce { .. } => EXIT_NOT_EVERYWHERE,
+            CommandError::NotYetInForce { .. } => EXIT_NOT_YET_IN_FORCE,
             CommandError::Differs => EXIT_DIFFERS,
             _ => EXIT_FAILED,
         }
