--- a/crates/sedgewall/src/error.rs
+++ b/crates/sedgewall/src/error.rs
@@ -12,7 +12,7 @@
 pub(crate) const EXIT_FILES: u8 = 2;
 
 /// Another operator applied a configuration first.
-pub(crate) const EXIT_RACE: u8 = 3;
+pub(crate) const EXIT_CONFLICT: u8 = 3;
 
 /// The configuration was accepted but is not yet in force everywhere.
 pub(crate) const EXIT_NOT_YET_IN_FORCE: u8 = 4;
@@ -63,7 +63,7 @@
     pub(crate) fn exit_code(&self) -> u8 {
         match self {
             CommandError::Files(_) | CommandError::Config(_) => EXIT_FILES,
-            CommandError::Race(..) => EXIT_RACE,
+            CommandError::Race(..) => EXIT_CONFLICT,
             CommandError::NotYetInForce { .. } => EXIT_NOT_YET_IN_FORCE,
             CommandError::Differs => EXIT_DIFFERS,
             _ => EXIT_FAILED,
