--- a/crates/sedgewall/src/args.rs
+++ b/crates/sedgewall/src/args.rs
@@ -71,7 +71,7 @@
     /// Shows what happened, over all instances, causes first.
     Timeline(Filter),
     /// Says why an adapter is where it is.
-    Explain(What),
+    Explain(ExplainTarget),
     /// Tells an instance to finish its requests and stop.
     Drain(Target),
     /// Prints a completion script for a shell.
@@ -130,7 +130,7 @@
 
 /// What to explain.
 #[derive(ClapArgs, Clone, Debug)]
-pub(crate) struct What {
+pub(crate) struct ExplainTarget {
     /// An adapter and its version, such as lineup-0042@3, or a request's id.
     pub(crate) what: String,
 }
--- a/crates/sedgewall/src/views.rs
+++ b/crates/sedgewall/src/views.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 
 use crate::{
-    args::{Args, Filter, Format, Target, What},
+    args::{Args, ExplainTarget, Filter, Format, Target},
     cluster,
     error::CommandError,
     output,
@@ -173,7 +173,7 @@
 /// Says why an adapter is where it is, or what became of a request.
 pub(crate) async fn explain(
     args: &Args,
-    what: &What,
+    what: &ExplainTarget,
 ) -> Result<(), CommandError> {
     if !what.what.contains('@') {
         let filter = Filter {
