--- a/crates/sedgewall/src/args.rs
+++ b/crates/sedgewall/src/args.rs
@@ -73,7 +73,7 @@
     /// Says why an adapter is where it is.
     Explain(ExplainTarget),
     /// Tells an instance to finish its requests and stop.
-    Drain(Target),
+    Drain(DrainTarget),
     /// Prints a completion script for a shell.
     Completions {
         /// The shell.
@@ -137,7 +137,7 @@
 
 /// An instance.
 #[derive(ClapArgs, Clone, Debug)]
-pub(crate) struct Target {
+pub(crate) struct DrainTarget {
     /// The instance's name.
     pub(crate) instance: String,
 }
--- a/crates/sedgewall/src/views.rs
+++ b/crates/sedgewall/src/views.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 
 use crate::{
-    args::{Args, ExplainTarget, Filter, Format, Target},
+    args::{Args, DrainTarget, ExplainTarget, Filter, Format},
     cluster,
     error::CommandError,
     output,
@@ -230,7 +230,7 @@
 /// Tells an instance to finish its requests and stop.
 pub(crate) async fn drain(
     args: &Args,
-    target: &Target,
+    target: &DrainTarget,
 ) -> Result<(), CommandError> {
     let members = cluster::members(args).await?;
     let member = members.iter().find(|member| member.name == target.instance);
