--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -132,14 +132,14 @@
         while let Some(connection) = self.take(address) {
             match self.send_on(address, connection, request).await {
                 Ok(answer) => return Ok(answer),
-                Err(SendFailure::Returned(back)) => request = *back,
+                Err(SendFailure::Unsent(back)) => request = *back,
                 Err(SendFailure::Failed(err)) => return Err(err),
             }
         }
         let connection = self.open(address, connect_within).await?;
         match self.send_on(address, connection, request).await {
             Ok(answer) => Ok(answer),
-            Err(SendFailure::Returned(_)) => {
+            Err(SendFailure::Unsent(_)) => {
                 let cause = "closed before the request was sent".to_owned();
                 Err(SendError::NotSent(cause))
             }
@@ -234,7 +234,7 @@
                 Ok(PooledResponse { status, headers, body })
             }
             Err(mut err) => Err(match err.take_message() {
-                Some(request) => SendFailure::Returned(Box::new(request)),
+                Some(request) => SendFailure::Unsent(Box::new(request)),
                 None => {
                     let cause = err.into_error().to_string();
                     SendFailure::Failed(SendError::Broken(cause))
@@ -245,7 +245,7 @@
 }
 
 enum SendFailure {
-    Returned(Box<Request<Full<Bytes>>>),
+    Unsent(Box<Request<Full<Bytes>>>),
     Failed(SendError),
 }
 
