--- a/crates/sedgewall/src/apply.rs
+++ b/crates/sedgewall/src/apply.rs
@@ -168,8 +168,8 @@
     local: &sedgewall_state::config::Config,
 ) -> Result<(), CommandError> {
     let Some(stored) = store::head(platform).await? else { return Ok(()) };
-    let theirs = store::config(platform, &stored.head).await?;
-    for difference in difference::between(&theirs, local) {
+    let in_force = store::config(platform, &stored.head).await?;
+    for difference in difference::between(&in_force, local) {
         eprintln!("{:?} {}", difference.change, difference.item);
     }
     Ok(())
