--- a/crates/sedgewall/src/apply.rs
+++ b/crates/sedgewall/src/apply.rs
@@ -66,7 +66,7 @@
         write_chunks(&platform, &chunked, current.as_ref(), &mut applied)
             .await?;
         let written = write_head(&platform, &head, current.as_ref()).await;
-        if let Err(CommandError::Race(..)) = &written {
+        if let Err(CommandError::VersionConflict(..)) = &written {
             print_conflict(&platform, &config).await?;
         }
         written?;
@@ -92,7 +92,7 @@
         return Ok(());
     }
     let by = current.map_or(String::new(), |s| s.head.applied_by.clone());
-    Err(CommandError::Race(version, by))
+    Err(CommandError::VersionConflict(version, by))
 }
 
 fn is_same(a: &ConfigHead, b: &ConfigHead) -> bool {
@@ -155,7 +155,10 @@
             }
             Ok(Some(stored)) if answer == WriteAnswer::Conflict => {
                 let StoredHead { head, .. } = stored;
-                return Err(CommandError::Race(head.version, head.applied_by));
+                return Err(CommandError::VersionConflict(
+                    head.version,
+                    head.applied_by,
+                ));
             }
             _ => compio::time::sleep(RETRY_DELAY).await,
         }
--- a/crates/sedgewall/src/error.rs
+++ b/crates/sedgewall/src/error.rs
@@ -39,7 +39,7 @@
         cause: String,
     },
     /// the configuration was changed to version {0} by {1} meanwhile; nothing was written. Run `sedgewall diff` and apply again
-    Race(ConfigVersion, String),
+    VersionConflict(ConfigVersion, String),
     /// version {version} was accepted, but not yet in force on: {missing}
     NotYetInForce {
         /// The version.
@@ -63,7 +63,7 @@
     pub(crate) fn exit_code(&self) -> u8 {
         match self {
             CommandError::Files(_) | CommandError::Config(_) => EXIT_FILES,
-            CommandError::Race(..) => EXIT_CONFLICT,
+            CommandError::VersionConflict(..) => EXIT_CONFLICT,
             CommandError::NotYetInForce { .. } => EXIT_NOT_YET_IN_FORCE,
             CommandError::Differs => EXIT_DIFFERS,
             _ => EXIT_FAILED,
