--- a/crates/sedgewall/src/apply.rs
+++ b/crates/sedgewall/src/apply.rs
@@ -131,7 +131,7 @@
             WriteAnswer::Unclear => compio::time::sleep(RETRY_DELAY).await,
         }
     }
-    Err(CommandError::Unclear)
+    Err(CommandError::OutcomeUnknown)
 }
 
 async fn write_head(
@@ -163,7 +163,7 @@
             _ => compio::time::sleep(RETRY_DELAY).await,
         }
     }
-    Err(CommandError::Unclear)
+    Err(CommandError::OutcomeUnknown)
 }
 
 async fn print_conflict(
--- a/crates/sedgewall/src/error.rs
+++ b/crates/sedgewall/src/error.rs
@@ -52,7 +52,7 @@
     /// no configuration was applied yet
     NoConfig,
     /// the outcome is unknown, the platform did not answer; run the command again, it is safe
-    Unclear,
+    OutcomeUnknown,
     /// cannot write the output: {0}
     Output(String),
 }
