--- a/crates/sedgewall/src/cluster.rs
+++ b/crates/sedgewall/src/cluster.rs
@@ -74,8 +74,8 @@
 ) -> Result<T, CommandError> {
     let answer = call(address, path, Method::GET).await?;
     serde_json::from_slice(&answer.body).map_err(|err| {
-        let what = address.to_owned();
-        CommandError::Instance { what, cause: err.to_string() }
+        let target = address.to_owned();
+        CommandError::Instance { target, cause: err.to_string() }
     })
 }
 
@@ -86,7 +86,7 @@
     method: Method,
 ) -> Result<BufferedResponse, CommandError> {
     let fail = |cause: String| CommandError::Instance {
-        what: address.to_owned(),
+        target: address.to_owned(),
         cause,
     };
     let http = HttpClient::new().map_err(CommandError::Http)?;
--- a/crates/sedgewall/src/error.rs
+++ b/crates/sedgewall/src/error.rs
@@ -31,10 +31,10 @@
     Platform(PlatformError),
     /// cannot set up HTTP: {0}
     Http(CallError),
-    /// {what}: {cause}
+    /// {target}: {cause}
     Instance {
         /// The instance.
-        what: String,
+        target: String,
         /// The cause.
         cause: String,
     },
--- a/crates/sedgewall/src/views.rs
+++ b/crates/sedgewall/src/views.rs
@@ -194,7 +194,7 @@
         }
     }
     Err(CommandError::Instance {
-        what: what.what.clone(),
+        target: what.what.clone(),
         cause: "no instance leads its shard, or there is no such adapter"
             .to_owned(),
     })
@@ -235,7 +235,7 @@
     let members = cluster::members(args).await?;
     let member = members.iter().find(|member| member.name == target.instance);
     let member = member.ok_or_else(|| CommandError::Instance {
-        what: target.instance.clone(),
+        target: target.instance.clone(),
         cause: "the platform lists no such instance".to_owned(),
     })?;
     cluster::call(&member.address, DRAIN_PATH, Method::POST).await?;
