--- a/crates/sedgewall/src/apply.rs
+++ b/crates/sedgewall/src/apply.rs
@@ -139,7 +139,7 @@
     head: &ConfigHead,
     current: Option<&StoredHead>,
 ) -> Result<(), CommandError> {
-    let expected = current.map(|stored| stored.object);
+    let expected = current.map(|stored| stored.object_version);
     let value = serde_json::to_vec(head)
         .map_err(|err| CommandError::Output(err.to_string()))?;
     for _ in 0..MAX_WRITE_ATTEMPTS {
--- a/crates/sedgewall/src/store.rs
+++ b/crates/sedgewall/src/store.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct StoredHead {
     pub(crate) head: ConfigHead,
-    pub(crate) object: ObjectVersion,
+    pub(crate) object_version: ObjectVersion,
 }
 
 /// Returns a client of the platform.
@@ -43,7 +43,7 @@
     };
     let head = serde_json::from_slice(&object.value)
         .map_err(|err| PlatformError::Unreadable(err.to_string()))?;
-    Ok(Some(StoredHead { head, object: object.version }))
+    Ok(Some(StoredHead { head, object_version: object.version }))
 }
 
 /// Reads the whole configuration of a head.
