--- a/crates/sedgewall/src/files.rs
+++ b/crates/sedgewall/src/files.rs
@@ -12,7 +12,7 @@
 };
 
 #[derive(Serialize)]
-struct Checked {
+struct CheckReport {
     is_sound: bool,
     adapters_len: usize,
     faults: Vec<FileFault>,
@@ -24,7 +24,7 @@
     format: Format,
 ) -> Result<(), CommandError> {
     match (read(files), format) {
-        (Ok(config), Format::Json) => output::json(&Checked {
+        (Ok(config), Format::Json) => output::json(&CheckReport {
             is_sound: true,
             adapters_len: config.adapters.len(),
             faults: Vec::new(),
@@ -36,7 +36,7 @@
             config.endpoint_groups.len()
         )),
         (Err(CommandError::Files(err)), Format::Json) => {
-            output::json(&Checked {
+            output::json(&CheckReport {
                 is_sound: false,
                 adapters_len: 0,
                 faults: err.faults.clone(),
