--- a/crates/sedgewall/src/apply.rs
+++ b/crates/sedgewall/src/apply.rs
@@ -33,7 +33,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Serialize)]
-struct Applied {
+struct ApplyReport {
     version: ConfigVersion,
     is_new: bool,
     chunks_written: usize,
@@ -55,7 +55,7 @@
     let nonce = rand::random();
     let head = chunked.head(last + 1, &apply.operator, nonce);
     let is_new = !current.as_ref().is_some_and(|s| is_same(&s.head, &head));
-    let mut applied = Applied {
+    let mut applied = ApplyReport {
         version: last,
         is_new,
         chunks_written: 0,
@@ -103,7 +103,7 @@
     platform: &PlatformClient,
     chunked: &ChunkedConfig,
     current: Option<&StoredHead>,
-    applied: &mut Applied,
+    applied: &mut ApplyReport,
 ) -> Result<(), CommandError> {
     for chunk in chunked.chunks() {
         let is_stored = current
@@ -206,7 +206,7 @@
     }
 }
 
-fn print(applied: &Applied, format: Format) -> Result<(), CommandError> {
+fn print(applied: &ApplyReport, format: Format) -> Result<(), CommandError> {
     if format == Format::Json {
         return output::json(applied);
     }
