--- a/crates/sedgewall/src/views.rs
+++ b/crates/sedgewall/src/views.rs
@@ -103,16 +103,16 @@
     args: &Args,
     filter: &Filter,
 ) -> Result<(), CommandError> {
-    let mut lines = Vec::new();
+    let mut timelines = Vec::new();
     for member in cluster::members(args).await? {
         let events: Result<Vec<Event>, _> =
             cluster::get(&member.address, TIMELINE_PATH).await;
         match events {
-            Ok(events) => lines.push(events),
+            Ok(events) => timelines.push(events),
             Err(err) => eprintln!("sedgewall: {}: {err}", member.name),
         }
     }
-    let events: Vec<Event> = merge(lines)
+    let events: Vec<Event> = merge(timelines)
         .into_iter()
         .filter(|event| is_shown(filter, event))
         .collect();
