--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -129,7 +129,7 @@
         mut request: Request<Full<Bytes>>,
         connect_within: Duration,
     ) -> Result<PooledResponse, SendError> {
-        while let Some(connection) = self.take(address) {
+        while let Some(connection) = self.take_idle(address) {
             match self.send_on(address, connection, request).await {
                 Ok(answer) => return Ok(answer),
                 Err(SendFailure::Unsent(back)) => request = *back,
@@ -172,7 +172,7 @@
         }
     }
 
-    fn take(&self, address: SocketAddr) -> Option<Connection> {
+    fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let idle_connections = idle.get_mut(&address)?;
         let now = Instant::now();
