--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -136,7 +136,7 @@
                 Err(SendFailure::Failed(err)) => return Err(err),
             }
         }
-        let connection = self.open(address, connect_within).await?;
+        let connection = self.connect(address, connect_within).await?;
         match self.send_on(address, connection, request).await {
             Ok(answer) => Ok(answer),
             Err(SendFailure::Unsent(_)) => {
@@ -183,7 +183,7 @@
         Some(idle_connections.remove(idx))
     }
 
-    async fn open(
+    async fn connect(
         &self,
         address: SocketAddr,
         within: Duration,
