--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -345,14 +345,14 @@
                     return Some(Err(SendError::Broken(err.to_string())));
                 }
                 None => {
-                    self.give_back();
+                    self.return_to_pool();
                     return None;
                 }
             }
         }
     }
 
-    fn give_back(&mut self) {
+    fn return_to_pool(&mut self) {
         let Some((address, connection)) = self.connection.take() else {
             return;
         };
