--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -113,7 +113,7 @@
     }
 
     /// Closes the resting connections to an address.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
 
