--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,10 +1,10 @@
-//! Sockets: HTTP towards callers, endpoints, operators and the platform, and
-//! `nng` between instances.
+//! Network transport: HTTP to callers, endpoints, operators and the platform,
+//! and `nng` links between instances.
 //!
-//! This crate moves bytes and typed messages and tells precisely how a call
-//! failed; it retries nothing. Everything runs on the one compio loop of the
-//! process, apart from nng's own threads, which hand over to the loop through
-//! a channel.
+//! The crate sends and receives bytes and typed messages, and its errors say
+//! whether a failed call can have taken effect; it retries no call. Everything
+//! runs on the process's single compio event loop, apart from nng's own
+//! threads, which pass messages to the event loop through a channel.
 
 pub mod body;
 pub mod client;
