--- a/crates/transport/src/body.rs
+++ b/crates/transport/src/body.rs
@@ -1,4 +1,4 @@
-//! A response body that need not leave its thread.
+//! A response body that does not have to be `Send`.
 
 use std::{
     pin::Pin,
@@ -9,31 +9,33 @@
 use futures_util::Stream;
 use hyper::body::{Body, Frame, SizeHint};
 
-/// The chunks of a streamed body. An error cuts the connection, which tells
-/// the reader that the body is not whole.
+/// The chunks of a streamed body.
+///
+/// An error closes the connection before the end of the body, which tells the
+/// reader that the body is incomplete.
 pub type ChunkStream =
     Pin<Box<dyn Stream<Item = Result<Bytes, std::io::Error>>>>;
 
-/// A body that is whole, or comes in chunks.
+/// A response body, either complete in memory or streamed in chunks.
 pub enum LocalBody {
-    /// All bytes at once.
+    /// The complete body; `None` once it was sent, or if it is empty.
     Full(Option<Bytes>),
-    /// Chunks as they come.
+    /// Chunks, sent as the stream yields them.
     Chunks(ChunkStream),
 }
 
 impl LocalBody {
-    /// Returns a body of these bytes.
+    /// Returns a body that consists of `bytes`.
     pub fn full(bytes: impl Into<Bytes>) -> LocalBody {
         LocalBody::Full(Some(bytes.into()))
     }
 
-    /// Returns a body without bytes.
+    /// Returns an empty body.
     pub fn empty() -> LocalBody {
         LocalBody::Full(None)
     }
 
-    /// Returns a body of the chunks of a stream.
+    /// Returns a body that sends the chunks of `stream`.
     pub fn chunks(
         stream: impl Stream<Item = Result<Bytes, std::io::Error>> + 'static,
     ) -> LocalBody {
