--- a/crates/transport/src/engine_client.rs
+++ b/crates/transport/src/engine_client.rs
@@ -1,4 +1,4 @@
-//! Orders to engines and reports from them.
+//! The client of an engine's HTTP interface: orders and reports.
 
 use std::time::Duration;
 
@@ -9,36 +9,37 @@
 
 use crate::client::{Call, CallError, HttpClient};
 
-/// What became of an order.
+/// The outcome of an order to load or unload an adapter.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OrderAnswer {
-    /// It was carried out.
+    /// The engine carried out the order.
     Done,
-    /// The engine did not carry it out.
+    /// The engine did not carry out the order.
     Failed(OrderFailure),
-    /// Nobody knows.
+    /// The call failed or its response could not be decoded, so it is unknown
+    /// whether the engine carried out the order.
     Unclear(CallError),
 }
 
-/// The longest time that a load may take.
+/// The timeout of an order, which is the longest time that a load may take.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The longest time for a report.
+/// The timeout of a request for an engine's report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Speaks the engines' interface.
+/// A client of the engines' HTTP interface.
 #[derive(Clone, Debug)]
 pub struct EngineClient {
     http: HttpClient,
 }
 
 impl EngineClient {
-    /// Returns a client that uses a pool of connections.
+    /// Returns a client that shares the connections of `http`.
     pub fn new(http: HttpClient) -> EngineClient {
         EngineClient { http }
     }
 
-    /// Sends an order and waits until it is carried out.
+    /// Sends an order to an engine and waits for its outcome.
     pub async fn order(&self, address: &str, order: &Order) -> OrderAnswer {
         let body = serde_json::to_vec(order).unwrap_or_default();
         let call =
@@ -60,11 +61,12 @@
         }
     }
 
-    /// Reads an engine's report.
+    /// Requests the report of an engine.
     ///
     /// # Errors
     ///
-    /// When the engine does not answer in time, or not with a report.
+    /// If the engine does not respond in time, or the response is not a
+    /// report.
     pub async fn report(
         &self,
         address: &str,
