--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client, with errors that say whether a call can have taken effect.
+//! An HTTP client whose errors say whether a call can have taken effect.
 
 use std::time::Duration;
 
@@ -23,27 +23,28 @@
 impl std::error::Error for CallError {}
 
 impl CallError {
-    /// Returns whether the call certainly had no effect.
+    /// Returns whether the request was certainly not sent, so that the call
+    /// had no effect.
     pub fn is_not_sent(&self) -> bool {
         matches!(self, CallError::NotSent(_))
     }
 }
 
-/// A call to be sent.
+/// An HTTP request that has not been sent yet.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// The whole URL.
+    /// The absolute URL.
     pub url: String,
-    /// The headers.
+    /// The request headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// The request body; empty for none.
     pub body: Bytes,
 }
 
 impl Call {
-    /// Returns a call without headers and body.
+    /// Returns a call without headers and with an empty body.
     pub fn new(method: Method, url: impl Into<String>) -> Call {
         Call {
             method,
@@ -53,7 +54,8 @@
         }
     }
 
-    /// Adds a header; a value that HTTP forbids is left out.
+    /// Sets a header. A value that is not a valid HTTP header value is
+    /// ignored.
     pub fn header(mut self, name: &'static str, value: &str) -> Call {
         if let Ok(value) = value.parse() {
             self.headers.insert(name, value);
@@ -61,52 +63,53 @@
         self
     }
 
-    /// Sets the body.
+    /// Sets the request body.
     pub fn body(mut self, body: impl Into<Bytes>) -> Call {
         self.body = body.into();
         self
     }
 }
 
-/// A whole answer.
+/// An HTTP response whose body has been read into memory.
 #[derive(Clone, Debug)]
 pub struct BufferedResponse {
-    /// The status.
+    /// The status code.
     pub status: StatusCode,
-    /// The headers.
+    /// The response headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// The complete response body.
     pub body: Bytes,
 }
 
-/// An answer whose body is still to come. Dropping it closes the connection.
+/// An HTTP response whose body has not been read yet. Dropping it closes the
+/// connection.
 pub struct StreamingResponse {
     response: Response,
 }
 
 impl StreamingResponse {
-    /// Returns the status.
+    /// Returns the status code.
     pub fn status(&self) -> StatusCode {
         self.response.status()
     }
 
-    /// Returns the headers.
+    /// Returns the response headers.
     pub fn headers(&self) -> &HeaderMap {
         self.response.headers()
     }
 
-    /// Returns the body's chunks.
+    /// Returns the chunks of the body as they arrive.
     pub fn chunks(self) -> impl Stream<Item = Result<Bytes, CallError>> {
         self.response
             .bytes_stream()
             .map(|item| item.map_err(|err| CallError::Broken(err.to_string())))
     }
 
-    /// Waits for the whole body.
+    /// Reads the body to its end.
     ///
     /// # Errors
     ///
-    /// When the connection fails before the body's end.
+    /// If the connection fails before the end of the body.
     pub async fn collect(self) -> Result<BufferedResponse, CallError> {
         let status = self.response.status();
         let headers = self.response.headers().clone();
@@ -119,7 +122,7 @@
     }
 }
 
-/// A client with a pool of connections.
+/// An HTTP client with a connection pool, which its clones share.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     inner: cyper::Client,
@@ -130,7 +133,7 @@
     ///
     /// # Errors
     ///
-    /// When the HTTP library cannot be set up.
+    /// If the HTTP library cannot be initialised.
     pub fn new() -> Result<HttpClient, CallError> {
         let inner = cyper::Client::builder()
             .no_proxy()
@@ -141,11 +144,12 @@
         Ok(HttpClient { inner })
     }
 
-    /// Sends a call and waits for the head of the answer.
+    /// Sends a call and waits at most `within` for the head of the response.
     ///
     /// # Errors
     ///
-    /// [`CallError::NotSent`] only if no byte can have reached the other side.
+    /// If no response arrives in time or the connection fails. The error is
+    /// [`CallError::NotSent`] only if no byte can have reached the server.
     pub async fn open(
         &self,
         call: Call,
@@ -165,11 +169,12 @@
         }
     }
 
-    /// Sends a call and waits for the whole answer.
+    /// Sends a call and waits at most `within` for the complete response.
     ///
     /// # Errors
     ///
-    /// As [`HttpClient::open`], and when the body breaks off.
+    /// As for [`HttpClient::open`], and if the connection fails before the end
+    /// of the body.
     pub async fn call(
         &self,
         call: Call,
