--- a/crates/transport/src/platform_client.rs
+++ b/crates/transport/src/platform_client.rs
@@ -1,4 +1,4 @@
-//! The platform's object API and instance list.
+//! The client of the platform's object API and instance list.
 
 use std::time::Duration;
 
@@ -26,31 +26,31 @@
 
 impl std::error::Error for PlatformError {}
 
-/// An object's value with its version.
+/// An object of the platform's object API, with its version.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StoredObject {
-    /// The value.
+    /// The content of the object.
     pub value: Vec<u8>,
-    /// The version.
+    /// The version that the platform gave this content.
     pub version: ObjectVersion,
 }
 
-/// What a watch brought.
+/// The outcome of a watch (a long poll).
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum WatchOutcome<T> {
-    /// Something newer than what was known.
+    /// The watched document is newer than the known version; its content.
     Changed(T),
-    /// Nothing changed within the time.
+    /// Nothing changed within the wait time.
     Unchanged,
 }
 
-/// The longest time for one call.
+/// The timeout of a call that is not a watch.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How much longer than asked for a watch may take.
+/// The time that is added to a watch's wait time to form its timeout.
 const WATCH_GRACE: Duration = Duration::from_secs(2);
 
-/// Speaks the platform's interface.
+/// A client of the platform's HTTP interface.
 #[derive(Clone, Debug)]
 pub struct PlatformClient {
     http: HttpClient,
@@ -58,16 +58,17 @@
 }
 
 impl PlatformClient {
-    /// Returns a client of the platform at a URL.
+    /// Returns a client of the platform at `url`.
     pub fn new(http: HttpClient, url: &str) -> PlatformClient {
         PlatformClient { http, url: url.trim_end_matches('/').to_owned() }
     }
 
-    /// Reads an object; none if it does not exist.
+    /// Reads an object. Returns `None` if the object does not exist.
     ///
     /// # Errors
     ///
-    /// When the platform does not answer as it should.
+    /// If the platform cannot be reached, responds with an unexpected status,
+    /// or its response cannot be decoded.
     pub async fn get(
         &self,
         key: &str,
@@ -81,11 +82,14 @@
         }
     }
 
-    /// Waits until an object is newer than a known version.
+    /// Waits at most `wait` until an object is newer than the `known` version.
+    ///
+    /// An object that does not exist is reported as unchanged.
     ///
     /// # Errors
     ///
-    /// When the platform does not answer as it should.
+    /// If the platform cannot be reached, responds with an unexpected status,
+    /// or its response cannot be decoded.
     pub async fn watch(
         &self,
         key: &str,
@@ -107,8 +111,11 @@
         }
     }
 
-    /// Writes an object if its version is still the expected one, or if it
-    /// does not exist and none is expected.
+    /// Writes an object if its version is still `expected`, or, if `expected`
+    /// is `None`, if the object does not exist.
+    ///
+    /// Returns [`WriteAnswer::Unclear`] if the response was lost or does not
+    /// say whether the object was written.
     pub async fn put(
         &self,
         key: &str,
@@ -133,11 +140,13 @@
         }
     }
 
-    /// Deletes an object, whatever its version.
+    /// Deletes an object unconditionally. Deleting an object that does not
+    /// exist succeeds.
     ///
     /// # Errors
     ///
-    /// When the platform does not answer as it should.
+    /// If the platform cannot be reached, responds with an unexpected status,
+    /// or its response cannot be decoded.
     pub async fn delete(&self, key: &str) -> Result<(), PlatformError> {
         let call = Call::new(Method::DELETE, self.object_url(key));
         let answer = self.send(call, CALL_TIMEOUT).await?;
@@ -147,11 +156,13 @@
         }
     }
 
-    /// Lists the objects under a prefix, one page from a key on.
+    /// Returns the page of the objects under `prefix` that begins at key
+    /// `from`.
     ///
     /// # Errors
     ///
-    /// When the platform does not answer as it should.
+    /// If the platform cannot be reached, responds with an unexpected status,
+    /// or its response cannot be decoded.
     pub async fn list(
         &self,
         prefix: &str,
@@ -164,12 +175,13 @@
         decode_ok(&answer)
     }
 
-    /// Waits until something under a prefix is newer than a revision, and
-    /// lists the first page.
+    /// Waits at most `wait` until an object under `prefix` is newer than
+    /// `revision`, and returns the first page of the list.
     ///
     /// # Errors
     ///
-    /// When the platform does not answer as it should.
+    /// If the platform cannot be reached, responds with an unexpected status,
+    /// or its response cannot be decoded.
     pub async fn watch_list(
         &self,
         prefix: &str,
@@ -180,11 +192,12 @@
         self.watch_document(url, revision, wait).await
     }
 
-    /// Waits until the instance list is newer than a revision.
+    /// Waits at most `wait` until the instance list is newer than `revision`.
     ///
     /// # Errors
     ///
-    /// When the platform does not answer as it should.
+    /// If the platform cannot be reached, responds with an unexpected status,
+    /// or its response cannot be decoded.
     pub async fn watch_instances(
         &self,
         revision: u64,
