--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -1,10 +1,10 @@
 //! A pool of HTTP/1.1 connections to endpoints, by address.
 //!
-//! Unlike a general client, it tells for each request whether it can have
-//! reached the endpoint, and it never sends one twice. The invariant: a
-//! connection goes back to the pool only after a whole answer, and dropping an
-//! answer before its end closes the connection, which tells the endpoint that
-//! nobody waits any more.
+//! Unlike a general-purpose client, the pool reports for each failed request
+//! whether it can have reached the endpoint, and never sends a request twice.
+//! Invariant: a connection returns to the pool only after a complete response.
+//! Dropping a response before its end closes the connection, which tells the
+//! endpoint that the caller no longer waits for the response.
 
 use std::{
     cell::{Cell, RefCell},
@@ -28,15 +28,17 @@
 use sedgewall_clock::Instant;
 use socket2::SockRef;
 
-/// A connection without a stated time to rest is kept this long.
+/// How long an idle connection is kept if the endpoint sent no `Keep-Alive`
+/// timeout.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(20);
 
-/// What is taken off a stated time to rest, so that a request does not cross
-/// the endpoint's close.
+/// Subtracted from the endpoint's `Keep-Alive` timeout, so that a request is
+/// not sent while the endpoint closes the idle connection.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(500);
 
-/// Bytes that are not acknowledged for this long end a connection: a machine
-/// without power says nothing.
+/// How long sent bytes may stay unacknowledged before the kernel closes the
+/// connection. A machine that lost power sends no FIN or RST, so nothing else
+/// would end the connection.
 pub const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Error of sending a request to an endpoint.
@@ -51,7 +53,7 @@
 impl std::error::Error for SendError {}
 
 impl SendError {
-    /// Returns whether the endpoint certainly did not get the request.
+    /// Returns whether the endpoint certainly did not receive the request.
     pub fn is_not_sent(&self) -> bool {
         matches!(self, SendError::NotSent(_))
     }
@@ -59,42 +61,44 @@
 
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    /// Dropping the task closes the socket.
+    /// Drives the connection; dropping the task closes the socket.
     _task: JoinHandle<()>,
     reusable_until: Instant,
 }
 
 type Idle = Rc<RefCell<HashMap<SocketAddr, Vec<Connection>>>>;
 
-/// Whether something listens at an address.
+/// The outcome of a probe of an address.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ProbeOutcome {
-    /// It takes connections.
+    /// A process at the address accepts connections.
     Listens,
-    /// Its machine answers that nothing listens there.
+    /// The machine refused the connection: no process listens at the address.
     Refuses,
-    /// There is no answer, or none that tells.
+    /// The connection timed out or failed in another way, which does not show
+    /// whether a process listens.
     Unknown,
 }
 
-/// A pool of connections.
+/// A pool of HTTP/1.1 connections, which its clones share.
 #[derive(Clone, Default)]
 pub struct EndpointPool {
     idle: Idle,
     opened: Rc<Cell<u64>>,
 }
 
-/// The answer of an endpoint, with its body still to be read.
+/// The response of an endpoint, whose body has not been read yet.
 pub struct PooledResponse {
-    /// The status.
+    /// The status code.
     pub status: StatusCode,
-    /// The headers.
+    /// The response headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// The body, which returns the connection to the pool once it has been
+    /// read to its end.
     pub body: PooledBody,
 }
 
-/// The body of an answer.
+/// The body of a pooled response, read chunk by chunk.
 pub struct PooledBody {
     incoming: Incoming,
     connection: Option<(SocketAddr, Connection)>,
@@ -107,22 +111,25 @@
         EndpointPool::default()
     }
 
-    /// Returns how many connections were opened.
+    /// Returns the number of connections opened since the pool was created.
     pub fn connections_opened(&self) -> u64 {
         self.opened.get()
     }
 
-    /// Closes the resting connections to an address.
+    /// Closes the idle connections to an address.
     pub fn close_idle(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the head of the response.
+    ///
+    /// Uses an idle connection if there is one. A request that such a
+    /// connection hands back unsent goes to the next connection.
     ///
     /// # Errors
     ///
-    /// When no connection can be made within `connect_within`, or the
-    /// connection fails before the head has come.
+    /// If no connection can be made within `connect_within`, or the connection
+    /// fails before the head of the response has been received.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -147,8 +154,8 @@
         }
     }
 
-    /// Sees whether something still listens at an address, by a connection that
-    /// is kept for the next request.
+    /// Probes whether a process listens at an address, by opening a connection
+    /// that stays in the pool for the next request.
     pub async fn probe(
         &self,
         address: SocketAddr,
@@ -209,7 +216,7 @@
             .await?;
         let task = compio::runtime::spawn(async move {
             if let Err(err) = connection.await {
-                debug!("pool: a connection to {address} ended: {err}.");
+                debug!("pool: connection to {address} failed: {err}.");
             }
         });
         self.opened.set(self.opened.get() + 1);
@@ -249,8 +256,11 @@
     Failed(SendError),
 }
 
-/// Makes a silent peer end the connection. A failure to set the option leaves
-/// the connection as it is, which the request's own time bounds.
+/// Sets TCP_NODELAY, and TCP_USER_TIMEOUT, which closes the connection to a
+/// peer that no longer acknowledges data.
+///
+/// If an option cannot be set, the connection is used without it, and the
+/// timeout of each request still bounds the wait.
 pub(crate) fn set_socket_options(stream: &TcpStream) {
     if let Err(err) = stream.set_nodelay(true) {
         debug!("pool: cannot set TCP_NODELAY: {err}.");
@@ -261,8 +271,9 @@
     }
 }
 
-/// Notes how long the endpoint lets the connection rest. The task goes on
-/// either way until the body has been read.
+/// Records until when the connection may be reused, from the endpoint's
+/// `Keep-Alive` header. The connection's task runs on in any case until the
+/// body has been read.
 fn with_keep_alive(
     mut connection: Connection,
     headers: &HeaderMap,
@@ -275,7 +286,7 @@
     Some(connection)
 }
 
-/// Reads `Keep-Alive: timeout=N`.
+/// Returns the timeout of a `Keep-Alive: timeout=N` header.
 fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = value
@@ -292,17 +303,17 @@
 }
 
 impl PooledResponse {
-    /// Closes the connection instead of keeping it, because what comes on it
-    /// cannot be trusted.
+    /// Closes the connection instead of returning it to the pool, because the
+    /// data that it delivers cannot be trusted.
     pub fn discard_connection(&mut self) {
         self.body.connection = None;
     }
 
-    /// Reads the whole body.
+    /// Reads the body to its end and returns it.
     ///
     /// # Errors
     ///
-    /// When the connection fails before the end.
+    /// If the connection fails before the end of the body.
     pub async fn collect(mut self) -> Result<Bytes, SendError> {
         let mut parts: Vec<Bytes> = Vec::new();
         self.apply_connection_header();
@@ -316,7 +327,8 @@
         })
     }
 
-    /// Gives up the connection after this answer if the endpoint says so.
+    /// Keeps the connection out of the pool after this response if the
+    /// endpoint sent `Connection: close`.
     pub fn apply_connection_header(&mut self) {
         if requests_close(&self.headers)
             && let Some((_, connection)) = &mut self.body.connection
@@ -327,11 +339,11 @@
 }
 
 impl PooledBody {
-    /// Returns the next bytes, or nothing after the end of the body.
+    /// Returns the next chunk of the body, or `None` after its end.
     ///
     /// # Errors
     ///
-    /// When the connection fails before the end.
+    /// If the connection fails before the end of the body.
     pub async fn next(&mut self) -> Option<Result<Bytes, SendError>> {
         loop {
             match self.incoming.frame().await {
