--- a/crates/transport/src/peer.rs
+++ b/crates/transport/src/peer.rs
@@ -1,10 +1,11 @@
 //! Links between instances, over `nng`.
 //!
 //! Each instance listens on one `pull` socket and dials one `push` socket to
-//! each peer that it talks to. nng has threads of its own; they hand each
-//! message to the loop through a bounded channel and do nothing else. A full
-//! buffer on either side drops the message and counts it: messages between
-//! instances may be lost, and the protocol repairs that.
+//! each peer that it sends messages to. nng runs threads of its own, which
+//! only pass each received message to the event loop through a bounded
+//! channel. If the buffer of either side is full, the message is dropped and
+//! counted: messages between instances may be lost, and the protocol recovers
+//! from that.
 
 use std::{
     collections::HashMap,
@@ -26,36 +27,40 @@
 };
 use sedgewall_protocol::Envelope;
 
-/// Messages that wait for the loop before more are dropped.
+/// The number of received messages that may wait for the event loop; messages
+/// beyond it are dropped.
 const RECEIVE_QUEUE_LEN: usize = 16_384;
 
-/// Messages that wait for one peer before more are dropped.
+/// The number of messages that may wait to be sent to one peer; messages
+/// beyond it are dropped.
 const SEND_QUEUE_LEN: i32 = 4_096;
 
-/// Messages that nng buffers before the loop's channel.
+/// The number of received messages that nng buffers ahead of the channel to
+/// the event loop.
 const RECEIVE_BUFFER_LEN: i32 = 4_096;
 
-/// The largest message, in bytes: a configuration chunk and some.
+/// The largest message that is accepted, in bytes: room for a configuration
+/// chunk and its envelope.
 const MAX_MESSAGE_LEN: usize = 4 << 20;
 
 const RECONNECT_MIN: Duration = Duration::from_millis(50);
 const RECONNECT_MAX: Duration = Duration::from_millis(500);
 
-/// Error of a link.
+/// Error of a link between instances.
 #[derive(Clone, Debug, displaydoc::Display, Eq, PartialEq)]
 pub enum PeerError {
     /// cannot listen at {url}: {cause}
     Listen {
-        /// The address.
+        /// The URL of the link.
         url: String,
-        /// The cause.
+        /// The error that nng returned.
         cause: String,
     },
     /// cannot dial {url}: {cause}
     Dial {
-        /// The address.
+        /// The URL of the link.
         url: String,
-        /// The cause.
+        /// The error that nng returned.
         cause: String,
     },
     /// too many messages wait for {0}
@@ -66,11 +71,11 @@
 
 impl std::error::Error for PeerError {}
 
-/// Receives messages from all peers.
+/// The receiving side of the links from all peers.
 pub struct PeerListener {
     messages: mpsc::Receiver<Vec<u8>>,
     dropped: Arc<AtomicU64>,
-    // Closing the socket stops nng's callbacks.
+    // Held because dropping the socket closes it, which stops nng's callbacks.
     _socket: Socket,
     _aio: Aio,
 }
@@ -80,7 +85,7 @@
     ///
     /// # Errors
     ///
-    /// When the address cannot be bound.
+    /// If the address cannot be bound.
     pub fn listen(url: &str) -> Result<PeerListener, PeerError> {
         let err = |cause: nng::Error| PeerError::Listen {
             url: url.to_owned(),
@@ -98,19 +103,21 @@
         Ok(PeerListener { messages, dropped, _socket: socket, _aio: aio })
     }
 
-    /// Waits for the next message; a message that cannot be read is skipped.
+    /// Waits for the next message. A message that cannot be decoded is logged
+    /// and skipped.
     pub async fn next(&mut self) -> Option<Envelope> {
         use futures_util::StreamExt;
         loop {
             let bytes = self.messages.next().await?;
             match Envelope::from_bytes(&bytes) {
                 Ok(envelope) => return Some(envelope),
-                Err(err) => warn!("peer: {err}."),
+                Err(err) => warn!("peer: skipped a message: {err}."),
             }
         }
     }
 
-    /// Returns a message that is there already.
+    /// Returns the next message if one has been received already. A message
+    /// that cannot be decoded is skipped.
     pub fn try_next(&mut self) -> Option<Envelope> {
         loop {
             let bytes = self.messages.try_recv().ok()?;
@@ -120,7 +127,8 @@
         }
     }
 
-    /// Returns how many messages were dropped because the loop fell behind.
+    /// Returns the number of messages that were dropped because the event loop
+    /// fell behind.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
@@ -148,7 +156,7 @@
     })
 }
 
-/// Sends messages to peers, by URL.
+/// The sending side of the links to peers, with one socket for each URL.
 #[derive(Default)]
 pub struct PeerSender {
     links: HashMap<String, Socket>,
@@ -158,12 +166,13 @@
 }
 
 impl PeerSender {
-    /// Queues a message for a peer and returns at once.
+    /// Queues a message for a peer without waiting. Dials the peer first if
+    /// there is no link to it yet.
     ///
     /// # Errors
     ///
-    /// When the address is malformed or too many messages wait; the message is
-    /// dropped then.
+    /// If the message cannot be encoded, the URL is malformed, or too many
+    /// messages wait for the peer. The message is dropped in each case.
     pub fn send(
         &mut self,
         url: &str,
@@ -183,22 +192,23 @@
         Ok(())
     }
 
-    /// Closes the links to all peers but these.
+    /// Closes the links to all peers except those whose URL `is_kept` accepts.
     pub fn retain(&mut self, is_kept: impl Fn(&str) -> bool) {
         self.links.retain(|url, _| is_kept(url));
     }
 
-    /// Returns the number of messages that were queued.
+    /// Returns the number of messages that were queued for sending.
     pub fn sent(&self) -> u64 {
         self.sent
     }
 
-    /// Returns the bytes of the messages that were queued.
+    /// Returns the total length of the messages that were queued, in bytes.
     pub fn sent_bytes(&self) -> u64 {
         self.sent_bytes
     }
 
-    /// Returns the number of messages that were dropped.
+    /// Returns the number of messages that were dropped because a peer's queue
+    /// was full.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
