--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -1,8 +1,9 @@
-//! The HTTP server that callers, operators and metrics readers meet.
+//! The HTTP server for callers, operators and metrics scrapers.
 //!
-//! It bounds connections and the time for headers; the handler bounds the
-//! rest. When a reader goes away, hyper drops the handler's future or the
-//! body's stream, and their destructors cancel what they stood for.
+//! The server limits the number of connections and the time to receive a
+//! request's headers; all other limits are the handler's. When a client
+//! disconnects, hyper drops the handler's future or the body's stream, and
+//! their destructors cancel the work done for the request.
 
 use std::{
     cell::Cell,
@@ -25,18 +26,19 @@
 
 use crate::{body::LocalBody, pool::set_socket_options};
 
-/// The answer that a handler is working on.
+/// The future of a handler's response to one request.
 pub type ResponseFuture = Pin<Box<dyn Future<Output = Response<LocalBody>>>>;
 
-/// What answers requests.
+/// A function that handles requests.
 pub type Handler = Rc<dyn Fn(Request<Incoming>) -> ResponseFuture>;
 
-/// What bounds a server.
+/// The limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
-    /// Connections at once; one more is closed.
+    /// The number of connections open at once; a connection beyond it is
+    /// closed when it is accepted.
     pub connections: usize,
-    /// The longest time for a request's headers.
+    /// The time within which the headers of a request must be received.
     pub header_timeout: Duration,
 }
 
@@ -53,20 +55,21 @@
 
 impl std::error::Error for BodyError {}
 
-/// How long to wait after an accept failed, for lack of descriptors mostly.
+/// The delay before the next accept after one failed, which mostly happens
+/// when the process has no file descriptors left.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Tells a server to stop.
+/// A future that completes when the server is to stop.
 pub type Stop = Shared<oneshot::Receiver<()>>;
 
-/// Returns what tells a server to stop, and what it listens to. Dropping the
-/// sender stops the server too.
+/// Returns a sender that tells servers to stop, and the future that they wait
+/// for. Dropping the sender stops the servers too.
 pub fn stop_signal() -> (oneshot::Sender<()>, Stop) {
     let (tx, rx) = oneshot::channel();
     (tx, rx.shared())
 }
 
-/// Accepts connections for ever.
+/// Serves connections without ever stopping.
 pub async fn serve(
     listener: TcpListener,
     limits: ServerLimits,
@@ -76,9 +79,11 @@
     serve_until(listener, limits, handler, stop).await;
 }
 
-/// Accepts connections until it is told to stop. Then it accepts no more, and
-/// each connection is closed as soon as its request has been answered; a
-/// request that was read is never left without its answer.
+/// Serves connections until `stop` completes.
+///
+/// The server then accepts no more connections and closes each open connection
+/// once its current request has been answered. A request that was read always
+/// receives its response.
 pub async fn serve_until(
     listener: TcpListener,
     limits: ServerLimits,
@@ -91,8 +96,8 @@
         let mut accept = Box::pin(listener.accept()).fuse();
         let accepted = select! {
             accepted = accept => accepted,
-            // Dropping the listener turns away who still comes, instead of
-            // taking requests that cannot be finished.
+            // Dropping the listener refuses new connections instead of
+            // accepting requests that cannot be finished.
             _ = stopped => return,
         };
         drop(accept);
@@ -105,7 +110,7 @@
             }
         };
         if open.get() >= limits.connections {
-            debug!("http: too many connections, one closed.");
+            debug!("http: connection limit reached, closed a new connection.");
             continue;
         }
         open.set(open.get() + 1);
@@ -126,8 +131,9 @@
     handler: Handler,
     mut stop: Stop,
 ) {
-    // Tokens are small and must not wait for each other, and a caller that
-    // lost power says nothing.
+    // TCP_NODELAY, because streamed tokens are small and must not be delayed
+    // to be sent together; TCP_USER_TIMEOUT, because a caller's machine that
+    // lost power does not close its connection.
     set_socket_options(&stream);
     let service = service_fn(move |request| {
         let answer = handler(request);
@@ -151,11 +157,11 @@
         }
     };
     if let Err(err) = served {
-        debug!("http: a connection ended: {err}.");
+        debug!("http: connection failed: {err}.");
     }
 }
 
-/// Counts a connection out when it is dropped.
+/// Decrements the number of open connections when dropped.
 struct ConnectionGuard(Rc<Cell<usize>>);
 
 impl Drop for ConnectionGuard {
@@ -164,11 +170,12 @@
     }
 }
 
-/// Reads a whole body of at most `max_len` bytes.
+/// Reads a request's body of at most `max_len` bytes to its end.
 ///
 /// # Errors
 ///
-/// When it is longer, takes longer than `within`, or the sender goes away.
+/// If the body is longer than `max_len`, is not complete within `within`, or
+/// the client disconnects.
 pub async fn read_body(
     body: Incoming,
     max_len: usize,
