--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -37,8 +37,7 @@
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(500);
 
 /// How long sent bytes may stay unacknowledged before the kernel closes the
-/// connection. A machine that lost power sends no FIN or RST, so nothing else
-/// would end the connection.
+/// connection: a machine that lost power does not close it.
 pub const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Error of sending a request to an endpoint.
