--- a/crates/sedgewall/src/main.rs
+++ b/crates/sedgewall/src/main.rs
@@ -1,8 +1,9 @@
 //! `sedgewall`: the operators' command line.
 //!
-//! Operators drive sedgewall by editing files and applying them as a whole.
-//! The command line talks to the platform's object API for configuration, and
-//! to the instances' operator ports for what happens now.
+//! Operators configure sedgewall by editing files and applying all of them as
+//! one version. The commands read and write the configuration through the
+//! platform's object API, and read the current state from the instances'
+//! operator ports.
 
 mod apply;
 mod args;
@@ -28,7 +29,7 @@
     let runtime = match compio::runtime::Runtime::new() {
         Ok(runtime) => runtime,
         Err(err) => {
-            eprintln!("sedgewall: cannot start: {err}");
+            eprintln!("sedgewall: cannot start the async runtime: {err}");
             return ExitCode::from(error::EXIT_FAILED);
         }
     };
