--- a/crates/sedgewall/src/args.rs
+++ b/crates/sedgewall/src/args.rs
@@ -1,24 +1,25 @@
-//! Arguments of the command line.
+//! The command-line arguments.
 
 use std::path::PathBuf;
 
 use clap::{Args as ClapArgs, CommandFactory, Parser, Subcommand, ValueEnum};
 use clap_complete::Shell;
 
-/// How results are printed.
+/// The format in which results are printed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, ValueEnum)]
 pub(crate) enum Format {
-    /// For people.
+    /// Text for people to read.
     Text,
-    /// For programs.
+    /// JSON for programs.
     Json,
 }
 
-/// Drives sedgewall: applies files, shows what is in force and what happens.
+/// Operates sedgewall: applies configuration files, and shows the
+/// configuration in force and the state of the instances.
 #[derive(Debug, Parser)]
 #[command(version, after_help = EXAMPLES)]
 pub(crate) struct Args {
-    /// The platform, such as http://127.0.0.1:7000.
+    /// The URL of the platform, such as http://127.0.0.1:7000.
     #[arg(
         long,
         global = true,
@@ -26,12 +27,12 @@
         default_value = "http://127.0.0.1:7000"
     )]
     pub(crate) platform: String,
-    /// An instance's operator address; may be given more than once. Without
-    /// it, all instances of the platform's list are asked.
+    /// The operator address of an instance; may be given more than once.
+    /// Without it, all live instances of the platform's list are queried.
     #[arg(long = "instance", global = true, env = "SEDGEWALL_INSTANCES")]
     #[arg(value_delimiter = ',')]
     pub(crate) instances: Vec<String>,
-    /// How results are printed.
+    /// The format in which results are printed.
     #[arg(long, global = true, value_enum, default_value = "text")]
     pub(crate) output: Format,
     #[command(subcommand)]
@@ -49,47 +50,47 @@
 
 Exit codes:
   0  done
-  1  the platform or an instance did not do what was asked
-  2  a file or an argument is at fault
-  3  another operator applied first; nothing was written
+  1  the platform or an instance did not carry out the request
+  2  a file or an argument is invalid
+  3  another operator applied first; nothing was put in force
   4  accepted, but not yet in force everywhere
   5  diff found differences";
 
-/// What to do.
+/// The command to run.
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
-    /// Checks files and reports every fault, without asking the platform.
+    /// Validates files and reports every error, without calling the platform.
     Check(Files),
-    /// Puts files in force, as a whole and as a new version.
+    /// Puts files in force together, as one new version.
     Apply(Apply),
     /// Shows how files differ from the configuration in force.
     Diff(Files),
-    /// Prints the configuration in force, as a file.
+    /// Prints the configuration in force, in the format of a file.
     Get,
-    /// Shows all instances, leaders and engines.
+    /// Shows the status of all instances, leaders and engines.
     Status,
-    /// Shows what happened, over all instances, causes first.
+    /// Shows the events of all instances, causes before their effects.
     Timeline(Filter),
-    /// Says why an adapter is where it is.
+    /// Explains an adapter's placement, or lists the events of a request.
     Explain(ExplainTarget),
     /// Tells an instance to finish its requests and stop.
     Drain(DrainTarget),
     /// Prints a completion script for a shell.
     Completions {
-        /// The shell.
+        /// The shell that the script is for.
         shell: Shell,
     },
 }
 
-/// Files to read as one configuration.
+/// The files that are read together as one configuration.
 #[derive(ClapArgs, Clone, Debug)]
 pub(crate) struct Files {
-    /// Files, or folders whose .yaml files are read.
+    /// Files, or directories whose .yaml files are read.
     #[arg(required = true)]
     pub(crate) paths: Vec<PathBuf>,
 }
 
-/// How to apply.
+/// The arguments of `apply`.
 #[derive(ClapArgs, Clone, Debug)]
 pub(crate) struct Apply {
     #[command(flatten)]
@@ -97,52 +98,52 @@
     /// Waits until the new version is in force on every live instance.
     #[arg(long)]
     pub(crate) wait: bool,
-    /// How long to wait, in seconds.
+    /// The timeout of --wait, in seconds.
     #[arg(long, default_value_t = 10)]
     pub(crate) wait_s: u64,
-    /// Applies only if this version is in force; 0 means none.
+    /// Applies only if this version is in force; 0 if no version is.
     #[arg(long)]
     pub(crate) base_version: Option<u64>,
-    /// Your name, as it is kept with the version.
+    /// Your name, which is stored with the version.
     #[arg(long = "as", env = "USER", default_value = "operator")]
     pub(crate) operator: String,
 }
 
-/// Which events to show.
+/// The filter of the events that `timeline` shows.
 #[derive(ClapArgs, Clone, Debug)]
 pub(crate) struct Filter {
-    /// Only those of a request, by its id.
+    /// Only events of a request, by its id.
     #[arg(long)]
     pub(crate) request: Option<String>,
-    /// Only those of an adapter, version or shard.
+    /// Only events of an adapter, version or shard.
     #[arg(long)]
     pub(crate) subject: Option<String>,
-    /// Only those of an endpoint.
+    /// Only events of an endpoint.
     #[arg(long)]
     pub(crate) endpoint: Option<String>,
-    /// Only those of a kind, such as `load` or `lease`.
+    /// Only events of a kind, such as `load` or `lease`.
     #[arg(long)]
     pub(crate) kind: Option<String>,
-    /// Only those of the last seconds.
+    /// Only events of the last given number of seconds.
     #[arg(long)]
     pub(crate) last_s: Option<u64>,
 }
 
-/// What to explain.
+/// The subject that `explain` explains.
 #[derive(ClapArgs, Clone, Debug)]
 pub(crate) struct ExplainTarget {
     /// An adapter and its version, such as lineup-0042@3, or a request's id.
     pub(crate) what: String,
 }
 
-/// An instance.
+/// The instance that `drain` stops.
 #[derive(ClapArgs, Clone, Debug)]
 pub(crate) struct DrainTarget {
     /// The instance's name.
     pub(crate) instance: String,
 }
 
-/// Prints a completion script.
+/// Writes a completion script for `shell` to the standard output.
 pub(crate) fn print_completions(shell: Shell) {
     let mut command = Args::command();
     clap_complete::generate(
