--- a/crates/sedgewall/src/cluster.rs
+++ b/crates/sedgewall/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Asks all instances.
+//! Queries of the instances' operator ports.
 
 use std::time::Duration;
 
@@ -14,24 +14,25 @@
 
 use crate::{args::Args, error::CommandError, store};
 
-/// How long an instance may take to answer.
+/// The timeout of one call to an instance.
 const INSTANCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An instance and where operators reach it.
+/// An instance and the address of its operator port.
 #[derive(Clone, Debug)]
 pub(crate) struct Member {
     pub(crate) name: String,
     pub(crate) address: String,
 }
 
-/// An instance with its status, if it answered.
+/// An instance and its status, which is `None` if the instance did not answer.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberStatus {
     pub(crate) name: String,
     pub(crate) status: Option<InstanceStatus>,
 }
 
-/// Returns all instances: those named by arguments, or the platform's list.
+/// Returns the instances given as arguments, or else all live instances of the
+/// platform's list.
 pub(crate) async fn members(args: &Args) -> Result<Vec<Member>, CommandError> {
     if !args.instances.is_empty() {
         let named = args.instances.iter().map(|address| Member {
@@ -55,7 +56,7 @@
     Ok(members.collect())
 }
 
-/// Asks all instances for their status, at once.
+/// Requests the status of all instances concurrently.
 pub(crate) async fn statuses(
     args: &Args,
 ) -> Result<Vec<MemberStatus>, CommandError> {
@@ -67,7 +68,7 @@
     Ok(futures_util::future::join_all(asked).await)
 }
 
-/// Asks one instance for a JSON document.
+/// Requests a JSON document from the instance at `address`.
 pub(crate) async fn get<T: DeserializeOwned>(
     address: &str,
     path: &str,
@@ -79,7 +80,8 @@
     })
 }
 
-/// Calls one instance.
+/// Sends a request without a body to the instance at `address`. A status other
+/// than 200 or 202 is an error.
 pub(crate) async fn call(
     address: &str,
     path: &str,
