--- a/crates/sedgewall/src/difference.rs
+++ b/crates/sedgewall/src/difference.rs
@@ -1,4 +1,4 @@
-//! `sedgewall diff`: how two configurations differ.
+//! `sedgewall diff`: the differences between two configurations.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,7 +12,7 @@
     files, output, store,
 };
 
-/// How one item differs.
+/// The kind of difference of one item.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Change {
@@ -21,11 +21,11 @@
     Changed,
 }
 
-/// One item that differs.
+/// One item that differs between two configurations.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Difference {
     pub(crate) change: Change,
-    /// Such as `adapters.lineup-0042`.
+    /// The section and name of the item, such as `adapters.lineup-0042`.
     pub(crate) item: String,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(crate) before: Option<Value>,
@@ -33,10 +33,11 @@
     pub(crate) after: Option<Value>,
 }
 
-/// Lines that are printed for people before the rest is counted.
+/// The number of differences printed as text; the rest is only counted.
 const MAX_PRINTED_DIFFERENCES: usize = 50;
 
-/// Compares files with the configuration in force.
+/// Compares files with the configuration in force, and returns
+/// [`CommandError::Differs`] if they differ.
 pub(crate) async fn run(
     args: &Args,
     paths: &Files,
@@ -55,7 +56,7 @@
     Err(CommandError::Differs)
 }
 
-/// Returns all items that differ, in the order of their names.
+/// Returns all items that differ, sorted by name.
 pub(crate) fn between(before: &Config, after: &Config) -> Vec<Difference> {
     let before = items(before);
     let after = items(after);
@@ -80,7 +81,8 @@
         .collect()
 }
 
-/// Prints differences.
+/// Prints differences, as text only the first
+/// [`MAX_PRINTED_DIFFERENCES`].
 pub(crate) fn print(
     differences: &[Difference],
     format: Format,
@@ -110,7 +112,9 @@
     }
     if differences.len() > MAX_PRINTED_DIFFERENCES {
         let more = differences.len() - MAX_PRINTED_DIFFERENCES;
-        output::line(&format!("and {more} more; see --output json"))?;
+        output::line(&format!(
+            "{more} more not shown; use --output json for all"
+        ))?;
     }
     if differences.is_empty() {
         output::line("no differences")?;
@@ -118,7 +122,8 @@
     Ok(())
 }
 
-/// All items of a configuration by name.
+/// Returns all items of a configuration by section and name. Items of a list
+/// that have no name go by their index.
 fn items(config: &Config) -> BTreeMap<String, Value> {
     let mut items = BTreeMap::new();
     let Ok(Value::Object(sections)) = serde_json::to_value(config) else {
