--- a/crates/sedgewall/src/files.rs
+++ b/crates/sedgewall/src/files.rs
@@ -1,4 +1,4 @@
-//! `sedgewall check`, and the reading of files for other commands.
+//! `sedgewall check`, and reading configuration files for other commands.
 
 use sedgewall_coordination::config_version::ChunkedConfig;
 use sedgewall_protocol::file::{self, FileFault};
@@ -18,7 +18,7 @@
     faults: Vec<FileFault>,
 }
 
-/// Checks files and prints every fault.
+/// Validates files and prints every error.
 pub(crate) fn check(
     files: &Files,
     format: Format,
@@ -30,7 +30,7 @@
             faults: Vec::new(),
         }),
         (Ok(config), Format::Text) => output::line(&format!(
-            "sound: {} base models, {} adapters, {} endpoint groups",
+            "valid: {} base models, {} adapters, {} endpoint groups",
             config.base_models.len(),
             config.adapters.len(),
             config.endpoint_groups.len()
@@ -47,7 +47,8 @@
     }
 }
 
-/// Reads files as one sound configuration that fits the platform's values.
+/// Reads files as one configuration, and checks that it is valid and fits the
+/// size limits of the platform's objects.
 pub(crate) fn read(files: &Files) -> Result<Config, CommandError> {
     let sources = file::read_paths(&files.paths)?;
     let config = file::parse(&sources)?;
