--- a/crates/sedgewall/src/error.rs
+++ b/crates/sedgewall/src/error.rs
@@ -1,23 +1,25 @@
-//! Errors of commands, and their exit codes.
+//! The errors of commands and their exit codes.
 
 use sedgewall_coordination::config_version::ConfigError;
 use sedgewall_protocol::file::FileError;
 use sedgewall_state::ConfigVersion;
 use sedgewall_transport::{CallError, PlatformError};
 
-/// The platform or an instance did not do what was asked.
+/// Exit code: the platform or an instance did not carry out the request.
 pub(crate) const EXIT_FAILED: u8 = 1;
 
-/// A file is at fault. clap exits with the same code for wrong arguments.
+/// Exit code: a file is invalid. clap exits with the same code for invalid
+/// arguments.
 pub(crate) const EXIT_FILES: u8 = 2;
 
-/// Another operator applied a configuration first.
+/// Exit code: another operator applied a configuration first.
 pub(crate) const EXIT_CONFLICT: u8 = 3;
 
-/// The configuration was accepted but is not yet in force everywhere.
+/// Exit code: the configuration was accepted, but is not yet in force on every
+/// live instance.
 pub(crate) const EXIT_NOT_YET_IN_FORCE: u8 = 4;
 
-/// `diff` found differences.
+/// Exit code: `diff` found differences.
 pub(crate) const EXIT_DIFFERS: u8 = 5;
 
 /// Error of a command.
@@ -33,25 +35,25 @@
     Http(CallError),
     /// {target}: {cause}
     Instance {
-        /// The instance.
+        /// The instance, adapter or address that the command was for.
         target: String,
-        /// The cause.
+        /// Why the command failed.
         cause: String,
     },
-    /// the configuration was changed to version {0} by {1} meanwhile; nothing was written. Run `sedgewall diff` and apply again
+    /// the configuration was changed to version {0} by {1} in the meantime; nothing was put in force. Run `sedgewall diff` and apply again
     VersionConflict(ConfigVersion, String),
-    /// version {version} was accepted, but not yet in force on: {missing}
+    /// version {version} was accepted, but is not yet in force on: {missing}
     NotYetInForce {
-        /// The version.
+        /// The version that was accepted.
         version: ConfigVersion,
-        /// The instances.
+        /// The instances on which it is not in force, separated by commas.
         missing: String,
     },
     /// the files differ from the configuration in force
     Differs,
-    /// no configuration was applied yet
+    /// no configuration has been applied yet
     NoConfig,
-    /// the outcome is unknown, the platform did not answer; run the command again, it is safe
+    /// the outcome is unknown, because the platform did not answer; it is safe to run the command again
     OutcomeUnknown,
     /// cannot write the output: {0}
     Output(String),
