--- a/crates/sedgewall/src/store.rs
+++ b/crates/sedgewall/src/store.rs
@@ -1,4 +1,4 @@
-//! The configuration in the platform's object API.
+//! The configuration as stored in the platform's object API.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -21,20 +21,22 @@
     output,
 };
 
-/// The head in force, with the platform's version of it.
+/// The head of the configuration in force, with the platform's version of the
+/// object that holds it.
 #[derive(Clone, Debug)]
 pub(crate) struct StoredHead {
     pub(crate) head: ConfigHead,
     pub(crate) object_version: ObjectVersion,
 }
 
-/// Returns a client of the platform.
+/// Returns a client of the platform given by the arguments.
 pub(crate) fn platform(args: &Args) -> Result<PlatformClient, CommandError> {
     let http = HttpClient::new().map_err(CommandError::Http)?;
     Ok(PlatformClient::new(http, &args.platform))
 }
 
-/// Reads the head; none before the first apply.
+/// Reads the head of the configuration in force. Returns `None` before the
+/// first apply.
 pub(crate) async fn head(
     platform: &PlatformClient,
 ) -> Result<Option<StoredHead>, CommandError> {
@@ -46,7 +48,7 @@
     Ok(Some(StoredHead { head, object_version: object.version }))
 }
 
-/// Reads the whole configuration of a head.
+/// Reads all chunks of a head and assembles its configuration.
 pub(crate) async fn config(
     platform: &PlatformClient,
     head: &ConfigHead,
@@ -60,8 +62,8 @@
     Ok(assemble(head, &chunks)?)
 }
 
-/// Reads an object; a read that the platform turns down for its rate is tried
-/// again.
+/// Reads an object, and retries if the platform rejects the read because of
+/// its rate limit.
 async fn read(
     platform: &PlatformClient,
     key: &str,
@@ -80,7 +82,7 @@
     }
 }
 
-/// The status of a call beyond the platform's rates (RFC 6585).
+/// The status of a call beyond the platform's rate limits (RFC 6585).
 const TOO_MANY_REQUESTS: u16 = 429;
 
 const MAX_READ_RETRIES: u32 = 5;
