--- a/crates/sedgewall/src/views.rs
+++ b/crates/sedgewall/src/views.rs
@@ -1,4 +1,4 @@
-//! `status`, `timeline`, `explain` and `drain`.
+//! The commands `status`, `timeline`, `explain` and `drain`.
 
 use std::time::SystemTime;
 
@@ -23,7 +23,7 @@
     silent: Vec<String>,
 }
 
-/// Shows all instances, leaders and engines.
+/// Prints the status of all instances, leaders and engines.
 pub(crate) async fn status(args: &Args) -> Result<(), CommandError> {
     let mut found = ClusterStatus { instances: vec![], silent: vec![] };
     for member in cluster::statuses(args).await? {
@@ -98,7 +98,7 @@
     Ok(())
 }
 
-/// Shows what happened, over all instances.
+/// Prints the merged events of all instances, causes before their effects.
 pub(crate) async fn timeline(
     args: &Args,
     filter: &Filter,
@@ -170,7 +170,9 @@
     )
 }
 
-/// Says why an adapter is where it is, or what became of a request.
+/// Prints why an adapter is placed where it is, or the events of a request.
+///
+/// An adapter is given as `name@version`; anything else is a request's id.
 pub(crate) async fn explain(
     args: &Args,
     what: &ExplainTarget,
@@ -195,7 +197,7 @@
     }
     Err(CommandError::Instance {
         target: what.what.clone(),
-        cause: "no instance leads its shard, or there is no such adapter"
+        cause: "no instance leads its shard, or the adapter does not exist"
             .to_owned(),
     })
 }
@@ -236,7 +238,7 @@
     let member = members.iter().find(|member| member.name == target.instance);
     let member = member.ok_or_else(|| CommandError::Instance {
         target: target.instance.clone(),
-        cause: "the platform lists no such instance".to_owned(),
+        cause: "the platform lists no live instance of this name".to_owned(),
     })?;
     cluster::call(&member.address, DRAIN_PATH, Method::POST).await?;
     output::line(&format!("{} is stopping", member.name))
