--- a/crates/sedgewall/src/apply.rs
+++ b/crates/sedgewall/src/apply.rs
@@ -1,9 +1,10 @@
 //! `sedgewall apply`: puts files in force as one new version.
 //!
-//! Chunks are written first; they are named by their content, so writing one
-//! twice is harmless. One conditional update of the head decides. An operator
-//! who loses a race has written nothing that is in force, and is shown the
-//! difference.
+//! The chunks are written first. They are named by the hash of their content,
+//! so writing one twice is harmless. A single conditional update of the head
+//! then puts the version in force. If another operator's update came first,
+//! nothing that this operator wrote is in force, and the differences to the
+//! other version are shown.
 
 use std::time::Duration;
 
@@ -25,7 +26,7 @@
     store::{self, StoredHead},
 };
 
-/// Tries of one write whose answer is lost.
+/// The number of attempts of one write whose response is lost.
 const MAX_WRITE_ATTEMPTS: u32 = 10;
 
 const RETRY_DELAY: Duration = Duration::from_millis(200);
@@ -41,7 +42,7 @@
     in_force_after_ms: Option<u64>,
 }
 
-/// Applies files.
+/// Applies files as a new version, unless the version in force is the same.
 pub(crate) async fn run(
     args: &Args,
     apply: &Apply,
@@ -126,7 +127,8 @@
     for _ in 0..MAX_WRITE_ATTEMPTS {
         let key = chunk_key(hash);
         match platform.put(&key, content.to_vec(), None).await {
-            // What is there under this name has this content.
+            // On a conflict the chunk exists already. Its name is the hash of
+            // its content, so the content is the same.
             WriteAnswer::Done(_) | WriteAnswer::Conflict => return Ok(()),
             WriteAnswer::Unclear => compio::time::sleep(RETRY_DELAY).await,
         }
@@ -148,7 +150,8 @@
         if let WriteAnswer::Done(_) = answer {
             return Ok(());
         }
-        // A conflict may be our own update, whose answer was lost.
+        // The conflict may be with this command's own earlier update, whose
+        // response was lost; the nonce shows whether it is.
         match store::head(platform).await {
             Ok(Some(stored)) if stored.head.nonce == head.nonce => {
                 return Ok(());
@@ -215,7 +218,10 @@
             "version {} accepted; {} chunks, {} bytes written",
             applied.version, applied.chunks_written, applied.bytes_written
         ),
-        false => format!("version {} is the same already", applied.version),
+        false => format!(
+            "version {} already has this configuration",
+            applied.version
+        ),
     };
     if let Some(ms) = applied.in_force_after_ms {
         text.push_str(&format!("; in force everywhere after {ms} ms"));
