--- a/crates/bench/src/load/completion.rs
+++ b/crates/bench/src/load/completion.rs
@@ -14,7 +14,7 @@
     engine::COMPLETIONS_PATH,
 };
 use sedgewall_state::Priority;
-use sedgewall_transport::client::{Call, OpenAnswer};
+use sedgewall_transport::client::{Call, StreamingResponse};
 use serde::Serialize;
 
 use super::{
@@ -74,7 +74,7 @@
         }
     };
     if answer.status() != StatusCode::OK {
-        match answer.whole().await {
+        match answer.collect().await {
             Ok(whole) => measured.borrow_mut().problem(&whole.body),
             Err(_) => measured.borrow_mut().broken += 1,
         }
@@ -116,12 +116,12 @@
 }
 
 async fn read_whole(
-    answer: OpenAnswer,
+    answer: StreamingResponse,
     measured: &Rc<RefCell<Measured>>,
     completion: &Completion,
     sent: Instant,
 ) {
-    let Ok(whole) = answer.whole().await else {
+    let Ok(whole) = answer.collect().await else {
         measured.borrow_mut().broken += 1;
         return;
     };
@@ -134,7 +134,7 @@
 }
 
 async fn read_stream(
-    answer: OpenAnswer,
+    answer: StreamingResponse,
     measured: &Rc<RefCell<Measured>>,
     completion: &Completion,
     sent: Instant,
--- a/crates/sedgewall/src/apply.rs
+++ b/crates/sedgewall/src/apply.rs
@@ -1,9 +1,10 @@
 //! `sedgewall apply`: puts files in force as one new version.
 //!
-//! Chunks are written first; they are named by their content, so writing one
-//! twice is harmless. One conditional update of the head decides. An operator
-//! who loses a race has written nothing that is in force, and is shown the
-//! difference.
+//! The chunks are written first. They are named by the hash of their content,
+//! so writing one twice is harmless. A single conditional update of the head
+//! then puts the version in force. If another operator's update came first,
+//! nothing that this operator wrote is in force, and the differences to the
+//! other version are shown.
 
 use std::time::Duration;
 
@@ -25,15 +26,15 @@
     store::{self, StoredHead},
 };
 
-/// Tries of one write whose answer is lost.
-const TRIES: u32 = 10;
+/// The number of attempts of one write whose response is lost.
+const MAX_WRITE_ATTEMPTS: u32 = 10;
 
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-const LOOK_PAUSE: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Serialize)]
-struct Applied {
+struct ApplyReport {
     version: ConfigVersion,
     is_new: bool,
     chunks_written: usize,
@@ -41,7 +42,7 @@
     in_force_after_ms: Option<u64>,
 }
 
-/// Applies files.
+/// Applies files as a new version, unless the version in force is the same.
 pub(crate) async fn run(
     args: &Args,
     apply: &Apply,
@@ -55,7 +56,7 @@
     let nonce = rand::random();
     let head = chunked.head(last + 1, &apply.operator, nonce);
     let is_new = !current.as_ref().is_some_and(|s| is_same(&s.head, &head));
-    let mut applied = Applied {
+    let mut applied = ApplyReport {
         version: last,
         is_new,
         chunks_written: 0,
@@ -65,17 +66,17 @@
     if is_new {
         write_chunks(&platform, &chunked, current.as_ref(), &mut applied)
             .await?;
-        let won = write_head(&platform, &head, current.as_ref()).await;
-        if let Err(CommandError::Race(..)) = &won {
-            show_winner(&platform, &config).await?;
+        let written = write_head(&platform, &head, current.as_ref()).await;
+        if let Err(CommandError::VersionConflict(..)) = &written {
+            print_conflict(&platform, &config).await?;
         }
-        won?;
+        written?;
         applied.version = head.version;
     }
     let accepted = Instant::now();
     if apply.wait {
         let within = Duration::from_secs(apply.wait_s);
-        wait_everywhere(args, applied.version, within).await?;
+        wait_until_in_force(args, applied.version, within).await?;
         let took = accepted.elapsed().as_millis() as u64;
         applied.in_force_after_ms = Some(took);
     }
@@ -92,7 +93,7 @@
         return Ok(());
     }
     let by = current.map_or(String::new(), |s| s.head.applied_by.clone());
-    Err(CommandError::Race(version, by))
+    Err(CommandError::VersionConflict(version, by))
 }
 
 fn is_same(a: &ConfigHead, b: &ConfigHead) -> bool {
@@ -103,12 +104,12 @@
     platform: &PlatformClient,
     chunked: &ChunkedConfig,
     current: Option<&StoredHead>,
-    applied: &mut Applied,
+    applied: &mut ApplyReport,
 ) -> Result<(), CommandError> {
     for chunk in chunked.chunks() {
-        let is_there = current
+        let is_stored = current
             .is_some_and(|s| s.head.chunks().any(|hash| *hash == chunk.hash));
-        if is_there {
+        if is_stored {
             continue;
         }
         write_chunk(platform, &chunk.hash, &chunk.content).await?;
@@ -123,15 +124,16 @@
     hash: &str,
     content: &[u8],
 ) -> Result<(), CommandError> {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_WRITE_ATTEMPTS {
         let key = chunk_key(hash);
         match platform.put(&key, content.to_vec(), None).await {
-            // What is there under this name has this content.
+            // On a conflict the chunk exists already. Its name is the hash of
+            // its content, so the content is the same.
             WriteAnswer::Done(_) | WriteAnswer::Conflict => return Ok(()),
-            WriteAnswer::Unclear => compio::time::sleep(RETRY_PAUSE).await,
+            WriteAnswer::Unclear => compio::time::sleep(RETRY_DELAY).await,
         }
     }
-    Err(CommandError::Unclear)
+    Err(CommandError::OutcomeUnknown)
 }
 
 async fn write_head(
@@ -139,43 +141,47 @@
     head: &ConfigHead,
     current: Option<&StoredHead>,
 ) -> Result<(), CommandError> {
-    let expected = current.map(|stored| stored.object);
+    let expected = current.map(|stored| stored.object_version);
     let value = serde_json::to_vec(head)
         .map_err(|err| CommandError::Output(err.to_string()))?;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_WRITE_ATTEMPTS {
         let answer =
             platform.put(CONFIG_HEAD_KEY, value.clone(), expected).await;
         if let WriteAnswer::Done(_) = answer {
             return Ok(());
         }
-        // A conflict may be our own update, whose answer was lost.
+        // The conflict may be with this command's own earlier update, whose
+        // response was lost; the nonce shows whether it is.
         match store::head(platform).await {
             Ok(Some(stored)) if stored.head.nonce == head.nonce => {
                 return Ok(());
             }
             Ok(Some(stored)) if answer == WriteAnswer::Conflict => {
                 let StoredHead { head, .. } = stored;
-                return Err(CommandError::Race(head.version, head.applied_by));
+                return Err(CommandError::VersionConflict(
+                    head.version,
+                    head.applied_by,
+                ));
             }
-            _ => compio::time::sleep(RETRY_PAUSE).await,
+            _ => compio::time::sleep(RETRY_DELAY).await,
         }
     }
-    Err(CommandError::Unclear)
+    Err(CommandError::OutcomeUnknown)
 }
 
-async fn show_winner(
+async fn print_conflict(
     platform: &PlatformClient,
-    ours: &sedgewall_state::config::Config,
+    local: &sedgewall_state::config::Config,
 ) -> Result<(), CommandError> {
     let Some(stored) = store::head(platform).await? else { return Ok(()) };
-    let theirs = store::config(platform, &stored.head).await?;
-    for difference in difference::between(&theirs, ours) {
+    let in_force = store::config(platform, &stored.head).await?;
+    for difference in difference::between(&in_force, local) {
         eprintln!("{:?} {}", difference.change, difference.item);
     }
     Ok(())
 }
 
-async fn wait_everywhere(
+async fn wait_until_in_force(
     args: &Args,
     version: ConfigVersion,
     within: Duration,
@@ -197,13 +203,13 @@
         }
         if Instant::now() >= until {
             let missing = missing.join(", ");
-            return Err(CommandError::NotEverywhere { version, missing });
+            return Err(CommandError::NotYetInForce { version, missing });
         }
-        compio::time::sleep(LOOK_PAUSE).await;
+        compio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-fn print(applied: &Applied, format: Format) -> Result<(), CommandError> {
+fn print(applied: &ApplyReport, format: Format) -> Result<(), CommandError> {
     if format == Format::Json {
         return output::json(applied);
     }
@@ -212,7 +218,10 @@
             "version {} accepted; {} chunks, {} bytes written",
             applied.version, applied.chunks_written, applied.bytes_written
         ),
-        false => format!("version {} is the same already", applied.version),
+        false => format!(
+            "version {} already has this configuration",
+            applied.version
+        ),
     };
     if let Some(ms) = applied.in_force_after_ms {
         text.push_str(&format!("; in force everywhere after {ms} ms"));
--- a/crates/sedgewall/src/cluster.rs
+++ b/crates/sedgewall/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Asks all instances.
+//! Queries of the instances' operator ports.
 
 use std::time::Duration;
 
@@ -7,31 +7,32 @@
 use sedgewall_protocol::operator::{InstanceStatus, STATUS_PATH};
 use sedgewall_transport::{
     HttpClient,
-    client::{Call, WholeAnswer},
-    platform_client::Watched,
+    client::{BufferedResponse, Call},
+    platform_client::WatchOutcome,
 };
 use serde::de::DeserializeOwned;
 
 use crate::{args::Args, error::CommandError, store};
 
-/// How long an instance may take to answer.
-const ASK_TIME: Duration = Duration::from_secs(2);
+/// The timeout of one call to an instance.
+const INSTANCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An instance and where operators reach it.
+/// An instance and the address of its operator port.
 #[derive(Clone, Debug)]
 pub(crate) struct Member {
     pub(crate) name: String,
     pub(crate) address: String,
 }
 
-/// An instance with its status, if it answered.
+/// An instance and its status, which is `None` if the instance did not answer.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberStatus {
     pub(crate) name: String,
     pub(crate) status: Option<InstanceStatus>,
 }
 
-/// Returns all instances: those named by arguments, or the platform's list.
+/// Returns the instances given as arguments, or else all live instances of the
+/// platform's list.
 pub(crate) async fn members(args: &Args) -> Result<Vec<Member>, CommandError> {
     if !args.instances.is_empty() {
         let named = args.instances.iter().map(|address| Member {
@@ -42,7 +43,7 @@
     }
     let platform = store::platform(args)?;
     let listed = platform.watch_instances(0, Duration::ZERO).await?;
-    let Watched::Changed(list) = listed else { return Ok(Vec::new()) };
+    let WatchOutcome::Changed(list) = listed else { return Ok(Vec::new()) };
     let members = list
         .instances
         .into_iter()
@@ -55,7 +56,7 @@
     Ok(members.collect())
 }
 
-/// Asks all instances for their status, at once.
+/// Requests the status of all instances concurrently.
 pub(crate) async fn statuses(
     args: &Args,
 ) -> Result<Vec<MemberStatus>, CommandError> {
@@ -67,32 +68,33 @@
     Ok(futures_util::future::join_all(asked).await)
 }
 
-/// Asks one instance for a JSON document.
+/// Requests a JSON document from the instance at `address`.
 pub(crate) async fn get<T: DeserializeOwned>(
     address: &str,
     path: &str,
 ) -> Result<T, CommandError> {
     let answer = call(address, path, Method::GET).await?;
     serde_json::from_slice(&answer.body).map_err(|err| {
-        let what = address.to_owned();
-        CommandError::Instance { what, cause: err.to_string() }
+        let target = address.to_owned();
+        CommandError::Instance { target, cause: err.to_string() }
     })
 }
 
-/// Calls one instance.
+/// Sends a request without a body to the instance at `address`. A status other
+/// than 200 or 202 is an error.
 pub(crate) async fn call(
     address: &str,
     path: &str,
     method: Method,
-) -> Result<WholeAnswer, CommandError> {
+) -> Result<BufferedResponse, CommandError> {
     let fail = |cause: String| CommandError::Instance {
-        what: address.to_owned(),
+        target: address.to_owned(),
         cause,
     };
     let http = HttpClient::new().map_err(CommandError::Http)?;
     let url = format!("http://{address}{path}");
     let answer = http
-        .call(Call::new(method, url), ASK_TIME)
+        .call(Call::new(method, url), INSTANCE_TIMEOUT)
         .await
         .map_err(|err| fail(err.to_string()))?;
     match answer.status {
--- a/crates/sedgewall/src/files.rs
+++ b/crates/sedgewall/src/files.rs
@@ -1,4 +1,4 @@
-//! `sedgewall check`, and the reading of files for other commands.
+//! `sedgewall check`, and reading configuration files for other commands.
 
 use sedgewall_coordination::config_version::ChunkedConfig;
 use sedgewall_protocol::file::{self, FileDiagnostic};
@@ -12,31 +12,31 @@
 };
 
 #[derive(Serialize)]
-struct Checked {
+struct CheckReport {
     is_sound: bool,
     adapters_len: usize,
     faults: Vec<FileDiagnostic>,
 }
 
-/// Checks files and prints every fault.
+/// Validates files and prints every error.
 pub(crate) fn check(
     files: &Files,
     format: Format,
 ) -> Result<(), CommandError> {
     match (read(files), format) {
-        (Ok(config), Format::Json) => output::json(&Checked {
+        (Ok(config), Format::Json) => output::json(&CheckReport {
             is_sound: true,
             adapters_len: config.adapters.len(),
             faults: Vec::new(),
         }),
         (Ok(config), Format::Text) => output::line(&format!(
-            "sound: {} base models, {} adapters, {} endpoint groups",
+            "valid: {} base models, {} adapters, {} endpoint groups",
             config.base_models.len(),
             config.adapters.len(),
             config.endpoint_groups.len()
         )),
         (Err(CommandError::Files(err)), Format::Json) => {
-            output::json(&Checked {
+            output::json(&CheckReport {
                 is_sound: false,
                 adapters_len: 0,
                 faults: err.diagnostics.clone(),
@@ -47,7 +47,8 @@
     }
 }
 
-/// Reads files as one sound configuration that fits the platform's values.
+/// Reads files as one configuration, and checks that it is valid and fits the
+/// size limits of the platform's objects.
 pub(crate) fn read(files: &Files) -> Result<Config, CommandError> {
     let sources = file::read_paths(&files.paths)?;
     let config = file::parse(&sources)?;
--- a/crates/sedgewall/src/store.rs
+++ b/crates/sedgewall/src/store.rs
@@ -1,4 +1,4 @@
-//! The configuration in the platform's object API.
+//! The configuration as stored in the platform's object API.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -21,20 +21,22 @@
     output,
 };
 
-/// The head in force, with the platform's version of it.
+/// The head of the configuration in force, with the platform's version of the
+/// object that holds it.
 #[derive(Clone, Debug)]
 pub(crate) struct StoredHead {
     pub(crate) head: ConfigHead,
-    pub(crate) object: ObjectVersion,
+    pub(crate) object_version: ObjectVersion,
 }
 
-/// Returns a client of the platform.
+/// Returns a client of the platform given by the arguments.
 pub(crate) fn platform(args: &Args) -> Result<PlatformClient, CommandError> {
     let http = HttpClient::new().map_err(CommandError::Http)?;
     Ok(PlatformClient::new(http, &args.platform))
 }
 
-/// Reads the head; none before the first apply.
+/// Reads the head of the configuration in force. Returns `None` before the
+/// first apply.
 pub(crate) async fn head(
     platform: &PlatformClient,
 ) -> Result<Option<StoredHead>, CommandError> {
@@ -43,10 +45,10 @@
     };
     let head = serde_json::from_slice(&object.value)
         .map_err(|err| PlatformError::Unreadable(err.to_string()))?;
-    Ok(Some(StoredHead { head, object: object.version }))
+    Ok(Some(StoredHead { head, object_version: object.version }))
 }
 
-/// Reads the whole configuration of a head.
+/// Reads all chunks of a head and assembles its configuration.
 pub(crate) async fn config(
     platform: &PlatformClient,
     head: &ConfigHead,
@@ -60,30 +62,32 @@
     Ok(assemble(head, &chunks)?)
 }
 
-/// Reads an object; a read that the platform turns down for its rate is tried
-/// again.
+/// Reads an object, and retries if the platform rejects the read because of
+/// its rate limit.
 async fn read(
     platform: &PlatformClient,
     key: &str,
 ) -> Result<Option<StoredObject>, CommandError> {
-    let mut tries = 0;
+    let mut retries = 0;
     loop {
         match platform.get(key).await {
-            Err(PlatformError::Status(TOO_MANY)) if tries < READ_TRIES => {
-                tries += 1;
-                compio::time::sleep(READ_PAUSE * tries).await;
+            Err(PlatformError::Status(TOO_MANY_REQUESTS))
+                if retries < MAX_READ_RETRIES =>
+            {
+                retries += 1;
+                compio::time::sleep(READ_RETRY_DELAY * retries).await;
             }
             answer => return Ok(answer?),
         }
     }
 }
 
-/// The status of a call beyond the platform's rates (RFC 6585).
-const TOO_MANY: u16 = 429;
+/// The status of a call beyond the platform's rate limits (RFC 6585).
+const TOO_MANY_REQUESTS: u16 = 429;
 
-const READ_TRIES: u32 = 5;
+const MAX_READ_RETRIES: u32 = 5;
 
-const READ_PAUSE: Duration = Duration::from_millis(200);
+const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Prints the configuration in force.
 pub(crate) async fn print(args: &Args) -> Result<(), CommandError> {
--- a/crates/sedgewall/src/views.rs
+++ b/crates/sedgewall/src/views.rs
@@ -1,4 +1,4 @@
-//! `status`, `timeline`, `explain` and `drain`.
+//! The commands `status`, `timeline`, `explain` and `drain`.
 
 use std::time::SystemTime;
 
@@ -11,7 +11,7 @@
 use serde::Serialize;
 
 use crate::{
-    args::{Args, Filter, Format, Target, What},
+    args::{Args, DrainTarget, ExplainTarget, Filter, Format},
     cluster,
     error::CommandError,
     output,
@@ -23,7 +23,7 @@
     silent: Vec<String>,
 }
 
-/// Shows all instances, leaders and engines.
+/// Prints the status of all instances, leaders and engines.
 pub(crate) async fn status(args: &Args) -> Result<(), CommandError> {
     let mut found = ClusterStatus { instances: vec![], silent: vec![] };
     for member in cluster::statuses(args).await? {
@@ -98,21 +98,21 @@
     Ok(())
 }
 
-/// Shows what happened, over all instances.
+/// Prints the merged events of all instances, causes before their effects.
 pub(crate) async fn timeline(
     args: &Args,
     filter: &Filter,
 ) -> Result<(), CommandError> {
-    let mut lines = Vec::new();
+    let mut timelines = Vec::new();
     for member in cluster::members(args).await? {
         let events: Result<Vec<Event>, _> =
             cluster::get(&member.address, TIMELINE_PATH).await;
         match events {
-            Ok(events) => lines.push(events),
+            Ok(events) => timelines.push(events),
             Err(err) => eprintln!("sedgewall: {}: {err}", member.name),
         }
     }
-    let events: Vec<Event> = merge(lines)
+    let events: Vec<Event> = merge(timelines)
         .into_iter()
         .filter(|event| is_shown(filter, event))
         .collect();
@@ -170,10 +170,12 @@
     )
 }
 
-/// Says why an adapter is where it is, or what became of a request.
+/// Prints why an adapter is placed where it is, or the events of a request.
+///
+/// An adapter is given as `name@version`; anything else is a request's id.
 pub(crate) async fn explain(
     args: &Args,
-    what: &What,
+    what: &ExplainTarget,
 ) -> Result<(), CommandError> {
     if !what.what.contains('@') {
         let filter = Filter {
@@ -194,8 +196,8 @@
         }
     }
     Err(CommandError::Instance {
-        what: what.what.clone(),
-        cause: "no instance leads its shard, or there is no such adapter"
+        target: what.what.clone(),
+        cause: "no instance leads its shard, or the adapter does not exist"
             .to_owned(),
     })
 }
@@ -230,13 +232,13 @@
 /// Tells an instance to finish its requests and stop.
 pub(crate) async fn drain(
     args: &Args,
-    target: &Target,
+    target: &DrainTarget,
 ) -> Result<(), CommandError> {
     let members = cluster::members(args).await?;
     let member = members.iter().find(|member| member.name == target.instance);
     let member = member.ok_or_else(|| CommandError::Instance {
-        what: target.instance.clone(),
-        cause: "the platform lists no such instance".to_owned(),
+        target: target.instance.clone(),
+        cause: "the platform lists no live instance of this name".to_owned(),
     })?;
     cluster::call(&member.address, DRAIN_PATH, Method::POST).await?;
     output::line(&format!("{} is stopping", member.name))
--- a/crates/sedgewalld/src/call.rs
+++ b/crates/sedgewalld/src/call.rs
@@ -28,7 +28,7 @@
 };
 use sedgewall_transport::{
     CallError, LocalBody,
-    client::{Call, OpenAnswer},
+    client::{Call, StreamingResponse},
 };
 
 use crate::{
@@ -277,7 +277,7 @@
     call: &ModelCall,
     granted: &Granted,
     resume_from: u64,
-) -> Result<OpenAnswer, AttemptError> {
+) -> Result<StreamingResponse, AttemptError> {
     let subject = call.model.to_string();
     call.instance.record_event(
         EventKind::Call,
@@ -316,7 +316,9 @@
     }
 }
 
-async fn check_status(answer: OpenAnswer) -> Result<OpenAnswer, AttemptError> {
+async fn check_status(
+    answer: StreamingResponse,
+) -> Result<StreamingResponse, AttemptError> {
     let status = answer.status();
     if status == StatusCode::OK {
         return Ok(answer);
@@ -325,7 +327,7 @@
         .headers()
         .get(RUN_STATE_HEADER)
         .is_some_and(|value| value == NOT_RUN);
-    let detail = match answer.whole().await {
+    let detail = match answer.collect().await {
         Ok(whole) => String::from_utf8_lossy(&whole.body).into_owned(),
         Err(err) => err.to_string(),
     };
@@ -351,20 +353,20 @@
 async fn read_whole_answer(
     call: &ModelCall,
     shard_request: &ShardRequest,
-    answer: OpenAnswer,
+    answer: StreamingResponse,
     sent: Instant,
 ) -> Result<Response<LocalBody>, AttemptError> {
     let media_type = media_type(&answer);
-    let whole = answer.whole().await.map_err(classify_error)?;
+    let whole = answer.collect().await.map_err(classify_error)?;
     shard_request.record_first_token(sent.elapsed());
     record_first_token_time(call, sent);
-    let mut response = Response::new(LocalBody::whole(whole.body));
+    let mut response = Response::new(LocalBody::full(whole.body));
     responses::set_content_type(&mut response, &media_type);
     Ok(response)
 }
 
 /// Returns the media type of an engine's answer, JSON if it has none.
-pub(crate) fn media_type(answer: &OpenAnswer) -> String {
+pub(crate) fn media_type(answer: &StreamingResponse) -> String {
     answer
         .headers()
         .get(http::header::CONTENT_TYPE)
--- a/crates/sedgewalld/src/config_sync.rs
+++ b/crates/sedgewalld/src/config_sync.rs
@@ -14,7 +14,7 @@
     message::{AskConfig, ChunkPart, ConfigPart},
     platform::{CONFIG_HEAD_KEY, chunk_key},
 };
-use sedgewall_transport::{PlatformError, platform_client::Watched};
+use sedgewall_transport::{PlatformError, platform_client::WatchOutcome};
 
 use crate::{
     election,
@@ -41,7 +41,7 @@
             .await;
         instance.set_platform_reached(watched.is_ok());
         match watched {
-            Ok(Watched::Changed(object)) => {
+            Ok(WatchOutcome::Changed(object)) => {
                 match apply_head(&instance, &object.value).await {
                     Ok(()) => known = Some(object.version),
                     Err(err) => {
@@ -50,7 +50,7 @@
                     }
                 }
             }
-            Ok(Watched::Unchanged) => {}
+            Ok(WatchOutcome::Unchanged) => {}
             Err(err) => {
                 debug!("config: {err}.");
                 sleep_with_jitter(RETRY_DELAY).await;
--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -26,7 +26,7 @@
     call::{Handover, to_endpoint},
 };
 use sedgewall_state::id::EndpointId;
-use sedgewall_transport::{PooledAnswer, SendError};
+use sedgewall_transport::{PooledResponse, SendError};
 
 use super::{
     announcements,
@@ -122,7 +122,7 @@
 
 /// An endpoint's response that may be forwarded to the caller.
 pub(crate) struct GoodAnswer {
-    pub(crate) answer: PooledAnswer,
+    pub(crate) answer: PooledResponse,
     pub(crate) in_flight_guard: InFlightGuard,
 }
 
@@ -259,11 +259,11 @@
 /// failure.
 fn classify(
     call: &CallerRequest,
-    mut answer: PooledAnswer,
+    mut answer: PooledResponse,
     facts: AnswerFacts,
     is_last: bool,
-) -> Result<PooledAnswer, AttemptError> {
-    answer.settle();
+) -> Result<PooledResponse, AttemptError> {
+    answer.apply_connection_header();
     let status = answer.status;
     if facts.is_not_run || status == StatusCode::MISDIRECTED_REQUEST {
         return Err(match status {
@@ -276,14 +276,14 @@
     let is_ours =
         facts.request_id.as_deref() == Some(call.facts.request_id.as_str());
     if !is_ours {
-        answer.distrust();
+        answer.discard_connection();
         let of = facts.request_id.unwrap_or_default();
         return Err(AttemptError::Unclear(format!(
             "response is for request {of:?}"
         )));
     }
     if status.is_success() && !facts.is_proven {
-        answer.distrust();
+        answer.discard_connection();
         return Err(AttemptError::Unclear(
             "success response without the response-seal header".into(),
         ));
@@ -302,7 +302,7 @@
     instance: &FleetInstance,
     call: &CallerRequest,
     target: &Target,
-    ended: &Result<PooledAnswer, AttemptError>,
+    ended: &Result<PooledResponse, AttemptError>,
     sent: Instant,
 ) {
     let Some(key) = call.key() else { return };
@@ -327,7 +327,7 @@
     instance: &FleetInstance,
     call: &CallerRequest,
     target: &Target,
-    ended: &Result<PooledAnswer, AttemptError>,
+    ended: &Result<PooledResponse, AttemptError>,
 ) {
     let now = Instant::now();
     let mut view = instance.view.borrow_mut();
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -559,7 +559,8 @@
         return response;
     }
     let head = call.arrived.elapsed();
-    let whole = compio::time::timeout(call.left(), good.answer.whole()).await;
+    let whole =
+        compio::time::timeout(call.left(), good.answer.collect()).await;
     match whole {
         Ok(Ok(body)) => {
             let delivered = request_log::Delivered {
@@ -571,7 +572,7 @@
             if status.is_success() {
                 poison::run_succeeded(instance, &call);
             }
-            let mut response = Response::new(LocalBody::whole(body));
+            let mut response = Response::new(LocalBody::full(body));
             *response.status_mut() = status;
             *response.headers_mut() = headers;
             response
--- a/crates/sedgewalld/src/fleet/daemon.rs
+++ b/crates/sedgewalld/src/fleet/daemon.rs
@@ -152,7 +152,7 @@
     stop: Stop,
 ) {
     let connections = instance.settings.limits.connections;
-    let limits = ServerLimits { connections, header_time: IDLE_TIMEOUT };
+    let limits = ServerLimits { connections, header_timeout: IDLE_TIMEOUT };
     let handler: Handler = Rc::new(move |request| {
         Box::pin(caller::answer(instance.clone(), request))
     });
@@ -184,7 +184,7 @@
     metrics: PrometheusHandle,
 ) {
     let connections = OPERATOR_CONNECTIONS;
-    let limits = ServerLimits { connections, header_time: IDLE_TIMEOUT };
+    let limits = ServerLimits { connections, header_timeout: IDLE_TIMEOUT };
     let handler: Handler = Rc::new(move |request| {
         let response = operator_answer(&instance, &metrics, &request);
         Box::pin(async move { response })
@@ -223,7 +223,7 @@
     metrics::counter!("sedgewall_store_calls_total")
         .absolute(instance.store.calls());
     metrics::counter!("sedgewall_endpoint_connections_total")
-        .absolute(instance.pool.opened());
+        .absolute(instance.pool.connections_opened());
     let leads = instance.current_lease(Instant::now()).is_some();
     metrics::gauge!("sedgewall_leads").set(f64::from(u8::from(leads)));
 }
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -16,7 +16,7 @@
     view::Target,
 };
 use sedgewall_state::id::EndpointId;
-use sedgewall_transport::Presence;
+use sedgewall_transport::ProbeOutcome;
 
 use super::{
     attempt::CallerRequest, instance::FleetInstance, refusal::Reason,
@@ -155,7 +155,7 @@
     compio::runtime::spawn(async move {
         let began = Instant::now();
         let presence =
-            instance.pool.presence(address, ENDPOINT_PROBE_TIMEOUT).await;
+            instance.pool.probe(address, ENDPOINT_PROBE_TIMEOUT).await;
         instance.probed_endpoints.borrow_mut().remove(&id);
         tracing::info!(
             event = "endpoint_looked_at",
@@ -164,14 +164,14 @@
             took_ms = began.elapsed().as_millis() as u64,
         );
         match presence {
-            Presence::Listens => {
+            ProbeOutcome::Listens => {
                 let mut poison = instance.poison.borrow_mut();
                 poison.endpoint_alive(&incarnation, began);
             }
-            Presence::Refuses => incarnation_ended(&instance, &incarnation),
+            ProbeOutcome::Refuses => incarnation_ended(&instance, &incarnation),
             // Undecided: the endpoint's entry will disappear, or another
             // instance finds out.
-            Presence::Unknown => {}
+            ProbeOutcome::Unknown => {}
         }
     })
     .detach();
--- a/crates/sedgewalld/src/instance_list.rs
+++ b/crates/sedgewalld/src/instance_list.rs
@@ -7,7 +7,7 @@
     membership::{InstanceList, ListedState, OWN_GROUP},
     timeline::EventKind,
 };
-use sedgewall_transport::platform_client::Watched;
+use sedgewall_transport::platform_client::WatchOutcome;
 
 use crate::{
     instance::{Instance, sleep_with_jitter},
@@ -27,8 +27,8 @@
             instance.platform.watch_instances(revision, WATCH_TIMEOUT).await;
         instance.set_platform_reached(watched.is_ok());
         match watched {
-            Ok(Watched::Changed(list)) => adopt(&instance, list),
-            Ok(Watched::Unchanged) => {}
+            Ok(WatchOutcome::Changed(list)) => adopt(&instance, list),
+            Ok(WatchOutcome::Unchanged) => {}
             Err(err) => {
                 debug!("instances: {err}.");
                 sleep_with_jitter(RETRY_DELAY).await;
--- a/crates/sedgewalld/src/relay.rs
+++ b/crates/sedgewalld/src/relay.rs
@@ -13,7 +13,7 @@
 use sedgewall_protocol::{
     Problem, RunState, engine::STREAM_END, message::EndKind,
 };
-use sedgewall_transport::{CallError, LocalBody, client::OpenAnswer};
+use sedgewall_transport::{CallError, LocalBody, client::StreamingResponse};
 
 use crate::{
     call::{self, AttemptError, ModelCall, RetryState, ShardRequest},
@@ -47,7 +47,7 @@
 pub(crate) fn stream(
     call: ModelCall,
     shard_request: ShardRequest,
-    answer: OpenAnswer,
+    answer: StreamingResponse,
     sent: Instant,
 ) -> Response<LocalBody> {
     let media_type = call::media_type(&answer);
--- a/crates/sedgewalld/src/services.rs
+++ b/crates/sedgewalld/src/services.rs
@@ -25,7 +25,7 @@
     plain_service::{ServiceEndpoint, pick_endpoint},
 };
 use sedgewall_transport::{
-    CallError, LocalBody, client::Call, client::WholeAnswer,
+    CallError, LocalBody, client::BufferedResponse, client::Call,
 };
 
 use crate::{
@@ -279,7 +279,7 @@
 
 /// Returns the cooldown that an endpoint requests by `Retry-After` with an
 /// overload answer.
-fn requested_cooldown(answer: &WholeAnswer) -> Option<Duration> {
+fn requested_cooldown(answer: &BufferedResponse) -> Option<Duration> {
     let is_overload_answer = matches!(
         answer.status,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
@@ -347,7 +347,7 @@
     instance: &Rc<Instance>,
     call: &ServiceCall,
     target: &Target,
-) -> Result<WholeAnswer, CallError> {
+) -> Result<BufferedResponse, CallError> {
     instance.record_event(
         EventKind::Call,
         Some(call.id),
@@ -387,8 +387,8 @@
     )
 }
 
-fn to_response(answer: WholeAnswer) -> Response<LocalBody> {
-    let mut response = Response::new(LocalBody::whole(answer.body));
+fn to_response(answer: BufferedResponse) -> Response<LocalBody> {
+    let mut response = Response::new(LocalBody::full(answer.body));
     *response.status_mut() = answer.status;
     for (name, value) in &answer.headers {
         if !is_hop_by_hop(name) {
--- a/crates/transport/src/body.rs
+++ b/crates/transport/src/body.rs
@@ -1,4 +1,4 @@
-//! A response body that need not leave its thread.
+//! A response body that does not have to be `Send`.
 
 use std::{
     pin::Pin,
@@ -9,31 +9,33 @@
 use futures_util::Stream;
 use hyper::body::{Body, Frame, SizeHint};
 
-/// The chunks of a streamed body. An error cuts the connection, which tells
-/// the reader that the body is not whole.
+/// The chunks of a streamed body.
+///
+/// An error closes the connection before the end of the body, which tells the
+/// reader that the body is incomplete.
 pub type ChunkStream =
     Pin<Box<dyn Stream<Item = Result<Bytes, std::io::Error>>>>;
 
-/// A body that is whole, or comes in chunks.
+/// A response body, either complete in memory or streamed in chunks.
 pub enum LocalBody {
-    /// All bytes at once.
-    Whole(Option<Bytes>),
-    /// Chunks as they come.
+    /// The complete body; `None` once it was sent, or if it is empty.
+    Full(Option<Bytes>),
+    /// Chunks, sent as the stream yields them.
     Chunks(ChunkStream),
 }
 
 impl LocalBody {
-    /// Returns a body of these bytes.
-    pub fn whole(bytes: impl Into<Bytes>) -> LocalBody {
-        LocalBody::Whole(Some(bytes.into()))
+    /// Returns a body that consists of `bytes`.
+    pub fn full(bytes: impl Into<Bytes>) -> LocalBody {
+        LocalBody::Full(Some(bytes.into()))
     }
 
-    /// Returns a body without bytes.
+    /// Returns an empty body.
     pub fn empty() -> LocalBody {
-        LocalBody::Whole(None)
+        LocalBody::Full(None)
     }
 
-    /// Returns a body of the chunks of a stream.
+    /// Returns a body that sends the chunks of `stream`.
     pub fn chunks(
         stream: impl Stream<Item = Result<Bytes, std::io::Error>> + 'static,
     ) -> LocalBody {
@@ -50,7 +52,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, std::io::Error>>> {
         match self.get_mut() {
-            LocalBody::Whole(bytes) => {
+            LocalBody::Full(bytes) => {
                 Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes))))
             }
             LocalBody::Chunks(stream) => stream
@@ -61,12 +63,12 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, LocalBody::Whole(None))
+        matches!(self, LocalBody::Full(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            LocalBody::Whole(bytes) => {
+            LocalBody::Full(bytes) => {
                 let len = bytes.as_ref().map_or(0, Bytes::len);
                 SizeHint::with_exact(len as u64)
             }
--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -1,10 +1,10 @@
 //! A pool of HTTP/1.1 connections to endpoints, by address.
 //!
-//! Unlike a general client, it tells for each request whether it can have
-//! reached the endpoint, and it never sends one twice. The invariant: a
-//! connection goes back to the pool only after a whole answer, and dropping an
-//! answer before its end closes the connection, which tells the endpoint that
-//! nobody waits any more.
+//! Unlike a general-purpose client, the pool reports for each failed request
+//! whether it can have reached the endpoint, and never sends a request twice.
+//! Invariant: a connection returns to the pool only after a complete response.
+//! Dropping a response before its end closes the connection, which tells the
+//! endpoint that the caller no longer waits for the response.
 
 use std::{
     cell::{Cell, RefCell},
@@ -28,16 +28,17 @@
 use sedgewall_clock::Instant;
 use socket2::SockRef;
 
-/// A connection without a stated time to rest is kept this long.
-const REST_UNSTATED: Duration = Duration::from_secs(20);
+/// How long an idle connection is kept if the endpoint sent no `Keep-Alive`
+/// timeout.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(20);
 
-/// What is taken off a stated time to rest, so that a request does not cross
-/// the endpoint's close.
-const REST_MARGIN: Duration = Duration::from_millis(500);
+/// Subtracted from the endpoint's `Keep-Alive` timeout, so that a request is
+/// not sent while the endpoint closes the idle connection.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(500);
 
-/// Bytes that are not acknowledged for this long end a connection: a machine
-/// without power says nothing.
-pub const UNACKNOWLEDGED_FOR: Duration = Duration::from_millis(1_500);
+/// How long sent bytes may stay unacknowledged before the kernel closes the
+/// connection: a machine that lost power does not close it.
+pub const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Error of sending a request to an endpoint.
 #[derive(Clone, Debug, displaydoc::Display, Eq, PartialEq)]
@@ -51,7 +52,7 @@
 impl std::error::Error for SendError {}
 
 impl SendError {
-    /// Returns whether the endpoint certainly did not get the request.
+    /// Returns whether the endpoint certainly did not receive the request.
     pub fn is_not_sent(&self) -> bool {
         matches!(self, SendError::NotSent(_))
     }
@@ -59,42 +60,44 @@
 
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    /// Dropping the task closes the socket.
+    /// Drives the connection; dropping the task closes the socket.
     _task: JoinHandle<()>,
-    rest_until: Instant,
+    reusable_until: Instant,
 }
 
 type Idle = Rc<RefCell<HashMap<SocketAddr, Vec<Connection>>>>;
 
-/// Whether something listens at an address.
+/// The outcome of a probe of an address.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Presence {
-    /// It takes connections.
+pub enum ProbeOutcome {
+    /// A process at the address accepts connections.
     Listens,
-    /// Its machine answers that nothing listens there.
+    /// The machine refused the connection: no process listens at the address.
     Refuses,
-    /// There is no answer, or none that tells.
+    /// The connection timed out or failed in another way, which does not show
+    /// whether a process listens.
     Unknown,
 }
 
-/// A pool of connections.
+/// A pool of HTTP/1.1 connections, which its clones share.
 #[derive(Clone, Default)]
 pub struct EndpointPool {
     idle: Idle,
     opened: Rc<Cell<u64>>,
 }
 
-/// The answer of an endpoint, with its body still to be read.
-pub struct PooledAnswer {
-    /// The status.
+/// The response of an endpoint, whose body has not been read yet.
+pub struct PooledResponse {
+    /// The status code.
     pub status: StatusCode,
-    /// The headers.
+    /// The response headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// The body, which returns the connection to the pool once it has been
+    /// read to its end.
     pub body: PooledBody,
 }
 
-/// The body of an answer.
+/// The body of a pooled response, read chunk by chunk.
 pub struct PooledBody {
     incoming: Incoming,
     connection: Option<(SocketAddr, Connection)>,
@@ -107,80 +110,86 @@
         EndpointPool::default()
     }
 
-    /// Returns how many connections were opened.
-    pub fn opened(&self) -> u64 {
+    /// Returns the number of connections opened since the pool was created.
+    pub fn connections_opened(&self) -> u64 {
         self.opened.get()
     }
 
-    /// Closes the resting connections to an address.
-    pub fn forget(&self, address: SocketAddr) {
+    /// Closes the idle connections to an address.
+    pub fn close_idle(&self, address: SocketAddr) {
         self.idle.borrow_mut().remove(&address);
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the head of the response.
+    ///
+    /// Uses an idle connection if there is one. A request that such a
+    /// connection hands back unsent goes to the next connection.
     ///
     /// # Errors
     ///
-    /// When no connection can be made within `connect_within`, or the
-    /// connection fails before the head has come.
+    /// If no connection can be made within `connect_within`, or the connection
+    /// fails before the head of the response has been received.
     pub async fn send(
         &self,
         address: SocketAddr,
         mut request: Request<Full<Bytes>>,
         connect_within: Duration,
-    ) -> Result<PooledAnswer, SendError> {
-        while let Some(connection) = self.take(address) {
+    ) -> Result<PooledResponse, SendError> {
+        while let Some(connection) = self.take_idle(address) {
             match self.send_on(address, connection, request).await {
                 Ok(answer) => return Ok(answer),
-                Err(Unsent::Returned(back)) => request = *back,
-                Err(Unsent::Failed(err)) => return Err(err),
+                Err(SendFailure::Unsent(back)) => request = *back,
+                Err(SendFailure::Failed(err)) => return Err(err),
             }
         }
-        let connection = self.open(address, connect_within).await?;
+        let connection = self.connect(address, connect_within).await?;
         match self.send_on(address, connection, request).await {
             Ok(answer) => Ok(answer),
-            Err(Unsent::Returned(_)) => {
+            Err(SendFailure::Unsent(_)) => {
                 let cause = "closed before the request was sent".to_owned();
                 Err(SendError::NotSent(cause))
             }
-            Err(Unsent::Failed(err)) => Err(err),
+            Err(SendFailure::Failed(err)) => Err(err),
         }
     }
 
-    /// Sees whether something still listens at an address, by a connection that
-    /// is kept for the next request.
-    pub async fn presence(
+    /// Probes whether a process listens at an address, by opening a connection
+    /// that stays in the pool for the next request.
+    pub async fn probe(
         &self,
         address: SocketAddr,
         within: Duration,
-    ) -> Presence {
+    ) -> ProbeOutcome {
         let connecting = TcpStream::connect(address);
         match compio::time::timeout(within, connecting).await {
             Ok(Ok(stream)) => {
-                if let Ok(connection) = self.shake_hands(address, stream).await
+                if let Ok(connection) =
+                    self.handshake_http1(address, stream).await
                 {
                     let mut idle = self.idle.borrow_mut();
                     idle.entry(address).or_default().push(connection);
                 }
-                Presence::Listens
+                ProbeOutcome::Listens
             }
             Ok(Err(err)) if err.kind() == ErrorKind::ConnectionRefused => {
-                Presence::Refuses
+                ProbeOutcome::Refuses
             }
-            Ok(Err(_)) | Err(_) => Presence::Unknown,
+            Ok(Err(_)) | Err(_) => ProbeOutcome::Unknown,
         }
     }
 
-    fn take(&self, address: SocketAddr) -> Option<Connection> {
+    fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let resting = idle.get_mut(&address)?;
+        let idle_connections = idle.get_mut(&address)?;
         let now = Instant::now();
-        resting.retain(|c| !c.sender.is_closed() && now < c.rest_until);
-        let idx = resting.iter().rposition(|c| c.sender.is_ready())?;
-        Some(resting.remove(idx))
+        idle_connections
+            .retain(|c| !c.sender.is_closed() && now < c.reusable_until);
+        let idx =
+            idle_connections.iter().rposition(|c| c.sender.is_ready())?;
+        Some(idle_connections.remove(idx))
     }
 
-    async fn open(
+    async fn connect(
         &self,
         address: SocketAddr,
         within: Duration,
@@ -191,27 +200,27 @@
                 .await
                 .map_err(|_| not_sent(format!("not within {within:?}")))?
                 .map_err(|err| not_sent(err.to_string()))?;
-        let connection = self.shake_hands(address, stream).await;
+        let connection = self.handshake_http1(address, stream).await;
         connection.map_err(|err| not_sent(err.to_string()))
     }
 
-    async fn shake_hands(
+    async fn handshake_http1(
         &self,
         address: SocketAddr,
         stream: TcpStream,
     ) -> Result<Connection, hyper::Error> {
-        bound_silence(&stream);
+        set_socket_options(&stream);
         let (sender, connection) = http1::Builder::new()
             .handshake(HyperStream::new_plain(stream))
             .await?;
         let task = compio::runtime::spawn(async move {
             if let Err(err) = connection.await {
-                debug!("pool: a connection to {address} ended: {err}.");
+                debug!("pool: connection to {address} failed: {err}.");
             }
         });
         self.opened.set(self.opened.get() + 1);
-        let rest_until = Instant::now() + REST_UNSTATED;
-        Ok(Connection { sender, _task: task, rest_until })
+        let reusable_until = Instant::now() + DEFAULT_KEEP_ALIVE;
+        Ok(Connection { sender, _task: task, reusable_until })
     }
 
     async fn send_on(
@@ -219,61 +228,65 @@
         address: SocketAddr,
         mut connection: Connection,
         request: Request<Full<Bytes>>,
-    ) -> Result<PooledAnswer, Unsent> {
+    ) -> Result<PooledResponse, SendFailure> {
         match connection.sender.try_send_request(request).await {
             Ok(response) => {
                 let (head, incoming) = response.into_parts();
-                let connection = kept(connection, &head.headers);
+                let connection = with_keep_alive(connection, &head.headers);
                 let connection = connection.map(|c| (address, c));
                 let idle = self.idle.clone();
                 let body = PooledBody { incoming, connection, idle };
                 let (status, headers) = (head.status, head.headers);
-                Ok(PooledAnswer { status, headers, body })
+                Ok(PooledResponse { status, headers, body })
             }
             Err(mut err) => Err(match err.take_message() {
-                Some(request) => Unsent::Returned(Box::new(request)),
+                Some(request) => SendFailure::Unsent(Box::new(request)),
                 None => {
                     let cause = err.into_error().to_string();
-                    Unsent::Failed(SendError::Broken(cause))
+                    SendFailure::Failed(SendError::Broken(cause))
                 }
             }),
         }
     }
 }
 
-enum Unsent {
-    Returned(Box<Request<Full<Bytes>>>),
+enum SendFailure {
+    Unsent(Box<Request<Full<Bytes>>>),
     Failed(SendError),
 }
 
-/// Makes a silent peer end the connection. A failure to set the option leaves
-/// the connection as it is, which the request's own time bounds.
-pub(crate) fn bound_silence(stream: &TcpStream) {
+/// Sets TCP_NODELAY, and TCP_USER_TIMEOUT, which closes the connection to a
+/// peer that no longer acknowledges data.
+///
+/// If an option cannot be set, the connection is used without it, and the
+/// timeout of each request still bounds the wait.
+pub(crate) fn set_socket_options(stream: &TcpStream) {
     if let Err(err) = stream.set_nodelay(true) {
         debug!("pool: cannot set TCP_NODELAY: {err}.");
     }
     let socket = SockRef::from(stream);
-    if let Err(err) = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_FOR)) {
+    if let Err(err) = socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT)) {
         debug!("pool: cannot set TCP_USER_TIMEOUT: {err}.");
     }
 }
 
-/// Notes how long the endpoint lets the connection rest. The task goes on
-/// either way until the body has been read.
-fn kept(
+/// Records until when the connection may be reused, from the endpoint's
+/// `Keep-Alive` header. The connection's task runs on in any case until the
+/// body has been read.
+fn with_keep_alive(
     mut connection: Connection,
     headers: &HeaderMap,
 ) -> Option<Connection> {
-    let rest = match stated_rest(headers) {
-        Some(stated) => stated.saturating_sub(REST_MARGIN),
-        None => REST_UNSTATED,
+    let rest = match keep_alive_timeout(headers) {
+        Some(stated) => stated.saturating_sub(KEEP_ALIVE_MARGIN),
+        None => DEFAULT_KEEP_ALIVE,
     };
-    connection.rest_until = Instant::now() + rest;
+    connection.reusable_until = Instant::now() + rest;
     Some(connection)
 }
 
-/// Reads `Keep-Alive: timeout=N`.
-fn stated_rest(headers: &HeaderMap) -> Option<Duration> {
+/// Returns the timeout of a `Keep-Alive: timeout=N` header.
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = value
         .split(',')
@@ -281,28 +294,28 @@
     seconds.trim().parse().ok().map(Duration::from_secs)
 }
 
-fn says_close(headers: &HeaderMap) -> bool {
+fn requests_close(headers: &HeaderMap) -> bool {
     let mut values = headers.get_all(header::CONNECTION).iter();
     values.any(|value| {
         value.to_str().is_ok_and(|v| v.to_ascii_lowercase().contains("close"))
     })
 }
 
-impl PooledAnswer {
-    /// Closes the connection instead of keeping it, because what comes on it
-    /// cannot be trusted.
-    pub fn distrust(&mut self) {
+impl PooledResponse {
+    /// Closes the connection instead of returning it to the pool, because the
+    /// data that it delivers cannot be trusted.
+    pub fn discard_connection(&mut self) {
         self.body.connection = None;
     }
 
-    /// Reads the whole body.
+    /// Reads the body to its end and returns it.
     ///
     /// # Errors
     ///
-    /// When the connection fails before the end.
-    pub async fn whole(mut self) -> Result<Bytes, SendError> {
+    /// If the connection fails before the end of the body.
+    pub async fn collect(mut self) -> Result<Bytes, SendError> {
         let mut parts: Vec<Bytes> = Vec::new();
-        self.settle();
+        self.apply_connection_header();
         while let Some(part) = self.body.next().await {
             parts.push(part?);
         }
@@ -313,22 +326,23 @@
         })
     }
 
-    /// Gives up the connection after this answer if the endpoint says so.
-    pub fn settle(&mut self) {
-        if says_close(&self.headers)
+    /// Keeps the connection out of the pool after this response if the
+    /// endpoint sent `Connection: close`.
+    pub fn apply_connection_header(&mut self) {
+        if requests_close(&self.headers)
             && let Some((_, connection)) = &mut self.body.connection
         {
-            connection.rest_until = Instant::now();
+            connection.reusable_until = Instant::now();
         }
     }
 }
 
 impl PooledBody {
-    /// Returns the next bytes, or nothing after the end of the body.
+    /// Returns the next chunk of the body, or `None` after its end.
     ///
     /// # Errors
     ///
-    /// When the connection fails before the end.
+    /// If the connection fails before the end of the body.
     pub async fn next(&mut self) -> Option<Result<Bytes, SendError>> {
         loop {
             match self.incoming.frame().await {
@@ -342,18 +356,18 @@
                     return Some(Err(SendError::Broken(err.to_string())));
                 }
                 None => {
-                    self.give_back();
+                    self.return_to_pool();
                     return None;
                 }
             }
         }
     }
 
-    fn give_back(&mut self) {
+    fn return_to_pool(&mut self) {
         let Some((address, connection)) = self.connection.take() else {
             return;
         };
-        if Instant::now() < connection.rest_until {
+        if Instant::now() < connection.reusable_until {
             let mut idle = self.idle.borrow_mut();
             idle.entry(address).or_default().push(connection);
         }
