--- a/crates/bench/tests/mixed_builds.rs
+++ b/crates/bench/tests/mixed_builds.rs
@@ -23,7 +23,7 @@
     plain_service::ServiceStats,
 };
 use sedgewall_protocol::Problem;
-use sedgewall_transport::client::{Call, WholeAnswer};
+use sedgewall_transport::client::{BufferedResponse, Call};
 
 /// Names the other build's `sedgewalld`; its command line lies beside it.
 const OTHER_BUILD: &str = "SEDGEWALL_OTHER_BUILD";
@@ -60,7 +60,11 @@
     assert_eq!(check::whole(&answer.body, model, PROMPT, 5), None);
 }
 
-async fn transfer(cluster: &Cluster, entry: &str, key: &str) -> WholeAnswer {
+async fn transfer(
+    cluster: &Cluster,
+    entry: &str,
+    key: &str,
+) -> BufferedResponse {
     let address = cluster.address(entry);
     let url = format!("http://{address}/services/league/transfers");
     let call = Call::new(Method::POST, url);
--- a/crates/sedgewalld/src/daemon.rs
+++ b/crates/sedgewalld/src/daemon.rs
@@ -113,7 +113,9 @@
 async fn serve_callers(instance: Rc<Instance>, listener: TcpListener) {
     let limits = ServerLimits {
         connections: instance.settings.limits.connections,
-        header_timeout: Duration::from_millis(instance.settings.limits.header_ms),
+        header_timeout: Duration::from_millis(
+            instance.settings.limits.header_ms,
+        ),
     };
     let handler: Handler = Rc::new(move |request| {
         Box::pin(entry::answer(instance.clone(), request))
@@ -128,7 +130,9 @@
 ) {
     let limits = ServerLimits {
         connections: OPERATOR_CONNECTIONS,
-        header_timeout: Duration::from_millis(instance.settings.limits.header_ms),
+        header_timeout: Duration::from_millis(
+            instance.settings.limits.header_ms,
+        ),
     };
     let handler: Handler = Rc::new(move |request| {
         Box::pin(operator::answer(instance.clone(), metrics.clone(), request))
--- a/crates/sedgewalld/src/election.rs
+++ b/crates/sedgewalld/src/election.rs
@@ -140,7 +140,10 @@
     let renew_every = instance.settings.lease.timing().renew_every;
     loop {
         let Some(held) = leader::lease(instance, shard) else {
-            return Lease::new(shard.clone(), instance.settings.lease.timing());
+            return Lease::new(
+                shard.clone(),
+                instance.settings.lease.timing(),
+            );
         };
         let must_release = instance.stage.get() == Stage::Leaving
             || !is_configured(instance, shard)
@@ -172,7 +175,9 @@
             (_, renewed) => renewed,
         };
         match renewed {
-            RenewOutcome::Held(held) => leader::set_lease(instance, shard, held),
+            RenewOutcome::Held(held) => {
+                leader::set_lease(instance, shard, held)
+            }
             RenewOutcome::Lost(watching) => {
                 warn!("lease: {shard} was taken by another instance.");
                 return watching;
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -168,7 +168,9 @@
                 let mut poison = instance.poison.borrow_mut();
                 poison.endpoint_alive(&incarnation, began);
             }
-            ProbeOutcome::Refuses => incarnation_ended(&instance, &incarnation),
+            ProbeOutcome::Refuses => {
+                incarnation_ended(&instance, &incarnation)
+            }
             // Undecided: the endpoint's entry will disappear, or another
             // instance finds out.
             ProbeOutcome::Unknown => {}
--- a/crates/sedgewalld/src/inbox.rs
+++ b/crates/sedgewalld/src/inbox.rs
@@ -105,7 +105,6 @@
     heartbeat: &Heartbeat,
 ) {
     let is_new = instance
-        
         .membership
         .borrow_mut()
         .record_heartbeat(heartbeat.clone(), Instant::now());
