--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -47,7 +47,7 @@
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
     pub(crate) route: Route,
-    /// The configuration that it was routed by.
+    /// The configuration by which the request was routed.
     pub(crate) decided_by: ConfigurationStatus,
     pub(crate) service: String,
     pub(crate) is_engine: bool,
@@ -59,9 +59,10 @@
     pub(crate) is_later_try: bool,
     /// The customer that the request belongs to, if its route needs a key.
     pub(crate) customer: Option<Rc<Customer>>,
-    /// The endpoint that it was last sent to, and when.
+    /// The endpoint to which the request was last sent, and when.
     pub(crate) sent_to: RefCell<Option<SentTo>>,
-    /// Computed on first use, because few requests need one.
+    /// The digest of the request, computed on first use, because few requests
+    /// need one.
     pub(crate) digest: OnceCell<RequestDigest>,
 }
 
@@ -160,8 +161,8 @@
         }
     }
 
-    /// Returns the priority rank. The customer's rank takes precedence over
-    /// the route's.
+    /// Returns the priority of the request. The customer's priority takes
+    /// precedence over the route's.
     pub(crate) fn rank(&self) -> u8 {
         let route = self.route.priority;
         self.customer.as_ref().map_or(route, |c| c.effective_priority(route))
@@ -285,7 +286,7 @@
     if status.is_success() && !facts.is_proven {
         answer.distrust();
         return Err(AttemptError::Unclear(
-            "success response without the response-seal header".into(),
+            "success response without proof that an endpoint made it".into(),
         ));
     }
     if status.is_server_error() && !(is_last && facts.is_proven) {
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -63,14 +63,14 @@
 /// The interval at which a request checks full endpoints for capacity again.
 const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(15);
 
-/// The same interval for a later try. Later tries wait long, and many of them
-/// may wait on a small instance.
+/// The interval at which a later try checks full endpoints for capacity again.
+/// Later tries wait long, and many of them may wait on a small instance.
 const LATER_TRY_POLL_INTERVAL: Duration = Duration::from_millis(60);
 
-/// A try whose time limit is below this fraction of the longest on its route
-/// is taken to be a repetition by its caller. A caller that is refused once
-/// more gives up, so such a try waits as long as any answer, even a late one,
-/// is still possible.
+/// A try whose time limit is below this fraction of the longest time limit on
+/// its route is taken to be a repetition by its caller. A caller that is
+/// refused once more gives up, so such a try waits as long as any answer, even
+/// a late one, is still possible.
 const LATER_TRY_FRACTION: f64 = 0.9;
 
 /// The timeout of an attempt of a repeatable request, in multiples of the
@@ -99,7 +99,7 @@
     response
 }
 
-/// A request that was refused before it was routed.
+/// A request that was refused before a [`CallerRequest`] was made of it.
 struct EarlyRefusal {
     reason: Reason,
     request_id: String,
@@ -233,7 +233,8 @@
     pub(crate) waited: Duration,
     /// The time from the last send to its response headers.
     pub(crate) engine_time: Duration,
-    /// When the reason for the rejection is expected to be over.
+    /// If the wait for an endpoint was given up: the time until an endpoint is
+    /// expected to take the request, if that is known.
     pub(crate) available_in: Option<Duration>,
 }
 
@@ -445,8 +446,9 @@
                 continue;
             }
             Choice::NoEndpoint => {
-                // Every endpoint has failed this request. A repeatable request
-                // may try them again.
+                // No endpoint is usable. If some were excluded because they
+                // failed this request, a repeatable request may try them
+                // again.
                 if progress.runs > 0 {
                     progress.tried.clear();
                 }
--- a/crates/sedgewalld/src/fleet/daemon.rs
+++ b/crates/sedgewalld/src/fleet/daemon.rs
@@ -39,7 +39,8 @@
 /// the load balancer has probed readiness twice, one second apart.
 const BALANCER_GRACE: Duration = Duration::from_millis(2_400);
 
-/// The part of the grace period that is reserved for ending the process.
+/// The part of the configured grace period (`grace_s`) that is reserved for
+/// ending the process.
 const STOP_MARGIN: Duration = Duration::from_millis(700);
 
 /// The interval at which a shutdown checks whether all requests have ended.
--- a/crates/sedgewalld/src/fleet/instance.rs
+++ b/crates/sedgewalld/src/fleet/instance.rs
@@ -66,12 +66,12 @@
 /// Another instance, as described by its entry in the store.
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
-    /// The address that its notes are sent to.
+    /// The address to which notes for that instance are sent.
     pub(crate) address: SocketAddr,
     pub(crate) zone: ZoneName,
-    /// The share of a processor core that it has, in percent.
+    /// The share of a processor core that the instance has, in percent.
     pub(crate) cpu_percent: u32,
-    /// When this instance first read its entry.
+    /// When the other instance's entry was first read here.
     pub(crate) known_since: Instant,
 }
 
@@ -149,7 +149,9 @@
     pub(crate) catch_up: RefCell<CatchUp>,
     /// Requests that wait for a newer configuration.
     pub(super) configuration_waiters: RefCell<Vec<oneshot::Sender<()>>>,
-    /// The table of endpoints.
+    /// What this instance knows of the endpoints: their adapters, load (from
+    /// its own and from other instances' requests), limits and departures, and
+    /// the newest versions of weights.
     pub(crate) view: RefCell<FleetView>,
     /// At the lease holder: the demand for adapters.
     pub(crate) demand: RefCell<Demand>,
@@ -162,7 +164,8 @@
     /// The number of requests for each adapter since the last report to the
     /// lease holder.
     pub(crate) requested_adapters: RefCell<HashMap<AdapterKey, u32>>,
-    /// Adapters that requests wait for, with the rank of the most urgent one.
+    /// Adapters that requests wait for, with the priority of the most urgent
+    /// request.
     pub(crate) awaited_adapters: RefCell<HashMap<AdapterKey, u8>>,
     /// This instance's share of each customer's allowance.
     pub(crate) rate_limiter: RefCell<RateLimiter>,
@@ -185,7 +188,7 @@
     longest_time_limits: RefCell<HashMap<String, Duration>>,
     /// When the lease holder was last asked for each adapter.
     last_requested: RefCell<HashMap<AdapterKey, Instant>>,
-    /// The retry budget, which all instances share.
+    /// This instance's use of the retry budget that all instances share.
     pub(crate) budget: RefCell<RetryBudget>,
     /// The other instances, as listed in the store.
     pub(crate) peers: RefCell<BTreeMap<InstanceId, Peer>>,
@@ -208,15 +211,15 @@
     /// Requests that succeeded here lately, as hashes with a key of this
     /// process.
     pub(crate) recent_successes: RefCell<RecentSuccesses>,
-    /// The key of these hashes.
+    /// The key of the hashes in `recent_successes`.
     pub(crate) hash_key: RandomState,
     /// The records of condemned requests in the store.
     pub(crate) poison_records: RefCell<PoisonRecords>,
     /// Notified when records may have to be written or deleted.
     pub(crate) poison_records_notify: Notify,
     pub(crate) poison_notify: Rc<Notify>,
-    /// Whether this instance is one of those that watch these records for all
-    /// instances.
+    /// Whether this instance is one of those that watch the records of
+    /// condemned requests for all instances.
     pub(crate) is_poison_watcher: Cell<bool>,
     /// Endpoints that are being probed because a run broke off there.
     pub(crate) probed_endpoints: RefCell<BTreeSet<EndpointId>>,
@@ -240,8 +243,10 @@
     pub(crate) configuration_notify: Rc<Notify>,
     pub(crate) versions_notify: Rc<Notify>,
     /// Whether other instances have reported a newer configuration for a
-    /// while. The next field says the same of versions of weights.
+    /// while.
     pub(crate) is_configuration_behind: Cell<bool>,
+    /// Whether other instances have reported newer versions of weights for a
+    /// while.
     pub(crate) is_versions_behind: Cell<bool>,
     /// Whether the newest configuration in the store could not be read.
     pub(crate) is_configuration_unreadable: Cell<bool>,
@@ -481,10 +486,10 @@
         self.longest_time_limits.borrow_mut().clear();
     }
 
-    /// Asks the lease holder for an adapter that a request of the given rank
-    /// waits for. Requests for the same adapter are sent to the holder once
-    /// per interval: the holder remembers them, and the next one makes up for
-    /// a lost note.
+    /// Asks the lease holder for an adapter that a request of the given
+    /// priority waits for. The holder is asked for the same adapter once per
+    /// interval: it remembers the adapter, and asking again makes up for a
+    /// lost note.
     pub(crate) fn request_adapter(&self, key: &AdapterKey, rank: u8) {
         let now = Instant::now();
         let mut last_requested = self.last_requested.borrow_mut();
@@ -526,7 +531,8 @@
     pub(crate) fn wake(&self, key: &AdapterKey) {
         let waiting = self.adapter_waiters.borrow_mut().remove(key);
         for tx in waiting.into_iter().flatten() {
-            // Fails if the request has ended meanwhile.
+            // Fails if the request no longer waits: its wait timed out, or it
+            // ended.
             let _ = tx.send(());
         }
     }
--- a/crates/sedgewalld/src/fleet/keys.rs
+++ b/crates/sedgewalld/src/fleet/keys.rs
@@ -32,8 +32,8 @@
 /// three of them cut off at once, one still answers.
 const WATCHERS: usize = 4;
 
-/// The interval at which an instance that asks nobody checks whether it has
-/// to.
+/// The interval at which an instance that asks no other instance checks
+/// whether it must ask one.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The minimum interval between two reads of the store.
--- a/crates/sedgewalld/src/fleet/knowledge.rs
+++ b/crates/sedgewalld/src/fleet/knowledge.rs
@@ -92,7 +92,8 @@
     /// Wakes the requests that wait for a newer configuration.
     pub(crate) fn wake_configuration_waiters(&self) {
         for tx in self.configuration_waiters.take() {
-            // Fails if the request has ended meanwhile.
+            // Fails if the request no longer waits: its wait timed out, or it
+            // ended.
             let _ = tx.send(());
         }
     }
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -77,10 +77,10 @@
 /// into the time to live, and failed calls are billed too.
 const RENEWAL_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// The time left of a planned stop when the holder releases the lease. The
-/// store may take 0.3 s to answer, and the stop ends 0.7 s before its time. No
-/// instance gives orders for a turn after the release, so it happens as late
-/// as possible.
+/// How long before the end of the grace period a stopping holder releases the
+/// lease. The store may take 0.3 s to answer, and the process ends 0.7 s
+/// before the grace period does. No instance gives orders for a turn after the
+/// release, so the lease is released as late as possible.
 const RELEASE_MARGIN: Duration = Duration::from_millis(1_800);
 
 /// How long other instances may renew the lease for a holder that cannot reach
@@ -116,9 +116,9 @@
 /// Waits until the other instances are listed, which an instance needs to know
 /// its rank.
 ///
-/// All instances start at once, and one that knows no other ranks itself
-/// first: without this wait, 195 instances read the record two or three times
-/// each, at the full price.
+/// All instances start at once, and an instance that knows no other ranks
+/// itself first: without this wait, 195 instances read the record two or three
+/// times each, at the full price.
 async fn wait_for_peers(instance: &FleetInstance) {
     let began = Instant::now();
     while !instance.has_listed_instances.get()
@@ -138,7 +138,7 @@
         && instance.live_leader(Instant::now()).is_none()
 }
 
-/// Returns how long this instance waits for those that come before it in rank.
+/// Returns how long this instance waits for the instances that rank before it.
 fn rank_delay(instance: &FleetInstance) -> Duration {
     let leader = instance.leader.borrow();
     let epoch = leader.as_ref().map_or(0, |leader| leader.epoch);
@@ -395,8 +395,8 @@
             renewed_by_peers_since,
         });
     }
-    // Makes all instances check whether the store answers them: while it
-    // answers none, none can take the lease.
+    // Makes all instances check whether the store answers them: while the
+    // store answers no instance, none can take the lease.
     instance.broadcast_queue.borrow_mut().push(Note::ProbeStore);
     instance.notify_notes();
     compio::time::sleep(RENEWAL_RETRY_PAUSE).await;
--- a/crates/sedgewalld/src/fleet/list_watch.rs
+++ b/crates/sedgewalld/src/fleet/list_watch.rs
@@ -41,8 +41,10 @@
 pub(crate) trait ObjectHandler {
     const KIND: &'static str;
     const WATCH_TIMEOUT: Duration;
-    /// How fresh the first list must be. The next watch continues from it, so
-    /// a cheap, older list suffices where one more second does no harm.
+    /// How fresh the first list must be. A cheaper list that may be seconds
+    /// old suffices for a kind whose newest state may become known a second
+    /// later: the first watch continues from the list and brings what it
+    /// lacks.
     const FIRST_LIST_FRESHNESS: Freshness = Freshness::SecondsOld;
     /// Returns the pause before the next watch.
     fn pause(&self) -> Duration {
@@ -312,8 +314,9 @@
 
 /// Returns how fresh the next watch must be, by this instance's rank.
 ///
-/// A few instances get all changes at once and tell the others. Those watch
-/// for a tenth of the price, which makes up for lost notes.
+/// A few instances get all changes at once and tell the other instances. The
+/// other instances watch for a tenth of the price, which makes up for lost
+/// notes.
 fn next_watch_freshness(
     instance: &FleetInstance,
     before: Freshness,
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -37,8 +37,9 @@
 /// interval between such lists.
 const RELIST_DELAY: Duration = Duration::from_millis(500);
 
-/// If newer state was first reported longer ago than this, that report was
-/// about another version.
+/// How long [`FleetInstance::behind_since`] stays valid. When another report
+/// of newer state comes later than this, the first one was about a version
+/// that has arrived since, and [`RELIST_DELAY`] starts anew.
 const BEHIND_VALID_FOR: Duration = Duration::from_millis(2_000);
 
 /// The maximum number of notes in one datagram, so that it fits one packet.
@@ -351,7 +352,7 @@
 }
 
 /// Tells an instance at once where the adapters that it asks for are already
-/// placed. It is told of the others when they are placed.
+/// placed. It is told of the other adapters once they are placed.
 fn send_known_placements(
     instance: &FleetInstance,
     sender: &NoteSender,
--- a/crates/sedgewalld/src/fleet/notify.rs
+++ b/crates/sedgewalld/src/fleet/notify.rs
@@ -15,7 +15,8 @@
 #[derive(Default)]
 pub(crate) struct Notify {
     is_notified: Cell<bool>,
-    /// When the work that it asks for was last begun.
+    /// When [`Notify::clear`] was last called, because the work that the
+    /// notification asks for began.
     cleared: Cell<Option<Instant>>,
     waiting: RefCell<Option<oneshot::Sender<()>>>,
 }
@@ -30,14 +31,15 @@
         }
     }
 
-    /// Withdraws a pending notification, because the work that it asks for
-    /// begins now.
+    /// Withdraws a pending notification, because the work that the
+    /// notification asks for begins now.
     pub(crate) fn clear(&self) {
         self.is_notified.set(false);
         self.cleared.set(Some(Instant::now()));
     }
 
-    /// Returns whether the work that it asks for was begun after `moment`.
+    /// Returns whether the work that the notification asks for was begun after
+    /// `moment`.
     pub(crate) fn was_cleared_since(&self, moment: Instant) -> bool {
         self.cleared.get().is_some_and(|at| at > moment)
     }
--- a/crates/sedgewalld/src/fleet/peers.rs
+++ b/crates/sedgewalld/src/fleet/peers.rs
@@ -77,9 +77,10 @@
     }
 
     /// Returns how many live instances come before this one in an order by
-    /// size that `seed` shuffles among equals. A duty that falls to the first
-    /// ranks thus goes to few instances without coordination, and to others
-    /// with each new seed.
+    /// their share of a processor core, the largest first, that `seed`
+    /// shuffles among equals. A duty that falls to the first ranks thus goes to
+    /// few instances without coordination, and to other instances with each new
+    /// seed.
     pub(crate) fn rank(&self, seed: u64) -> usize {
         let own = rank_key(self.id(), self.cpu_percent(), seed);
         let now = Instant::now();
@@ -112,8 +113,8 @@
     }
 }
 
-/// Returns the sort key of an instance: by size, the largest first, and
-/// shuffled by `seed` among equals.
+/// Returns the sort key of an instance: by its share of a processor core, the
+/// largest first, and shuffled by `seed` among equals.
 fn rank_key(
     id: &InstanceId,
     cpu_percent: u32,
--- a/crates/sedgewalld/src/fleet/permits.rs
+++ b/crates/sedgewalld/src/fleet/permits.rs
@@ -22,8 +22,8 @@
 /// A selection that respects rate limits.
 pub(crate) struct PermittedChoice {
     pub(crate) choice: Choice,
-    /// When an endpoint that was skipped because of its limit may have
-    /// capacity again.
+    /// The time until an endpoint that was skipped because of its limit may
+    /// take requests again.
     pub(crate) limited_for: Option<Duration>,
 }
 
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -92,9 +92,10 @@
 /// counts against the request if its endpoint turns out to have crashed.
 ///
 /// A request that succeeded here lately is not counted, because requests that
-/// many callers send alike are running at each endpoint that crashes. Without
-/// that, such a read was condemned beside a request that had crashed all three
-/// endpoints of a service.
+/// many callers send alike are running at each endpoint that crashes.
+/// Otherwise a harmless request that is often sent would be condemned together
+/// with the request that crashes the endpoints, as happened when one request
+/// had crashed all three endpoints of a service.
 pub(crate) fn run_lost(
     instance: &FleetInstance,
     call: &CallerRequest,
--- a/crates/sedgewalld/src/fleet/refusal.rs
+++ b/crates/sedgewalld/src/fleet/refusal.rs
@@ -112,13 +112,15 @@
         }
     }
 
-    /// Returns when a retry is worthwhile, given the delay that suits the
-    /// caller's time limit, or none if it is not.
+    /// Returns the delay after which a retry is worthwhile, or none if no
+    /// retry is. The given delay is the longest that suits the caller's time
+    /// limit.
     fn retry_after(self, most: Duration) -> Option<Duration> {
         match self {
-            // Each of these lasts for seconds: a load waits for its turn, an
-            // outage or a restart for its end. A caller retries once or twice,
-            // and a second refusal leaves it nothing.
+            // These causes last for seconds: until a load has had its turn, or
+            // an outage or a restart is over. Callers retry only once or
+            // twice, and a second refusal may be the last, so the longest
+            // useful delay is suggested.
             Reason::AdapterAbsent
             | Reason::NoConfiguration
             | Reason::Full
--- a/crates/sedgewalld/src/fleet/relay.rs
+++ b/crates/sedgewalld/src/fleet/relay.rs
@@ -20,14 +20,15 @@
     poison, request_log,
 };
 
-/// The minimum idle timeout of a stream.
+/// A lower bound of a stream's idle timeout.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The idle timeout of a stream, in multiples of the route's target latency.
+/// A lower bound of a stream's idle timeout, in multiples of the route's
+/// target latency. The longest of the three bounds applies.
 const IDLE_TIMEOUT_TARGETS: u32 = 4;
 
-/// The idle timeout of a stream, in multiples of the longest gap between
-/// events that is in time.
+/// A lower bound of a stream's idle timeout, in multiples of the longest gap
+/// between events that is in time.
 const IDLE_TIMEOUT_GAPS: u32 = 8;
 
 struct StreamRelay {
@@ -39,10 +40,12 @@
     _in_flight_guard: InFlightGuard,
     _open: OpenRequestGuard,
     framer: Option<EventFramer>,
+    /// The time from the arrival of the request to the response headers.
     head: Duration,
     bytes: usize,
-    /// When the last bytes arrived, and the longest time between bytes.
+    /// When the last bytes arrived.
     last_bytes: Instant,
+    /// The longest time without a byte, after the headers.
     longest_pause: Duration,
     is_over: bool,
 }
--- a/crates/sedgewalld/src/fleet/request_log.rs
+++ b/crates/sedgewalld/src/fleet/request_log.rs
@@ -1,5 +1,7 @@
 //! Log lines: one for the end of each request, and one for each attempt that
-//! brought no response.
+//! brought no response to forward, whether or not the endpoint answered.
+//! Requests that are refused before they are admitted are logged in
+//! [`super::caller`], and streams that break in [`super::relay`].
 
 use std::{rc::Rc, time::Duration};
 
--- a/crates/sedgewalld/src/fleet/watch_configuration.rs
+++ b/crates/sedgewalld/src/fleet/watch_configuration.rs
@@ -46,7 +46,8 @@
     }
 
     /// Where revoked keys must stop working within a time limit, a few
-    /// instances watch for the newest configuration, and the others ask these.
+    /// instances watch for the newest configuration, and the other instances
+    /// ask them.
     fn watch_override(&self) -> Option<(Freshness, Duration)> {
         let wait = keys::watch_timeout(&self.0)?;
         Some((Freshness::Newest, wait))
--- a/crates/sedgewalld/src/fleet/watch_instances.rs
+++ b/crates/sedgewalld/src/fleet/watch_instances.rs
@@ -29,17 +29,17 @@
 /// How long an instance waits for the first list before it writes its entry.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The interval at which it checks for that list.
+/// The interval at which an instance checks whether the first list has come.
 const FIRST_LIST_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The entry of an instance in the store.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct InstanceEntry {
-    /// The address that its notes are sent to.
+    /// The address to which notes for the instance are sent.
     notes_address: SocketAddr,
     /// Its availability zone.
     zone: ZoneName,
-    /// The share of a processor core that it has, in percent.
+    /// The share of a processor core that the instance has, in percent.
     cpu_percent: u32,
 }
 
--- a/crates/sedgewalld/src/fleet/watch_poison.rs
+++ b/crates/sedgewalld/src/fleet/watch_poison.rs
@@ -207,8 +207,8 @@
 }
 
 /// Updates whether this instance watches the records for all instances, and
-/// starts to watch if it newly does, because the instances that came before it
-/// have left or are silent.
+/// starts to watch if it has become one of the watchers, because the instances
+/// that ranked before it have left or are silent.
 pub(crate) fn update_watcher_role(instance: &FleetInstance) {
     let is_watcher = is_watcher(instance);
     if is_watcher && !instance.is_poison_watcher.replace(is_watcher) {
@@ -233,8 +233,8 @@
     instance.poison_records_notify.notify();
 }
 
-/// Writes missing records of condemned requests, and deletes expired ones.
-/// Never returns.
+/// Writes missing records of condemned requests, and deletes those that have
+/// expired or are refuted. Never returns.
 pub(crate) async fn keep_records(instance: Rc<FleetInstance>) {
     let mut back_off = BackOff::default();
     loop {
