--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -163,7 +163,7 @@
 
     /// Returns the priority of the request. The customer's priority takes
     /// precedence over the route's.
-    pub(crate) fn rank(&self) -> u8 {
+    pub(crate) fn priority(&self) -> u8 {
         let route = self.route.priority;
         self.customer.as_ref().map_or(route, |c| c.effective_priority(route))
     }
@@ -244,7 +244,7 @@
     let handover = Handover {
         endpoint: &target.id,
         left: call.left(),
-        priority: call.key().map(|_| call.rank()),
+        priority: call.key().map(|_| call.priority()),
         customer: call.customer.as_ref().map(|c| c.name.as_str()),
         expect_version: target.expect_version,
         last_event,
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -71,7 +71,7 @@
 /// its route is taken to be a repetition by its caller. A caller that is
 /// refused once more gives up, so such a try waits as long as any answer, even
 /// a late one, is still possible.
-const LATER_TRY_FRACTION: f64 = 0.9;
+const LATER_TRY_TIME_LIMIT_FRACTION: f64 = 0.9;
 
 /// The timeout of an attempt of a repeatable request, in multiples of the
 /// route's target latency. After it, the request goes to another endpoint.
@@ -182,7 +182,8 @@
     let time_limit = facts.patience.unwrap_or(DEFAULT_TIME_LIMIT);
     let deadline = arrived + time_limit.min(route.timeout) - ANSWER_MARGIN;
     let longest = instance.longest_time_limit(&route.name, time_limit);
-    let is_later_try = time_limit < longest.mul_f64(LATER_TRY_FRACTION);
+    let is_later_try =
+        time_limit < longest.mul_f64(LATER_TRY_TIME_LIMIT_FRACTION);
     let service = route
         .pick_service(hash_fraction(&facts.request_id))
         .ok_or_else(|| refuse(Reason::NobodyThere))?
@@ -403,7 +404,7 @@
             target_latency: target,
             may_wait,
         };
-        let PermittedChoice { choice, limited_for } =
+        let PermittedChoice { choice, limit_ends_in } =
             permits.choose(instance, need, now);
         progress.waited = now - began;
         let (reason, wait_reason, pause) = match choice {
@@ -416,11 +417,11 @@
                 let cooling_down = call.key().and_then(|key| {
                     instance.mark_holders_cooling_down(key, now)
                 });
-                let limited_for = limited_for.or(cooling_down);
+                let limit_ends_in = limit_ends_in.or(cooling_down);
                 request_adapter(instance, call);
                 let load_time = instance.view.borrow().load_time();
                 let wait_reason = WaitReason::AdapterNotLoaded { load_time };
-                match limited_for {
+                match limit_ends_in {
                     Some(ready_in) => {
                         let pause = ready_in.min(target);
                         (Reason::EndpointsLimited, wait_reason, pause)
@@ -456,7 +457,7 @@
                     let view = instance.view.borrow();
                     view.service_cooldown(&call.service, now)
                 };
-                match limited_for.or_else(cooling_down) {
+                match limit_ends_in.or_else(cooling_down) {
                     Some(ready_in) => {
                         let wait_reason = WaitReason::Saturated(ready_in);
                         let pause = ready_in.max(poll_interval);
@@ -476,7 +477,7 @@
                 WaitReason::AdapterLoading(ready_in)
                 | WaitReason::Saturated(ready_in) => Some(ready_in),
                 WaitReason::AdapterNotLoaded { .. }
-                | WaitReason::NoCapacity => limited_for,
+                | WaitReason::NoCapacity => limit_ends_in,
             };
             return Err(reason);
         }
@@ -532,7 +533,7 @@
 /// Asks the lease holder to load the request's adapter.
 fn request_adapter(instance: &FleetInstance, call: &CallerRequest) {
     if let Some(key) = call.key() {
-        instance.request_adapter(key, call.rank());
+        instance.request_adapter(key, call.priority());
     }
 }
 
@@ -560,12 +561,12 @@
         *response.headers_mut() = headers;
         return response;
     }
-    let head = call.arrived.elapsed();
+    let head_time = call.arrived.elapsed();
     let whole = compio::time::timeout(call.left(), good.answer.whole()).await;
     match whole {
         Ok(Ok(body)) => {
             let delivered = request_log::Delivered {
-                head,
+                head_time,
                 bytes: body.len(),
                 longest_pause: Duration::ZERO,
             };
--- a/crates/sedgewalld/src/fleet/instance.rs
+++ b/crates/sedgewalld/src/fleet/instance.rs
@@ -217,7 +217,7 @@
     pub(crate) poison_records: RefCell<PoisonRecords>,
     /// Notified when records may have to be written or deleted.
     pub(crate) poison_records_notify: Notify,
-    pub(crate) poison_notify: Rc<Notify>,
+    pub(crate) poison_relist_notify: Rc<Notify>,
     /// Whether this instance is one of those that watch the records of
     /// condemned requests for all instances.
     pub(crate) is_poison_watcher: Cell<bool>,
@@ -240,8 +240,8 @@
     pub(crate) has_unreported_sends: Cell<bool>,
     /// Notified when the configuration must be listed again. The same holds
     /// for the notifications of the other watched kinds.
-    pub(crate) configuration_notify: Rc<Notify>,
-    pub(crate) versions_notify: Rc<Notify>,
+    pub(crate) configuration_relist_notify: Rc<Notify>,
+    pub(crate) versions_relist_notify: Rc<Notify>,
     /// Whether other instances have reported a newer configuration for a
     /// while.
     pub(crate) is_configuration_behind: Cell<bool>,
@@ -250,8 +250,8 @@
     pub(crate) is_versions_behind: Cell<bool>,
     /// Whether the newest configuration in the store could not be read.
     pub(crate) is_configuration_unreadable: Cell<bool>,
-    pub(crate) instances_notify: Rc<Notify>,
-    pub(crate) endpoints_notify: Rc<Notify>,
+    pub(crate) instances_relist_notify: Rc<Notify>,
+    pub(crate) endpoints_relist_notify: Rc<Notify>,
     /// Since when other instances have reported newer state than this one has.
     pub(crate) behind_since: Cell<Option<Instant>>,
     /// Counters for the log.
@@ -328,7 +328,7 @@
             hash_key: RandomState::new(),
             poison_records: RefCell::default(),
             poison_records_notify: Notify::default(),
-            poison_notify: Rc::default(),
+            poison_relist_notify: Rc::default(),
             is_poison_watcher: Cell::new(true),
             probed_endpoints: RefCell::default(),
             peer_pool: EndpointPool::new(),
@@ -339,13 +339,13 @@
             notes_notify: Notify::default(),
             has_unreported_work: Cell::new(false),
             has_unreported_sends: Cell::new(false),
-            configuration_notify: Rc::default(),
-            versions_notify: Rc::default(),
+            configuration_relist_notify: Rc::default(),
+            versions_relist_notify: Rc::default(),
             is_configuration_behind: Cell::new(false),
             is_versions_behind: Cell::new(false),
             is_configuration_unreadable: Cell::new(false),
-            instances_notify: Rc::default(),
-            endpoints_notify: Rc::default(),
+            instances_relist_notify: Rc::default(),
+            endpoints_relist_notify: Rc::default(),
             behind_since: Cell::new(None),
             counters: NoteCounters::default(),
             renewal: RefCell::default(),
@@ -490,7 +490,7 @@
     /// priority waits for. The holder is asked for the same adapter once per
     /// interval: it remembers the adapter, and asking again makes up for a
     /// lost note.
-    pub(crate) fn request_adapter(&self, key: &AdapterKey, rank: u8) {
+    pub(crate) fn request_adapter(&self, key: &AdapterKey, priority: u8) {
         let now = Instant::now();
         let mut last_requested = self.last_requested.borrow_mut();
         let is_known = last_requested
@@ -505,8 +505,8 @@
         }
         last_requested.insert(key.clone(), now);
         let mut waiting = self.awaited_adapters.borrow_mut();
-        let known = waiting.entry(key.clone()).or_insert(rank);
-        *known = rank.min(*known);
+        let known = waiting.entry(key.clone()).or_insert(priority);
+        *known = priority.min(*known);
         drop(waiting);
         self.notify_notes();
     }
@@ -560,11 +560,11 @@
             failed.is_some_and(|call| notify.was_cleared_since(call.noticed))
         };
         let all = [
-            &self.configuration_notify,
-            &self.versions_notify,
-            &self.instances_notify,
-            &self.endpoints_notify,
-            &self.poison_notify,
+            &self.configuration_relist_notify,
+            &self.versions_relist_notify,
+            &self.instances_relist_notify,
+            &self.endpoints_relist_notify,
+            &self.poison_relist_notify,
         ];
         for notify in all.iter().filter(|n| !Rc::ptr_eq(n, listed)) {
             if !is_known(notify) {
--- a/crates/sedgewalld/src/fleet/keys.rs
+++ b/crates/sedgewalld/src/fleet/keys.rs
@@ -138,7 +138,7 @@
     }
     keys.read_at.set(Some(now));
     instance.is_configuration_behind.set(true);
-    instance.configuration_notify.notify();
+    instance.configuration_relist_notify.notify();
 }
 
 fn ask(instance: &FleetInstance, sender: &NoteSender, now: Instant) {
--- a/crates/sedgewalld/src/fleet/leader.rs
+++ b/crates/sedgewalld/src/fleet/leader.rs
@@ -54,9 +54,10 @@
             instance.view.borrow_mut().stop_ordering(now);
             let window =
                 Duration::from_secs_f64(instance.fleet.store_window_s);
-            let rate =
+            let load_rate_limiter =
                 LoadRateLimiter::new(window, instance.fleet.store_overage);
-            let planner = PlacementPlanner::new(held.epoch, rate, now);
+            let planner =
+                PlacementPlanner::new(held.epoch, load_rate_limiter, now);
             *orders.planner.borrow_mut() = Some(planner);
         }
         let Some(routing) = instance.routing() else { continue };
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -81,7 +81,7 @@
 /// lease. The store may take 0.3 s to answer, and the process ends 0.7 s
 /// before the grace period does. No instance gives orders for a turn after the
 /// release, so the lease is released as late as possible.
-const RELEASE_MARGIN: Duration = Duration::from_millis(1_800);
+const RELEASE_BEFORE_GRACE_END: Duration = Duration::from_millis(1_800);
 
 /// How long other instances may renew the lease for a holder that cannot reach
 /// the store. Such a holder learns of endpoints that left, but not of new
@@ -317,7 +317,7 @@
 fn must_release(instance: &FleetInstance, now: Instant) -> bool {
     let Some(since) = instance.leaving_since.get() else { return false };
     let grace = Duration::from_secs_f64(instance.fleet.grace_s);
-    now - since >= grace.saturating_sub(RELEASE_MARGIN)
+    now - since >= grace.saturating_sub(RELEASE_BEFORE_GRACE_END)
 }
 
 fn begin_holding(
--- a/crates/sedgewalld/src/fleet/list_watch.rs
+++ b/crates/sedgewalld/src/fleet/list_watch.rs
@@ -35,7 +35,7 @@
 
 /// The pause between probes while they show that the store is out and no other
 /// call has reached it.
-const PROBE_INTERVAL: Duration = Duration::from_millis(500);
+const PROBE_PAUSE: Duration = Duration::from_millis(500);
 
 /// Handles the objects of one kind.
 pub(crate) trait ObjectHandler {
@@ -259,7 +259,7 @@
             if !F::RETRIES_EARLY {
                 // The watch of the configuration may be open on a connection
                 // that brings nothing more.
-                self.instance.configuration_notify.notify();
+                self.instance.configuration_relist_notify.notify();
             }
         }
         // A watch answers only on a change. A list shows at once that the
@@ -357,7 +357,7 @@
                 break;
             };
             instance.record_store_failure(sent, &err);
-            compio::time::sleep(PROBE_INTERVAL).await;
+            compio::time::sleep(PROBE_PAUSE).await;
             if !instance.store_reachability.borrow().is_unreachable() {
                 break;
             }
--- a/crates/sedgewalld/src/fleet/note_sender.rs
+++ b/crates/sedgewalld/src/fleet/note_sender.rs
@@ -99,9 +99,9 @@
             relays(zones, |id| view.is_live_peer(id, now), rotation)
         {
             let Group { index, count } = group;
-            let relayed =
+            let for_group =
                 GroupRelay { index, count, note: note.clone().into() };
-            self.send_to(peers[id].address, &Note::GroupRelay(relayed));
+            self.send_to(peers[id].address, &Note::GroupRelay(for_group));
         }
     }
 
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -233,10 +233,10 @@
         );
         if is_configuration {
             instance.is_configuration_behind.set(true);
-            instance.configuration_notify.notify();
+            instance.configuration_relist_notify.notify();
         } else {
             instance.is_versions_behind.set(true);
-            instance.versions_notify.notify();
+            instance.versions_relist_notify.notify();
         }
     }
 }
@@ -311,12 +311,12 @@
 
 fn apply_load_observations(
     instance: &FleetInstance,
-    arrivals: &[LoadObservationReport],
+    observations: &[LoadObservationReport],
     now: Instant,
 ) {
     let mut times = instance.load_times.borrow_mut();
     let mut view = instance.view.borrow_mut();
-    for reported in arrivals {
+    for reported in observations {
         let LoadObservationReport { endpoint, key, is_there, ago_ms } =
             reported;
         // The engine that finished this load may take another one now.
@@ -580,7 +580,7 @@
         instance.awaited_adapters.borrow_mut().drain().collect();
     let unreachable: Vec<_> =
         instance.unreachable.take().into_iter().collect();
-    let arrivals: Vec<_> = instance
+    let observations: Vec<_> = instance
         .observed_loads
         .take()
         .into_iter()
@@ -589,7 +589,7 @@
     if counts.is_empty()
         && waiting.is_empty()
         && unreachable.is_empty()
-        && arrivals.is_empty()
+        && observations.is_empty()
     {
         return;
     }
@@ -607,7 +607,7 @@
         counts,
         waiting,
         unreachable,
-        arrivals,
+        arrivals: observations,
         saturated,
     };
     if instance.held.get().is_some() {
--- a/crates/sedgewalld/src/fleet/notify.rs
+++ b/crates/sedgewalld/src/fleet/notify.rs
@@ -17,7 +17,7 @@
     is_notified: Cell<bool>,
     /// When [`Notify::clear`] was last called, because the work that the
     /// notification asks for began.
-    cleared: Cell<Option<Instant>>,
+    last_cleared: Cell<Option<Instant>>,
     waiting: RefCell<Option<oneshot::Sender<()>>>,
 }
 
@@ -35,13 +35,13 @@
     /// notification asks for begins now.
     pub(crate) fn clear(&self) {
         self.is_notified.set(false);
-        self.cleared.set(Some(Instant::now()));
+        self.last_cleared.set(Some(Instant::now()));
     }
 
     /// Returns whether the work that the notification asks for was begun after
     /// `moment`.
     pub(crate) fn was_cleared_since(&self, moment: Instant) -> bool {
-        self.cleared.get().is_some_and(|at| at > moment)
+        self.last_cleared.get().is_some_and(|at| at > moment)
     }
 
     /// Waits for a notification, or until the timeout. Returns whether there
--- a/crates/sedgewalld/src/fleet/permits.rs
+++ b/crates/sedgewalld/src/fleet/permits.rs
@@ -24,7 +24,7 @@
     pub(crate) choice: Choice,
     /// The time until an endpoint that was skipped because of its limit may
     /// take requests again.
-    pub(crate) limited_for: Option<Duration>,
+    pub(crate) limit_ends_in: Option<Duration>,
 }
 
 /// The permits that one request has asked for.
@@ -43,7 +43,7 @@
         now: Instant,
     ) -> PermittedChoice {
         let mut denied: Vec<EndpointId> = Vec::new();
-        let mut limited_for: Option<Duration> = None;
+        let mut limit_ends_in: Option<Duration> = None;
         loop {
             let choice = match denied.is_empty() {
                 true => instance.view.borrow().choose(need, now),
@@ -54,10 +54,10 @@
                 }
             };
             let Choice::Send(target) = &choice else {
-                return PermittedChoice { choice, limited_for };
+                return PermittedChoice { choice, limit_ends_in };
             };
             if instance.view.borrow().limit_per_s(&target.id).is_none() {
-                return PermittedChoice { choice, limited_for };
+                return PermittedChoice { choice, limit_ends_in };
             }
             let id = target.id.clone();
             let instances = instance.known_instance_count();
@@ -73,11 +73,12 @@
             };
             match view.take_permit(&id, request, now) {
                 Permit::Granted => {
-                    return PermittedChoice { choice, limited_for };
+                    return PermittedChoice { choice, limit_ends_in };
                 }
                 Permit::Denied { ready_in } => {
-                    let first = limited_for.unwrap_or(ready_in).min(ready_in);
-                    limited_for = Some(first);
+                    let first =
+                        limit_ends_in.unwrap_or(ready_in).min(ready_in);
+                    limit_ends_in = Some(first);
                     let until = now + ready_in.max(SATURATED_FOR);
                     instance.saturated.borrow_mut().insert(id.clone(), until);
                     denied.push(id);
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -199,9 +199,9 @@
 
 /// Records which runs of another instance were lost in a crash of an endpoint.
 pub(crate) fn apply_crash(instance: &FleetInstance, crash: &Crash) {
-    let own_crash =
+    let own_lost_runs =
         instance.poison.borrow_mut().record_crash(crash, Instant::now());
-    publish(instance, own_crash);
+    publish(instance, own_lost_runs);
 }
 
 /// Records that a run of a request succeeded at another instance.
--- a/crates/sedgewalld/src/fleet/refusal.rs
+++ b/crates/sedgewalld/src/fleet/refusal.rs
@@ -115,7 +115,7 @@
     /// Returns the delay after which a retry is worthwhile, or none if no
     /// retry is. The given delay is the longest that suits the caller's time
     /// limit.
-    fn retry_after(self, most: Duration) -> Option<Duration> {
+    fn retry_after(self, longest_delay: Duration) -> Option<Duration> {
         match self {
             // These causes last for seconds: until a load has had its turn, or
             // an outage or a restart is over. Callers retry only once or
@@ -126,15 +126,19 @@
             | Reason::Full
             | Reason::NobodyThere
             | Reason::EndpointsLimited
-            | Reason::RetriesSpent => Some(most),
-            Reason::OverAllowance(denied) => Some(most.min(denied.retry_in)),
+            | Reason::RetriesSpent => Some(longest_delay),
+            Reason::OverAllowance(denied) => {
+                Some(longest_delay.min(denied.retry_in))
+            }
             // Independent of the caller's time limit, because no instance
             // forwards the request before that.
-            Reason::CrashesEndpoints(back_in) => Some(back_in),
+            Reason::CrashesEndpoints(released_in) => Some(released_in),
             // Another instance may be able to serve the request.
             Reason::TooLate
             | Reason::KeysUnsure
-            | Reason::ConfigurationBehind => Some(most.min(SHORT_RETRY_DELAY)),
+            | Reason::ConfigurationBehind => {
+                Some(longest_delay.min(SHORT_RETRY_DELAY))
+            }
             _ => None,
         }
     }
@@ -144,11 +148,11 @@
 /// delay.
 pub(crate) fn answer(
     reason: Reason,
-    come_back: Duration,
+    longest_delay: Duration,
 ) -> Response<LocalBody> {
     let mut problem =
         Problem::new(reason.status(), reason.name(), reason.run_state(), "");
-    let retry_after = reason.retry_after(come_back);
+    let retry_after = reason.retry_after(longest_delay);
     problem.retry_after_ms = retry_after.map(|d| d.as_millis() as u64);
     let mut response = responses::problem(&problem);
     if let Some(after) = retry_after {
--- a/crates/sedgewalld/src/fleet/relay.rs
+++ b/crates/sedgewalld/src/fleet/relay.rs
@@ -41,7 +41,7 @@
     _open: OpenRequestGuard,
     framer: Option<EventFramer>,
     /// The time from the arrival of the request to the response headers.
-    head: Duration,
+    head_time: Duration,
     bytes: usize,
     /// When the last bytes arrived.
     last_bytes: Instant,
@@ -71,7 +71,7 @@
         .is_resumable
         .then(|| EventFramer::after(call.facts.last_event.clone()));
     let relay = StreamRelay {
-        head: call.arrived.elapsed(),
+        head_time: call.arrived.elapsed(),
         instance,
         call,
         progress,
@@ -157,7 +157,7 @@
             &self.progress,
             &self.target,
             &request_log::Delivered {
-                head: self.head,
+                head_time: self.head_time,
                 bytes: self.bytes,
                 longest_pause: self.longest_pause,
             },
--- a/crates/sedgewalld/src/fleet/request_log.rs
+++ b/crates/sedgewalld/src/fleet/request_log.rs
@@ -87,7 +87,7 @@
 /// What a caller received of an endpoint's response, and when.
 pub(crate) struct Delivered {
     /// The time from the arrival of the request to the response headers.
-    pub(crate) head: Duration,
+    pub(crate) head_time: Duration,
     pub(crate) bytes: usize,
     /// The longest time without a byte, after the headers.
     pub(crate) longest_pause: Duration,
@@ -102,7 +102,7 @@
 ) {
     metrics::counter!("sedgewall_served_total").increment(1);
     metrics::histogram!("sedgewall_first_byte_seconds")
-        .record(delivered.head.as_secs_f64());
+        .record(delivered.head_time.as_secs_f64());
     tracing::info!(
         event = "served",
         request = call.facts.request_id,
@@ -118,7 +118,7 @@
         sends = progress.sends,
         waited_ms = progress.waited.as_millis() as u64,
         is_later_try = call.is_later_try,
-        head_ms = delivered.head.as_millis() as u64,
+        head_ms = delivered.head_time.as_millis() as u64,
         longest_pause_ms = delivered.longest_pause.as_millis() as u64,
         configuration = call.decided_by.version,
         configuration_read_ms_ago = call.decided_by.read_ms_ago(),
--- a/crates/sedgewalld/src/fleet/watch_configuration.rs
+++ b/crates/sedgewalld/src/fleet/watch_configuration.rs
@@ -38,7 +38,7 @@
     const RETRIES_EARLY: bool = true;
 
     fn relist_notify(&self) -> Rc<Notify> {
-        self.0.configuration_notify.clone()
+        self.0.configuration_relist_notify.clone()
     }
 
     fn take_behind(&self) -> bool {
@@ -146,7 +146,7 @@
     const WATCH_TIMEOUT: Duration = DEFAULT_WATCH_TIMEOUT;
 
     fn relist_notify(&self) -> Rc<Notify> {
-        self.0.versions_notify.clone()
+        self.0.versions_relist_notify.clone()
     }
 
     fn take_behind(&self) -> bool {
--- a/crates/sedgewalld/src/fleet/watch_endpoints.rs
+++ b/crates/sedgewalld/src/fleet/watch_endpoints.rs
@@ -62,7 +62,7 @@
     }
 
     fn relist_notify(&self) -> Rc<Notify> {
-        self.instance.endpoints_notify.clone()
+        self.instance.endpoints_relist_notify.clone()
     }
 
     fn handle_list(&self, listing: Listing) {
--- a/crates/sedgewalld/src/fleet/watch_instances.rs
+++ b/crates/sedgewalld/src/fleet/watch_instances.rs
@@ -55,7 +55,7 @@
     }
 
     fn relist_notify(&self) -> Rc<Notify> {
-        self.0.instances_notify.clone()
+        self.0.instances_relist_notify.clone()
     }
 
     fn handle_list(&self, listing: Listing) {
--- a/crates/sedgewalld/src/fleet/watch_poison.rs
+++ b/crates/sedgewalld/src/fleet/watch_poison.rs
@@ -109,7 +109,7 @@
     }
 
     fn relist_notify(&self) -> Rc<Notify> {
-        self.instance.poison_notify.clone()
+        self.instance.poison_relist_notify.clone()
     }
 
     fn handle_list(&self, listing: Listing) {
@@ -212,7 +212,7 @@
 pub(crate) fn update_watcher_role(instance: &FleetInstance) {
     let is_watcher = is_watcher(instance);
     if is_watcher && !instance.is_poison_watcher.replace(is_watcher) {
-        instance.poison_notify.notify();
+        instance.poison_relist_notify.notify();
     }
     instance.is_poison_watcher.set(is_watcher);
 }
@@ -270,11 +270,11 @@
         return Some(RecordChange::Write(unwritten));
     }
     let verdict = |digest| instance.poison.borrow().verdict(digest, now);
-    let needless = records.0.iter().find(|(digest, known)| {
+    let deletable = records.0.iter().find(|(digest, known)| {
         (known.is_refuted || now >= known.expires_at)
             && verdict(**digest).is_none()
     });
-    needless
+    deletable
         .map(|(digest, known)| RecordChange::Delete(*digest, known.revision))
 }
 
