--- a/crates/sedgewalld/src/fleet/announcements.rs
+++ b/crates/sedgewalld/src/fleet/announcements.rs
@@ -4,9 +4,9 @@
 //! Invariant: a header in a response to a caller's request counts only if the
 //! response answers that request and comes from the incarnation of the
 //! endpoint that the request was sent to. A cooldown in an engine's answer to
-//! an order counts for the incarnation that is known when the answer arrives.
-//! Limits that other instances report are applied separately, in
-//! [`apply_limit_reports`].
+//! an order, or to the question what it holds, counts for the incarnation that
+//! is known when the answer arrives. Limits that other instances report are
+//! applied separately, in [`apply_limit_reports`].
 
 use std::time::Duration;
 
--- a/crates/sedgewalld/src/fleet/instance.rs
+++ b/crates/sedgewalld/src/fleet/instance.rs
@@ -82,7 +82,7 @@
     pub(crate) epoch: Epoch,
     /// The state of the lease, as the holder reported it.
     pub(crate) noted: AnnouncedLease,
-    /// When the holder counts as gone, unless another note of it comes.
+    /// When the holder counts as gone, unless another of its notes arrives.
     pub(crate) holds_until: Instant,
 }
 
@@ -193,8 +193,8 @@
     /// The other instances, as listed in the store.
     pub(crate) peers: RefCell<BTreeMap<InstanceId, Peer>>,
     /// Source addresses of notes from instances that are not listed here. An
-    /// instance that loses the store before it has listed the others fetches
-    /// what it is missing from these.
+    /// instance that loses the store before it has listed the other instances
+    /// fetches the state that it is missing from these addresses.
     pub(super) observed_addresses:
         RefCell<HashMap<InstanceId, ObservedAddress>>,
     /// This instance's own entry, as the store listed it.
@@ -417,7 +417,7 @@
         }
     }
 
-    /// Returns the lease holder, if a note of it came lately.
+    /// Returns the lease holder, if it has sent a note lately.
     pub(crate) fn live_leader(&self, now: Instant) -> Option<KnownLeader> {
         let leader = self.leader.borrow().clone()?;
         (now < leader.holds_until).then_some(leader)
@@ -464,8 +464,8 @@
     }
 
     /// Returns the longest time limit that a caller stated on a route,
-    /// including this one. First tries state the full time limit, later ones
-    /// what is left of it.
+    /// including the given one. First tries state the full time limit, later
+    /// tries what is left of it.
     pub(crate) fn longest_time_limit(
         &self,
         route: &str,
@@ -550,10 +550,10 @@
     /// listed.
     ///
     /// Watches that were open while the store was out may never be answered. A
-    /// kind that was listed after the last failed call is left out too:
-    /// without that, the first answer of each kind made all others list again,
-    /// which were 2,285 lists, three for each instance and kind, when all
-    /// watches of 195 instances were cut once.
+    /// kind that was listed after the last failed call is left out too.
+    /// Otherwise the first answer for each kind made all other kinds be listed
+    /// again: 2,285 lists, three for each instance and kind, when all watches
+    /// of 195 instances were cut once.
     pub(crate) fn relist_others(&self, listed: &Rc<Notify>) {
         let failed = self.store_reachability.borrow().last_failure();
         let is_known = |notify: &Notify| {
--- a/crates/sedgewalld/src/fleet/keys.rs
+++ b/crates/sedgewalld/src/fleet/keys.rs
@@ -158,8 +158,8 @@
 }
 
 /// Fetches a newer configuration from an instance that has it; the next
-/// question shows whether that is the newest one. The store is read only once
-/// what is known gets too old, or if no instance was asked.
+/// question shows whether that configuration is the newest. The store is read
+/// only once the known keys get too old, or if no instance was asked.
 fn fetch_newer(
     instance: &FleetInstance,
     peer: Option<&InstanceId>,
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -25,8 +25,8 @@
 /// takes some time to arrive, and must reach its engine while the lease holds.
 const ORDER_MARGIN: Duration = Duration::from_millis(100);
 
-/// Orders to one engine that depend on each other: if one fails, those after
-/// it are not sent.
+/// Orders to one engine that depend on each other: if an order fails, the
+/// orders after it are not sent.
 type Batch = (Epoch, Vec<Order>);
 
 /// How old an order must be to show in an engine's report. The platform
@@ -142,7 +142,8 @@
         self.cancel_load(order);
     }
 
-    /// Asks an engine what it holds, once its report must show the last order.
+    /// Asks an engine for a report of what it holds, once the report must show
+    /// the last order.
     async fn sync(&self, order: &Order, accepted: &mut AcceptedOrders) {
         if self.is_cooling_down(&order.endpoint) {
             return;
--- a/crates/sedgewalld/src/fleet/refusal.rs
+++ b/crates/sedgewalld/src/fleet/refusal.rs
@@ -113,14 +113,14 @@
     }
 
     /// Returns the delay after which a retry is worthwhile, or none if no
-    /// retry is. The given delay is the longest that suits the caller's time
-    /// limit.
+    /// retry is. `longest_delay` suits the caller's time limit and the time
+    /// until an endpoint is expected to take the request, if that is known.
     fn retry_after(self, longest_delay: Duration) -> Option<Duration> {
         match self {
             // These causes last for seconds: until a load has had its turn, or
             // an outage or a restart is over. Callers retry only once or
-            // twice, and a second refusal may be the last, so the longest
-            // useful delay is suggested.
+            // twice, and a second refusal may be the last, so the given delay
+            // is suggested in full.
             Reason::AdapterAbsent
             | Reason::NoConfiguration
             | Reason::Full
@@ -144,8 +144,8 @@
     }
 }
 
-/// Returns the response for a refusal, to a caller that may retry after a
-/// delay.
+/// Returns the response for a refusal. `longest_delay` limits the suggested
+/// retry delay, except for requests that crash endpoints.
 pub(crate) fn answer(
     reason: Reason,
     longest_delay: Duration,
--- a/crates/sedgewalld/src/fleet/watch_instances.rs
+++ b/crates/sedgewalld/src/fleet/watch_instances.rs
@@ -37,7 +37,7 @@
 struct InstanceEntry {
     /// The address to which notes for the instance are sent.
     notes_address: SocketAddr,
-    /// Its availability zone.
+    /// The availability zone of the instance.
     zone: ZoneName,
     /// The share of a processor core that the instance has, in percent.
     cpu_percent: u32,
