--- a/crates/sedgewalld/src/fleet/instance.rs
+++ b/crates/sedgewalld/src/fleet/instance.rs
@@ -66,12 +66,12 @@
 /// Another instance, as described by its entry in the store.
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
-    /// The address that its notes are sent to.
+    /// The address to which notes for that instance are sent.
     pub(crate) address: SocketAddr,
     pub(crate) zone: ZoneName,
-    /// The share of a processor core that it has, in percent.
+    /// The share of a processor core that the instance has, in percent.
     pub(crate) cpu_percent: u32,
-    /// When this instance first read its entry.
+    /// When the other instance's entry was first read here.
     pub(crate) known_since: Instant,
 }
 
@@ -82,7 +82,7 @@
     pub(crate) epoch: Epoch,
     /// The state of the lease, as the holder reported it.
     pub(crate) noted: AnnouncedLease,
-    /// When the holder counts as gone, unless another note of it comes.
+    /// When the holder counts as gone, unless another of its notes arrives.
     pub(crate) holds_until: Instant,
 }
 
@@ -149,7 +149,9 @@
     pub(crate) catch_up: RefCell<CatchUp>,
     /// Requests that wait for a newer configuration.
     pub(super) configuration_waiters: RefCell<Vec<oneshot::Sender<()>>>,
-    /// The table of endpoints.
+    /// What this instance knows of the endpoints: their adapters, load (from
+    /// its own and from other instances' requests), limits and departures, and
+    /// the newest versions of weights.
     pub(crate) view: RefCell<FleetView>,
     /// At the lease holder: the demand for adapters.
     pub(crate) demand: RefCell<Demand>,
@@ -162,7 +164,8 @@
     /// The number of requests for each adapter since the last report to the
     /// lease holder.
     pub(crate) requested_adapters: RefCell<HashMap<AdapterKey, u32>>,
-    /// Adapters that requests wait for, with the rank of the most urgent one.
+    /// Adapters that requests wait for, with the priority of the most urgent
+    /// request.
     pub(crate) awaited_adapters: RefCell<HashMap<AdapterKey, u8>>,
     /// This instance's share of each customer's allowance.
     pub(crate) rate_limiter: RefCell<RateLimiter>,
@@ -185,13 +188,13 @@
     longest_time_limits: RefCell<HashMap<String, Duration>>,
     /// When the lease holder was last asked for each adapter.
     last_requested: RefCell<HashMap<AdapterKey, Instant>>,
-    /// The retry budget, which all instances share.
+    /// This instance's use of the retry budget that all instances share.
     pub(crate) budget: RefCell<RetryBudget>,
     /// The other instances, as listed in the store.
     pub(crate) peers: RefCell<BTreeMap<InstanceId, Peer>>,
     /// Source addresses of notes from instances that are not listed here. An
-    /// instance that loses the store before it has listed the others fetches
-    /// what it is missing from these.
+    /// instance that loses the store before it has listed the other instances
+    /// fetches the state that it is missing from these addresses.
     pub(super) observed_addresses:
         RefCell<HashMap<InstanceId, ObservedAddress>>,
     /// This instance's own entry, as the store listed it.
@@ -208,15 +211,15 @@
     /// Requests that succeeded here lately, as hashes with a key of this
     /// process.
     pub(crate) recent_successes: RefCell<RecentSuccesses>,
-    /// The key of these hashes.
+    /// The key of the hashes in `recent_successes`.
     pub(crate) hash_key: RandomState,
     /// The records of condemned requests in the store.
     pub(crate) poison_records: RefCell<PoisonRecords>,
     /// Notified when records may have to be written or deleted.
     pub(crate) poison_records_notify: Notify,
-    pub(crate) poison_notify: Rc<Notify>,
-    /// Whether this instance is one of those that watch these records for all
-    /// instances.
+    pub(crate) poison_relist_notify: Rc<Notify>,
+    /// Whether this instance is one of those that watch the records of
+    /// condemned requests for all instances.
     pub(crate) is_poison_watcher: Cell<bool>,
     /// Endpoints that are being probed because a run broke off there.
     pub(crate) probed_endpoints: RefCell<BTreeSet<EndpointId>>,
@@ -237,16 +240,18 @@
     pub(crate) has_unreported_sends: Cell<bool>,
     /// Notified when the configuration must be listed again. The same holds
     /// for the notifications of the other watched kinds.
-    pub(crate) configuration_notify: Rc<Notify>,
-    pub(crate) versions_notify: Rc<Notify>,
+    pub(crate) configuration_relist_notify: Rc<Notify>,
+    pub(crate) versions_relist_notify: Rc<Notify>,
     /// Whether other instances have reported a newer configuration for a
-    /// while. The next field says the same of versions of weights.
+    /// while.
     pub(crate) is_configuration_behind: Cell<bool>,
+    /// Whether other instances have reported newer versions of weights for a
+    /// while.
     pub(crate) is_versions_behind: Cell<bool>,
     /// Whether the newest configuration in the store could not be read.
     pub(crate) is_configuration_unreadable: Cell<bool>,
-    pub(crate) instances_notify: Rc<Notify>,
-    pub(crate) endpoints_notify: Rc<Notify>,
+    pub(crate) instances_relist_notify: Rc<Notify>,
+    pub(crate) endpoints_relist_notify: Rc<Notify>,
     /// Since when other instances have reported newer state than this one has.
     pub(crate) behind_since: Cell<Option<Instant>>,
     /// Counters for the log.
@@ -323,7 +328,7 @@
             hash_key: RandomState::new(),
             poison_records: RefCell::default(),
             poison_records_notify: Notify::default(),
-            poison_notify: Rc::default(),
+            poison_relist_notify: Rc::default(),
             is_poison_watcher: Cell::new(true),
             probed_endpoints: RefCell::default(),
             peer_pool: EndpointPool::new(),
@@ -334,13 +339,13 @@
             notes_notify: Notify::default(),
             has_unreported_work: Cell::new(false),
             has_unreported_sends: Cell::new(false),
-            configuration_notify: Rc::default(),
-            versions_notify: Rc::default(),
+            configuration_relist_notify: Rc::default(),
+            versions_relist_notify: Rc::default(),
             is_configuration_behind: Cell::new(false),
             is_versions_behind: Cell::new(false),
             is_configuration_unreadable: Cell::new(false),
-            instances_notify: Rc::default(),
-            endpoints_notify: Rc::default(),
+            instances_relist_notify: Rc::default(),
+            endpoints_relist_notify: Rc::default(),
             behind_since: Cell::new(None),
             counters: NoteCounters::default(),
             renewal: RefCell::default(),
@@ -412,7 +417,7 @@
         }
     }
 
-    /// Returns the lease holder, if a note of it came lately.
+    /// Returns the lease holder, if it has sent a note lately.
     pub(crate) fn live_leader(&self, now: Instant) -> Option<KnownLeader> {
         let leader = self.leader.borrow().clone()?;
         (now < leader.holds_until).then_some(leader)
@@ -459,8 +464,8 @@
     }
 
     /// Returns the longest time limit that a caller stated on a route,
-    /// including this one. First tries state the full time limit, later ones
-    /// what is left of it.
+    /// including the given one. First tries state the full time limit, later
+    /// tries what is left of it.
     pub(crate) fn longest_time_limit(
         &self,
         route: &str,
@@ -481,11 +486,11 @@
         self.longest_time_limits.borrow_mut().clear();
     }
 
-    /// Asks the lease holder for an adapter that a request of the given rank
-    /// waits for. Requests for the same adapter are sent to the holder once
-    /// per interval: the holder remembers them, and the next one makes up for
-    /// a lost note.
-    pub(crate) fn request_adapter(&self, key: &AdapterKey, rank: u8) {
+    /// Asks the lease holder for an adapter that a request of the given
+    /// priority waits for. The holder is asked for the same adapter once per
+    /// interval: it remembers the adapter, and asking again makes up for a
+    /// lost note.
+    pub(crate) fn request_adapter(&self, key: &AdapterKey, priority: u8) {
         let now = Instant::now();
         let mut last_requested = self.last_requested.borrow_mut();
         let is_known = last_requested
@@ -500,8 +505,8 @@
         }
         last_requested.insert(key.clone(), now);
         let mut waiting = self.awaited_adapters.borrow_mut();
-        let known = waiting.entry(key.clone()).or_insert(rank);
-        *known = rank.min(*known);
+        let known = waiting.entry(key.clone()).or_insert(priority);
+        *known = priority.min(*known);
         drop(waiting);
         self.notify_notes();
     }
@@ -526,7 +531,8 @@
     pub(crate) fn wake(&self, key: &AdapterKey) {
         let waiting = self.adapter_waiters.borrow_mut().remove(key);
         for tx in waiting.into_iter().flatten() {
-            // Fails if the request has ended meanwhile.
+            // Fails if the request no longer waits: its wait timed out, or it
+            // ended.
             let _ = tx.send(());
         }
     }
@@ -544,21 +550,21 @@
     /// listed.
     ///
     /// Watches that were open while the store was out may never be answered. A
-    /// kind that was listed after the last failed call is left out too:
-    /// without that, the first answer of each kind made all others list again,
-    /// which were 2,285 lists, three for each instance and kind, when all
-    /// watches of 195 instances were cut once.
+    /// kind that was listed after the last failed call is left out too.
+    /// Otherwise the first answer for each kind made all other kinds be listed
+    /// again: 2,285 lists, three for each instance and kind, when all watches
+    /// of 195 instances were cut once.
     pub(crate) fn relist_others(&self, listed: &Rc<Notify>) {
         let failed = self.store_reachability.borrow().last_failure();
         let is_known = |notify: &Notify| {
             failed.is_some_and(|call| notify.was_cleared_since(call.noticed))
         };
         let all = [
-            &self.configuration_notify,
-            &self.versions_notify,
-            &self.instances_notify,
-            &self.endpoints_notify,
-            &self.poison_notify,
+            &self.configuration_relist_notify,
+            &self.versions_relist_notify,
+            &self.instances_relist_notify,
+            &self.endpoints_relist_notify,
+            &self.poison_relist_notify,
         ];
         for notify in all.iter().filter(|n| !Rc::ptr_eq(n, listed)) {
             if !is_known(notify) {
--- a/crates/sedgewalld/src/fleet/keys.rs
+++ b/crates/sedgewalld/src/fleet/keys.rs
@@ -32,8 +32,8 @@
 /// three of them cut off at once, one still answers.
 const WATCHERS: usize = 4;
 
-/// The interval at which an instance that asks nobody checks whether it has
-/// to.
+/// The interval at which an instance that asks no other instance checks
+/// whether it must ask one.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The minimum interval between two reads of the store.
@@ -138,7 +138,7 @@
     }
     keys.read_at.set(Some(now));
     instance.is_configuration_behind.set(true);
-    instance.configuration_notify.notify();
+    instance.configuration_relist_notify.notify();
 }
 
 fn ask(instance: &FleetInstance, sender: &NoteSender, now: Instant) {
@@ -158,8 +158,8 @@
 }
 
 /// Fetches a newer configuration from an instance that has it; the next
-/// question shows whether that is the newest one. The store is read only once
-/// what is known gets too old, or if no instance was asked.
+/// question shows whether that configuration is the newest. The store is read
+/// only once the known keys get too old, or if no instance was asked.
 fn fetch_newer(
     instance: &FleetInstance,
     peer: Option<&InstanceId>,
--- a/crates/sedgewalld/src/fleet/list_watch.rs
+++ b/crates/sedgewalld/src/fleet/list_watch.rs
@@ -35,14 +35,16 @@
 
 /// The pause between probes while they show that the store is out and no other
 /// call has reached it.
-const PROBE_INTERVAL: Duration = Duration::from_millis(500);
+const PROBE_PAUSE: Duration = Duration::from_millis(500);
 
 /// Handles the objects of one kind.
 pub(crate) trait ObjectHandler {
     const KIND: &'static str;
     const WATCH_TIMEOUT: Duration;
-    /// How fresh the first list must be. The next watch continues from it, so
-    /// a cheap, older list suffices where one more second does no harm.
+    /// How fresh the first list must be. A cheaper list that may be seconds
+    /// old suffices for a kind whose newest state may become known a second
+    /// later: the first watch continues from the list and brings what it
+    /// lacks.
     const FIRST_LIST_FRESHNESS: Freshness = Freshness::SecondsOld;
     /// Returns the pause before the next watch.
     fn pause(&self) -> Duration {
@@ -257,7 +259,7 @@
             if !F::RETRIES_EARLY {
                 // The watch of the configuration may be open on a connection
                 // that brings nothing more.
-                self.instance.configuration_notify.notify();
+                self.instance.configuration_relist_notify.notify();
             }
         }
         // A watch answers only on a change. A list shows at once that the
@@ -312,8 +314,9 @@
 
 /// Returns how fresh the next watch must be, by this instance's rank.
 ///
-/// A few instances get all changes at once and tell the others. Those watch
-/// for a tenth of the price, which makes up for lost notes.
+/// A few instances get all changes at once and tell the other instances. The
+/// other instances watch for a tenth of the price, which makes up for lost
+/// notes.
 fn next_watch_freshness(
     instance: &FleetInstance,
     before: Freshness,
@@ -354,7 +357,7 @@
                 break;
             };
             instance.record_store_failure(sent, &err);
-            compio::time::sleep(PROBE_INTERVAL).await;
+            compio::time::sleep(PROBE_PAUSE).await;
             if !instance.store_reachability.borrow().is_unreachable() {
                 break;
             }
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -92,9 +92,10 @@
 /// counts against the request if its endpoint turns out to have crashed.
 ///
 /// A request that succeeded here lately is not counted, because requests that
-/// many callers send alike are running at each endpoint that crashes. Without
-/// that, such a read was condemned beside a request that had crashed all three
-/// endpoints of a service.
+/// many callers send alike are running at each endpoint that crashes.
+/// Otherwise a harmless request that is often sent would be condemned together
+/// with the request that crashes the endpoints, as happened when one request
+/// had crashed all three endpoints of a service.
 pub(crate) fn run_lost(
     instance: &FleetInstance,
     call: &CallerRequest,
@@ -200,9 +201,9 @@
 
 /// Records which runs of another instance were lost in a crash of an endpoint.
 pub(crate) fn apply_crash(instance: &FleetInstance, crash: &Crash) {
-    let own_crash =
+    let own_lost_runs =
         instance.poison.borrow_mut().record_crash(crash, Instant::now());
-    publish(instance, own_crash);
+    publish(instance, own_lost_runs);
 }
 
 /// Records that a run of a request succeeded at another instance.
--- a/crates/sedgewalld/src/fleet/relay.rs
+++ b/crates/sedgewalld/src/fleet/relay.rs
@@ -20,14 +20,15 @@
     poison, request_log,
 };
 
-/// The minimum idle timeout of a stream.
+/// A lower bound of a stream's idle timeout.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The idle timeout of a stream, in multiples of the route's target latency.
+/// A lower bound of a stream's idle timeout, in multiples of the route's
+/// target latency. The longest of the three bounds applies.
 const IDLE_TIMEOUT_TARGETS: u32 = 4;
 
-/// The idle timeout of a stream, in multiples of the longest gap between
-/// events that is in time.
+/// A lower bound of a stream's idle timeout, in multiples of the longest gap
+/// between events that is in time.
 const IDLE_TIMEOUT_GAPS: u32 = 8;
 
 struct StreamRelay {
@@ -39,10 +40,12 @@
     _in_flight_guard: InFlightGuard,
     _open: OpenRequestGuard,
     framer: Option<EventFramer>,
-    head: Duration,
+    /// The time from the arrival of the request to the response headers.
+    head_time: Duration,
     bytes: usize,
-    /// When the last bytes arrived, and the longest time between bytes.
+    /// When the last bytes arrived.
     last_bytes: Instant,
+    /// The longest time without a byte, after the headers.
     longest_pause: Duration,
     is_over: bool,
 }
@@ -68,7 +71,7 @@
         .is_resumable
         .then(|| EventFramer::after(call.facts.last_event.clone()));
     let relay = StreamRelay {
-        head: call.arrived.elapsed(),
+        head_time: call.arrived.elapsed(),
         instance,
         call,
         progress,
@@ -154,7 +157,7 @@
             &self.progress,
             &self.target,
             &request_log::Delivered {
-                head: self.head,
+                head_time: self.head_time,
                 bytes: self.bytes,
                 longest_pause: self.longest_pause,
             },
--- a/crates/sedgewalld/src/fleet/watch_configuration.rs
+++ b/crates/sedgewalld/src/fleet/watch_configuration.rs
@@ -38,7 +38,7 @@
     const RETRIES_EARLY: bool = true;
 
     fn relist_notify(&self) -> Rc<Notify> {
-        self.0.configuration_notify.clone()
+        self.0.configuration_relist_notify.clone()
     }
 
     fn take_behind(&self) -> bool {
@@ -46,7 +46,8 @@
     }
 
     /// Where revoked keys must stop working within a time limit, a few
-    /// instances watch for the newest configuration, and the others ask these.
+    /// instances watch for the newest configuration, and the other instances
+    /// ask them.
     fn watch_override(&self) -> Option<(Freshness, Duration)> {
         let wait = keys::watch_timeout(&self.0)?;
         Some((Freshness::Newest, wait))
@@ -145,7 +146,7 @@
     const WATCH_TIMEOUT: Duration = DEFAULT_WATCH_TIMEOUT;
 
     fn relist_notify(&self) -> Rc<Notify> {
-        self.0.versions_notify.clone()
+        self.0.versions_relist_notify.clone()
     }
 
     fn take_behind(&self) -> bool {
--- a/crates/sedgewalld/src/fleet/watch_poison.rs
+++ b/crates/sedgewalld/src/fleet/watch_poison.rs
@@ -109,7 +109,7 @@
     }
 
     fn relist_notify(&self) -> Rc<Notify> {
-        self.instance.poison_notify.clone()
+        self.instance.poison_relist_notify.clone()
     }
 
     fn handle_list(&self, listing: Listing) {
@@ -207,12 +207,12 @@
 }
 
 /// Updates whether this instance watches the records for all instances, and
-/// starts to watch if it newly does, because the instances that came before it
-/// have left or are silent.
+/// starts to watch if it has become one of the watchers, because the instances
+/// that ranked before it have left or are silent.
 pub(crate) fn update_watcher_role(instance: &FleetInstance) {
     let is_watcher = is_watcher(instance);
     if is_watcher && !instance.is_poison_watcher.replace(is_watcher) {
-        instance.poison_notify.notify();
+        instance.poison_relist_notify.notify();
     }
     instance.is_poison_watcher.set(is_watcher);
 }
@@ -233,8 +233,8 @@
     instance.poison_records_notify.notify();
 }
 
-/// Writes missing records of condemned requests, and deletes expired ones.
-/// Never returns.
+/// Writes missing records of condemned requests, and deletes those that have
+/// expired or are refuted. Never returns.
 pub(crate) async fn keep_records(instance: Rc<FleetInstance>) {
     let mut back_off = BackOff::default();
     loop {
@@ -270,11 +270,11 @@
         return Some(RecordChange::Write(unwritten));
     }
     let verdict = |digest| instance.poison.borrow().verdict(digest, now);
-    let needless = records.0.iter().find(|(digest, known)| {
+    let deletable = records.0.iter().find(|(digest, known)| {
         (known.is_refuted || now >= known.expires_at)
             && verdict(**digest).is_none()
     });
-    needless
+    deletable
         .map(|(digest, known)| RecordChange::Delete(*digest, known.revision))
 }
 
