--- a/crates/sedgewalld/src/call.rs
+++ b/crates/sedgewalld/src/call.rs
@@ -1,9 +1,11 @@
 //! One completion: waits for a grant, calls the engine, and returns the
 //! answer.
 //!
-//! This module enforces the retry rules: a request is sent again only if the
-//! last attempt certainly did not run, or if the request is repeatable; and
-//! `not_run` is answered only if no attempt can have run.
+//! This module enforces the retry rules. A request is sent again only if the
+//! last attempt certainly did not run, or if the request is repeatable.
+//! `not_run` is meant to be answered only if no attempt can have run; but the
+//! answer to a request that an engine rejects says `not_run` whatever became
+//! of earlier attempts.
 
 use std::{rc::Rc, time::Duration};
 
@@ -387,7 +389,8 @@
     call.instance.record_event(EventKind::FirstToken, id, subject, "", detail);
 }
 
-/// The failed attempts of one request, and the limit on its retries.
+/// The failed attempts of one request, and the limit on its retries. A stream
+/// starts a new count once the engine has answered.
 pub(crate) struct RetryState {
     failures: u32,
     limit: u32,
@@ -401,8 +404,13 @@
         RetryState { failures: 0, limit, may_have_run: false }
     }
 
-    /// Records a failed attempt. Returns `Ok` if the request may be tried
-    /// again, otherwise the problem to answer with.
+    /// Reports a failed attempt to the leader and, if a retry is allowed, sees
+    /// to it that the request gets another grant. Returns the problem to
+    /// answer with if no retry is allowed.
+    ///
+    /// A retry is taken from this instance's retry budget. After an unknown
+    /// outcome the request is submitted to the leader again; otherwise the
+    /// leader gives it another grant by itself.
     pub(crate) fn record_failure(
         &mut self,
         call: &ModelCall,
--- a/crates/sedgewalld/src/claims.rs
+++ b/crates/sedgewalld/src/claims.rs
@@ -226,7 +226,7 @@
     log: ClaimLog,
     waiters: HashMap<RequestId, ReplyTo>,
     is_writer_running: bool,
-    /// The last read or write with a known outcome.
+    /// When the platform last confirmed a read or write of this log.
     last_synced: Option<Instant>,
     last_written: Option<Instant>,
 }
--- a/crates/sedgewalld/src/election.rs
+++ b/crates/sedgewalld/src/election.rs
@@ -188,8 +188,9 @@
 ) -> Renewed {
     match read(instance, shard).await {
         Ok(stored) => held.reconcile(stored, Instant::now()),
-        // The platform is unreachable, and no other instance can take the
-        // lease without it.
+        // The lease cannot be read. Keep it: its time of last renewal is
+        // unchanged, so `is_current` turns false when another instance may
+        // take it.
         Err(_) => Renewed::Held(held),
     }
 }
--- a/crates/sedgewalld/src/entry.rs
+++ b/crates/sedgewalld/src/entry.rs
@@ -304,6 +304,7 @@
             caller_hash: tracked.caller_hash,
             time_left: tracked.deadline.saturating_duration_since(now),
             waited: now.saturating_duration_since(tracked.submitted),
+            // The leader states a grant's expiry on this clock.
             stamp_ms: instance.stamp_ms(),
             config_version: instance.config.borrow().version(),
         }
--- a/crates/sedgewalld/src/entry_messages.rs
+++ b/crates/sedgewalld/src/entry_messages.rs
@@ -30,7 +30,8 @@
     let is_led = apply_change(instance, &submit.shard, |leader, actions| {
         leader.record_entry(envelope, submit.stamp_ms, &url);
         if let Some(grant) = leader.shard.grant(id) {
-            // The grant was lost or is still in transit.
+            // This leader has granted the request already; the entry has not
+            // received the grant, or had not when it submitted again.
             if grant.expires > now {
                 resend = Some(grant.engine);
                 return;
--- a/crates/sedgewalld/src/explain.rs
+++ b/crates/sedgewalld/src/explain.rs
@@ -37,6 +37,7 @@
         waiting_len: state.queue.len(),
         ready_on: leader.endpoints(&state.ready),
         loading_on: leader.endpoints(&state.loading),
+        // The adapter's failed loads in a row.
         load_failures: state.load_failures,
         next: leader.next_step(idx, now),
     })
--- a/crates/sedgewalld/src/heartbeat.rs
+++ b/crates/sedgewalld/src/heartbeat.rs
@@ -12,8 +12,8 @@
 /// The interval of heartbeats to at most [`MAX_DIRECT_PEERS`] peers.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The number of peers up to which heartbeats are sent at the shortest
-/// interval; the interval grows with more peers.
+/// The number of peers by which the interval grows one step: it is
+/// [`HEARTBEAT_INTERVAL`] for each started group of so many peers.
 const MAX_DIRECT_PEERS: u32 = 8;
 
 /// The maximum interval of heartbeats. An entry counts as lost after 3 s
@@ -45,8 +45,9 @@
 
 /// Returns the interval of heartbeats to a number of peers.
 ///
-/// It grows with the number: a leader that sends four heartbeats a second to
-/// each of a hundred entries would spend its whole allowance on heartbeats.
+/// The interval grows with the number of peers: a leader that sent four
+/// heartbeats a second to each of a hundred entries would mostly send
+/// heartbeats.
 fn heartbeat_interval(peers: u32) -> Duration {
     let interval =
         HEARTBEAT_INTERVAL * peers.div_ceil(MAX_DIRECT_PEERS).max(1);
--- a/crates/sedgewalld/src/instance.rs
+++ b/crates/sedgewalld/src/instance.rs
@@ -36,9 +36,10 @@
 pub(crate) enum Stage {
     /// No configuration has been adopted yet.
     Starting,
-    /// The instance accepts requests.
+    /// The instance has a configuration, and `/readyz` answers ready.
     Ready,
-    /// The instance finishes its open requests and then exits.
+    /// The instance still accepts requests, but is not ready. It exits once no
+    /// request is open and it leads no shard, or after the drain timeout.
     Leaving,
 }
 
--- a/crates/sedgewalld/src/leader.rs
+++ b/crates/sedgewalld/src/leader.rs
@@ -88,8 +88,8 @@
     pub(crate) is_barrier_passed: bool,
     /// Whether an engine has refused an order because of a later epoch.
     pub(crate) is_superseded: bool,
-    /// The allotment of the weight store's limits, beside the guaranteed
-    /// limits.
+    /// The allocator's epoch, and the time until which the allotted limits on
+    /// the weight store replace the guaranteed ones.
     pub(crate) allotment: StoreAllotment,
 }
 
--- a/crates/sedgewalld/src/main.rs
+++ b/crates/sedgewalld/src/main.rs
@@ -4,6 +4,11 @@
 //! decisions and encode messages; the modules here connect them to sockets and
 //! clocks. All instances run the same code: each accepts requests from callers
 //! (the entry role), and may become the leader of shards at run time.
+//!
+//! If the settings have a `fleet` section, `fleet::daemon` runs instead of
+//! [`daemon`]: there are no shard leaders then, but each instance routes its
+//! callers' requests to endpoints itself, and one lease holder orders the
+//! loads of adapters.
 
 mod call;
 mod claims;
@@ -41,7 +46,7 @@
 /// The exit code for settings that cannot be read or are invalid.
 const EXIT_SETTINGS: u8 = 2;
 
-/// The exit code for a daemon that failed to start or to keep running.
+/// The exit code for a daemon that failed to start.
 const EXIT_FAILED: u8 = 1;
 
 /// Serves LoRA adapters: routes requests from callers to model engines.
--- a/crates/sedgewalld/src/operator.rs
+++ b/crates/sedgewalld/src/operator.rs
@@ -141,6 +141,8 @@
     }
 }
 
+/// Starts a graceful stop. New requests are still accepted until the exit;
+/// readiness fails, so that the load balancer sends none.
 fn drain(instance: &Rc<Instance>) -> Response<LocalBody> {
     info!("daemon: an operator requested a drain.");
     instance.stage.set(Stage::Leaving);
--- a/crates/sedgewalld/src/relay.rs
+++ b/crates/sedgewalld/src/relay.rs
@@ -179,7 +179,8 @@
 
     /// Returns the deadline for the grant to resume the stream.
     ///
-    /// A stream that started in time may take its whole time limit once more.
+    /// Each resume may take the request's whole time limit again, because the
+    /// stream has started in time.
     fn resume_deadline(&self) -> Instant {
         let total = self.call.deadline - self.call.arrived;
         Instant::now() + total
--- a/crates/sedgewalld/src/requests.rs
+++ b/crates/sedgewalld/src/requests.rs
@@ -43,7 +43,8 @@
     pub(crate) tx: mpsc::UnboundedSender<Decision>,
 }
 
-/// All requests of this entry, and its retry budget.
+/// The requests that were submitted to shards, the count of all open requests,
+/// and the retry budget.
 #[derive(Debug)]
 pub(crate) struct RequestTable {
     tracked: BTreeMap<RequestId, TrackedRequest>,
--- a/crates/sedgewalld/src/signals.rs
+++ b/crates/sedgewalld/src/signals.rs
@@ -7,7 +7,8 @@
 
 use futures_channel::mpsc;
 
-/// The number of the signal that requests a reload of the settings (POSIX).
+/// The number of SIGHUP (POSIX), by convention a request to reload settings;
+/// the daemon only logs it.
 const SIGHUP: i32 = 1;
 
 /// The number of the signal that requests a graceful stop (POSIX).
@@ -18,7 +19,7 @@
 pub(crate) struct Signals {
     /// Requests for a graceful stop.
     pub(crate) stop: mpsc::Receiver<()>,
-    /// Requests for a reload of the settings.
+    /// Requests to reload the settings, which the daemon only logs.
     pub(crate) reload: mpsc::Receiver<()>,
 }
 
