--- a/crates/sedgewalld/src/claims.rs
+++ b/crates/sedgewalld/src/claims.rs
@@ -227,7 +227,7 @@
     waiters: HashMap<RequestId, ReplyTo>,
     is_writer_running: bool,
     /// When the platform last confirmed a read or write of this log.
-    last_synced: Option<Instant>,
+    last_confirmed: Option<Instant>,
     last_written: Option<Instant>,
 }
 
@@ -290,7 +290,7 @@
     /// trimmed far beyond it.
     fn reset_if_stale(&mut self) {
         let is_stale =
-            self.last_synced.is_some_and(|t| t.elapsed() > STALE_AFTER);
+            self.last_confirmed.is_some_and(|t| t.elapsed() > STALE_AFTER);
         if is_stale && !self.is_writer_running {
             self.log.forget();
         }
@@ -350,7 +350,7 @@
     match read_new_segments(instance, partition).await {
         Ok(()) => {
             let answers = with_state(instance, partition, |state| {
-                state.last_synced = Some(Instant::now());
+                state.last_confirmed = Some(Instant::now());
                 state.log.finish_recovery()
             });
             send_answers(instance, partition, answers);
@@ -447,7 +447,7 @@
 ) {
     let answers = with_state(instance, partition, |state| {
         if answer != SegmentAnswer::Unclear {
-            state.last_synced = Some(Instant::now());
+            state.last_confirmed = Some(Instant::now());
             state.last_written = Some(Instant::now());
         }
         state.log.written(answer)
