--- a/crates/sedgewalld/src/heartbeat.rs
+++ b/crates/sedgewalld/src/heartbeat.rs
@@ -9,12 +9,12 @@
 
 use crate::{election, entry, instance::Instance};
 
-/// The interval of heartbeats to at most [`MAX_DIRECT_PEERS`] peers.
+/// The interval of heartbeats to at most [`PEERS_PER_INTERVAL_STEP`] peers.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The number of peers by which the interval grows one step: it is
 /// [`HEARTBEAT_INTERVAL`] for each started group of so many peers.
-const MAX_DIRECT_PEERS: u32 = 8;
+const PEERS_PER_INTERVAL_STEP: u32 = 8;
 
 /// The maximum interval of heartbeats. An entry counts as lost after 3 s
 /// without one.
@@ -50,7 +50,7 @@
 /// heartbeats.
 fn heartbeat_interval(peers: u32) -> Duration {
     let interval =
-        HEARTBEAT_INTERVAL * peers.div_ceil(MAX_DIRECT_PEERS).max(1);
+        HEARTBEAT_INTERVAL * peers.div_ceil(PEERS_PER_INTERVAL_STEP).max(1);
     interval.min(MAX_HEARTBEAT_INTERVAL)
 }
 
