--- a/crates/sedgewalld/src/daemon.rs
+++ b/crates/sedgewalld/src/daemon.rs
@@ -39,7 +39,7 @@
     /// cannot create the HTTP client: {0}
     Http(CallError),
     /// platform_url: {0} is not http://IP:PORT
-    StoreAddress(String),
+    PlatformUrl(String),
     /// cannot install the metrics recorder: {0}
     Metrics(String),
 }
--- a/crates/sedgewalld/src/fleet/daemon.rs
+++ b/crates/sedgewalld/src/fleet/daemon.rs
@@ -128,7 +128,7 @@
 
 fn store_address(url: &str) -> Result<SocketAddr, DaemonError> {
     let address = url.trim_start_matches("http://").trim_end_matches('/');
-    address.parse().map_err(|_| DaemonError::StoreAddress(url.to_owned()))
+    address.parse().map_err(|_| DaemonError::PlatformUrl(url.to_owned()))
 }
 
 async fn bind(address: SocketAddr) -> Result<TcpListener, DaemonError> {
