--- a/crates/sedgewalld/src/call.rs
+++ b/crates/sedgewalld/src/call.rs
@@ -144,7 +144,8 @@
     /// Marks the request as running, if the grant is still valid. Returns
     /// whether it is.
     fn use_grant(&mut self, granted: &Granted) -> bool {
-        let is_valid = self.instance.stamp_ms() < granted.valid_until_stamp_ms
+        let is_valid = self.instance.uptime_ms()
+            < granted.valid_until_stamp_ms
             && granted.epoch >= self.instance.highest_epoch(&self.shard);
         let mut requests = self.instance.requests.borrow_mut();
         let Some(tracked) = requests.get_mut(self.id) else { return false };
--- a/crates/sedgewalld/src/entry.rs
+++ b/crates/sedgewalld/src/entry.rs
@@ -305,7 +305,7 @@
             time_left: tracked.deadline.saturating_duration_since(now),
             waited: now.saturating_duration_since(tracked.submitted),
             // The leader states a grant's expiry on this clock.
-            stamp_ms: instance.stamp_ms(),
+            stamp_ms: instance.uptime_ms(),
             config_version: instance.config.borrow().version(),
         }
     };
@@ -355,7 +355,7 @@
     if granted.epoch < instance.highest_epoch(&granted.shard) {
         return;
     }
-    let is_valid = instance.stamp_ms() < granted.valid_until_stamp_ms;
+    let is_valid = instance.uptime_ms() < granted.valid_until_stamp_ms;
     let requests = instance.requests.borrow();
     match requests.get(granted.request) {
         Some(tracked) if tracked.endpoint.is_none() && is_valid => {
--- a/crates/sedgewalld/src/entry_messages.rs
+++ b/crates/sedgewalld/src/entry_messages.rs
@@ -142,12 +142,12 @@
 pub(crate) fn on_heartbeat(
     instance: &Rc<Instance>,
     envelope: &Envelope,
-    stamp: u64,
+    uptime_ms: u64,
 ) {
     let mut shards = instance.shards.borrow_mut();
     for leader in shards.values_mut() {
         if let Some(entry) = leader.entries.get_mut(&envelope.incarnation) {
-            entry.stamp_ms = entry.stamp_ms.max(stamp);
+            entry.uptime_ms = entry.uptime_ms.max(uptime_ms);
             entry.last_heard = Instant::now();
         }
     }
--- a/crates/sedgewalld/src/instance.rs
+++ b/crates/sedgewalld/src/instance.rs
@@ -127,7 +127,7 @@
     }
 
     /// Returns the time since this process started, in milliseconds.
-    pub(crate) fn stamp_ms(&self) -> u64 {
+    pub(crate) fn uptime_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
 
@@ -236,7 +236,7 @@
             incarnation: self.incarnation,
             zone: self.settings.zone.clone(),
             peer_url: self.settings.peer_url(),
-            stamp_ms: self.stamp_ms(),
+            stamp_ms: self.uptime_ms(),
             config_version: self.config.borrow().version(),
             is_leaving: self.stage.get() == Stage::Leaving,
             is_platform_reached: self.is_platform_reached.get(),
--- a/crates/sedgewalld/src/leader.rs
+++ b/crates/sedgewalld/src/leader.rs
@@ -64,7 +64,7 @@
     pub(crate) instance: InstanceId,
     pub(crate) url: String,
     /// The entry's own clock at its last message, in milliseconds.
-    pub(crate) stamp_ms: u64,
+    pub(crate) uptime_ms: u64,
     pub(crate) last_heard: Instant,
 }
 
@@ -131,13 +131,13 @@
     pub(crate) fn record_entry(
         &mut self,
         envelope: &Envelope,
-        stamp_ms: u64,
+        uptime_ms: u64,
         url: &str,
     ) {
         let entry = EntryLink {
             instance: envelope.from.clone(),
             url: url.to_owned(),
-            stamp_ms,
+            uptime_ms,
             last_heard: Instant::now(),
         };
         self.entries.insert(envelope.incarnation, entry);
@@ -443,7 +443,7 @@
             epoch: leader.epoch(),
             endpoint: link.endpoint.clone(),
             address: link.address.clone(),
-            valid_until_stamp_ms: entry.stamp_ms
+            valid_until_stamp_ms: entry.uptime_ms
                 + left.min(grant.expires - grant.granted).as_millis() as u64,
         }
     };
--- a/crates/sedgewalld/src/store.rs
+++ b/crates/sedgewalld/src/store.rs
@@ -46,7 +46,7 @@
 /// current one has expired.
 pub(crate) fn request_allotment(instance: &Rc<Instance>, shard: &str) {
     let view = instance.view();
-    let stamp_ms = instance.stamp_ms();
+    let stamp_ms = instance.uptime_ms();
     let demand = {
         let mut shards = instance.shards.borrow_mut();
         let Some(leader) = shards.get_mut(shard) else { return };
@@ -100,7 +100,7 @@
 pub(crate) fn on_allotment(instance: &Rc<Instance>, allotment: &Allotment) {
     let validity_ms = ALLOTMENT_VALIDITY.as_millis() as u64;
     let valid_until_ms = allotment.stamp_ms + validity_ms;
-    if valid_until_ms <= instance.stamp_ms() {
+    if valid_until_ms <= instance.uptime_ms() {
         return;
     }
     let mut shards = instance.shards.borrow_mut();
