--- a/crates/sedgewalld/src/call.rs
+++ b/crates/sedgewalld/src/call.rs
@@ -42,8 +42,9 @@
     responses,
 };
 
-/// The `Retry-After` value while a shard has no leader, and after the last
-/// permitted retry failed.
+/// The `Retry-After` value if no grant arrived before the deadline, for
+/// instance as the shard has no leader, and after the last permitted retry
+/// failed.
 const NO_LEADER_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A completion request whose headers and body were read and validated.
--- a/crates/sedgewalld/src/instance.rs
+++ b/crates/sedgewalld/src/instance.rs
@@ -249,8 +249,8 @@
         self.leaders.borrow().get(shard).cloned()
     }
 
-    /// Records the leader of a shard. Returns whether the record changed,
-    /// which only a higher epoch than the known one does.
+    /// Records the leader of a shard if its epoch is higher than that of the
+    /// known leader. Returns whether it was recorded.
     pub(crate) fn update_leader(&self, shard: &str, leader: Leader) -> bool {
         let mut leaders = self.leaders.borrow_mut();
         if leaders.get(shard).is_some_and(|known| known.epoch >= leader.epoch)
--- a/crates/sedgewalld/src/leader.rs
+++ b/crates/sedgewalld/src/leader.rs
@@ -42,7 +42,8 @@
 const EVICTION_MARGIN: Duration = Duration::from_millis(500);
 
 /// The deferral of evictions on engines that do not check fences, until all
-/// entries have acknowledged the epoch. It only has to exceed any such wait.
+/// entries have acknowledged the epoch. The value only has to exceed the time
+/// that the acknowledgements can take.
 const INDEFINITE_DEFERRAL: Duration = Duration::from_secs(86_400);
 
 /// An engine, and what the leader knows of its process.
@@ -63,7 +64,8 @@
 pub(crate) struct EntryLink {
     pub(crate) instance: InstanceId,
     pub(crate) url: String,
-    /// The entry's own clock at its last message, in milliseconds.
+    /// The uptime of the entry's process as of its last message, in
+    /// milliseconds. Grants state their expiry on this clock.
     pub(crate) uptime_ms: u64,
     pub(crate) last_heard: Instant,
 }
--- a/crates/sedgewalld/src/leader_tasks.rs
+++ b/crates/sedgewalld/src/leader_tasks.rs
@@ -183,8 +183,8 @@
                 running_len: slot.running_len,
             })
             .collect();
-        // Reports lag, so they only count for what is older than the maximum
-        // lag.
+        // A report may be `MAX_REPORT_LAG` old when the engine sends it, so it
+        // counts only for what happened that long before it was requested.
         let as_of = requested.checked_sub(MAX_REPORT_LAG).unwrap_or(requested);
         leader.shard.apply_report(engine, &slots, as_of, now, actions);
     });
@@ -248,7 +248,8 @@
 /// Returns whether an entry is live.
 ///
 /// An entry that is stopping still finishes its requests, so it counts as
-/// live; a silent one and one with a newer incarnation do not.
+/// live. An entry that is silent for [`ENTRY_TIMEOUT`], or whose instance runs
+/// in another incarnation, does not.
 fn is_entry_live(
     instance: &Instance,
     entry: &EntryLink,
@@ -264,7 +265,7 @@
     peer.last.incarnation == incarnation && silence < ENTRY_TIMEOUT
 }
 
-/// Returns whether every listed instance knows this epoch.
+/// Returns whether every instance that is listed as live knows this epoch.
 fn all_entries_acked(instance: &Instance, leader: &ShardLeader) -> bool {
     let membership = instance.membership.borrow();
     membership.listed_live().all(|id| {
--- a/crates/sedgewalld/src/services.rs
+++ b/crates/sedgewalld/src/services.rs
@@ -40,7 +40,7 @@
 pub(crate) const SERVICES_PREFIX: &str = "/services/";
 
 /// The `Retry-After` value while all endpoints of a service are at their
-/// limits, or if none could be reached.
+/// limits, or if no connection could be made for the last permitted attempt.
 const BUSY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// The maximum cooldown. A longer one that an endpoint requests is cut to
