--- a/crates/sedgewalld/src/call.rs
+++ b/crates/sedgewalld/src/call.rs
@@ -410,9 +410,11 @@
     /// to it that the request gets another grant. Returns the problem to
     /// answer with if no retry is allowed.
     ///
-    /// A retry is taken from this instance's retry budget. After an unknown
-    /// outcome the request is submitted to the leader again; otherwise the
-    /// leader gives it another grant by itself.
+    /// Unless the request's limit on retries is exceeded or the engine rejected
+    /// the request, a retry is taken from this instance's retry budget, even if
+    /// the request may not be sent again. After an unknown outcome the request
+    /// is submitted to the leader again; otherwise the leader gives it another
+    /// grant by itself.
     pub(crate) fn record_failure(
         &mut self,
         call: &ModelCall,
