--- a/crates/sedgewalld/src/fleet/daemon.rs
+++ b/crates/sedgewalld/src/fleet/daemon.rs
@@ -137,7 +137,7 @@
 
 fn store_address(url: &str) -> Result<SocketAddr, DaemonError> {
     let address = url.trim_start_matches("http://").trim_end_matches('/');
-    address.parse().map_err(|_| DaemonError::StoreAddress(url.to_owned()))
+    address.parse().map_err(|_| DaemonError::PlatformUrl(url.to_owned()))
 }
 
 async fn bind(address: SocketAddr) -> Result<TcpListener, DaemonError> {
--- a/crates/sedgewalld/src/instance.rs
+++ b/crates/sedgewalld/src/instance.rs
@@ -36,9 +36,10 @@
 pub(crate) enum Stage {
     /// No configuration has been adopted yet.
     Starting,
-    /// The instance accepts requests.
+    /// The instance has a configuration, and `/readyz` answers ready.
     Ready,
-    /// The instance finishes its open requests and then exits.
+    /// The instance still accepts requests, but is not ready. It exits once no
+    /// request is open and it leads no shard, or after the drain timeout.
     Leaving,
 }
 
@@ -126,7 +127,7 @@
     }
 
     /// Returns the time since this process started, in milliseconds.
-    pub(crate) fn stamp_ms(&self) -> u64 {
+    pub(crate) fn uptime_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
 
@@ -235,7 +236,7 @@
             incarnation: self.incarnation,
             zone: self.settings.zone.clone(),
             peer_url: self.settings.peer_url(),
-            stamp_ms: self.stamp_ms(),
+            stamp_ms: self.uptime_ms(),
             config_version: self.config.borrow().version(),
             is_leaving: self.stage.get() == Stage::Leaving,
             is_platform_reached: self.is_platform_reached.get(),
@@ -248,8 +249,8 @@
         self.leaders.borrow().get(shard).cloned()
     }
 
-    /// Records the leader of a shard. Returns whether the record changed,
-    /// which only a higher epoch than the known one does.
+    /// Records the leader of a shard if its epoch is higher than that of the
+    /// known leader. Returns whether it was recorded.
     pub(crate) fn update_leader(&self, shard: &str, leader: Leader) -> bool {
         let mut leaders = self.leaders.borrow_mut();
         if leaders.get(shard).is_some_and(|known| known.epoch >= leader.epoch)
--- a/crates/sedgewalld/src/leader.rs
+++ b/crates/sedgewalld/src/leader.rs
@@ -42,7 +42,8 @@
 const EVICTION_MARGIN: Duration = Duration::from_millis(500);
 
 /// The deferral of evictions on engines that do not check fences, until all
-/// entries have acknowledged the epoch. It only has to exceed any such wait.
+/// entries have acknowledged the epoch. The value only has to exceed the time
+/// that the acknowledgements can take.
 const INDEFINITE_DEFERRAL: Duration = Duration::from_secs(86_400);
 
 /// An engine, and what the leader knows of its process.
@@ -63,8 +64,9 @@
 pub(crate) struct EntryLink {
     pub(crate) instance: InstanceId,
     pub(crate) url: String,
-    /// The entry's own clock at its last message, in milliseconds.
-    pub(crate) stamp_ms: u64,
+    /// The uptime of the entry's process as of its last message, in
+    /// milliseconds. Grants state their expiry on this clock.
+    pub(crate) uptime_ms: u64,
     pub(crate) last_heard: Instant,
 }
 
@@ -88,8 +90,8 @@
     pub(crate) is_barrier_passed: bool,
     /// Whether an engine has refused an order because of a later epoch.
     pub(crate) is_superseded: bool,
-    /// The allotment of the weight store's limits, beside the guaranteed
-    /// limits.
+    /// The allocator's epoch, and the time until which the allotted limits on
+    /// the weight store replace the guaranteed ones.
     pub(crate) allotment: StoreAllotment,
 }
 
@@ -131,13 +133,13 @@
     pub(crate) fn record_entry(
         &mut self,
         envelope: &Envelope,
-        stamp_ms: u64,
+        uptime_ms: u64,
         url: &str,
     ) {
         let entry = EntryLink {
             instance: envelope.from.clone(),
             url: url.to_owned(),
-            stamp_ms,
+            uptime_ms,
             last_heard: Instant::now(),
         };
         self.entries.insert(envelope.incarnation, entry);
@@ -443,7 +445,7 @@
             epoch: leader.epoch(),
             endpoint: link.endpoint.clone(),
             address: link.address.clone(),
-            valid_until_stamp_ms: entry.stamp_ms
+            valid_until_stamp_ms: entry.uptime_ms
                 + left.min(grant.expires - grant.granted).as_millis() as u64,
         }
     };
