--- a/crates/sedgewall/src/apply.rs
+++ b/crates/sedgewall/src/apply.rs
@@ -4,7 +4,8 @@
 //! so writing one twice is harmless. A single conditional update of the head
 //! then puts the version in force. If another operator's update came first,
 //! nothing that this operator wrote is in force, and the differences to the
-//! other version are shown.
+//! other version are printed to the standard error, unless `--base-version`
+//! already shows the conflict, before anything is written.
 
 use std::time::Duration;
 
@@ -26,7 +27,7 @@
     store::{self, StoredHead},
 };
 
-/// The number of attempts of one write whose response is lost.
+/// The number of attempts of one write whose outcome stays unclear.
 const MAX_WRITE_ATTEMPTS: u32 = 10;
 
 const RETRY_DELAY: Duration = Duration::from_millis(200);
@@ -35,14 +36,23 @@
 
 #[derive(Serialize)]
 struct ApplyReport {
+    /// The version that holds the files' configuration.
     version: ConfigVersion,
+    /// Whether the files differ from the configuration in force, so that a new
+    /// version was written.
     is_new: bool,
+    /// The number of chunks sent to the platform, which are those that the
+    /// previous version does not contain.
     chunks_written: usize,
+    /// The total length of these chunks, in bytes.
     bytes_written: usize,
+    /// With `--wait`, how long after the platform accepted the version it was
+    /// in force on every queried instance that is not leaving.
     in_force_after_ms: Option<u64>,
 }
 
-/// Applies files as a new version, unless the version in force is the same.
+/// Applies files as a new version, unless the version in force has the same
+/// configuration.
 pub(crate) async fn run(
     args: &Args,
     apply: &Apply,
