--- a/crates/sedgewall/src/args.rs
+++ b/crates/sedgewall/src/args.rs
@@ -28,7 +28,8 @@
     )]
     pub(crate) platform: String,
     /// The operator address of an instance; may be given more than once.
-    /// Without it, all live instances of the platform's list are queried.
+    /// Without it, the live sedgewall instances of the platform's list that
+    /// have an operator address are queried.
     #[arg(long = "instance", global = true, env = "SEDGEWALL_INSTANCES")]
     #[arg(value_delimiter = ',')]
     pub(crate) instances: Vec<String>,
@@ -50,7 +51,7 @@
 
 Exit codes:
   0  done
-  1  the platform or an instance did not carry out the request
+  1  the command failed in another way, or its outcome is unknown
   2  a file or an argument is invalid
   3  another operator applied first; nothing was put in force
   4  accepted, but not yet in force everywhere
@@ -95,7 +96,8 @@
 pub(crate) struct Apply {
     #[command(flatten)]
     pub(crate) files: Files,
-    /// Waits until the new version is in force on every live instance.
+    /// Waits until the new version is in force on every queried instance that
+    /// is not leaving.
     #[arg(long)]
     pub(crate) wait: bool,
     /// The timeout of --wait, in seconds.
@@ -112,16 +114,17 @@
 /// The filter of the events that `timeline` shows.
 #[derive(ClapArgs, Clone, Debug)]
 pub(crate) struct Filter {
-    /// Only events of a request, by its id.
+    /// Only events of requests whose id (32 hex digits) contains this text.
     #[arg(long)]
     pub(crate) request: Option<String>,
-    /// Only events of an adapter, version or shard.
+    /// Only events whose subject (an adapter, a version or a shard) contains
+    /// this text.
     #[arg(long)]
     pub(crate) subject: Option<String>,
-    /// Only events of an endpoint.
+    /// Only events whose endpoint's name contains this text.
     #[arg(long)]
     pub(crate) endpoint: Option<String>,
-    /// Only events of a kind, such as `load` or `lease`.
+    /// Only events of exactly this kind, such as `load` or `lease`.
     #[arg(long)]
     pub(crate) kind: Option<String>,
     /// Only events of the last given number of seconds.
@@ -132,14 +135,15 @@
 /// The subject that `explain` explains.
 #[derive(ClapArgs, Clone, Debug)]
 pub(crate) struct ExplainTarget {
-    /// An adapter and its version, such as lineup-0042@3, or a request's id.
+    /// An adapter and its version, such as lineup-0042@3, or a request's id (32
+    /// hex digits) or a part of it.
     pub(crate) what: String,
 }
 
 /// The instance that `drain` stops.
 #[derive(ClapArgs, Clone, Debug)]
 pub(crate) struct DrainTarget {
-    /// The instance's name.
+    /// The instance's name, or its address as given by --instance.
     pub(crate) instance: String,
 }
 
