--- a/crates/sedgewall/src/cluster.rs
+++ b/crates/sedgewall/src/cluster.rs
@@ -17,22 +17,23 @@
 /// The timeout of one call to an instance.
 const INSTANCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An instance and the address of its operator port.
+/// An instance and the address of its operator port. An instance given by
+/// `--instance` has its address as its name.
 #[derive(Clone, Debug)]
 pub(crate) struct Member {
     pub(crate) name: String,
     pub(crate) address: String,
 }
 
-/// An instance and its status, which is `None` if the instance did not answer.
+/// An instance and its status, which is `None` if the call for it failed.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberStatus {
     pub(crate) name: String,
     pub(crate) status: Option<InstanceStatus>,
 }
 
-/// Returns the instances given as arguments, or else all live instances of the
-/// platform's list.
+/// Returns the instances given by `--instance`, or else the live sedgewall
+/// instances of the platform's list that have an operator address.
 pub(crate) async fn members(args: &Args) -> Result<Vec<Member>, CommandError> {
     if !args.instances.is_empty() {
         let named = args.instances.iter().map(|address| Member {
@@ -56,7 +57,7 @@
     Ok(members.collect())
 }
 
-/// Requests the status of all instances concurrently.
+/// Requests the status of the instances that [`members`] returns, concurrently.
 pub(crate) async fn statuses(
     args: &Args,
 ) -> Result<Vec<MemberStatus>, CommandError> {
