--- a/crates/sedgewall/src/error.rs
+++ b/crates/sedgewall/src/error.rs
@@ -5,7 +5,8 @@
 use sedgewall_state::ConfigVersion;
 use sedgewall_transport::{CallError, PlatformError};
 
-/// Exit code: the platform or an instance did not carry out the request.
+/// Exit code: the command failed in a way that has no exit code of its own, or
+/// its outcome is unknown.
 pub(crate) const EXIT_FAILED: u8 = 1;
 
 /// Exit code: a file is invalid. clap exits with the same code for invalid
@@ -16,7 +17,7 @@
 pub(crate) const EXIT_CONFLICT: u8 = 3;
 
 /// Exit code: the configuration was accepted, but is not yet in force on every
-/// live instance.
+/// queried instance that is not leaving.
 pub(crate) const EXIT_NOT_YET_IN_FORCE: u8 = 4;
 
 /// Exit code: `diff` found differences.
