--- a/crates/sedgewall/src/files.rs
+++ b/crates/sedgewall/src/files.rs
@@ -18,7 +18,11 @@
     faults: Vec<FileFault>,
 }
 
-/// Validates files and prints every error.
+/// Validates files. Prints a summary if they are valid, or a JSON report, and
+/// returns the errors otherwise.
+///
+/// The JSON report is also printed if the files have errors, but not if the
+/// configuration exceeds the size limits of the platform's objects.
 pub(crate) fn check(
     files: &Files,
     format: Format,
