--- a/crates/sedgewall/src/views.rs
+++ b/crates/sedgewall/src/views.rs
@@ -1,4 +1,6 @@
-//! The commands `status`, `timeline`, `explain` and `drain`.
+//! The commands that call the instances' operator ports: `status`, `timeline`
+//! and `explain`, which show the state of the instances, and `drain`, which
+//! stops one.
 
 use std::time::SystemTime;
 
@@ -20,6 +22,7 @@
 #[derive(Serialize)]
 struct ClusterStatus {
     instances: Vec<InstanceStatus>,
+    /// The names of the instances from which no status could be read.
     silent: Vec<String>,
 }
 
@@ -150,6 +153,9 @@
 
 fn event_line(event: &Event) -> String {
     let request = event.request.map_or(String::new(), |id| {
+        // The first four digits of the id, `~`, and the low 64 bits of the id.
+        // `--request` is compared with the full id, so it finds either part
+        // of this text, but not the whole.
         let hex = format!("{id:032x}");
         format!("{}~{:x} ", &hex[..4], id as u64)
     });
@@ -172,7 +178,8 @@
 
 /// Prints why an adapter is placed where it is, or the events of a request.
 ///
-/// An adapter is given as `name@version`; anything else is a request's id.
+/// An adapter is given as `name@version`; anything else is a request's id or a
+/// part of it.
 pub(crate) async fn explain(
     args: &Args,
     what: &ExplainTarget,
