--- a/crates/transport/src/body.rs
+++ b/crates/transport/src/body.rs
@@ -18,7 +18,8 @@
 
 /// A response body, either complete in memory or streamed in chunks.
 pub enum LocalBody {
-    /// The complete body; `None` once it was sent, or if it is empty.
+    /// The complete body; `None` once it was sent, or for
+    /// [`LocalBody::empty`].
     Full(Option<Bytes>),
     /// Chunks, sent as the stream yields them.
     Chunks(ChunkStream),
