--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -8,6 +8,10 @@
 use http::{HeaderMap, Method, StatusCode};
 
 /// Error of an HTTP call.
+///
+/// `NotSent` means that the request was certainly not sent: no connection could
+/// be made, the URL is invalid, or the client could not be set up. After any
+/// other error the call may have taken effect.
 #[derive(Clone, Debug, displaydoc::Display, Eq, PartialEq)]
 pub enum CallError {
     /// cannot connect: {0}
@@ -148,8 +152,9 @@
     ///
     /// # Errors
     ///
-    /// If no response arrives in time or the connection fails. The error is
-    /// [`CallError::NotSent`] only if no byte can have reached the server.
+    /// If the URL is invalid, no response arrives in time or the connection
+    /// fails. The error is [`CallError::NotSent`] only if no byte can have
+    /// reached the server.
     pub async fn open(
         &self,
         call: Call,
