--- a/crates/transport/src/engine_client.rs
+++ b/crates/transport/src/engine_client.rs
@@ -17,7 +17,8 @@
     /// The engine did not carry out the order.
     Failed(OrderFailure),
     /// The call failed or its response could not be decoded, so it is unknown
-    /// whether the engine carried out the order.
+    /// whether the engine carried out the order. After
+    /// [`CallError::NotSent`] the engine did not.
     Unclear(CallError),
 }
 
@@ -65,8 +66,7 @@
     ///
     /// # Errors
     ///
-    /// If the engine does not respond in time, or the response is not a
-    /// report.
+    /// If the call fails, or the response is not a report.
     pub async fn report(
         &self,
         address: &str,
