--- a/crates/transport/src/peer.rs
+++ b/crates/transport/src/peer.rs
@@ -171,8 +171,9 @@
     ///
     /// # Errors
     ///
-    /// If the message cannot be encoded, the URL is malformed, or too many
-    /// messages wait for the peer. The message is dropped in each case.
+    /// If the message cannot be encoded, the peer cannot be dialed (such as at
+    /// a malformed URL), or nng does not queue the message, mostly because the
+    /// peer's send queue is full. The message is dropped in each case.
     pub fn send(
         &mut self,
         url: &str,
@@ -207,8 +208,9 @@
         self.sent_bytes
     }
 
-    /// Returns the number of messages that were dropped because a peer's queue
-    /// was full.
+    /// Returns the number of messages to any peer that nng did not queue,
+    /// mostly because the peer's send queue was full. Messages that could not
+    /// be encoded or dialed are not counted.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
