--- a/crates/transport/src/platform_client.rs
+++ b/crates/transport/src/platform_client.rs
@@ -14,6 +14,9 @@
 use crate::client::{BufferedResponse, Call, CallError, HttpClient};
 
 /// Error of a call to the platform.
+///
+/// `Unreachable` holds every failure of the HTTP call, including failures after
+/// the request was sent, such as a time-out or a connection that broke.
 #[derive(Clone, Debug, displaydoc::Display, Eq, PartialEq)]
 pub enum PlatformError {
     /// the platform cannot be reached: {0}
@@ -67,8 +70,8 @@
     ///
     /// # Errors
     ///
-    /// If the platform cannot be reached, responds with an unexpected status,
-    /// or its response cannot be decoded.
+    /// If the call fails, the platform responds with an unexpected status, or
+    /// the response has no entity tag that states the object's version.
     pub async fn get(
         &self,
         key: &str,
@@ -88,8 +91,8 @@
     ///
     /// # Errors
     ///
-    /// If the platform cannot be reached, responds with an unexpected status,
-    /// or its response cannot be decoded.
+    /// If the call fails, the platform responds with an unexpected status, or
+    /// the response has no entity tag that states the object's version.
     pub async fn watch(
         &self,
         key: &str,
@@ -145,8 +148,7 @@
     ///
     /// # Errors
     ///
-    /// If the platform cannot be reached, responds with an unexpected status,
-    /// or its response cannot be decoded.
+    /// If the call fails, or the platform responds with an unexpected status.
     pub async fn delete(&self, key: &str) -> Result<(), PlatformError> {
         let call = Call::new(Method::DELETE, self.object_url(key));
         let answer = self.send(call, CALL_TIMEOUT).await?;
@@ -161,8 +163,8 @@
     ///
     /// # Errors
     ///
-    /// If the platform cannot be reached, responds with an unexpected status,
-    /// or its response cannot be decoded.
+    /// If the call fails, the platform responds with an unexpected status, or
+    /// its response cannot be decoded.
     pub async fn list(
         &self,
         prefix: &str,
@@ -180,8 +182,8 @@
     ///
     /// # Errors
     ///
-    /// If the platform cannot be reached, responds with an unexpected status,
-    /// or its response cannot be decoded.
+    /// If the call fails, the platform responds with an unexpected status, or
+    /// its response cannot be decoded.
     pub async fn watch_list(
         &self,
         prefix: &str,
@@ -196,8 +198,8 @@
     ///
     /// # Errors
     ///
-    /// If the platform cannot be reached, responds with an unexpected status,
-    /// or its response cannot be decoded.
+    /// If the call fails, the platform responds with an unexpected status, or
+    /// its response cannot be decoded.
     pub async fn watch_instances(
         &self,
         revision: u64,
