--- a/crates/transport/src/pool.rs
+++ b/crates/transport/src/pool.rs
@@ -41,6 +41,10 @@
 pub const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Error of sending a request to an endpoint.
+///
+/// `NotSent` means that the endpoint certainly did not receive the request: no
+/// connection could be made, or a new connection was closed before the request
+/// was sent on it. After `Broken` the endpoint may have received the request.
 #[derive(Clone, Debug, displaydoc::Display, Eq, PartialEq)]
 pub enum SendError {
     /// cannot connect: {0}
@@ -270,9 +274,8 @@
     }
 }
 
-/// Records until when the connection may be reused, from the endpoint's
-/// `Keep-Alive` header. The connection's task runs on in any case until the
-/// body has been read.
+/// Sets the time until which the connection may be reused, from the
+/// `Keep-Alive` header, or the default without one. Always returns `Some`.
 fn with_keep_alive(
     mut connection: Connection,
     headers: &HeaderMap,
