--- a/crates/sedgewall/src/args.rs
+++ b/crates/sedgewall/src/args.rs
@@ -137,7 +137,8 @@
 pub(crate) struct ExplainTarget {
     /// An adapter and its version, such as lineup-0042@3, or a request's id (32
     /// hex digits) or a part of it.
-    pub(crate) what: String,
+    #[arg(id = "what", value_name = "WHAT")]
+    pub(crate) adapter_or_request: String,
 }
 
 /// The instance that `drain` stops.
--- a/crates/sedgewall/src/main.rs
+++ b/crates/sedgewall/src/main.rs
@@ -51,8 +51,8 @@
         Command::Get => store::print(&args).await,
         Command::Status => views::status(&args).await,
         Command::Timeline(filter) => views::timeline(&args, filter).await,
-        Command::Explain(what) => views::explain(&args, what).await,
-        Command::Drain(what) => views::drain(&args, what).await,
+        Command::Explain(target) => views::explain(&args, target).await,
+        Command::Drain(target) => views::drain(&args, target).await,
         Command::Completions { shell } => {
             args::print_completions(*shell);
             Ok(())
--- a/crates/sedgewall/src/views.rs
+++ b/crates/sedgewall/src/views.rs
@@ -182,11 +182,11 @@
 /// part of it.
 pub(crate) async fn explain(
     args: &Args,
-    what: &ExplainTarget,
+    target: &ExplainTarget,
 ) -> Result<(), CommandError> {
-    if !what.what.contains('@') {
+    if !target.adapter_or_request.contains('@') {
         let filter = Filter {
-            request: Some(what.what.clone()),
+            request: Some(target.adapter_or_request.clone()),
             subject: None,
             endpoint: None,
             kind: None,
@@ -194,7 +194,7 @@
         };
         return timeline(args, &filter).await;
     }
-    let path = format!("{EXPLAIN_PATH}?adapter={}", what.what);
+    let path = format!("{EXPLAIN_PATH}?adapter={}", target.adapter_or_request);
     for member in cluster::members(args).await? {
         let found: Result<AdapterExplanation, _> =
             cluster::get(&member.address, &path).await;
@@ -203,7 +203,7 @@
         }
     }
     Err(CommandError::Instance {
-        target: what.what.clone(),
+        target: target.adapter_or_request.clone(),
         cause: "no instance leads its shard, or the adapter does not exist"
             .to_owned(),
     })
