--- a/crates/sedgewall/src/args.rs
+++ b/crates/sedgewall/src/args.rs
@@ -135,8 +135,8 @@
 /// The subject that `explain` explains.
 #[derive(ClapArgs, Clone, Debug)]
 pub(crate) struct ExplainTarget {
-    /// An adapter and its version, such as lineup-0042@3, or a request's id (32
-    /// hex digits) or a part of it.
+    /// An adapter and its version, such as lineup-0042@3, or a request's id
+    /// (32 hex digits) or a part of it.
     #[arg(id = "what", value_name = "WHAT")]
     pub(crate) adapter_or_request: String,
 }
--- a/crates/sedgewall/src/cluster.rs
+++ b/crates/sedgewall/src/cluster.rs
@@ -57,7 +57,7 @@
     Ok(members.collect())
 }
 
-/// Requests the status of the instances that [`members`] returns, concurrently.
+/// Requests the status of all instances that [`members`] returns, at once.
 pub(crate) async fn statuses(
     args: &Args,
 ) -> Result<Vec<MemberStatus>, CommandError> {
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -9,9 +9,9 @@
 
 /// Error of an HTTP call.
 ///
-/// `NotSent` means that the request was certainly not sent: no connection could
-/// be made, the URL is invalid, or the client could not be set up. After any
-/// other error the call may have taken effect.
+/// `NotSent` means that the request was certainly not sent: no connection
+/// could be made, the URL is invalid, or the client could not be set up. After
+/// any other error the call may have taken effect.
 #[derive(Clone, Debug, displaydoc::Display, Eq, PartialEq)]
 pub enum CallError {
     /// cannot connect: {0}
--- a/crates/transport/src/platform_client.rs
+++ b/crates/transport/src/platform_client.rs
@@ -15,8 +15,8 @@
 
 /// Error of a call to the platform.
 ///
-/// `Unreachable` holds every failure of the HTTP call, including failures after
-/// the request was sent, such as a time-out or a connection that broke.
+/// `Unreachable` holds every failure of the HTTP call, including failures
+/// after the request was sent, such as a time-out or a connection that broke.
 #[derive(Clone, Debug, displaydoc::Display, Eq, PartialEq)]
 pub enum PlatformError {
     /// the platform cannot be reached: {0}
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -81,11 +81,11 @@
 
 /// Serves connections until `stop` completes.
 ///
-/// Returns at once when `stop` completes, or up to 50 ms later if an accept has
-/// just failed. No more connections are accepted. Open connections finish their
-/// current request in their own tasks and are then closed, so the runtime must
-/// run on until then. A request that was read still receives its response,
-/// unless the client disconnects.
+/// Returns at once when `stop` completes, or up to 50 ms later if an accept
+/// has just failed. No more connections are accepted. Open connections finish
+/// their current request in their own tasks and are then closed, so the
+/// runtime must run on until then. A request that was read still receives its
+/// response, unless the client disconnects.
 pub async fn serve_until(
     listener: TcpListener,
     limits: ServerLimits,
