--- a/crates/sedgewall/src/views.rs
+++ b/crates/sedgewall/src/views.rs
@@ -1,4 +1,6 @@
-//! The commands `status`, `timeline`, `explain` and `drain`.
+//! The commands that call the instances' operator ports: `status`, `timeline`
+//! and `explain`, which show the state of the instances, and `drain`, which
+//! stops one.
 
 use std::time::SystemTime;
 
@@ -20,6 +22,7 @@
 #[derive(Serialize)]
 struct ClusterStatus {
     instances: Vec<InstanceStatus>,
+    /// The names of the instances from which no status could be read.
     silent: Vec<String>,
 }
 
@@ -150,6 +153,9 @@
 
 fn event_line(event: &Event) -> String {
     let request = event.request.map_or(String::new(), |id| {
+        // The first four digits of the id, `~`, and the low 64 bits of the id.
+        // `--request` is compared with the full id, so it finds either part
+        // of this text, but not the whole.
         let hex = format!("{id:032x}");
         format!("{}~{:x} ", &hex[..4], id as u64)
     });
@@ -172,14 +178,15 @@
 
 /// Prints why an adapter is placed where it is, or the events of a request.
 ///
-/// An adapter is given as `name@version`; anything else is a request's id.
+/// An adapter is given as `name@version`; anything else is a request's id or a
+/// part of it.
 pub(crate) async fn explain(
     args: &Args,
-    what: &ExplainTarget,
+    target: &ExplainTarget,
 ) -> Result<(), CommandError> {
-    if !what.what.contains('@') {
+    if !target.adapter_or_request.contains('@') {
         let filter = Filter {
-            request: Some(what.what.clone()),
+            request: Some(target.adapter_or_request.clone()),
             subject: None,
             endpoint: None,
             kind: None,
@@ -187,7 +194,7 @@
         };
         return timeline(args, &filter).await;
     }
-    let path = format!("{EXPLAIN_PATH}?adapter={}", what.what);
+    let path = format!("{EXPLAIN_PATH}?adapter={}", target.adapter_or_request);
     for member in cluster::members(args).await? {
         let found: Result<AdapterExplanation, _> =
             cluster::get(&member.address, &path).await;
@@ -196,7 +203,7 @@
         }
     }
     Err(CommandError::Instance {
-        target: what.what.clone(),
+        target: target.adapter_or_request.clone(),
         cause: "no instance leads its shard, or the adapter does not exist"
             .to_owned(),
     })
