--- a/crates/fleet/src/back_off.rs
+++ b/crates/fleet/src/back_off.rs
@@ -31,7 +31,7 @@
 /// The role of an instance's calls of one kind.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallKind {
-    /// The calls fetch what this instance passes on to the others.
+    /// The calls fetch state that this instance passes on to other instances.
     Watcher,
     /// The calls are the first that an instance retries.
     First,
--- a/crates/fleet/src/catch_up.rs
+++ b/crates/fleet/src/catch_up.rs
@@ -2,9 +2,9 @@
 //!
 //! Several times per second, each instance reports the version of its
 //! configuration, the number of weight versions it knows and the number of
-//! requests it has condemned. An instance that receives a higher number reads
-//! the store as usual. If this does not bring the state soon, it fetches it
-//! from an instance that reported it.
+//! requests it has condemned. The receiver of a higher number first waits for
+//! its own watch of the store; if the watch does not bring the state soon, the
+//! receiver fetches it from an instance that reported the number.
 //!
 //! This module does no I/O and reads no clock. The invariants: only state that
 //! is newer than the own one is fetched, and from one instance at a time.
@@ -41,8 +41,9 @@
 const AVOID_FOR: Duration = Duration::from_secs(2);
 
 /// How long a reported summary is valid. In a large fleet, each instance
-/// reports to all others every 2.4 s. A version that was reported by mistake,
-/// and that no instance has, expires.
+/// reports to all others every 2.4 s; without a lease holder, the interval
+/// grows with the fleet and is 4.85 s with 195 instances. A version that was
+/// reported by mistake, and that no instance has, expires.
 const SUMMARY_VALID_FOR: Duration = Duration::from_secs(5);
 
 /// Versions of the state that all instances must have, at one instance.
--- a/crates/fleet/src/departure.rs
+++ b/crates/fleet/src/departure.rs
@@ -18,8 +18,10 @@
 use crate::{endpoint::Revision, incarnation::Incarnation};
 
 /// How long each instance repeats the departures that it knows of. Notes are
-/// sent every 150 ms to 2.4 s, and one in a hundred may be lost; an instance
-/// that starts may read a list that is 3 s old.
+/// sent to all others every 150 ms in a small fleet and every 2.4 s in a large
+/// one; without a lease holder, the interval grows with the fleet and is
+/// 4.85 s with 195 instances. One note in a hundred may be lost, and an
+/// instance that starts may read a list that is 3 s old.
 const REPEATED_FOR: Duration = Duration::from_secs(4);
 
 /// The maximum number of departures in one note, the newest first. 16 take
--- a/crates/fleet/src/endpoint.rs
+++ b/crates/fleet/src/endpoint.rs
@@ -78,7 +78,8 @@
     /// Whether the engine is executing an order of a kind of which it executes
     /// only one at a time.
     pub is_busy: bool,
-    /// The number of orders that the engine has accepted in this incarnation.
+    /// The number of orders ([`Order`](crate::order::Order)) that the engine
+    /// has accepted since it was last started.
     pub orders_taken: u64,
     /// The incarnation's start time, if the engine reports one.
     pub born: Option<Incarnation>,
--- a/crates/fleet/src/endpoint_state.rs
+++ b/crates/fleet/src/endpoint_state.rs
@@ -421,8 +421,9 @@
         }
     }
 
-    /// Records whether a request found an adapter loaded that comes from the
-    /// weight store. Returns whether the lease holder must be notified.
+    /// Records whether an adapter that is being loaded from the weight store
+    /// was already loaded when a request for it was sent. Returns whether the
+    /// lease holder must be notified.
     pub(crate) fn confirm_load(
         &mut self,
         key: &AdapterKey,
--- a/crates/fleet/src/limit_share.rs
+++ b/crates/fleet/src/limit_share.rs
@@ -43,11 +43,14 @@
 /// arrive in bursts.
 const BURST: Duration = Duration::from_millis(100);
 
-/// The number of instances up to which each has a bucket: the limit in
-/// requests per second times the first constant, plus the second. All full
-/// buckets may be emptied at once, and the sum must stay within what an
+/// The number of instances up to which each has a bucket, per request per
+/// second of the limit; [`BUCKETS_BEYOND_RATE`] is added to the product. All
+/// full buckets may be emptied at once, and the sum must stay within what an
 /// endpoint tolerates beyond its limit.
 const BUCKETS_PER_RATE: f64 = 1.25;
+
+/// The number of instances that may have a bucket in addition to those allowed
+/// by [`BUCKETS_PER_RATE`].
 const BUCKETS_BEYOND_RATE: f64 = 4.0;
 
 /// The lowest rate that is used for any limit, in requests per second of all
--- a/crates/fleet/src/note.rs
+++ b/crates/fleet/src/note.rs
@@ -178,8 +178,8 @@
     /// Whether `work` covers all instances, as known to the lease holder,
     /// rather than the sender alone.
     pub is_total: bool,
-    /// Whether the totals cover only some endpoints. Those of the others are
-    /// unchanged.
+    /// Whether the totals cover only some endpoints. The totals of the other
+    /// endpoints are unchanged.
     #[serde(default)]
     pub is_part: bool,
     /// Recent crashes of endpoints that interrupted runs of the sender.
@@ -219,7 +219,8 @@
     pub waiting: Vec<(AdapterKey, u8)>,
     /// Engines that the sender could not reach.
     pub unreachable: Vec<EndpointId>,
-    /// Observations of loading adapters by requests that were sent to them.
+    /// Observations of whether adapters that were being loaded were already
+    /// loaded when requests for them were sent.
     #[serde(default)]
     pub arrivals: Vec<LoadObservationReport>,
     /// Endpoints that accept no more requests from the sender, and for how
@@ -228,7 +229,8 @@
     pub saturated: Vec<(EndpointId, u64)>,
 }
 
-/// Whether a loading adapter was present when a request was sent to it.
+/// Whether an adapter that was being loaded on an engine was already loaded
+/// when a request for it was sent there.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LoadObservationReport {
     /// The endpoint of the engine.
--- a/crates/fleet/src/note_schedule.rs
+++ b/crates/fleet/src/note_schedule.rs
@@ -86,13 +86,13 @@
 /// The notes that are due now.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Due {
-    /// The regular status note.
+    /// Whether the regular status note is due.
     pub status: bool,
-    /// An interim report of work between two status notes.
+    /// Whether an interim report of work between two status notes is due.
     pub interim_work: bool,
-    /// The queued notes to all instances.
+    /// Whether the queued notes to all instances are due.
     pub batch: bool,
-    /// The report of demand for adapters.
+    /// Whether the report of demand for adapters is due.
     pub demand: bool,
 }
 
--- a/crates/fleet/src/poison.rs
+++ b/crates/fleet/src/poison.rs
@@ -18,12 +18,12 @@
 use crate::{incarnation::EndpointIncarnation, request_digest::RequestDigest};
 
 /// Number of endpoints that must have ended while they ran a request before it
-/// is condemned. The users allow three.
+/// is condemned. The requirements allow a request to crash three endpoints.
 const CRASHES_TO_CONDEMN: usize = 3;
 
-/// Number of separate times at which these endpoints must have ended. A rack
-/// that loses power ends all its endpoints at one moment, under each request
-/// that many callers send alike.
+/// Number of separate times at which these endpoints must have ended. A power
+/// failure ends all endpoints of a rack at once. A harmless request that many
+/// callers send was then running on several of them.
 const ROUNDS_TO_CONDEMN: usize = 2;
 
 /// How long a run that broke off is retained until the end of its endpoint is
@@ -47,8 +47,10 @@
 /// request may cost one endpoint in ten minutes.
 pub const CONDEMNED_FOR: Duration = Duration::from_secs(600);
 
-/// How long each instance repeats the report of a crash in its notes, which
-/// are sent every 0.15 to 2.4 s and may be lost.
+/// How long each instance repeats the report of a crash in its notes, since
+/// notes may be lost. They go to all others every 0.15 s in a small fleet and
+/// every 2.4 s in a large one; without a lease holder, the interval grows with
+/// the fleet and is 4.85 s with 195 instances.
 const CRASH_REPEATED_FOR: Duration = Duration::from_secs(4);
 
 /// Maximum number of runs in one note. Each takes about 30 bytes, so that the
--- a/crates/fleet/src/store_reports.rs
+++ b/crates/fleet/src/store_reports.rs
@@ -2,11 +2,17 @@
 //! unreachable.
 //!
 //! A lease that cannot be renewed ends by its holder's clock, because another
-//! instance could acquire it. If every other instance reports that the store
-//! does not answer it either, none can. The invariant: the lease ends if any
-//! instance has not reported this just now, or reaches the store. An instance
-//! that reaches the store again reports this at once, and must watch the lease
-//! record for a full time to live before it may acquire the lease.
+//! instance could acquire it. The holder may continue while no other instance
+//! can. Two kinds of instances are known to be unable to acquire the lease:
+//! those that are leaving, and those that reported within the last second that
+//! the store does not answer them.
+//!
+//! The invariant: the lease ends if any instance that is not leaving reports
+//! that it reaches the store, if one has fallen silent within the last 5 s, or
+//! if at least as many have been silent for longer, or have never reported, as
+//! are known to be unable to acquire the lease. An instance that reaches the
+//! store again reports this at once, and must watch the lease record for a
+//! full time to live before it may acquire the lease.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -50,7 +56,8 @@
         self.0.insert(from.clone(), report);
     }
 
-    /// Returns the instances that reported just now that they reach the store.
+    /// Returns the instances that are not leaving and whose last report, less
+    /// than [`REPORT_VALID_FOR`] old, is that they reach the store.
     pub fn instances_reaching_store(
         &self,
         now: Instant,
@@ -65,7 +72,10 @@
     }
 
     /// Returns whether no instance can acquire the lease now, neither one of
-    /// the known instances nor any other that has reported.
+    /// the known instances nor any other that has reported. Instances that
+    /// have been silent for 5 s, or have never reported, are presumed unable
+    /// to acquire the lease while they are fewer than those that are known to
+    /// be unable.
     pub fn no_instance_reaches_store<'a>(
         &self,
         known: impl Iterator<Item = &'a InstanceId>,
@@ -73,8 +83,9 @@
     ) -> bool {
         let is_valid =
             |report: &StoreReport| now - report.received_at < REPORT_VALID_FOR;
-        // An instance that leaves acquires no lease. After a restart it has no
-        // configuration, which it can get from the store only.
+        // An instance that is leaving acquires no lease, whether or not it
+        // reaches the store, so its report does not expire. If the instance is
+        // restarted, it has no configuration at first.
         let cannot_acquire = |report: &StoreReport| {
             report.is_leaving || (report.store_is_out && is_valid(report))
         };
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -516,8 +516,9 @@
         self.change_placements(id, |state| state.record_absent(key, now));
     }
 
-    /// Records whether a request found an adapter loaded that comes from the
-    /// weight store. Returns whether the lease holder must be notified.
+    /// Records whether an adapter that is being loaded from the weight store
+    /// was already loaded when a request for it was sent. Returns whether the
+    /// lease holder must be notified.
     pub fn confirm_load(
         &mut self,
         id: &EndpointId,
--- a/crates/fleet/src/view/choice.rs
+++ b/crates/fleet/src/view/choice.rs
@@ -24,8 +24,8 @@
 pub(crate) const OTHER_ZONE_COST: f64 = 0.14;
 
 /// The cost of a failure rate of 1, as a fraction of an endpoint's load. An
-/// endpoint that fails half of its requests is chosen only if the others are
-/// nearly full.
+/// endpoint that fails half of its requests is chosen only if all other
+/// endpoints are nearly full.
 const FAILURE_COST: f64 = 1.5;
 
 /// The maximum random cost per request and endpoint, as a fraction of an
@@ -50,8 +50,9 @@
 /// not accepted the order yet.
 const MIN_LOADING_DELAY: Duration = Duration::from_millis(20);
 
-/// The prefill backlog beyond which an engine counts as busy. Another engine
-/// would have loaded the adapter from the weight store in 0.25 s.
+/// The prefill backlog beyond which an engine counts as busy. Beyond it,
+/// loading the adapter on another engine from the weight store, which takes
+/// 0.25 s, is faster than waiting for the queued prompts.
 pub(crate) const BUSY_BACKLOG: Duration = Duration::from_millis(300);
 
 /// What a request needs from an endpoint.
--- a/crates/fleet/src/view/learned_weights.rs
+++ b/crates/fleet/src/view/learned_weights.rs
@@ -13,9 +13,9 @@
 
 use super::FleetView;
 
-/// The time in which a load of twice the mean reduces an endpoint's weight by
-/// a third. It is about five times the delay with which totals show the effect
-/// of a weight, so that the weights do not oscillate.
+/// The time in which a load of twice the mean reduces an endpoint's weight to
+/// about a third. It is about five times the delay with which totals show the
+/// effect of a weight, so that the weights do not oscillate.
 const LEARN_TIME: Duration = Duration::from_millis(3_000);
 
 /// The time constant with which learned weights return to 1, since the speed
--- a/crates/fleet/tests/in_force_model.rs
+++ b/crates/fleet/tests/in_force_model.rs
@@ -14,7 +14,7 @@
 /// One step of the model.
 const TICK: Duration = Duration::from_millis(10);
 
-/// Number of ticks in one simulated day.
+/// Number of ticks in one simulation, which spans 30 s.
 const TICKS: u32 = 3_000;
 
 /// Time within which a version is in force wherever a path to the store or to
@@ -30,7 +30,7 @@
 /// Timeout of a request to another instance, in ticks.
 const FETCH_TICKS: u32 = 20;
 
-/// Parameters of a simulated day.
+/// Parameters of one simulation.
 #[derive(Clone, Copy, Debug)]
 struct Scenario {
     instances: usize,
@@ -85,7 +85,7 @@
     }
 }
 
-/// The outcome of one simulated day.
+/// The outcome of one simulation.
 #[derive(Debug, Default)]
 struct Outcome {
     /// Delay, instance and version of each case in which a version was not in
--- a/crates/fleet/tests/note_schedule_rules.rs
+++ b/crates/fleet/tests/note_schedule_rules.rs
@@ -41,8 +41,9 @@
     assert!(schedule.take(NOTHING, holder, taken).status);
 }
 
-/// A new holder does not know the work of the others until they report it.
-/// They switch to the interval of followers when they receive its status.
+/// A new holder does not know the work of other instances until they report
+/// it. These instances switch to the interval of followers when they receive
+/// the new holder's status.
 #[test]
 fn followers_of_a_new_holder_send_at_once() {
     let start = Instant::now();
--- a/crates/fleet/tests/poison_model.rs
+++ b/crates/fleet/tests/poison_model.rs
@@ -43,9 +43,12 @@
 const CONTACT_MS: u64 = 3_000;
 
 /// Number of crashed endpoints after which the request must not be sent any
-/// more, and the number of sends that may still follow later than instances
-/// must be in touch.
+/// more.
 const MOST_ENDED: usize = 3;
+
+/// Maximum number of sends that may still follow, later than [`CONTACT_MS`]
+/// after the last of these crashes, from instances that have been up and have
+/// reached the store for that long.
 const MOST_LATER: usize = 3;
 
 /// How the observations of one instance reach the others.
--- a/crates/fleet/tests/poison_rules.rs
+++ b/crates/fleet/tests/poison_rules.rs
@@ -91,7 +91,7 @@
         crash(&mut poison, endpoint, of, began, at);
     }
     assert!(!is_condemned(&poison, of, at));
-    // One more crash, of a run that was sent after the others had ended.
+    // One more crash, of a run that was sent after the other endpoints ended.
     crash(&mut poison, 9, of, at, at + RUNS);
     assert!(is_condemned(&poison, of, at + RUNS));
 }
@@ -133,7 +133,8 @@
         (PoisonDetector::default(), PoisonDetector::default());
     let (one, other) = (digest(1), digest(2));
     let at = Instant::now();
-    // The probe of the endpoint by this instance got no answer.
+    // This instance lost a run and does not know whether the endpoint ended:
+    // its probe got no answer.
     near.record_lost_run(&life(0), one, at, Loss::Broken, at + RUNS);
     let told = crash(&mut far, 0, other, at, at + RUNS).expect("a crash");
     let ours =
--- a/crates/fleet/tests/revocation_rules.rs
+++ b/crates/fleet/tests/revocation_rules.rs
@@ -322,8 +322,8 @@
     }
 }
 
-/// An instance that is cut off from the store alone relies on what the others
-/// know.
+/// An instance that is cut off from the store alone relies on what the other
+/// instances know.
 #[test]
 fn an_instance_cut_off_from_the_store_alone_stays_fresh() {
     let store = Store { answer_ms: 4, ..Store::default() };
