--- a/crates/fleet/src/store_reports.rs
+++ b/crates/fleet/src/store_reports.rs
@@ -76,7 +76,7 @@
     /// have been silent for 5 s, or have never reported, are presumed unable
     /// to acquire the lease while they are fewer than those that are known to
     /// be unable.
-    pub fn no_instance_reaches_store<'a>(
+    pub fn no_instance_can_acquire_lease<'a>(
         &self,
         known: impl Iterator<Item = &'a InstanceId>,
         now: Instant,
--- a/crates/fleet/tests/store_reports_rules.rs
+++ b/crates/fleet/tests/store_reports_rules.rs
@@ -21,7 +21,9 @@
 #[test]
 fn the_lease_is_kept_if_no_instance_reaches_the_store() {
     let now = Instant::now();
-    assert!(all_unreachable(now).no_instance_reaches_store(ids().iter(), now));
+    assert!(
+        all_unreachable(now).no_instance_can_acquire_lease(ids().iter(), now)
+    );
 }
 
 #[test]
@@ -29,7 +31,7 @@
     let now = Instant::now();
     let mut reports = all_unreachable(now);
     reports.record(&ids()[1], false, false, now);
-    assert!(!reports.no_instance_reaches_store(ids().iter(), now));
+    assert!(!reports.no_instance_can_acquire_lease(ids().iter(), now));
 }
 
 #[test]
@@ -39,7 +41,7 @@
     let later = now + REPORT_VALID_FOR;
     reports.record(&ids()[0], true, false, later);
     reports.record(&ids()[1], true, false, later);
-    assert!(!reports.no_instance_reaches_store(ids().iter(), later));
+    assert!(!reports.no_instance_can_acquire_lease(ids().iter(), later));
 }
 
 #[test]
@@ -47,12 +49,12 @@
     let now = Instant::now();
     let known = ["i1", "i2", "i3", "gone"].map(str::to_owned);
     let mut reports = all_unreachable(now);
-    assert!(reports.no_instance_reaches_store(known.iter(), now));
+    assert!(reports.no_instance_can_acquire_lease(known.iter(), now));
     let later = now + Duration::from_secs(6);
     reports.record(&ids()[0], true, false, later);
     // Two instances were silent for a long time, and no fewer than were heard.
     let known = ["i1", "i2"].map(str::to_owned);
-    assert!(!reports.no_instance_reaches_store(known.iter(), later));
+    assert!(!reports.no_instance_can_acquire_lease(known.iter(), later));
 }
 
 #[test]
@@ -60,7 +62,7 @@
     let now = Instant::now();
     let mut reports = all_unreachable(now);
     reports.record(&"new".to_owned(), false, false, now);
-    assert!(!reports.no_instance_reaches_store(ids().iter(), now));
+    assert!(!reports.no_instance_can_acquire_lease(ids().iter(), now));
 }
 
 #[test]
@@ -69,9 +71,9 @@
     let mut reports = all_unreachable(now);
     reports.record(&ids()[2], false, true, now);
     let later = now + Duration::from_millis(900);
-    assert!(reports.no_instance_reaches_store(ids().iter(), later));
+    assert!(reports.no_instance_can_acquire_lease(ids().iter(), later));
     let much_later = now + Duration::from_secs(3);
     reports.record(&ids()[0], true, false, much_later);
     reports.record(&ids()[1], true, false, much_later);
-    assert!(reports.no_instance_reaches_store(ids().iter(), much_later));
+    assert!(reports.no_instance_can_acquire_lease(ids().iter(), much_later));
 }
--- a/crates/sedgewalld/src/fleet/instance.rs
+++ b/crates/sedgewalld/src/fleet/instance.rs
@@ -373,17 +373,17 @@
     /// store to take it.
     pub(crate) fn current_lease(&self, now: Instant) -> Option<HeldLease> {
         let held = self.held.get()?;
-        (now < held.current_until || self.no_instance_reaches_store(now))
+        (now < held.current_until || self.no_instance_can_acquire_lease(now))
             .then_some(held)
     }
 
     /// Returns whether the store is out of reach for all instances, so that
     /// none can take the lease.
-    pub(crate) fn no_instance_reaches_store(&self, now: Instant) -> bool {
+    pub(crate) fn no_instance_can_acquire_lease(&self, now: Instant) -> bool {
         let peers = self.peers.borrow();
         let reports = self.store_reports.borrow();
         !peers.is_empty()
-            && reports.no_instance_reaches_store(peers.keys(), now)
+            && reports.no_instance_can_acquire_lease(peers.keys(), now)
     }
 
     /// Records that the store answered. A change of reachability is reported
--- a/crates/sedgewalld/src/fleet/lease.rs
+++ b/crates/sedgewalld/src/fleet/lease.rs
@@ -273,7 +273,7 @@
             kept.lease.complete_handover();
         }
         let is_current = kept.lease.is_current(now)
-            || instance.no_instance_reaches_store(now);
+            || instance.no_instance_can_acquire_lease(now);
         if !is_current {
             instance.held.set(None);
             let epoch = kept.lease.epoch();
