--- a/crates/fleet/tests/poison_model.rs
+++ b/crates/fleet/tests/poison_model.rs
@@ -77,15 +77,15 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Event {
+struct FaultPeriod {
     fault: Fault,
     at_ms: u64,
-    lasts_ms: u64,
+    duration_ms: u64,
 }
 
-impl Event {
+impl FaultPeriod {
     fn covers(&self, now: u64) -> bool {
-        (self.at_ms..self.at_ms + self.lasts_ms).contains(&now)
+        (self.at_ms..self.at_ms + self.duration_ms).contains(&now)
     }
 
     fn stops(&self, n: usize) -> bool {
@@ -99,7 +99,7 @@
 
 #[derive(Clone, Debug)]
 struct Scenario {
-    events: Vec<Event>,
+    fault_periods: Vec<FaultPeriod>,
     /// Time between two tries of the caller.
     tries_ms: u64,
     seed: u64,
@@ -175,13 +175,17 @@
     }
 
     fn is_up(&self, n: usize, now: u64) -> bool {
-        !self.scenario.events.iter().any(|e| e.stops(n) && e.covers(now))
+        !self
+            .scenario
+            .fault_periods
+            .iter()
+            .any(|e| e.stops(n) && e.covers(now))
     }
 
     fn hears(&self, one: usize, other: usize, now: u64) -> bool {
         let is_partitioned = |n: usize| {
-            let mut events = self.scenario.events.iter();
-            events.any(|e| {
+            let mut fault_periods = self.scenario.fault_periods.iter();
+            fault_periods.any(|e| {
                 matches!(e.fault, Fault::Partitioned(of) if of == n)
                     && e.covers(now)
             })
@@ -193,13 +197,17 @@
     }
 
     fn reaches_store(&self, n: usize, now: u64) -> bool {
-        let is_cut = |e: &Event| match e.fault {
+        let is_cut = |e: &FaultPeriod| match e.fault {
             Fault::NoStore(of) => of == n,
             Fault::StoreOut => true,
             _ => false,
         };
         self.is_up(n, now)
-            && !self.scenario.events.iter().any(|e| is_cut(e) && e.covers(now))
+            && !self
+                .scenario
+                .fault_periods
+                .iter()
+                .any(|e| is_cut(e) && e.covers(now))
     }
 
     fn in_touch(&self, n: usize, now: u64) -> bool {
@@ -368,27 +376,35 @@
     }
 }
 
-fn event() -> impl Strategy<Value = Event> {
+fn fault_period() -> impl Strategy<Value = FaultPeriod> {
     let fault = prop_oneof![
         (0..INSTANCES).prop_map(Fault::Restart),
         (0..INSTANCES).prop_map(Fault::Partitioned),
         (0..INSTANCES).prop_map(Fault::NoStore),
         Just(Fault::StoreOut),
     ];
-    (fault, 0..DURATION_MS - 10_000, 200..9_000u64)
-        .prop_map(|(fault, at_ms, lasts_ms)| Event { fault, at_ms, lasts_ms })
+    (fault, 0..DURATION_MS - 10_000, 200..9_000u64).prop_map(
+        |(fault, at_ms, duration_ms)| FaultPeriod {
+            fault,
+            at_ms,
+            duration_ms,
+        },
+    )
 }
 
 fn scenario() -> impl Strategy<Value = Scenario> {
-    let events = proptest::collection::vec(event(), 0..8);
+    let fault_periods = proptest::collection::vec(fault_period(), 0..8);
     let all_at = proptest::option::of(2_000..DURATION_MS - 10_000);
-    (events, all_at, 200..2_000u64, any::<u64>()).prop_map(
-        |(mut events, all_at, tries_ms, seed)| {
+    (fault_periods, all_at, 200..2_000u64, any::<u64>()).prop_map(
+        |(mut fault_periods, all_at, tries_ms, seed)| {
             let fault = Fault::RestartAll;
-            let all =
-                all_at.map(|at_ms| Event { fault, at_ms, lasts_ms: 300 });
-            events.extend(all);
-            Scenario { events, tries_ms, seed }
+            let all = all_at.map(|at_ms| FaultPeriod {
+                fault,
+                at_ms,
+                duration_ms: 300,
+            });
+            fault_periods.extend(all);
+            Scenario { fault_periods, tries_ms, seed }
         },
     )
 }
@@ -411,8 +427,9 @@
 #[test]
 fn without_faults_at_most_four_endpoints_crash() {
     for seed in 0..60 {
-        let events = Vec::new();
-        let scenario = Scenario { events, tries_ms: 200 + 23 * seed, seed };
+        let fault_periods = Vec::new();
+        let scenario =
+            Scenario { fault_periods, tries_ms: 200 + 23 * seed, seed };
         let outcome = Model::simulate(Design::AllCount, &scenario);
         assert!(outcome.ended_at.len() <= 4, "{seed}: {outcome:?}");
         assert!(outcome.known_ms.is_some_and(|ms| ms <= 500), "{outcome:?}");
