--- a/crates/fleet/src/poison.rs
+++ b/crates/fleet/src/poison.rs
@@ -24,7 +24,7 @@
 /// Number of separate times at which these endpoints must have ended. A power
 /// failure ends all endpoints of a rack at once. A harmless request that many
 /// callers send was then running on several of them.
-const ROUNDS_TO_CONDEMN: usize = 2;
+const SEPARATE_CRASHES_TO_CONDEMN: usize = 2;
 
 /// How long a run that broke off is retained until the end of its endpoint is
 /// known. A dead endpoint leaves the platform's list after three heartbeats of
@@ -514,15 +514,15 @@
             return !interruptions.is_empty();
         }
         interruptions.sort_unstable_by_key(|interruption| interruption.broke);
-        let mut rounds = 0;
+        let mut separate_crashes = 0;
         let mut last: Option<Instant> = None;
         for interruption in &interruptions {
             if last.is_none_or(|last| interruption.began >= last) {
-                rounds += 1;
+                separate_crashes += 1;
                 last = Some(interruption.broke);
             }
         }
         interruptions.len() >= CRASHES_TO_CONDEMN
-            && rounds >= ROUNDS_TO_CONDEMN
+            && separate_crashes >= SEPARATE_CRASHES_TO_CONDEMN
     }
 }
