--- a/crates/fleet/src/revocation.rs
+++ b/crates/fleet/src/revocation.rs
@@ -20,7 +20,7 @@
 /// Maximum wait of a watch, as a fraction of the maximum age. Other instances
 /// poll those that watch, and their information is as old as the watch is
 /// long.
-const WATCH_FRACTION: f64 = 0.25;
+const MAX_WATCH_FRACTION: f64 = 0.25;
 
 /// Poll interval, as a fraction of the maximum age. Together with the wait of
 /// a watch and one lost answer, it uses half of the maximum age.
@@ -84,7 +84,7 @@
         let max_age = self.max_age()?;
         let age = self.age(now).unwrap_or(max_age);
         let left = max_age.saturating_sub(age);
-        let wait = (left * 2 / 3).min(max_age.mul_f64(WATCH_FRACTION));
+        let wait = (left * 2 / 3).min(max_age.mul_f64(MAX_WATCH_FRACTION));
         Some(wait.max(MIN_WATCH))
     }
 
