--- a/crates/fleet/src/revocation.rs
+++ b/crates/fleet/src/revocation.rs
@@ -44,32 +44,34 @@
     /// Time within which a revoked key must stop; `None` if there is no bound.
     within: Option<Duration>,
     /// Time up to which all changes are known.
-    known_until: Option<Instant>,
+    all_changes_known_until: Option<Instant>,
 }
 
 impl KeyFreshness {
     /// Returns the state of an instance without a configuration.
     pub fn new(within: Option<Duration>) -> KeyFreshness {
-        KeyFreshness { within, known_until: None }
+        KeyFreshness { within, all_changes_known_until: None }
     }
 
     /// Records that all changes before a time are known.
     pub fn confirm(&mut self, until: Instant) {
-        self.known_until = self.known_until.max(Some(until));
+        self.all_changes_known_until =
+            self.all_changes_known_until.max(Some(until));
     }
 
     /// Returns whether requests with keys may be served now.
     pub fn is_fresh(&self, now: Instant) -> bool {
         let Some(within) = self.within else { return true };
         let max_age = within.saturating_sub(CLOCK_MARGIN);
-        self.known_until
+        self.all_changes_known_until
             .is_some_and(|at| now.saturating_duration_since(at) < max_age)
     }
 
     /// Returns the time since all changes were known; `None` if they never
     /// were.
     pub fn age(&self, now: Instant) -> Option<Duration> {
-        self.known_until.map(|at| now.saturating_duration_since(at))
+        self.all_changes_known_until
+            .map(|at| now.saturating_duration_since(at))
     }
 
     /// Returns how long the next watch may wait for a change; `None` if there
