--- a/crates/fleet/tests/in_force_model.rs
+++ b/crates/fleet/tests/in_force_model.rs
@@ -65,7 +65,8 @@
     /// Timeout of the current request to another instance, and the instance.
     asking: Option<(u32, usize)>,
     next_step: u32,
-    restarted: u32,
+    /// Tick of the last restart.
+    restarted_at: u32,
     /// Tick until which it is cut off from the store.
     cut_until: u32,
 }
@@ -79,7 +80,7 @@
             reading: Reading::Calling(tick + CALL_TICKS),
             asking: None,
             next_step: tick,
-            restarted: tick,
+            restarted_at: tick,
             cut_until: 0,
         }
     }
@@ -280,7 +281,7 @@
         let n = self.scenario.instances;
         for (idx, before) in before.iter().enumerate() {
             let version = self.instances[idx].version;
-            let is_same_life = self.instances[idx].restarted < tick;
+            let is_same_life = self.instances[idx].restarted_at < tick;
             self.outcome.back += u32::from(is_same_life && version < *before);
             let had = &mut self.had_since[idx];
             while (had.len() as u64) <= version {
@@ -301,11 +302,11 @@
                 continue;
             }
             let missed = version + 1;
-            let held_up = self.instances[idx].restarted;
+            let held_up = self.instances[idx].restarted_at;
             let since = (0..n).filter(|other| *other != idx).filter_map(|o| {
                 let had = *self.had_since[o].get(missed as usize)?;
                 let since = had.max(self.whole_since[idx][o]).max(held_up);
-                Some(since.max(self.instances[o].restarted))
+                Some(since.max(self.instances[o].restarted_at))
             });
             let store = (idx == 0 || self.scenario.stale == 0).then(|| {
                 let acked = self.acknowledged[missed as usize];
