--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -202,7 +202,7 @@
     /// requests on the outdated version have ended. Otherwise the outdated
     /// version is unloaded, and demand brings the newest one.
     fn replace_versions(&mut self, orders: &mut Vec<Order>) {
-        let mut old = Vec::new();
+        let mut outdated = Vec::new();
         for state in self.engines() {
             for (key, placement) in state.placements() {
                 let newest = self.view.newest(key);
@@ -211,11 +211,11 @@
                 {
                     let id = state.endpoint.id.clone();
                     let address = state.endpoint.address;
-                    old.push((id, address, key.clone(), newest));
+                    outdated.push((id, address, key.clone(), newest));
                 }
             }
         }
-        for (endpoint, address, key, newest) in old {
+        for (endpoint, address, key, newest) in outdated {
             if !self.claim_order(&endpoint, &key) {
                 continue;
             }
