--- a/crates/fleet/tests/placement_rules.rs
+++ b/crates/fleet/tests/placement_rules.rs
@@ -37,9 +37,16 @@
     planner.plan(&routing(), view, demand, &mut times, now)
 }
 
-fn add_waiting(demand: &mut Demand, n: u32, times: u32, now: Instant) {
-    demand.add(&key(n), times, "z1", now);
-    demand.mark_waiting(&key(n), 1);
+/// Adds a number of requests for an adapter, given by its number, and marks
+/// the adapter as waited for.
+fn add_waiting_requests(
+    demand: &mut Demand,
+    adapter: u32,
+    request_count: u32,
+    now: Instant,
+) {
+    demand.add(&key(adapter), request_count, "z1", now);
+    demand.mark_waiting(&key(adapter), 1);
 }
 
 /// Returns a view of engines that have all reported.
@@ -68,7 +75,7 @@
     let mut view = FleetView::new("z1");
     view.apply_entry(endpoint("e1", "z1", &[]), now);
     let mut demand = Demand::default();
-    add_waiting(&mut demand, 1, 1, now);
+    add_waiting_requests(&mut demand, 1, 1, now);
     let mut planner = planner(1, now);
     let orders = plan(&mut planner, &mut view, &mut demand, now);
     let tasks: Vec<_> = orders.iter().map(|o| &o.task).collect();
@@ -80,11 +87,11 @@
     let now = Instant::now();
     let mut view = synced(&[("e1", &[]), ("e2", &[])], now);
     let mut demand = Demand::default();
-    add_waiting(&mut demand, 1, 1, now);
+    add_waiting_requests(&mut demand, 1, 1, now);
     let mut planner = planner(1, now);
     let orders = plan(&mut planner, &mut view, &mut demand, now);
     assert_eq!(loads(&orders).len(), 1);
-    add_waiting(&mut demand, 1, 1, now);
+    add_waiting_requests(&mut demand, 1, 1, now);
     let orders = plan(&mut planner, &mut view, &mut demand, now);
     assert_eq!(loads(&orders), []);
 }
@@ -98,7 +105,7 @@
     for n in full {
         demand.add(&key(*n), 1, "z1", now);
     }
-    add_waiting(&mut demand, 9, 1, now);
+    add_waiting_requests(&mut demand, 9, 1, now);
     let mut planner = planner(1, now);
     let orders = plan(&mut planner, &mut view, &mut demand, now);
     assert_eq!(orders, []);
@@ -107,7 +114,7 @@
     for n in [1, 2, 4] {
         demand.add(&key(n), 5, "z1", later);
     }
-    add_waiting(&mut demand, 9, 1, later);
+    add_waiting_requests(&mut demand, 9, 1, later);
     let orders = plan(&mut planner, &mut view, &mut demand, later);
     let tasks: Vec<_> = orders.iter().map(|o| o.task.clone()).collect();
     assert_eq!(tasks, [Task::Unload(key(3)), Task::Load(key(9), 1)]);
@@ -132,7 +139,7 @@
     demand.add(&key(3), 1, "z1", now);
     demand.add(&key(4), 2, "z1", now);
     let later = now + Duration::from_secs(3);
-    add_waiting(&mut demand, 9, 1, later);
+    add_waiting_requests(&mut demand, 9, 1, later);
     let mut planner = planner(1, now);
     let orders = plan(&mut planner, &mut view, &mut demand, later);
     let tasks: Vec<_> = orders.iter().map(|o| o.task.clone()).collect();
@@ -145,7 +152,7 @@
     let mut view = synced(&[("e1", &[1, 2, 3, 4]), ("e2", &[])], now);
     let mut demand = Demand::default();
     let mut planner = planner(1, now);
-    add_waiting(&mut demand, 9, 1, now);
+    add_waiting_requests(&mut demand, 9, 1, now);
     view.apply_entry(endpoint("e3", "z1", &[]), now);
     let orders = plan(&mut planner, &mut view, &mut demand, now);
     assert_eq!(loads(&orders), [("e2", key(9))]);
@@ -157,7 +164,7 @@
     if let Some(state) = view.get_mut(&home) {
         state.own_work = requests(8);
     }
-    add_waiting(&mut demand, 9, 1, later);
+    add_waiting_requests(&mut demand, 9, 1, later);
     let orders = plan(&mut planner, &mut view, &mut demand, later);
     assert_eq!(loads(&orders), [("e2", key(9))]);
     assert!(orders.iter().all(|order| !order.is_cold));
@@ -190,12 +197,12 @@
         }
     }
     let mut demand = Demand::default();
-    add_waiting(&mut demand, 1, 1, now);
+    add_waiting_requests(&mut demand, 1, 1, now);
     let mut planner = planner(1, now);
     let orders = plan(&mut planner, &mut view, &mut demand, now);
     assert_eq!(loads(&orders), [("e3", key(1))]);
     // One replica is enough while it loads.
-    add_waiting(&mut demand, 1, 1, now);
+    add_waiting_requests(&mut demand, 1, 1, now);
     let orders = plan(&mut planner, &mut view, &mut demand, now);
     assert_eq!(loads(&orders), []);
 }
@@ -239,7 +246,7 @@
     for n in [1, 2, 3] {
         demand.add(&key(n), 1, "z1", now);
     }
-    add_waiting(&mut demand, 9, 1, now);
+    add_waiting_requests(&mut demand, 9, 1, now);
     let mut free = planner(1, now);
     let orders = free.plan(
         &routing(),
@@ -277,7 +284,7 @@
     leaving.is_draining = true;
     view.apply_entry(leaving, now);
     let mut demand = Demand::default();
-    add_waiting(&mut demand, 1, 1, now);
+    add_waiting_requests(&mut demand, 1, 1, now);
     let mut planner = planner(1, now);
     let orders = plan(&mut planner, &mut view, &mut demand, now);
     assert_eq!(orders, []);
@@ -333,7 +340,7 @@
         let mut planner = planner(1, now);
         for (revision, step) in (2..).zip(steps) {
             match step {
-                Step::Requested(n, times) => add_waiting(&mut demand, n, times, now),
+                Step::Requested(n, times) => add_waiting_requests(&mut demand, n, times, now),
                 Step::Elapsed(ms) => now += Duration::from_millis(ms),
                 Step::Unlisted(e) => {
                     view.remove_entry(&ids[e].to_owned(), revision, true, now);
@@ -382,7 +389,7 @@
     let now = Instant::now();
     let mut view = synced(&[("e1", &[1, 2, 3, 4])], now);
     let mut demand = Demand::default();
-    add_waiting(&mut demand, 9, 1, now);
+    add_waiting_requests(&mut demand, 9, 1, now);
     let mut planner = planner(1, now);
     let orders = plan(&mut planner, &mut view, &mut demand, now);
     assert_eq!(loads(&orders), [("e1", key(9))]);
@@ -391,7 +398,7 @@
         order.revert(&mut view);
     }
     let later = now + Duration::from_secs(1);
-    add_waiting(&mut demand, 10, 1, later);
+    add_waiting_requests(&mut demand, 10, 1, later);
     let orders = plan(&mut planner, &mut view, &mut demand, later);
     let tasks: Vec<_> = orders.iter().map(|o| &o.task).collect();
     assert_eq!(tasks, [&Task::Sync]);
@@ -404,14 +411,14 @@
     let now = Instant::now();
     let mut view = synced(&[("e1", &[1, 2, 3])], now);
     let mut demand = Demand::default();
-    add_waiting(&mut demand, 9, 1, now);
+    add_waiting_requests(&mut demand, 9, 1, now);
     let mut planner = planner(1, now);
     let orders = plan(&mut planner, &mut view, &mut demand, now);
     assert_eq!(loads(&orders), [("e1", key(9))]);
 
     let later = now + Duration::from_millis(1_500);
     for n in [1, 2, 3, 10] {
-        add_waiting(&mut demand, n, 20, later);
+        add_waiting_requests(&mut demand, n, 20, later);
     }
     let orders = plan(&mut planner, &mut view, &mut demand, later);
     let left = orders.iter().any(|o| o.task == Task::Unload(key(9)));
@@ -435,7 +442,7 @@
     }
     assert_eq!(view.warm(&key(9)), ["e1"]);
     let mut demand = Demand::default();
-    add_waiting(&mut demand, 9, 1, now);
+    add_waiting_requests(&mut demand, 9, 1, now);
     let mut planner = planner(1, now);
     let mut times = LoadTimes::default();
     let orders =
@@ -456,7 +463,7 @@
     let mut view = synced(&engines, now);
     let mut demand = Demand::default();
     for n in 1..=100 {
-        add_waiting(&mut demand, n, 1, now);
+        add_waiting_requests(&mut demand, n, 1, now);
         demand.mark_waiting(&key(n), 1);
     }
     let orders = plan(&mut planner(1, now), &mut view, &mut demand, now);
@@ -490,7 +497,7 @@
     }
     let mut ordered = |n: std::ops::RangeInclusive<u32>, view: &mut _, at| {
         for n in n {
-            add_waiting(&mut demand, n, 1, at);
+            add_waiting_requests(&mut demand, n, 1, at);
         }
         let orders = planner.plan(&roomy, view, &mut demand, &mut times, at);
         loads(&orders).into_iter().map(|(_, key)| key).collect::<Vec<_>>()
@@ -520,7 +527,7 @@
     let now = Instant::now();
     let mut view = synced(&[("e1", &[1]), ("e2", &[]), ("e3", &[])], now);
     let mut demand = Demand::default();
-    add_waiting(&mut demand, 1, 1, now);
+    add_waiting_requests(&mut demand, 1, 1, now);
     let mut planner = planner(1, now);
     let orders = plan(&mut planner, &mut view, &mut demand, now);
     assert_eq!(loads(&orders), [], "its engine has room");
@@ -529,7 +536,7 @@
     for id in ["e1", "e2"] {
         view.mark_saturated(&id.to_owned(), time, now);
     }
-    add_waiting(&mut demand, 1, 1, now);
+    add_waiting_requests(&mut demand, 1, 1, now);
     let orders = plan(&mut planner, &mut view, &mut demand, now);
     assert_eq!(loads(&orders), [("e3", key(1))]);
 }
