--- a/crates/fleet/tests/in_force_model.rs
+++ b/crates/fleet/tests/in_force_model.rs
@@ -36,8 +36,9 @@
     instances: usize,
     /// Ticks between two versions.
     change_every: u32,
-    /// Ticks between two faults, and the maximum duration of each.
+    /// Ticks between two faults.
     fault_every: u32,
+    /// Maximum duration of a fault, in ticks.
     fault_for: u32,
     /// Fraction of the notes that is lost.
     lost: f64,
@@ -49,11 +50,11 @@
 /// State of an instance's access to the store.
 #[derive(Clone, Copy, Debug)]
 enum Reading {
-    /// It receives each change.
+    /// The instance receives each change.
     Watching,
-    /// It waits for an answer until this tick.
+    /// The instance waits for an answer until this tick.
     Calling(u32),
-    /// It pauses until this tick.
+    /// The instance pauses until this tick.
     Pausing(u32),
 }
 
@@ -67,7 +68,7 @@
     next_step: u32,
     /// Tick of the last restart.
     restarted_at: u32,
-    /// Tick until which it is cut off from the store.
+    /// Tick until which the instance is cut off from the store.
     cut_until: u32,
 }
 
--- a/crates/fleet/tests/poison_model.rs
+++ b/crates/fleet/tests/poison_model.rs
@@ -25,11 +25,13 @@
 /// How long the request runs before it crashes its endpoint.
 const CRASH_AFTER_MS: u64 = 80;
 
-/// Interval between regular notes, and the fraction of them that is lost.
+/// Interval between regular notes.
 const STATUS_MS: u64 = 160;
+
+/// Fraction of notes that is lost.
 const LOSS_PROBABILITY: f64 = 0.05;
 
-/// Number of instances that watch the store on behalf of the others.
+/// Number of instances that watch the store on behalf of all instances.
 const WATCHERS: usize = 4;
 
 /// Delay of a write to the store per live instance with a lower number.
@@ -51,7 +53,7 @@
 /// reached the store for that long.
 const MOST_LATER: usize = 3;
 
-/// How the observations of one instance reach the others.
+/// How the observations of one instance reach the other instances.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Design {
     /// Each instance reports to all, each counts crashes, and condemned
@@ -119,8 +121,8 @@
 #[derive(Debug, Default)]
 struct Outcome {
     ended_at: Vec<u64>,
-    /// Sends by instances in touch, later after the third crash than instances
-    /// must be in touch.
+    /// Sends later than [`CONTACT_MS`] after the third crash, by instances
+    /// that have been up and have reached the store for that long.
     later: usize,
     /// Time after the third crash until all live instances have condemned the
     /// request.
@@ -412,9 +414,10 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
 
-    /// Whatever is partitioned or restarted, instances in touch send the
-    /// request to at most three more endpoints, later than they must be in
-    /// touch after the third crash.
+    /// Whatever is partitioned or restarted, the request is sent to at most
+    /// three more endpoints later than [`CONTACT_MS`] after the third crash,
+    /// by instances that have been up and have reached the store for that
+    /// long.
     #[test]
     fn a_poison_request_is_stopped_under_any_partition(scenario in scenario()) {
         let outcome = Model::simulate(Design::AllCount, &scenario);
