--- a/crates/fleet/tests/poison_model.rs
+++ b/crates/fleet/tests/poison_model.rs
@@ -181,15 +181,15 @@
             .scenario
             .fault_periods
             .iter()
-            .any(|e| e.stops(n) && e.covers(now))
+            .any(|period| period.stops(n) && period.covers(now))
     }
 
     fn hears(&self, one: usize, other: usize, now: u64) -> bool {
         let is_partitioned = |n: usize| {
             let mut fault_periods = self.scenario.fault_periods.iter();
-            fault_periods.any(|e| {
-                matches!(e.fault, Fault::Partitioned(of) if of == n)
-                    && e.covers(now)
+            fault_periods.any(|period| {
+                matches!(period.fault, Fault::Partitioned(of) if of == n)
+                    && period.covers(now)
             })
         };
         self.is_up(one, now)
@@ -199,7 +199,7 @@
     }
 
     fn reaches_store(&self, n: usize, now: u64) -> bool {
-        let is_cut = |e: &FaultPeriod| match e.fault {
+        let is_cut = |period: &FaultPeriod| match period.fault {
             Fault::NoStore(of) => of == n,
             Fault::StoreOut => true,
             _ => false,
@@ -209,7 +209,7 @@
                 .scenario
                 .fault_periods
                 .iter()
-                .any(|e| is_cut(e) && e.covers(now))
+                .any(|period| is_cut(period) && period.covers(now))
     }
 
     fn in_touch(&self, n: usize, now: u64) -> bool {
