--- a/crates/fleet/src/back_off.rs
+++ b/crates/fleet/src/back_off.rs
@@ -9,8 +9,8 @@
 /// failure.
 const FIRST_DELAY: Duration = Duration::from_millis(150);
 
-/// The maximum delay of an instance that watches the store on behalf of the
-/// others.
+/// The maximum delay of an instance that watches the store on behalf of all
+/// instances.
 const MAX_WATCHER_DELAY: Duration = Duration::from_millis(1_200);
 
 /// The maximum delay of any other instance's calls that are not notified.
--- a/crates/fleet/src/catch_up.rs
+++ b/crates/fleet/src/catch_up.rs
@@ -1,10 +1,10 @@
 //! Fetches state that this instance lacks from other instances (anti-entropy).
 //!
-//! Several times per second, each instance reports the version of its
-//! configuration, the number of weight versions it knows and the number of
-//! requests it has condemned. The receiver of a higher number first waits for
-//! its own watch of the store; if the watch does not bring the state soon, the
-//! receiver fetches it from an instance that reported the number.
+//! In its status notes, each instance reports the version of its configuration,
+//! the number of weight versions it knows and the number of requests it has
+//! condemned. The receiver of a higher number first waits for its own watch
+//! of the store; if the watch does not bring the state soon, the receiver
+//! fetches it from an instance that reported the number.
 //!
 //! This module does no I/O and reads no clock. The invariants: only state that
 //! is newer than the own one is fetched, and from one instance at a time.
--- a/crates/fleet/src/limit_share.rs
+++ b/crates/fleet/src/limit_share.rs
@@ -74,7 +74,7 @@
 /// everything else.
 const MAX_REPORTS: usize = 64;
 
-/// A limit as one instance reports it to the others.
+/// A limit as one instance reports it to the other instances.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LimitReport {
     /// The limited endpoint.
--- a/crates/fleet/src/note.rs
+++ b/crates/fleet/src/note.rs
@@ -256,7 +256,7 @@
     pub version: WeightVersion,
     /// Expected time until the adapter is ready, in milliseconds.
     pub ready_in_ms: u64,
-    /// Whether it is loaded from the weight store.
+    /// Whether the adapter is loaded from the weight store.
     #[serde(default)]
     pub is_cold: bool,
     /// Incarnation of the engine that the order is for, if the engine reports
