--- a/crates/fleet/src/back_off.rs
+++ b/crates/fleet/src/back_off.rs
@@ -9,8 +9,8 @@
 /// failure.
 const FIRST_DELAY: Duration = Duration::from_millis(150);
 
-/// The maximum delay of an instance that watches the store on behalf of the
-/// others.
+/// The maximum delay of an instance that watches the store on behalf of all
+/// instances.
 const MAX_WATCHER_DELAY: Duration = Duration::from_millis(1_200);
 
 /// The maximum delay of any other instance's calls that are not notified.
@@ -31,7 +31,7 @@
 /// The role of an instance's calls of one kind.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallKind {
-    /// The calls fetch what this instance passes on to the others.
+    /// The calls fetch state that this instance passes on to other instances.
     Watcher,
     /// The calls are the first that an instance retries.
     First,
