--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -22,7 +22,7 @@
     view::{AnsweredRequest, Target},
 };
 use sedgewall_platform::{
-    AnswerFacts, CallFacts,
+    AnswerFacts, RequestMetadata,
     call::{Handover, to_endpoint},
 };
 use sedgewall_state::id::EndpointId;
@@ -41,7 +41,7 @@
 
 /// A caller's request after its headers and body were read.
 pub(crate) struct CallerRequest {
-    pub(crate) facts: CallFacts,
+    pub(crate) facts: RequestMetadata,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -21,7 +21,7 @@
     view::{Choice, Need, Target},
     wait_policy::{WaitReason, WaitingRequest, retry_delay},
 };
-use sedgewall_platform::{CallFacts, call::to_caller};
+use sedgewall_platform::{RequestMetadata, call::to_caller};
 use sedgewall_state::id::EndpointId;
 use sedgewall_transport::{
     LocalBody,
@@ -147,7 +147,7 @@
     arrived: Instant,
 ) -> Result<CallerRequest, EarlyRefusal> {
     let (mut head, body) = request.into_parts();
-    let facts = CallFacts::take(&mut head.headers);
+    let facts = RequestMetadata::take(&mut head.headers);
     let path = head.uri.path().to_owned();
     let request_id =
         facts.as_ref().map_or(String::new(), |f| f.request_id.clone());
