--- a/crates/sedgewalld/src/fleet/announcements.rs
+++ b/crates/sedgewalld/src/fleet/announcements.rs
@@ -14,7 +14,7 @@
     note::Status,
     view::AnsweredRequest,
 };
-use sedgewall_platform::AnswerFacts;
+use sedgewall_platform::ResponseMetadata;
 use sedgewall_state::id::EndpointId;
 
 use super::{
@@ -33,7 +33,7 @@
     call: &CallerRequest,
     answered: &AnsweredRequest,
     status: StatusCode,
-    facts: &AnswerFacts,
+    facts: &ResponseMetadata,
 ) {
     if !is_answer_to(call, status, facts) {
         return;
@@ -109,7 +109,7 @@
 fn log_unreadable(
     instance: &FleetInstance,
     answered: &AnsweredRequest,
-    facts: &AnswerFacts,
+    facts: &ResponseMetadata,
 ) {
     let Some(value) = &facts.announcement.unreadable else { return };
     metrics::counter!("sedgewall_announcements_unreadable_total").increment(1);
@@ -165,7 +165,7 @@
 fn is_answer_to(
     call: &CallerRequest,
     status: StatusCode,
-    facts: &AnswerFacts,
+    facts: &ResponseMetadata,
 ) -> bool {
     if status == StatusCode::MISDIRECTED_REQUEST {
         return false;
--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -22,7 +22,7 @@
     view::{AnsweredRequest, Target},
 };
 use sedgewall_platform::{
-    AnswerFacts, RequestMetadata,
+    RequestMetadata, ResponseMetadata,
     call::{Handover, to_endpoint},
 };
 use sedgewall_state::id::EndpointId;
@@ -206,7 +206,7 @@
     let ended = match compio::time::timeout(limits.within, sending).await {
         Ok(Ok(answer)) => {
             let status = answer.status;
-            let facts = AnswerFacts::read(status, &answer.headers);
+            let facts = ResponseMetadata::read(status, &answer.headers);
             announcements::apply_response(
                 instance, call, &answered, status, &facts,
             );
@@ -260,7 +260,7 @@
 fn classify(
     call: &CallerRequest,
     mut answer: PooledAnswer,
-    facts: AnswerFacts,
+    facts: ResponseMetadata,
     is_last: bool,
 ) -> Result<PooledAnswer, AttemptError> {
     answer.settle();
