--- a/crates/sedgewalld/src/fleet/admit.rs
+++ b/crates/sedgewalld/src/fleet/admit.rs
@@ -117,7 +117,7 @@
 ) {
     let Some(customer) = &call.customer else { return };
     let Some(allowance) = customer.allowance else { return };
-    let tokens = call.facts.prompt_tokens + call.facts.answer_tokens;
+    let tokens = call.metadata.prompt_tokens + call.metadata.answer_tokens;
     let units = allowance.unit.count(tokens);
     instance.rate_limiter.borrow_mut().refund(customer, units);
 }
--- a/crates/sedgewalld/src/fleet/announcements.rs
+++ b/crates/sedgewalld/src/fleet/announcements.rs
@@ -33,37 +33,37 @@
     call: &CallerRequest,
     answered: &AnsweredRequest,
     status: StatusCode,
-    facts: &ResponseMetadata,
+    metadata: &ResponseMetadata,
 ) {
-    if !is_answer_to(call, status, facts) {
+    if !is_answer_to(call, status, metadata) {
         return;
     }
     let now = Instant::now();
-    log_unreadable(instance, answered, facts);
-    match facts.announcement.cooldown {
+    log_unreadable(instance, answered, metadata);
+    match metadata.announcement.cooldown {
         Some(cooldown) => {
             apply_cooldown(
                 instance,
                 answered,
                 cooldown,
-                &call.facts.request_id,
+                &call.metadata.request_id,
             );
         }
         None => end_cooldown(instance, answered),
     }
-    if facts.announcement.is_leaving {
+    if metadata.announcement.is_leaving {
         apply_announced_departure(
             instance,
             answered,
-            &call.facts.request_id,
+            &call.metadata.request_id,
             now,
         );
     }
-    let limit = facts.announcement.limit;
+    let limit = metadata.announcement.limit;
     let is_named = limit.per_s().is_some();
     // An endpoint may reject a request before it looks up its limit, so a
     // rejection without a limit does not mean that the limit is over.
-    if is_named || facts.is_proven {
+    if is_named || metadata.is_proven {
         let change = instance
             .view
             .borrow_mut()
@@ -109,9 +109,9 @@
 fn log_unreadable(
     instance: &FleetInstance,
     answered: &AnsweredRequest,
-    facts: &ResponseMetadata,
+    metadata: &ResponseMetadata,
 ) {
-    let Some(value) = &facts.announcement.unreadable else { return };
+    let Some(value) = &metadata.announcement.unreadable else { return };
     metrics::counter!("sedgewall_announcements_unreadable_total").increment(1);
     let now = Instant::now();
     let logged = instance.unreadable_logged.get();
@@ -165,14 +165,14 @@
 fn is_answer_to(
     call: &CallerRequest,
     status: StatusCode,
-    facts: &ResponseMetadata,
+    metadata: &ResponseMetadata,
 ) -> bool {
     if status == StatusCode::MISDIRECTED_REQUEST {
         return false;
     }
-    match facts.request_id.as_deref() {
-        Some(id) => id == call.facts.request_id,
-        None => facts.is_not_run,
+    match metadata.request_id.as_deref() {
+        Some(id) => id == call.metadata.request_id,
+        None => metadata.is_not_run,
     }
 }
 
--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -41,7 +41,7 @@
 
 /// A caller's request after its headers and body were read.
 pub(crate) struct CallerRequest {
-    pub(crate) facts: RequestMetadata,
+    pub(crate) metadata: RequestMetadata,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
@@ -134,7 +134,7 @@
 
     /// Returns the model or adapter, if an engine serves the request.
     pub(crate) fn key(&self) -> Option<&AdapterKey> {
-        self.facts.key.as_ref().filter(|_| self.is_engine)
+        self.metadata.key.as_ref().filter(|_| self.is_engine)
     }
 
     /// Returns a digest that all tries of this request have in common.
@@ -191,7 +191,7 @@
     last_event: Option<&str>,
     limits: SendLimits,
 ) -> Result<GoodAnswer, AttemptError> {
-    let prompt_tokens = call.facts.prompt_tokens;
+    let prompt_tokens = call.metadata.prompt_tokens;
     let mut in_flight_guard =
         InFlightGuard::begin(instance, &target.id, call.key(), prompt_tokens);
     let request = build(call, target, last_event);
@@ -206,11 +206,11 @@
     let ended = match compio::time::timeout(limits.within, sending).await {
         Ok(Ok(answer)) => {
             let status = answer.status;
-            let facts = ResponseMetadata::read(status, &answer.headers);
+            let metadata = ResponseMetadata::read(status, &answer.headers);
             announcements::apply_response(
-                instance, call, &answered, status, &facts,
+                instance, call, &answered, status, &metadata,
             );
-            classify(call, answer, facts, limits.is_last)
+            classify(call, answer, metadata, limits.is_last)
         }
         Ok(Err(SendError::NotSent(cause))) => {
             Err(AttemptError::Unreachable(cause))
@@ -260,12 +260,12 @@
 fn classify(
     call: &CallerRequest,
     mut answer: PooledAnswer,
-    facts: ResponseMetadata,
+    metadata: ResponseMetadata,
     is_last: bool,
 ) -> Result<PooledAnswer, AttemptError> {
     answer.settle();
     let status = answer.status;
-    if facts.is_not_run || status == StatusCode::MISDIRECTED_REQUEST {
+    if metadata.is_not_run || status == StatusCode::MISDIRECTED_REQUEST {
         return Err(match status {
             StatusCode::MISDIRECTED_REQUEST => AttemptError::Misdirected,
             _ => AttemptError::Busy,
@@ -273,22 +273,22 @@
     }
     // An endpoint may send a response twice. The second copy is then read
     // where the response to the next request on the connection is expected.
-    let is_ours =
-        facts.request_id.as_deref() == Some(call.facts.request_id.as_str());
+    let is_ours = metadata.request_id.as_deref()
+        == Some(call.metadata.request_id.as_str());
     if !is_ours {
         answer.distrust();
-        let of = facts.request_id.unwrap_or_default();
+        let of = metadata.request_id.unwrap_or_default();
         return Err(AttemptError::Unclear(format!(
             "response is for request {of:?}"
         )));
     }
-    if status.is_success() && !facts.is_proven {
+    if status.is_success() && !metadata.is_proven {
         answer.distrust();
         return Err(AttemptError::Unclear(
             "success response without the response-seal header".into(),
         ));
     }
-    if status.is_server_error() && !(is_last && facts.is_proven) {
+    if status.is_server_error() && !(is_last && metadata.is_proven) {
         return Err(AttemptError::Unclear(format!(
             "endpoint answered {status}"
         )));
@@ -376,7 +376,7 @@
             event = "endpoint_ejected",
             endpoint = target.id,
             cause,
-            request = call.facts.request_id,
+            request = call.metadata.request_id,
         );
         metrics::counter!("sedgewall_ejections_total").increment(1);
     }
--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -147,10 +147,10 @@
     arrived: Instant,
 ) -> Result<CallerRequest, EarlyRefusal> {
     let (mut head, body) = request.into_parts();
-    let facts = RequestMetadata::take(&mut head.headers);
+    let metadata = RequestMetadata::take(&mut head.headers);
     let path = head.uri.path().to_owned();
     let request_id =
-        facts.as_ref().map_or(String::new(), |f| f.request_id.clone());
+        metadata.as_ref().map_or(String::new(), |f| f.request_id.clone());
     let refuse = |reason| EarlyRefusal {
         reason,
         request_id: request_id.clone(),
@@ -161,12 +161,12 @@
     let query = AdmissionQuery {
         host: host_of(&head),
         path: path.clone(),
-        credential: facts.as_ref().and_then(|f| f.credential),
+        credential: metadata.as_ref().and_then(|f| f.credential),
     };
     let admitted = admit_by_newest(instance, &query).await.map_err(&refuse)?;
     let Admitted { routing, route, customer, decided_by } = admitted;
-    let facts = facts.ok_or_else(|| refuse(Reason::NoRequestId))?;
-    let tokens = facts.prompt_tokens + facts.answer_tokens;
+    let metadata = metadata.ok_or_else(|| refuse(Reason::NoRequestId))?;
+    let tokens = metadata.prompt_tokens + metadata.answer_tokens;
     if let Some(customer) = &customer {
         charge_allowance(instance, customer, tokens).map_err(|reason| {
             EarlyRefusal { customer: Some(customer.clone()), ..refuse(reason) }
@@ -179,17 +179,17 @@
             BodyError::TooSlow(_) | BodyError::Broken(_) => Reason::BodyBroken,
         })
     })?;
-    let time_limit = facts.patience.unwrap_or(DEFAULT_TIME_LIMIT);
+    let time_limit = metadata.patience.unwrap_or(DEFAULT_TIME_LIMIT);
     let deadline = arrived + time_limit.min(route.timeout) - ANSWER_MARGIN;
     let longest = instance.longest_time_limit(&route.name, time_limit);
     let is_later_try = time_limit < longest.mul_f64(LATER_TRY_FRACTION);
     let service = route
-        .pick_service(hash_fraction(&facts.request_id))
+        .pick_service(hash_fraction(&metadata.request_id))
         .ok_or_else(|| refuse(Reason::NobodyThere))?
         .clone();
     let is_engine = routing.engine_group(&service).is_some();
     Ok(CallerRequest {
-        facts,
+        metadata,
         method: head.method,
         uri: origin_form(head.uri),
         headers: head.headers,
@@ -260,7 +260,7 @@
     };
     let mut watch =
         request_log::UnansweredGuard::begin(instance, call.clone());
-    let last_event = call.facts.last_event.clone();
+    let last_event = call.metadata.last_event.clone();
     let found = send_with_retries(
         instance,
         &call,
@@ -378,7 +378,7 @@
     call: &CallerRequest,
     progress: &mut Progress,
 ) -> Result<Target, Reason> {
-    let draw = xxh3_64(call.facts.request_id.as_bytes());
+    let draw = xxh3_64(call.metadata.request_id.as_bytes());
     let began = Instant::now();
     let target = call.route.target_latency;
     let waiting_request = waiting_request(instance, call);
@@ -398,7 +398,7 @@
             key: call.key(),
             exclude: &progress.tried,
             draw,
-            prompt_tokens: call.facts.prompt_tokens,
+            prompt_tokens: call.metadata.prompt_tokens,
             target_latency: target,
             may_wait,
         };
@@ -484,7 +484,7 @@
 
 /// Returns the delay after which the caller of a rejected request may retry.
 fn retry_delay_of(call: &CallerRequest, progress: &Progress) -> Duration {
-    let draw = hash_fraction(&call.facts.request_id);
+    let draw = hash_fraction(&call.metadata.request_id);
     retry_delay(call.left(), progress.available_in, draw)
 }
 
@@ -498,7 +498,7 @@
     instance: &FleetInstance,
     call: &CallerRequest,
 ) -> WaitingRequest {
-    let tokens = call.facts.prompt_tokens;
+    let tokens = call.metadata.prompt_tokens;
     let engine_time = match call.key() {
         Some(_) => {
             instance.view.borrow().idle_first_event_time(&call.service, tokens)
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -56,7 +56,7 @@
     metrics::counter!("sedgewall_poison_refused_total").increment(1);
     tracing::info!(
         event = "poison_refused",
-        request = call.facts.request_id,
+        request = call.metadata.request_id,
         digest = %call.digest(),
         path = call.uri.path(),
         customer = call.customer.as_ref().map(|c| c.name.as_str()),
@@ -76,7 +76,7 @@
 ) {
     tracing::info!(
         event = "run_broken",
-        request = call.facts.request_id,
+        request = call.metadata.request_id,
         digest = %call.digest(),
         path = call.uri.path(),
         customer = call.customer.as_ref().map(|c| c.name.as_str()),
@@ -134,7 +134,7 @@
     if !instance.poison.borrow_mut().clear(digest, Instant::now()) {
         return;
     }
-    let request = &call.facts.request_id;
+    let request = &call.metadata.request_id;
     tracing::info!(event = "poison_cleared", %digest, request);
     broadcast_clearance(instance, digest);
     watch_poison::mark_refuted(instance, digest);
--- a/crates/sedgewalld/src/fleet/relay.rs
+++ b/crates/sedgewalld/src/fleet/relay.rs
@@ -66,7 +66,7 @@
     let framer = call
         .route
         .is_resumable
-        .then(|| EventFramer::after(call.facts.last_event.clone()));
+        .then(|| EventFramer::after(call.metadata.last_event.clone()));
     let relay = StreamRelay {
         head: call.arrived.elapsed(),
         instance,
@@ -193,7 +193,7 @@
         }
         tracing::info!(
             event = "resumed",
-            request = call.facts.request_id,
+            request = call.metadata.request_id,
             from = self.target.id,
             to = target.id,
             after_event = last_event,
@@ -242,7 +242,7 @@
         metrics::counter!("sedgewall_streams_broken_total").increment(1);
         tracing::warn!(
             event = "stream_broken",
-            request = self.call.facts.request_id,
+            request = self.call.metadata.request_id,
             endpoint = self.target.id,
             cause,
             bytes = self.bytes,
--- a/crates/sedgewalld/src/fleet/request_log.rs
+++ b/crates/sedgewalld/src/fleet/request_log.rs
@@ -52,9 +52,9 @@
     metrics::counter!("sedgewall_callers_left_total").increment(1);
     tracing::info!(
         event = "caller_left",
-        request = call.facts.request_id,
+        request = call.metadata.request_id,
         route = call.route.name,
-        key = call.facts.key.as_ref().map(AdapterKey::to_string),
+        key = call.metadata.key.as_ref().map(AdapterKey::to_string),
         endpoint = call.sent_to.borrow().as_ref().map(|to| &to.endpoint),
         is_later_try = call.is_later_try,
         bytes,
@@ -73,7 +73,7 @@
         .increment(1);
     tracing::info!(
         event = "send_failed",
-        request = call.facts.request_id,
+        request = call.metadata.request_id,
         endpoint = target.id,
         send = progress.sends,
         cause = err.name(),
@@ -103,15 +103,15 @@
         .record(delivered.head.as_secs_f64());
     tracing::info!(
         event = "served",
-        request = call.facts.request_id,
+        request = call.metadata.request_id,
         route = call.route.name,
         customer = call.customer.as_ref().map(|c| c.name.as_str()),
-        key = call.facts.key.as_ref().map(AdapterKey::to_string),
+        key = call.metadata.key.as_ref().map(AdapterKey::to_string),
         endpoint = target.id,
         in_flight = target.in_flight,
         unread_tokens = target.unread_tokens,
         predicted_ms = target.predicted.map(|p| p.as_millis() as u64),
-        prompt_tokens = call.facts.prompt_tokens,
+        prompt_tokens = call.metadata.prompt_tokens,
         engine_ms = progress.engine_time.as_millis() as u64,
         sends = progress.sends,
         waited_ms = progress.waited.as_millis() as u64,
@@ -137,10 +137,10 @@
         .increment(1);
     tracing::info!(
         event = "refused",
-        request = call.facts.request_id,
+        request = call.metadata.request_id,
         route = call.route.name,
         customer = call.customer.as_ref().map(|c| c.name.as_str()),
-        key = call.facts.key.as_ref().map(AdapterKey::to_string),
+        key = call.metadata.key.as_ref().map(AdapterKey::to_string),
         reason = reason.name(),
         configuration = call.decided_by.version,
         configuration_read_ms_ago = call.decided_by.read_ms_ago(),
