--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -23,7 +23,7 @@
 };
 use sedgewall_platform::{
     RequestMetadata, ResponseMetadata,
-    call::{Handover, to_endpoint},
+    call::{ForwardingMetadata, to_endpoint},
 };
 use sedgewall_state::id::EndpointId;
 use sedgewall_transport::{PooledAnswer, SendError};
@@ -240,7 +240,7 @@
     target: &Target,
     last_event: Option<&str>,
 ) -> Request<http_body_util::Full<Bytes>> {
-    let handover = Handover {
+    let handover = ForwardingMetadata {
         endpoint: &target.id,
         left: call.left(),
         priority: call.key().map(|_| call.rank()),
