--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -240,7 +240,7 @@
     target: &Target,
     last_event: Option<&str>,
 ) -> Request<http_body_util::Full<Bytes>> {
-    let handover = ForwardingMetadata {
+    let forwarding = ForwardingMetadata {
         endpoint: &target.id,
         left: call.left(),
         priority: call.key().map(|_| call.rank()),
@@ -251,7 +251,7 @@
     let mut request = Request::new(call.body.clone().into());
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
-    *request.headers_mut() = to_endpoint(&call.headers, &handover);
+    *request.headers_mut() = to_endpoint(&call.headers, &forwarding);
     request
 }
 
