--- a/crates/sedgewalld/src/fleet/announcements.rs
+++ b/crates/sedgewalld/src/fleet/announcements.rs
@@ -63,7 +63,7 @@
     let is_named = limit.per_s().is_some();
     // An endpoint may reject a request before it looks up its limit, so a
     // rejection without a limit does not mean that the limit is over.
-    if is_named || metadata.is_proven {
+    if is_named || metadata.is_sealed {
         let change = instance
             .view
             .borrow_mut()
--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -282,13 +282,13 @@
             "response is for request {of:?}"
         )));
     }
-    if status.is_success() && !metadata.is_proven {
+    if status.is_success() && !metadata.is_sealed {
         answer.distrust();
         return Err(AttemptError::Unclear(
             "success response without the response-seal header".into(),
         ));
     }
-    if status.is_server_error() && !(is_last && metadata.is_proven) {
+    if status.is_server_error() && !(is_last && metadata.is_sealed) {
         return Err(AttemptError::Unclear(format!(
             "endpoint answered {status}"
         )));
