--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -16,7 +16,9 @@
     placement::PlacementPlanner,
     view::AnsweredRequest,
 };
-use sedgewall_platform::engine::{self, Holder, OrderAnswer, ReportError};
+use sedgewall_platform::engine::{
+    self, LeaseHolder, OrderAnswer, ReportError,
+};
 use sedgewall_state::id::{EndpointId, Epoch};
 
 use super::{announcements, instance::FleetInstance, note_sender::NoteSender};
@@ -223,7 +225,7 @@
             self.broadcast(Note::Removed(removed));
         }
         let instance = self.instance.id().clone();
-        let holder = Holder { instance, epoch };
+        let holder = LeaseHolder { instance, epoch };
         let sent = Instant::now();
         let answer = engine::order(
             &self.instance.pool,
