--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -23,7 +23,7 @@
 };
 use sedgewall_platform::{
     RequestMetadata, ResponseMetadata,
-    call::{ForwardingMetadata, to_endpoint},
+    call::{ForwardingMetadata, endpoint_request_headers},
 };
 use sedgewall_state::id::EndpointId;
 use sedgewall_transport::{PooledAnswer, SendError};
@@ -251,7 +251,8 @@
     let mut request = Request::new(call.body.clone().into());
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
-    *request.headers_mut() = to_endpoint(&call.headers, &forwarding);
+    *request.headers_mut() =
+        endpoint_request_headers(&call.headers, &forwarding);
     request
 }
 
