--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -21,7 +21,7 @@
     view::{Choice, Need, Target},
     wait_policy::{WaitReason, WaitingRequest, retry_delay},
 };
-use sedgewall_platform::{RequestMetadata, call::to_caller};
+use sedgewall_platform::{RequestMetadata, call::caller_response_headers};
 use sedgewall_state::id::EndpointId;
 use sedgewall_transport::{
     LocalBody,
@@ -543,7 +543,7 @@
     open: OpenRequestGuard,
 ) -> Response<LocalBody> {
     let status = good.answer.status;
-    let headers = to_caller(&good.answer.headers);
+    let headers = caller_response_headers(&good.answer.headers);
     if call.route.is_stream && status.is_success() {
         let stream = relay::stream(
             instance.clone(),
