--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -147,7 +147,7 @@
     arrived: Instant,
 ) -> Result<CallerRequest, EarlyRefusal> {
     let (mut head, body) = request.into_parts();
-    let metadata = RequestMetadata::take(&mut head.headers);
+    let metadata = RequestMetadata::extract(&mut head.headers);
     let path = head.uri.path().to_owned();
     let request_id =
         metadata.as_ref().map_or(String::new(), |f| f.request_id.clone());
