--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -176,7 +176,7 @@
                 );
             }
             Err(err) => {
-                if let ReportError::Rests(cooldown) = err {
+                if let ReportError::CooldownRequested(cooldown) = err {
                     self.apply_cooldown(&order.endpoint, cooldown);
                 }
                 let (endpoint, cause) = (&order.endpoint, err.to_string());
