--- a/crates/sedgewalld/src/fleet/instance.rs
+++ b/crates/sedgewalld/src/fleet/instance.rs
@@ -405,7 +405,7 @@
         let failure = CallFailure {
             sent,
             noticed: Instant::now(),
-            is_unanswered: matches!(err, StoreError::Unanswered),
+            is_unanswered: matches!(err, StoreError::TimedOut),
         };
         if self.store_reachability.borrow_mut().record_failure(failure) {
             self.notify_notes();
--- a/crates/sedgewalld/src/fleet/lease_store.rs
+++ b/crates/sedgewalld/src/fleet/lease_store.rs
@@ -97,7 +97,7 @@
         Err(StoreError::Conflict(Some(known))) if known.spec == spec => {
             WriteAnswer::Done(known.revision)
         }
-        Err(StoreError::Conflict(_) | StoreError::Missing) => {
+        Err(StoreError::Conflict(_) | StoreError::NotFound) => {
             WriteAnswer::Conflict
         }
         Err(_) => WriteAnswer::Unclear,
@@ -153,7 +153,7 @@
     let answer = written.unwrap_or(WriteAnswer::Unclear);
     match answer {
         WriteAnswer::Unclear => {
-            instance.record_store_failure(sent, &StoreError::Unanswered);
+            instance.record_store_failure(sent, &StoreError::TimedOut);
         }
         WriteAnswer::Done(_) | WriteAnswer::Conflict => {
             instance.record_store_success()
--- a/crates/sedgewalld/src/fleet/list_watch.rs
+++ b/crates/sedgewalld/src/fleet/list_watch.rs
@@ -347,7 +347,7 @@
             let probe = instance.store.probe(CONFIG_KIND, CONFIG_NAME);
             let probed = compio::time::timeout(PROBE_TIMEOUT, probe)
                 .await
-                .unwrap_or(Err(StoreError::Unanswered));
+                .unwrap_or(Err(StoreError::TimedOut));
             tracing::info!(event = "store_probed", is_out = probed.is_err());
             let Err(err) = probed else {
                 instance.record_store_success();
--- a/crates/sedgewalld/src/fleet/watch_poison.rs
+++ b/crates/sedgewalld/src/fleet/watch_poison.rs
@@ -302,7 +302,7 @@
             let deleted =
                 instance.store.delete(POISON_KIND, &name, *revision).await;
             match deleted {
-                Err(StoreError::Missing | StoreError::Conflict(_)) => {}
+                Err(StoreError::NotFound | StoreError::Conflict(_)) => {}
                 deleted => deleted?,
             }
             instance.poison_records.borrow_mut().0.remove(digest);
@@ -322,7 +322,7 @@
         condemned_unix_ms: unix_ms().saturating_sub(*ms_ago),
     };
     let spec = serde_json::to_value(&record)
-        .map_err(|err| StoreError::Unclear(err.to_string()))?;
+        .map_err(|err| StoreError::OutcomeUnknown(err.to_string()))?;
     let name = digest.to_string();
     let revision = match instance.store.create(POISON_KIND, &name, &spec).await
     {
