--- a/crates/sedgewalld/src/fleet/caller.rs
+++ b/crates/sedgewalld/src/fleet/caller.rs
@@ -179,7 +179,7 @@
             BodyError::TooSlow(_) | BodyError::Broken(_) => Reason::BodyBroken,
         })
     })?;
-    let time_limit = metadata.patience.unwrap_or(DEFAULT_TIME_LIMIT);
+    let time_limit = metadata.timeout.unwrap_or(DEFAULT_TIME_LIMIT);
     let deadline = arrived + time_limit.min(route.timeout) - ANSWER_MARGIN;
     let longest = instance.longest_time_limit(&route.name, time_limit);
     let is_later_try = time_limit < longest.mul_f64(LATER_TRY_FRACTION);
