--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -22,8 +22,8 @@
     view::{AnsweredRequest, Target},
 };
 use sedgewall_platform::{
-    AnswerFacts, CallFacts,
-    call::{Handover, to_endpoint},
+    RequestMetadata, ResponseMetadata,
+    call::{ForwardingMetadata, endpoint_request_headers},
 };
 use sedgewall_state::id::EndpointId;
 use sedgewall_transport::{PooledResponse, SendError};
@@ -41,7 +41,7 @@
 
 /// A caller's request after its headers and body were read.
 pub(crate) struct CallerRequest {
-    pub(crate) facts: CallFacts,
+    pub(crate) metadata: RequestMetadata,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
@@ -135,7 +135,7 @@
 
     /// Returns the model or adapter, if an engine serves the request.
     pub(crate) fn key(&self) -> Option<&AdapterKey> {
-        self.facts.key.as_ref().filter(|_| self.is_engine)
+        self.metadata.key.as_ref().filter(|_| self.is_engine)
     }
 
     /// Returns a digest that all tries of this request have in common.
@@ -192,7 +192,7 @@
     last_event: Option<&str>,
     limits: SendLimits,
 ) -> Result<GoodAnswer, AttemptError> {
-    let prompt_tokens = call.facts.prompt_tokens;
+    let prompt_tokens = call.metadata.prompt_tokens;
     let mut in_flight_guard =
         InFlightGuard::begin(instance, &target.id, call.key(), prompt_tokens);
     let request = build(call, target, last_event);
@@ -207,11 +207,11 @@
     let ended = match compio::time::timeout(limits.within, sending).await {
         Ok(Ok(answer)) => {
             let status = answer.status;
-            let facts = AnswerFacts::read(status, &answer.headers);
+            let metadata = ResponseMetadata::read(status, &answer.headers);
             announcements::apply_response(
-                instance, call, &answered, status, &facts,
+                instance, call, &answered, status, &metadata,
             );
-            classify(call, answer, facts, limits.is_last)
+            classify(call, answer, metadata, limits.is_last)
         }
         Ok(Err(SendError::NotSent(cause))) => {
             Err(AttemptError::Unreachable(cause))
@@ -241,7 +241,7 @@
     target: &Target,
     last_event: Option<&str>,
 ) -> Request<http_body_util::Full<Bytes>> {
-    let handover = Handover {
+    let forwarding = ForwardingMetadata {
         endpoint: &target.id,
         left: call.left(),
         priority: call.key().map(|_| call.priority()),
@@ -252,7 +252,8 @@
     let mut request = Request::new(call.body.clone().into());
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
-    *request.headers_mut() = to_endpoint(&call.headers, &handover);
+    *request.headers_mut() =
+        endpoint_request_headers(&call.headers, &forwarding);
     request
 }
 
@@ -261,12 +262,12 @@
 fn classify(
     call: &CallerRequest,
     mut answer: PooledResponse,
-    facts: AnswerFacts,
+    metadata: ResponseMetadata,
     is_last: bool,
 ) -> Result<PooledResponse, AttemptError> {
     answer.apply_connection_header();
     let status = answer.status;
-    if facts.is_not_run || status == StatusCode::MISDIRECTED_REQUEST {
+    if metadata.is_not_run || status == StatusCode::MISDIRECTED_REQUEST {
         return Err(match status {
             StatusCode::MISDIRECTED_REQUEST => AttemptError::Misdirected,
             _ => AttemptError::Busy,
@@ -274,22 +275,22 @@
     }
     // An endpoint may send a response twice. The second copy is then read
     // where the response to the next request on the connection is expected.
-    let is_ours =
-        facts.request_id.as_deref() == Some(call.facts.request_id.as_str());
+    let is_ours = metadata.request_id.as_deref()
+        == Some(call.metadata.request_id.as_str());
     if !is_ours {
         answer.discard_connection();
-        let of = facts.request_id.unwrap_or_default();
+        let of = metadata.request_id.unwrap_or_default();
         return Err(AttemptError::Unclear(format!(
             "response is for request {of:?}"
         )));
     }
-    if status.is_success() && !facts.is_proven {
+    if status.is_success() && !metadata.is_sealed {
         answer.discard_connection();
         return Err(AttemptError::Unclear(
             "success response without proof that an endpoint made it".into(),
         ));
     }
-    if status.is_server_error() && !(is_last && facts.is_proven) {
+    if status.is_server_error() && !(is_last && metadata.is_sealed) {
         return Err(AttemptError::Unclear(format!(
             "endpoint answered {status}"
         )));
@@ -377,7 +378,7 @@
             event = "endpoint_ejected",
             endpoint = target.id,
             cause,
-            request = call.facts.request_id,
+            request = call.metadata.request_id,
         );
         metrics::counter!("sedgewall_ejections_total").increment(1);
     }
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -16,7 +16,9 @@
     placement::PlacementPlanner,
     view::AnsweredRequest,
 };
-use sedgewall_platform::engine::{self, Holder, OrderAnswer, ReportError};
+use sedgewall_platform::engine::{
+    self, LeaseHolder, OrderAnswer, ReportError,
+};
 use sedgewall_state::id::{EndpointId, Epoch};
 
 use super::{announcements, instance::FleetInstance, note_sender::NoteSender};
@@ -175,7 +177,7 @@
                 );
             }
             Err(err) => {
-                if let ReportError::Rests(cooldown) = err {
+                if let ReportError::CooldownRequested(cooldown) = err {
                     self.apply_cooldown(&order.endpoint, cooldown);
                 }
                 let (endpoint, cause) = (&order.endpoint, err.to_string());
@@ -224,7 +226,7 @@
             self.broadcast(Note::Removed(removed));
         }
         let instance = self.instance.id().clone();
-        let holder = Holder { instance, epoch };
+        let holder = LeaseHolder { instance, epoch };
         let sent = Instant::now();
         let answer = engine::order(
             &self.instance.pool,
