--- a/crates/bench/src/cluster.rs
+++ b/crates/bench/src/cluster.rs
@@ -28,7 +28,7 @@
 };
 use sedgewall_transport::{
     CallError, HttpClient,
-    client::{Call, OpenAnswer, WholeAnswer},
+    client::{BufferedResponse, Call, StreamingResponse},
 };
 use serde::{Serialize, de::DeserializeOwned};
 
@@ -442,7 +442,7 @@
         model: &str,
         tokens: u64,
         headers: &[(&'static str, &str)],
-    ) -> Result<WholeAnswer, CallError> {
+    ) -> Result<BufferedResponse, CallError> {
         let call = self.completion(entry, model, tokens, false, headers);
         self.http.call(call, CALL_TIME).await
     }
@@ -458,7 +458,7 @@
         model: &str,
         tokens: u64,
         headers: &[(&'static str, &str)],
-    ) -> Result<OpenAnswer, CallError> {
+    ) -> Result<StreamingResponse, CallError> {
         let call = self.completion(entry, model, tokens, true, headers);
         self.http.open(call, CALL_TIME).await
     }
--- a/crates/bench/src/http.rs
+++ b/crates/bench/src/http.rs
@@ -17,8 +17,10 @@
 /// The longest time that a stand-in waits for a body.
 pub const BODY_TIME: Duration = Duration::from_secs(30);
 
-const LIMITS: ServerLimits =
-    ServerLimits { connections: 65_536, header_time: Duration::from_secs(30) };
+const LIMITS: ServerLimits = ServerLimits {
+    connections: 65_536,
+    header_timeout: Duration::from_secs(30),
+};
 
 /// Serves requests at an address with an async function, for ever.
 ///
@@ -38,7 +40,7 @@
     let listener = TcpListener::bind(listen).await?;
     let handler = Rc::new(move |request| {
         let answer = answer(state.clone(), request);
-        Box::pin(answer) as sedgewall_transport::server::Answer
+        Box::pin(answer) as sedgewall_transport::server::ResponseFuture
     });
     serve(listener, LIMITS, handler).await;
     Ok(())
@@ -50,7 +52,7 @@
     value: &T,
 ) -> Response<LocalBody> {
     let body = serde_json::to_vec(value).unwrap_or_default();
-    let mut response = Response::new(LocalBody::whole(body));
+    let mut response = Response::new(LocalBody::full(body));
     *response.status_mut() = status;
     response.headers_mut().insert(
         http::header::CONTENT_TYPE,
--- a/crates/fleet/tests/in_force_model.rs
+++ b/crates/fleet/tests/in_force_model.rs
@@ -14,7 +14,7 @@
 /// One step of the model.
 const TICK: Duration = Duration::from_millis(10);
 
-/// Number of ticks in one simulated day.
+/// Number of ticks in one simulation, which spans 30 s.
 const TICKS: u32 = 3_000;
 
 /// Time within which a version is in force wherever a path to the store or to
@@ -30,14 +30,15 @@
 /// Timeout of a request to another instance, in ticks.
 const FETCH_TICKS: u32 = 20;
 
-/// Parameters of a simulated day.
+/// Parameters of one simulation.
 #[derive(Clone, Copy, Debug)]
 struct Scenario {
     instances: usize,
     /// Ticks between two versions.
     change_every: u32,
-    /// Ticks between two faults, and the maximum duration of each.
+    /// Ticks between two faults.
     fault_every: u32,
+    /// Maximum duration of a fault, in ticks.
     fault_for: u32,
     /// Fraction of the notes that is lost.
     lost: f64,
@@ -49,11 +50,11 @@
 /// State of an instance's access to the store.
 #[derive(Clone, Copy, Debug)]
 enum Reading {
-    /// It receives each change.
+    /// The instance receives each change.
     Watching,
-    /// It waits for an answer until this tick.
+    /// The instance waits for an answer until this tick.
     Calling(u32),
-    /// It pauses until this tick.
+    /// The instance pauses until this tick.
     Pausing(u32),
 }
 
@@ -65,8 +66,9 @@
     /// Timeout of the current request to another instance, and the instance.
     asking: Option<(u32, usize)>,
     next_step: u32,
-    restarted: u32,
-    /// Tick until which it is cut off from the store.
+    /// Tick of the last restart.
+    restarted_at: u32,
+    /// Tick until which the instance is cut off from the store.
     cut_until: u32,
 }
 
@@ -79,13 +81,13 @@
             reading: Reading::Calling(tick + CALL_TICKS),
             asking: None,
             next_step: tick,
-            restarted: tick,
+            restarted_at: tick,
             cut_until: 0,
         }
     }
 }
 
-/// The outcome of one simulated day.
+/// The outcome of one simulation.
 #[derive(Debug, Default)]
 struct Outcome {
     /// Delay, instance and version of each case in which a version was not in
@@ -280,7 +282,7 @@
         let n = self.scenario.instances;
         for (idx, before) in before.iter().enumerate() {
             let version = self.instances[idx].version;
-            let is_same_life = self.instances[idx].restarted < tick;
+            let is_same_life = self.instances[idx].restarted_at < tick;
             self.outcome.back += u32::from(is_same_life && version < *before);
             let had = &mut self.had_since[idx];
             while (had.len() as u64) <= version {
@@ -301,11 +303,11 @@
                 continue;
             }
             let missed = version + 1;
-            let held_up = self.instances[idx].restarted;
+            let held_up = self.instances[idx].restarted_at;
             let since = (0..n).filter(|other| *other != idx).filter_map(|o| {
                 let had = *self.had_since[o].get(missed as usize)?;
                 let since = had.max(self.whole_since[idx][o]).max(held_up);
-                Some(since.max(self.instances[o].restarted))
+                Some(since.max(self.instances[o].restarted_at))
             });
             let store = (idx == 0 || self.scenario.stale == 0).then(|| {
                 let acked = self.acknowledged[missed as usize];
--- a/crates/fleet/tests/poison_model.rs
+++ b/crates/fleet/tests/poison_model.rs
@@ -25,11 +25,13 @@
 /// How long the request runs before it crashes its endpoint.
 const CRASH_AFTER_MS: u64 = 80;
 
-/// Interval between regular notes, and the fraction of them that is lost.
+/// Interval between regular notes.
 const STATUS_MS: u64 = 160;
+
+/// Fraction of notes that is lost.
 const LOSS_PROBABILITY: f64 = 0.05;
 
-/// Number of instances that watch the store on behalf of the others.
+/// Number of instances that watch the store on behalf of all instances.
 const WATCHERS: usize = 4;
 
 /// Delay of a write to the store per live instance with a lower number.
@@ -43,12 +45,15 @@
 const CONTACT_MS: u64 = 3_000;
 
 /// Number of crashed endpoints after which the request must not be sent any
-/// more, and the number of sends that may still follow later than instances
-/// must be in touch.
+/// more.
 const MOST_ENDED: usize = 3;
+
+/// Maximum number of sends that may still follow, later than [`CONTACT_MS`]
+/// after the last of these crashes, from instances that have been up and have
+/// reached the store for that long.
 const MOST_LATER: usize = 3;
 
-/// How the observations of one instance reach the others.
+/// How the observations of one instance reach the other instances.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Design {
     /// Each instance reports to all, each counts crashes, and condemned
@@ -74,15 +79,15 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Event {
+struct FaultPeriod {
     fault: Fault,
     at_ms: u64,
-    lasts_ms: u64,
+    duration_ms: u64,
 }
 
-impl Event {
+impl FaultPeriod {
     fn covers(&self, now: u64) -> bool {
-        (self.at_ms..self.at_ms + self.lasts_ms).contains(&now)
+        (self.at_ms..self.at_ms + self.duration_ms).contains(&now)
     }
 
     fn stops(&self, n: usize) -> bool {
@@ -96,7 +101,7 @@
 
 #[derive(Clone, Debug)]
 struct Scenario {
-    events: Vec<Event>,
+    fault_periods: Vec<FaultPeriod>,
     /// Time between two tries of the caller.
     tries_ms: u64,
     seed: u64,
@@ -116,8 +121,8 @@
 #[derive(Debug, Default)]
 struct Outcome {
     ended_at: Vec<u64>,
-    /// Sends by instances in touch, later after the third crash than instances
-    /// must be in touch.
+    /// Sends later than [`CONTACT_MS`] after the third crash, by instances
+    /// that have been up and have reached the store for that long.
     later: usize,
     /// Time after the third crash until all live instances have condemned the
     /// request.
@@ -172,15 +177,19 @@
     }
 
     fn is_up(&self, n: usize, now: u64) -> bool {
-        !self.scenario.events.iter().any(|e| e.stops(n) && e.covers(now))
+        !self
+            .scenario
+            .fault_periods
+            .iter()
+            .any(|period| period.stops(n) && period.covers(now))
     }
 
     fn hears(&self, one: usize, other: usize, now: u64) -> bool {
         let is_partitioned = |n: usize| {
-            let mut events = self.scenario.events.iter();
-            events.any(|e| {
-                matches!(e.fault, Fault::Partitioned(of) if of == n)
-                    && e.covers(now)
+            let mut fault_periods = self.scenario.fault_periods.iter();
+            fault_periods.any(|period| {
+                matches!(period.fault, Fault::Partitioned(of) if of == n)
+                    && period.covers(now)
             })
         };
         self.is_up(one, now)
@@ -190,13 +199,17 @@
     }
 
     fn reaches_store(&self, n: usize, now: u64) -> bool {
-        let is_cut = |e: &Event| match e.fault {
+        let is_cut = |period: &FaultPeriod| match period.fault {
             Fault::NoStore(of) => of == n,
             Fault::StoreOut => true,
             _ => false,
         };
         self.is_up(n, now)
-            && !self.scenario.events.iter().any(|e| is_cut(e) && e.covers(now))
+            && !self
+                .scenario
+                .fault_periods
+                .iter()
+                .any(|period| is_cut(period) && period.covers(now))
     }
 
     fn in_touch(&self, n: usize, now: u64) -> bool {
@@ -365,27 +378,35 @@
     }
 }
 
-fn event() -> impl Strategy<Value = Event> {
+fn fault_period() -> impl Strategy<Value = FaultPeriod> {
     let fault = prop_oneof![
         (0..INSTANCES).prop_map(Fault::Restart),
         (0..INSTANCES).prop_map(Fault::Partitioned),
         (0..INSTANCES).prop_map(Fault::NoStore),
         Just(Fault::StoreOut),
     ];
-    (fault, 0..DURATION_MS - 10_000, 200..9_000u64)
-        .prop_map(|(fault, at_ms, lasts_ms)| Event { fault, at_ms, lasts_ms })
+    (fault, 0..DURATION_MS - 10_000, 200..9_000u64).prop_map(
+        |(fault, at_ms, duration_ms)| FaultPeriod {
+            fault,
+            at_ms,
+            duration_ms,
+        },
+    )
 }
 
 fn scenario() -> impl Strategy<Value = Scenario> {
-    let events = proptest::collection::vec(event(), 0..8);
+    let fault_periods = proptest::collection::vec(fault_period(), 0..8);
     let all_at = proptest::option::of(2_000..DURATION_MS - 10_000);
-    (events, all_at, 200..2_000u64, any::<u64>()).prop_map(
-        |(mut events, all_at, tries_ms, seed)| {
+    (fault_periods, all_at, 200..2_000u64, any::<u64>()).prop_map(
+        |(mut fault_periods, all_at, tries_ms, seed)| {
             let fault = Fault::RestartAll;
-            let all =
-                all_at.map(|at_ms| Event { fault, at_ms, lasts_ms: 300 });
-            events.extend(all);
-            Scenario { events, tries_ms, seed }
+            let all = all_at.map(|at_ms| FaultPeriod {
+                fault,
+                at_ms,
+                duration_ms: 300,
+            });
+            fault_periods.extend(all);
+            Scenario { fault_periods, tries_ms, seed }
         },
     )
 }
@@ -393,9 +414,10 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(48))]
 
-    /// Whatever is partitioned or restarted, instances in touch send the
-    /// request to at most three more endpoints, later than they must be in
-    /// touch after the third crash.
+    /// Whatever is partitioned or restarted, the request is sent to at most
+    /// three more endpoints later than [`CONTACT_MS`] after the third crash,
+    /// by instances that have been up and have reached the store for that
+    /// long.
     #[test]
     fn a_poison_request_is_stopped_under_any_partition(scenario in scenario()) {
         let outcome = Model::simulate(Design::AllCount, &scenario);
@@ -408,8 +430,9 @@
 #[test]
 fn without_faults_at_most_four_endpoints_crash() {
     for seed in 0..60 {
-        let events = Vec::new();
-        let scenario = Scenario { events, tries_ms: 200 + 23 * seed, seed };
+        let fault_periods = Vec::new();
+        let scenario =
+            Scenario { fault_periods, tries_ms: 200 + 23 * seed, seed };
         let outcome = Model::simulate(Design::AllCount, &scenario);
         assert!(outcome.ended_at.len() <= 4, "{seed}: {outcome:?}");
         assert!(outcome.known_ms.is_some_and(|ms| ms <= 500), "{outcome:?}");
--- a/crates/sedgewall/src/error.rs
+++ b/crates/sedgewall/src/error.rs
@@ -1,23 +1,26 @@
-//! Errors of commands, and their exit codes.
+//! The errors of commands and their exit codes.
 
 use sedgewall_coordination::config_version::ConfigError;
 use sedgewall_protocol::file::FileError;
 use sedgewall_state::ConfigVersion;
 use sedgewall_transport::{CallError, PlatformError};
 
-/// The platform or an instance did not do what was asked.
+/// Exit code: the command failed in a way that has no exit code of its own, or
+/// its outcome is unknown.
 pub(crate) const EXIT_FAILED: u8 = 1;
 
-/// A file is at fault. clap exits with the same code for wrong arguments.
+/// Exit code: a file is invalid. clap exits with the same code for invalid
+/// arguments.
 pub(crate) const EXIT_FILES: u8 = 2;
 
-/// Another operator applied a configuration first.
-pub(crate) const EXIT_RACE: u8 = 3;
+/// Exit code: another operator applied a configuration first.
+pub(crate) const EXIT_CONFLICT: u8 = 3;
 
-/// The configuration was accepted but is not yet in force everywhere.
-pub(crate) const EXIT_NOT_EVERYWHERE: u8 = 4;
+/// Exit code: the configuration was accepted, but is not yet in force on every
+/// queried instance that is not leaving.
+pub(crate) const EXIT_NOT_YET_IN_FORCE: u8 = 4;
 
-/// `diff` found differences.
+/// Exit code: `diff` found differences.
 pub(crate) const EXIT_DIFFERS: u8 = 5;
 
 /// Error of a command.
@@ -31,28 +34,28 @@
     Platform(PlatformError),
     /// cannot set up HTTP: {0}
     Http(CallError),
-    /// {what}: {cause}
+    /// {target}: {cause}
     Instance {
-        /// The instance.
-        what: String,
-        /// The cause.
+        /// The instance, adapter or address that the command was for.
+        target: String,
+        /// Why the command failed.
         cause: String,
     },
-    /// the configuration was changed to version {0} by {1} meanwhile; nothing was written. Run `sedgewall diff` and apply again
-    Race(ConfigVersion, String),
-    /// version {version} was accepted, but not yet in force on: {missing}
-    NotEverywhere {
-        /// The version.
+    /// the configuration was changed to version {0} by {1} in the meantime; nothing was put in force. Run `sedgewall diff` and apply again
+    VersionConflict(ConfigVersion, String),
+    /// version {version} was accepted, but is not yet in force on: {missing}
+    NotYetInForce {
+        /// The version that was accepted.
         version: ConfigVersion,
-        /// The instances.
+        /// The instances on which it is not in force, separated by commas.
         missing: String,
     },
     /// the files differ from the configuration in force
     Differs,
-    /// no configuration was applied yet
+    /// no configuration has been applied yet
     NoConfig,
-    /// the outcome is unknown, the platform did not answer; run the command again, it is safe
-    Unclear,
+    /// the outcome is unknown, because the platform did not answer; it is safe to run the command again
+    OutcomeUnknown,
     /// cannot write the output: {0}
     Output(String),
 }
@@ -63,8 +66,8 @@
     pub(crate) fn exit_code(&self) -> u8 {
         match self {
             CommandError::Files(_) | CommandError::Config(_) => EXIT_FILES,
-            CommandError::Race(..) => EXIT_RACE,
-            CommandError::NotEverywhere { .. } => EXIT_NOT_EVERYWHERE,
+            CommandError::VersionConflict(..) => EXIT_CONFLICT,
+            CommandError::NotYetInForce { .. } => EXIT_NOT_YET_IN_FORCE,
             CommandError::Differs => EXIT_DIFFERS,
             _ => EXIT_FAILED,
         }
--- a/crates/sedgewall/src/views.rs
+++ b/crates/sedgewall/src/views.rs
@@ -1,4 +1,6 @@
-//! `status`, `timeline`, `explain` and `drain`.
+//! The commands that call the instances' operator ports: `status`, `timeline`
+//! and `explain`, which show the state of the instances, and `drain`, which
+//! stops one.
 
 use std::time::SystemTime;
 
@@ -11,7 +13,7 @@
 use serde::Serialize;
 
 use crate::{
-    args::{Args, Filter, Format, Target, What},
+    args::{Args, DrainTarget, ExplainTarget, Filter, Format},
     cluster,
     error::CommandError,
     output,
@@ -20,10 +22,11 @@
 #[derive(Serialize)]
 struct ClusterStatus {
     instances: Vec<InstanceStatus>,
+    /// The names of the instances from which no status could be read.
     silent: Vec<String>,
 }
 
-/// Shows all instances, leaders and engines.
+/// Prints the status of all instances, leaders and engines.
 pub(crate) async fn status(args: &Args) -> Result<(), CommandError> {
     let mut found = ClusterStatus { instances: vec![], silent: vec![] };
     for member in cluster::statuses(args).await? {
@@ -98,21 +101,21 @@
     Ok(())
 }
 
-/// Shows what happened, over all instances.
+/// Prints the merged events of all instances, causes before their effects.
 pub(crate) async fn timeline(
     args: &Args,
     filter: &Filter,
 ) -> Result<(), CommandError> {
-    let mut lines = Vec::new();
+    let mut timelines = Vec::new();
     for member in cluster::members(args).await? {
         let events: Result<Vec<Event>, _> =
             cluster::get(&member.address, TIMELINE_PATH).await;
         match events {
-            Ok(events) => lines.push(events),
+            Ok(events) => timelines.push(events),
             Err(err) => eprintln!("sedgewall: {}: {err}", member.name),
         }
     }
-    let events: Vec<Event> = merge(lines)
+    let events: Vec<Event> = merge(timelines)
         .into_iter()
         .filter(|event| is_shown(filter, event))
         .collect();
@@ -150,6 +153,9 @@
 
 fn event_line(event: &Event) -> String {
     let request = event.request.map_or(String::new(), |id| {
+        // The first four digits of the id, `~`, and the low 64 bits of the id.
+        // `--request` is compared with the full id, so it finds either part
+        // of this text, but not the whole.
         let hex = format!("{id:032x}");
         format!("{}~{:x} ", &hex[..4], id as u64)
     });
@@ -170,14 +176,17 @@
     )
 }
 
-/// Says why an adapter is where it is, or what became of a request.
+/// Prints why an adapter is placed where it is, or the events of a request.
+///
+/// An adapter is given as `name@version`; anything else is a request's id or a
+/// part of it.
 pub(crate) async fn explain(
     args: &Args,
-    what: &What,
+    target: &ExplainTarget,
 ) -> Result<(), CommandError> {
-    if !what.what.contains('@') {
+    if !target.adapter_or_request.contains('@') {
         let filter = Filter {
-            request: Some(what.what.clone()),
+            request: Some(target.adapter_or_request.clone()),
             subject: None,
             endpoint: None,
             kind: None,
@@ -185,7 +194,7 @@
         };
         return timeline(args, &filter).await;
     }
-    let path = format!("{EXPLAIN_PATH}?adapter={}", what.what);
+    let path = format!("{EXPLAIN_PATH}?adapter={}", target.adapter_or_request);
     for member in cluster::members(args).await? {
         let found: Result<AdapterExplanation, _> =
             cluster::get(&member.address, &path).await;
@@ -194,8 +203,8 @@
         }
     }
     Err(CommandError::Instance {
-        what: what.what.clone(),
-        cause: "no instance leads its shard, or there is no such adapter"
+        target: target.adapter_or_request.clone(),
+        cause: "no instance leads its shard, or the adapter does not exist"
             .to_owned(),
     })
 }
@@ -230,13 +239,13 @@
 /// Tells an instance to finish its requests and stop.
 pub(crate) async fn drain(
     args: &Args,
-    target: &Target,
+    target: &DrainTarget,
 ) -> Result<(), CommandError> {
     let members = cluster::members(args).await?;
     let member = members.iter().find(|member| member.name == target.instance);
     let member = member.ok_or_else(|| CommandError::Instance {
-        what: target.instance.clone(),
-        cause: "the platform lists no such instance".to_owned(),
+        target: target.instance.clone(),
+        cause: "the platform lists no live instance of this name".to_owned(),
     })?;
     cluster::call(&member.address, DRAIN_PATH, Method::POST).await?;
     output::line(&format!("{} is stopping", member.name))
--- a/crates/sedgewalld/src/call.rs
+++ b/crates/sedgewalld/src/call.rs
@@ -1,8 +1,11 @@
-//! One completion: wait for a seat, call the engine, pass the answer on.
+//! One completion: waits for a grant, calls the engine, and returns the
+//! answer.
 //!
-//! The module keeps the rules on repetition: a request is sent again only if
-//! the last try certainly did not run, or if it is repeatable; and `not_run`
-//! is answered only when no try can have run.
+//! This module enforces the retry rules. A request is sent again only if the
+//! last attempt certainly did not run, or if the request is repeatable.
+//! `not_run` is meant to be answered only if no attempt can have run; but the
+//! answer to a request that an engine rejects says `not_run` whatever became
+//! of earlier attempts.
 
 use std::{rc::Rc, time::Duration};
 
@@ -27,25 +30,27 @@
 };
 use sedgewall_transport::{
     CallError, LocalBody,
-    client::{Call, OpenAnswer},
+    client::{Call, StreamingResponse},
 };
 
 use crate::{
     claims::ClaimTicket,
-    entry::{RequestSlot, send_cancel, send_submit},
-    node::Node,
+    entry::{OpenRequestGuard, send_cancel, send_submit},
+    instance::Instance,
     relay,
-    requests::{Decision, HeldRequest},
+    requests::{Decision, TrackedRequest},
     responses,
 };
 
-/// When to come back when a shard has no leader.
-const NO_LEADER_RETRY: Duration = Duration::from_secs(1);
+/// The `Retry-After` value if no grant arrived before the deadline, for
+/// instance as the shard has no leader, and after the last permitted retry
+/// failed.
+const NO_LEADER_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A completion request that was read and checked.
+/// A completion request whose headers and body were read and validated.
 pub(crate) struct ModelCall {
-    pub(crate) node: Rc<Node>,
-    pub(crate) slot: RequestSlot,
+    pub(crate) instance: Rc<Instance>,
+    pub(crate) open_request: OpenRequestGuard,
     pub(crate) path: String,
     pub(crate) shard: ShardId,
     pub(crate) model: ModelRef,
@@ -60,35 +65,36 @@
     pub(crate) ticket: Option<ClaimTicket>,
 }
 
-/// A request's place at its shard. Dropping it gives the place up, wherever
-/// the request stands.
-pub(crate) struct Seat {
-    node: Rc<Node>,
+/// A request submitted to its shard. Dropping it cancels the request, whether
+/// it waits or runs.
+pub(crate) struct ShardRequest {
+    instance: Rc<Instance>,
     id: RequestId,
     shard: ShardId,
     rx: mpsc::UnboundedReceiver<Decision>,
-    is_over: bool,
+    is_finished: bool,
 }
 
-/// How one try at an engine failed.
+/// The error of one attempt to run a request on an engine.
 #[derive(Clone, Debug)]
-pub(crate) enum TryError {
-    /// The engine certainly did not run it.
+pub(crate) enum AttemptError {
+    /// The engine certainly did not run the request, as it has not loaded the
+    /// adapter.
     NotLoaded(String),
     /// No connection to the engine could be made.
     Unreachable(String),
-    /// The engine, or the way to it, failed.
-    Unclear(String),
-    /// The engine refused the request itself.
+    /// The engine or the connection to it failed; the request may have run.
+    OutcomeUnknown(String),
+    /// The engine rejected the request with a client error and did not run it.
     Rejected(StatusCode, String),
 }
 
-impl Seat {
-    /// Submits a request.
-    pub(crate) fn submit(call: &ModelCall) -> Seat {
+impl ShardRequest {
+    /// Starts to track a request and submits it to the leader of its shard.
+    pub(crate) fn submit(call: &ModelCall) -> ShardRequest {
         let (tx, rx) = mpsc::unbounded();
-        let node = call.node.clone();
-        let held = HeldRequest {
+        let instance = call.instance.clone();
+        let tracked = TrackedRequest {
             shard: call.shard.clone(),
             adapter: call.model.adapter.clone(),
             version: call.model.version.clone(),
@@ -100,14 +106,20 @@
             endpoint: None,
             tx,
         };
-        node.requests.borrow_mut().insert(call.slot.id, held);
-        send_submit(&node, call.slot.id);
+        instance.requests.borrow_mut().insert(call.open_request.id, tracked);
+        send_submit(&instance, call.open_request.id);
         let shard = call.shard.clone();
-        Seat { node, id: call.slot.id, shard, rx, is_over: false }
+        ShardRequest {
+            instance,
+            id: call.open_request.id,
+            shard,
+            rx,
+            is_finished: false,
+        }
     }
 
-    /// Waits for a seat, until the deadline.
-    pub(crate) async fn wait(
+    /// Waits for a grant until the deadline.
+    pub(crate) async fn wait_for_grant(
         &mut self,
         deadline: Instant,
     ) -> Result<Granted, Refusal> {
@@ -116,145 +128,164 @@
             let decision = compio::time::timeout(left, self.rx.next()).await;
             match decision {
                 Ok(Some(Decision::Granted(granted))) => {
-                    if self.take(&granted) {
+                    if self.use_grant(&granted) {
                         return Ok(granted);
                     }
                 }
                 Ok(Some(Decision::Refused(refusal))) => {
-                    self.is_over = true;
-                    self.forget();
+                    self.is_finished = true;
+                    self.untrack();
                     return Err(refusal);
                 }
-                Ok(None) | Err(_) => return Err(self.refuse_late()),
+                Ok(None) | Err(_) => return Err(self.timeout_refusal()),
             }
         }
     }
 
-    /// Marks the request as running, if the grant may still be used.
-    fn take(&mut self, granted: &Granted) -> bool {
-        let is_valid = self.node.stamp_ms() < granted.valid_until_stamp_ms
-            && granted.epoch >= self.node.seen_epoch(&self.shard);
-        let mut requests = self.node.requests.borrow_mut();
-        let Some(held) = requests.get_mut(self.id) else { return false };
-        if !is_valid || held.endpoint.is_some() {
+    /// Marks the request as running, if the grant is still valid. Returns
+    /// whether it is.
+    fn use_grant(&mut self, granted: &Granted) -> bool {
+        let is_valid = self.instance.uptime_ms()
+            < granted.valid_until_stamp_ms
+            && granted.epoch >= self.instance.highest_epoch(&self.shard);
+        let mut requests = self.instance.requests.borrow_mut();
+        let Some(tracked) = requests.get_mut(self.id) else { return false };
+        if !is_valid || tracked.endpoint.is_some() {
             return false;
         }
-        held.endpoint = Some(granted.endpoint.clone());
+        tracked.endpoint = Some(granted.endpoint.clone());
         true
     }
 
-    fn refuse_late(&mut self) -> Refusal {
-        let reason = match self.node.leader_of(&self.shard) {
+    fn timeout_refusal(&mut self) -> Refusal {
+        let reason = match self.instance.leader_of(&self.shard) {
             Some(_) => RefusalReason::DeadlinePassed,
             None => RefusalReason::NoLeader,
         };
-        Refusal { reason, retry_after: NO_LEADER_RETRY }
+        Refusal { reason, retry_after: NO_LEADER_RETRY_AFTER }
     }
 
-    /// Tells the leader how a try ended. After `NotLoaded` and `Unreachable` the leader gives the
-    /// request another seat by itself; after `Failed` it must be submitted
-    /// anew.
-    pub(crate) fn ended(&mut self, end: EndKind) {
-        if let Some(leader) = self.node.leader_of(&self.shard) {
+    /// Tells the leader how an attempt ended.
+    ///
+    /// After `NotLoaded` and `Unreachable` the leader gives the request
+    /// another grant by itself; after `Failed` the request must be submitted
+    /// again.
+    pub(crate) fn report_end(&mut self, end: EndKind) {
+        if let Some(leader) = self.instance.leader_of(&self.shard) {
             let message = PeerMessage::Ended(Ended {
                 shard: self.shard.clone(),
                 request: self.id,
                 end,
             });
             let to = Some(leader.incarnation);
-            self.node.send(&leader.peer_url, to, message);
+            self.instance.send(&leader.peer_url, to, message);
         }
         if end == EndKind::Finished {
-            self.is_over = true;
-            self.forget();
+            self.is_finished = true;
+            self.untrack();
             return;
         }
-        let mut requests = self.node.requests.borrow_mut();
-        if let Some(held) = requests.get_mut(self.id) {
-            held.endpoint = None;
-            held.sent = Instant::now();
+        let mut requests = self.instance.requests.borrow_mut();
+        if let Some(tracked) = requests.get_mut(self.id) {
+            tracked.endpoint = None;
+            tracked.sent = Instant::now();
         }
     }
 
-    /// Submits the request again after a failed try.
+    /// Submits the request again after a failed attempt.
     pub(crate) fn resubmit(&self) {
-        send_submit(&self.node, self.id);
+        send_submit(&self.instance, self.id);
     }
 
-    /// Notes how long the first token took, for the leader.
-    pub(crate) fn first_token(&self, took: Duration) {
-        let mut requests = self.node.requests.borrow_mut();
-        requests.note_first_token(self.id, took);
+    /// Records the first-token time of the request for its leader.
+    pub(crate) fn record_first_token(&self, took: Duration) {
+        let mut requests = self.instance.requests.borrow_mut();
+        requests.record_first_token(self.id, took);
     }
 
-    fn forget(&self) {
-        self.node.requests.borrow_mut().remove(self.id);
+    fn untrack(&self) {
+        self.instance.requests.borrow_mut().remove(self.id);
     }
 }
 
-impl Drop for Seat {
+impl Drop for ShardRequest {
     fn drop(&mut self) {
-        if self.is_over {
+        if self.is_finished {
             return;
         }
-        self.forget();
-        send_cancel(&self.node, &self.shard, self.id);
+        self.untrack();
+        send_cancel(&self.instance, &self.shard, self.id);
     }
 }
 
-/// Runs a completion to the head of its answer, or to its refusal.
+/// Runs a completion. Returns the response once its head is known if it is
+/// streamed, otherwise once it is complete.
 pub(crate) async fn run(
     call: ModelCall,
 ) -> Result<Response<LocalBody>, Problem> {
-    let mut seat = Seat::submit(&call);
-    let mut tries = Tries::new(&call);
+    let mut shard_request = ShardRequest::submit(&call);
+    let mut retry_state = RetryState::new(&call);
     loop {
-        let granted = match seat.wait(call.deadline).await {
+        let granted = match shard_request.wait_for_grant(call.deadline).await {
             Ok(granted) => granted,
-            Err(refusal) => return Err(tries.refused(&refusal)),
+            Err(refusal) => return Err(retry_state.refusal_problem(&refusal)),
         };
         let sent = Instant::now();
-        let answer = match open(&call, &granted, 0).await {
+        let answer = match send_to_engine(&call, &granted, 0).await {
             Ok(answer) => answer,
             Err(err) => {
-                tries.failed(&call, &mut seat, err)?;
+                retry_state.record_failure(&call, &mut shard_request, err)?;
                 continue;
             }
         };
         if call.is_stream {
-            return Ok(relay::stream(call, seat, answer, sent));
+            return Ok(relay::stream(call, shard_request, answer, sent));
         }
-        match whole(&call, &seat, answer, sent).await {
+        match read_whole_answer(&call, &shard_request, answer, sent).await {
             Ok(response) => {
-                finish(&call, &mut seat, "answered");
+                finish(&call, &mut shard_request, "answered");
                 return Ok(response);
             }
-            Err(err) => tries.failed(&call, &mut seat, err)?,
+            Err(err) => {
+                retry_state.record_failure(&call, &mut shard_request, err)?
+            }
         }
     }
 }
 
-/// Ends a request that ran to its end.
-pub(crate) fn finish(call: &ModelCall, seat: &mut Seat, detail: &str) {
-    seat.ended(EndKind::Finished);
+/// Reports a request that was answered in full to its leader, and records its
+/// duration.
+pub(crate) fn finish(
+    call: &ModelCall,
+    shard_request: &mut ShardRequest,
+    detail: &str,
+) {
+    shard_request.report_end(EndKind::Finished);
     let took = call.arrived.elapsed();
     metrics::histogram!("sedgewall_request_seconds")
         .record(took.as_secs_f64());
     let detail = format!("{detail} after {} ms", took.as_millis());
     let subject = call.model.to_string();
-    call.node.event(EventKind::End, Some(call.slot.id), subject, "", detail);
+    call.instance.record_event(
+        EventKind::End,
+        Some(call.open_request.id),
+        subject,
+        "",
+        detail,
+    );
 }
 
-/// Sends the call to the engine and waits for the head of the answer.
-pub(crate) async fn open(
+/// Sends the request to the granted engine and waits for the head of the
+/// answer.
+pub(crate) async fn send_to_engine(
     call: &ModelCall,
     granted: &Granted,
     resume_from: u64,
-) -> Result<OpenAnswer, TryError> {
+) -> Result<StreamingResponse, AttemptError> {
     let subject = call.model.to_string();
-    call.node.event(
+    call.instance.record_event(
         EventKind::Call,
-        Some(call.slot.id),
+        Some(call.open_request.id),
         subject,
         &granted.endpoint,
         format!("epoch {}", granted.epoch),
@@ -262,7 +293,7 @@
     let url = format!("http://{}{}", granted.address, call.path);
     let mut out = Call::new(Method::POST, url)
         .header("content-type", "application/json")
-        .header(REQUEST_ID_HEADER, &call.slot.hex())
+        .header(REQUEST_ID_HEADER, &call.open_request.hex())
         .header(PRIORITY_HEADER, urgency(call.priority))
         .body(call.body.clone());
     if !call.is_repeatable {
@@ -274,20 +305,24 @@
     if resume_from > 0 {
         out = out.header(RESUME_HEADER, &resume_from.to_string());
     }
-    let idle = Duration::from_millis(call.node.settings.limits.stream_idle_ms);
-    let answer = call.node.http.open(out, idle).await.map_err(convert)?;
+    let idle =
+        Duration::from_millis(call.instance.settings.limits.stream_idle_ms);
+    let answer =
+        call.instance.http.open(out, idle).await.map_err(classify_error)?;
     check_status(answer).await
 }
 
-fn convert(err: CallError) -> TryError {
+fn classify_error(err: CallError) -> AttemptError {
     if err.is_not_sent() {
-        TryError::Unreachable(err.to_string())
+        AttemptError::Unreachable(err.to_string())
     } else {
-        TryError::Unclear(err.to_string())
+        AttemptError::OutcomeUnknown(err.to_string())
     }
 }
 
-async fn check_status(answer: OpenAnswer) -> Result<OpenAnswer, TryError> {
+async fn check_status(
+    answer: StreamingResponse,
+) -> Result<StreamingResponse, AttemptError> {
     let status = answer.status();
     if status == StatusCode::OK {
         return Ok(answer);
@@ -296,21 +331,21 @@
         .headers()
         .get(RUN_STATE_HEADER)
         .is_some_and(|value| value == NOT_RUN);
-    let detail = match answer.whole().await {
+    let detail = match answer.collect().await {
         Ok(whole) => String::from_utf8_lossy(&whole.body).into_owned(),
         Err(err) => err.to_string(),
     };
     let detail = format!("the engine answered {status}: {detail}");
     if says_not_run && status == StatusCode::CONFLICT {
-        return Err(TryError::NotLoaded(detail));
+        return Err(AttemptError::NotLoaded(detail));
     }
     if says_not_run && status.is_client_error() {
-        return Err(TryError::Rejected(status, detail));
+        return Err(AttemptError::Rejected(status, detail));
     }
-    Err(TryError::Unclear(detail))
+    Err(AttemptError::OutcomeUnknown(detail))
 }
 
-/// The urgency that engines get for each class.
+/// Returns the urgency (RFC 9218) that an engine receives for a priority.
 fn urgency(priority: Priority) -> &'static str {
     match priority {
         Priority::High => "u=1",
@@ -319,23 +354,23 @@
     }
 }
 
-async fn whole(
+async fn read_whole_answer(
     call: &ModelCall,
-    seat: &Seat,
-    answer: OpenAnswer,
+    shard_request: &ShardRequest,
+    answer: StreamingResponse,
     sent: Instant,
-) -> Result<Response<LocalBody>, TryError> {
-    let kind = media_type(&answer);
-    let whole = answer.whole().await.map_err(convert)?;
-    seat.first_token(sent.elapsed());
-    note_first_token(call, sent);
-    let mut response = Response::new(LocalBody::whole(whole.body));
-    responses::set_type(&mut response, &kind);
+) -> Result<Response<LocalBody>, AttemptError> {
+    let media_type = media_type(&answer);
+    let whole = answer.collect().await.map_err(classify_error)?;
+    shard_request.record_first_token(sent.elapsed());
+    record_first_token_time(call, sent);
+    let mut response = Response::new(LocalBody::full(whole.body));
+    responses::set_content_type(&mut response, &media_type);
     Ok(response)
 }
 
-/// Returns the media type of an engine's answer.
-pub(crate) fn media_type(answer: &OpenAnswer) -> String {
+/// Returns the media type of an engine's answer, JSON if it has none.
+pub(crate) fn media_type(answer: &StreamingResponse) -> String {
     answer
         .headers()
         .get(http::header::CONTENT_TYPE)
@@ -344,8 +379,8 @@
         .to_owned()
 }
 
-/// Notes that the first bytes of an answer came.
-pub(crate) fn note_first_token(call: &ModelCall, sent: Instant) {
+/// Records the metric and the event of the first bytes of an answer.
+pub(crate) fn record_first_token_time(call: &ModelCall, sent: Instant) {
     metrics::histogram!("sedgewall_first_token_seconds")
         .record(call.arrived.elapsed().as_secs_f64());
     let detail = format!(
@@ -354,68 +389,79 @@
         call.arrived.elapsed().as_millis()
     );
     let subject = call.model.to_string();
-    let id = Some(call.slot.id);
-    call.node.event(EventKind::FirstToken, id, subject, "", detail);
+    let id = Some(call.open_request.id);
+    call.instance.record_event(EventKind::FirstToken, id, subject, "", detail);
 }
 
-/// Counts the tries of one request and decides whether there is another.
-pub(crate) struct Tries {
-    failed: u32,
+/// The failed attempts of one request, and the limit on its retries. A stream
+/// starts a new count once the engine has answered.
+pub(crate) struct RetryState {
+    failures: u32,
     limit: u32,
-    /// Whether some try may have run.
+    /// Whether some attempt may have run.
     may_have_run: bool,
 }
 
-impl Tries {
-    pub(crate) fn new(call: &ModelCall) -> Tries {
-        let limit = call.node.settings.limits.retries;
-        Tries { failed: 0, limit, may_have_run: false }
+impl RetryState {
+    pub(crate) fn new(call: &ModelCall) -> RetryState {
+        let limit = call.instance.settings.limits.retries;
+        RetryState { failures: 0, limit, may_have_run: false }
     }
 
-    /// Takes in a failed try; returns if there is another, and fails with the
-    /// answer to the caller if there is not.
-    pub(crate) fn failed(
+    /// Reports a failed attempt to the leader and, if a retry is allowed, sees
+    /// to it that the request gets another grant. Returns the problem to
+    /// answer with if no retry is allowed.
+    ///
+    /// Unless the request's limit on retries is exceeded or the engine rejected
+    /// the request, a retry is taken from this instance's retry budget, even if
+    /// the request may not be sent again. After an unknown outcome the request
+    /// is submitted to the leader again; otherwise the leader gives it another
+    /// grant by itself.
+    pub(crate) fn record_failure(
         &mut self,
         call: &ModelCall,
-        seat: &mut Seat,
-        err: TryError,
+        shard_request: &mut ShardRequest,
+        err: AttemptError,
     ) -> Result<(), Problem> {
-        self.failed += 1;
+        self.failures += 1;
         let (end, detail) = match err {
-            TryError::NotLoaded(detail) => (EndKind::NotLoaded, detail),
-            TryError::Unreachable(detail) => (EndKind::Unreachable, detail),
-            TryError::Unclear(detail) => (EndKind::Failed, detail),
-            TryError::Rejected(status, detail) => {
-                seat.ended(EndKind::Finished);
+            AttemptError::NotLoaded(detail) => (EndKind::NotLoaded, detail),
+            AttemptError::Unreachable(detail) => {
+                (EndKind::Unreachable, detail)
+            }
+            AttemptError::OutcomeUnknown(detail) => (EndKind::Failed, detail),
+            AttemptError::Rejected(status, detail) => {
+                shard_request.report_end(EndKind::Finished);
                 let state = RunState::NotRun;
                 return Err(Problem::new(status, "rejected", state, detail));
             }
         };
         self.may_have_run |= end == EndKind::Failed;
         let may_repeat = end != EndKind::Failed || call.is_repeatable;
-        let is_within = self.failed <= self.limit
-            && call.node.requests.borrow_mut().take_retry();
-        if !may_repeat || !is_within {
-            seat.ended(EndKind::Failed);
-            return Err(self.spent(&detail));
+        let is_retry_allowed = self.failures <= self.limit
+            && call.instance.requests.borrow_mut().take_retry();
+        if !may_repeat || !is_retry_allowed {
+            shard_request.report_end(EndKind::Failed);
+            return Err(self.exhausted_problem(&detail));
         }
-        call.node.event(
+        call.instance.record_event(
             EventKind::Retry,
-            Some(call.slot.id),
+            Some(call.open_request.id),
             call.model.to_string(),
             "",
             &detail,
         );
         metrics::counter!("sedgewall_retries_total").increment(1);
-        seat.ended(end);
+        shard_request.report_end(end);
         if end == EndKind::Failed {
-            seat.resubmit();
+            shard_request.resubmit();
         }
         Ok(())
     }
 
-    /// Returns the answer when no further seat is given.
-    pub(crate) fn refused(&self, refusal: &Refusal) -> Problem {
+    /// Returns the problem to answer with when the request gets no further
+    /// grant.
+    pub(crate) fn refusal_problem(&self, refusal: &Refusal) -> Problem {
         let mut problem = Problem::from_refusal(refusal);
         if self.may_have_run {
             problem.run_state = RunState::Unknown;
@@ -423,11 +469,11 @@
         problem
     }
 
-    fn spent(&self, detail: &str) -> Problem {
+    fn exhausted_problem(&self, detail: &str) -> Problem {
         if !self.may_have_run {
             return Problem::from_refusal(&Refusal {
                 reason: RefusalReason::RetriesSpent,
-                retry_after: NO_LEADER_RETRY,
+                retry_after: NO_LEADER_RETRY_AFTER,
             });
         }
         Problem::new(
--- a/crates/sedgewalld/src/daemon.rs
+++ b/crates/sedgewalld/src/daemon.rs
@@ -1,4 +1,5 @@
-//! Starts all parts on the one loop, and stops them as planned.
+//! Starts all tasks of the daemon on one event loop, and shuts them down
+//! gracefully.
 
 use std::{rc::Rc, time::Duration};
 
@@ -15,50 +16,51 @@
 };
 
 use crate::{
-    config_sync, entry, heartbeat, inbox, instances,
-    node::{Node, Stage},
-    operator,
+    config_sync, entry, heartbeat, inbox,
+    instance::{Instance, Stage},
+    instance_list, operator,
     signals::Signals,
 };
 
-/// Error of a daemon that cannot start.
+/// An error that keeps the daemon from starting.
 #[derive(Debug, displaydoc::Display)]
 pub(crate) enum DaemonError {
-    /// cannot start the loop: {0}
+    /// cannot start the event loop: {0}
     Loop(std::io::Error),
     /// cannot listen at {address}: {source}
     Listen {
-        /// The address.
+        /// The address that could not be bound.
         address: String,
-        /// The cause.
+        /// The error that the system returned.
         source: std::io::Error,
     },
     /// {0}
     Peers(PeerError),
-    /// cannot set up HTTP: {0}
+    /// cannot create the HTTP client: {0}
     Http(CallError),
     /// platform_url: {0} is not http://IP:PORT
-    StoreAddress(String),
-    /// cannot set up metrics: {0}
+    PlatformUrl(String),
+    /// cannot install the metrics recorder: {0}
     Metrics(String),
 }
 
 impl std::error::Error for DaemonError {}
 
-/// Connections of operators at once.
+/// The maximum number of concurrent connections of operators.
 const OPERATOR_CONNECTIONS: usize = 64;
 
-/// How often a stop looks whether all requests have ended.
-const DRAIN_LOOK: Duration = Duration::from_millis(50);
+/// The interval at which the daemon polls for a requested stop and, while it
+/// stops, for open requests.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// After a stop is announced, requests still come for this long, until the
-/// balancer has noticed.
-const BALANCER_GRACE: Duration = Duration::from_secs(2);
+/// How long a stopping daemon at least keeps running, because requests still
+/// arrive until the load balancer has noticed the stop.
+const LOAD_BALANCER_GRACE: Duration = Duration::from_secs(2);
 
-/// What the end of a stop leaves for the last messages to go out.
+/// The delay before the exit in which the last queued messages are sent.
 const FLUSH_TIME: Duration = Duration::from_millis(200);
 
-/// Runs the daemon until it is told to stop.
+/// Runs the daemon until a signal or an operator stops it.
 pub(crate) fn run(settings: Settings) -> Result<(), DaemonError> {
     let runtime =
         compio::runtime::Runtime::new().map_err(DaemonError::Loop)?;
@@ -75,24 +77,29 @@
     let peers = PeerListener::listen(&peer_url).map_err(DaemonError::Peers)?;
     let callers = bind(&settings.caller_listen.to_string()).await?;
     let operators = bind(&settings.operator_listen.to_string()).await?;
-    let (node, local) = Node::new(settings, http);
+    let (instance, local) = Instance::new(settings, http);
     info!(
         "daemon: {} starts in {}, callers at {}, operators at {}.",
-        node.id(),
-        node.settings.zone,
-        node.settings.caller_listen,
-        node.settings.operator_listen
+        instance.id(),
+        instance.settings.zone,
+        instance.settings.caller_listen,
+        instance.settings.operator_listen
     );
-    node.event(EventKind::Member, None, "", "", "started");
-    compio::runtime::spawn(inbox::run(node.clone(), peers, local)).detach();
-    compio::runtime::spawn(config_sync::follow(node.clone())).detach();
-    compio::runtime::spawn(instances::follow(node.clone())).detach();
-    compio::runtime::spawn(heartbeat::run(node.clone())).detach();
-    compio::runtime::spawn(serve_callers(node.clone(), callers)).detach();
-    compio::runtime::spawn(serve_operators(node.clone(), operators, metrics))
+    instance.record_event(EventKind::Member, None, "", "", "started");
+    compio::runtime::spawn(inbox::run(instance.clone(), peers, local))
         .detach();
-    wait_for_stop(&node, signals).await;
-    stop(&node).await;
+    compio::runtime::spawn(config_sync::watch(instance.clone())).detach();
+    compio::runtime::spawn(instance_list::watch(instance.clone())).detach();
+    compio::runtime::spawn(heartbeat::run(instance.clone())).detach();
+    compio::runtime::spawn(serve_callers(instance.clone(), callers)).detach();
+    compio::runtime::spawn(serve_operators(
+        instance.clone(),
+        operators,
+        metrics,
+    ))
+    .detach();
+    wait_for_stop(&instance, signals).await;
+    stop(&instance).await;
     Ok(())
 }
 
@@ -103,68 +110,80 @@
     })
 }
 
-async fn serve_callers(node: Rc<Node>, listener: TcpListener) {
+async fn serve_callers(instance: Rc<Instance>, listener: TcpListener) {
     let limits = ServerLimits {
-        connections: node.settings.limits.connections,
-        header_time: Duration::from_millis(node.settings.limits.header_ms),
+        connections: instance.settings.limits.connections,
+        header_timeout: Duration::from_millis(
+            instance.settings.limits.header_ms,
+        ),
     };
-    let handler: Handler =
-        Rc::new(move |request| Box::pin(entry::answer(node.clone(), request)));
+    let handler: Handler = Rc::new(move |request| {
+        Box::pin(entry::answer(instance.clone(), request))
+    });
     serve(listener, limits, handler).await;
 }
 
 async fn serve_operators(
-    node: Rc<Node>,
+    instance: Rc<Instance>,
     listener: TcpListener,
     metrics: PrometheusHandle,
 ) {
     let limits = ServerLimits {
         connections: OPERATOR_CONNECTIONS,
-        header_time: Duration::from_millis(node.settings.limits.header_ms),
+        header_timeout: Duration::from_millis(
+            instance.settings.limits.header_ms,
+        ),
     };
     let handler: Handler = Rc::new(move |request| {
-        Box::pin(operator::answer(node.clone(), metrics.clone(), request))
+        Box::pin(operator::answer(instance.clone(), metrics.clone(), request))
     });
     serve(listener, limits, handler).await;
 }
 
-/// Waits for a signal or an operator's word.
-async fn wait_for_stop(node: &Rc<Node>, mut signals: Signals) {
+/// Returns when a stop signal arrives or an operator requests a drain.
+async fn wait_for_stop(instance: &Rc<Instance>, mut signals: Signals) {
     let mut interrupt = Box::pin(compio::signal::ctrl_c()).fuse();
-    while node.stage.get() != Stage::Leaving {
-        let mut look = Box::pin(compio::time::sleep(DRAIN_LOOK)).fuse();
+    while instance.stage.get() != Stage::Leaving {
+        let mut poll =
+            Box::pin(compio::time::sleep(DRAIN_POLL_INTERVAL)).fuse();
         select! {
             _ = interrupt => return,
             _ = signals.stop.next() => return,
             _ = signals.reload.next() => {
-                info!("daemon: settings are read at the start alone.");
+                info!("daemon: SIGHUP ignored; settings are read at start.");
             }
-            () = look => {}
+            () = poll => {}
         }
     }
 }
 
-/// Leaves: takes nothing new after the balancer had time to notice, hands the
-/// leases over, and finishes every request that it holds.
-async fn stop(node: &Rc<Node>) {
+/// Stops the instance gracefully.
+///
+/// Marks the instance as leaving, so that the load balancer stops sending
+/// requests and the leases are released for successors. Then waits until all
+/// open requests have ended, up to the drain timeout.
+async fn stop(instance: &Rc<Instance>) {
     info!("daemon: stopping.");
-    node.event(EventKind::Member, None, "", "", "stopping");
-    node.stage.set(Stage::Leaving);
-    heartbeat::send_heartbeats(node);
+    instance.record_event(EventKind::Member, None, "", "", "stopping");
+    instance.stage.set(Stage::Leaving);
+    heartbeat::send_heartbeats(instance);
     let started = Instant::now();
-    let longest = Duration::from_millis(node.settings.limits.drain_ms);
+    let drain_timeout =
+        Duration::from_millis(instance.settings.limits.drain_ms);
     loop {
-        let open = node.requests.borrow().open_len();
-        let led = node.shards.borrow().len();
-        let is_over = open == 0 && led == 0;
-        if is_over && started.elapsed() >= BALANCER_GRACE {
+        let open_requests = instance.requests.borrow().open_len();
+        let led_shards = instance.shards.borrow().len();
+        let is_drained = open_requests == 0 && led_shards == 0;
+        if is_drained && started.elapsed() >= LOAD_BALANCER_GRACE {
             break;
         }
-        if started.elapsed() >= longest {
-            warn!("daemon: {open} requests were cut off by the stop.");
+        if started.elapsed() >= drain_timeout {
+            warn!(
+                "daemon: drain timed out with {open_requests} requests open."
+            );
             break;
         }
-        compio::time::sleep(DRAIN_LOOK).await;
+        compio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
     compio::time::sleep(FLUSH_TIME).await;
     info!("daemon: stopped.");
--- a/crates/sedgewalld/src/entry.rs
+++ b/crates/sedgewalld/src/entry.rs
@@ -1,7 +1,9 @@
-//! The callers' side: takes requests in, gets seats for them, answers.
+//! The entry role: accepts requests of callers, obtains grants for them, and
+//! answers.
 //!
-//! A request is held here from its arrival to its end. Leaders may come and go
-//! meanwhile; the entry submits again to whoever leads.
+//! The entry keeps a request from its arrival to its end. If the leader of the
+//! shard changes in between, the entry submits the request again to the new
+//! leader.
 
 use std::{rc::Rc, time::Duration};
 
@@ -32,63 +34,66 @@
 use crate::{
     call::{self, ModelCall},
     claims::{ClaimOutcome, ClaimTicket},
-    node::{Node, Stage},
+    instance::{Instance, Stage},
     requests::Decision,
     responses,
     services::{self, SERVICES_PREFIX},
 };
 
-/// Where the adapters are listed.
+/// The path that lists the adapters.
 const MODELS_PATH: &str = "/v1/models";
 
-/// When to come back to an instance that is full.
-const FULL_RETRY: Duration = Duration::from_millis(500);
+/// The `Retry-After` value while the instance is full or has no configuration.
+const FULL_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// A place in the table of open requests, given back when dropped.
-pub(crate) struct RequestSlot {
-    node: Rc<Node>,
+/// Counts one open request of the instance until it is dropped.
+pub(crate) struct OpenRequestGuard {
+    instance: Rc<Instance>,
     pub(crate) id: RequestId,
 }
 
-impl RequestSlot {
-    /// Opens a request, unless the instance is full.
-    pub(crate) fn open(node: &Rc<Node>) -> Result<RequestSlot, Problem> {
-        let id = node.requests.borrow_mut().open(node.incarnation);
+impl OpenRequestGuard {
+    /// Counts a new request as open and assigns its id. Fails if the instance
+    /// is full.
+    pub(crate) fn open(
+        instance: &Rc<Instance>,
+    ) -> Result<OpenRequestGuard, Problem> {
+        let id = instance.requests.borrow_mut().open(instance.incarnation);
         let id = id.ok_or_else(|| {
             Problem::from_refusal(&Refusal {
                 reason: RefusalReason::EntryFull,
-                retry_after: FULL_RETRY,
+                retry_after: FULL_RETRY_AFTER,
             })
         })?;
-        Ok(RequestSlot { node: node.clone(), id })
+        Ok(OpenRequestGuard { instance: instance.clone(), id })
     }
 
-    /// Returns the id as callers see it.
+    /// Returns the id as callers see it, in 32 hexadecimal digits.
     pub(crate) fn hex(&self) -> String {
         format!("{:032x}", self.id)
     }
 }
 
-impl Drop for RequestSlot {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
-        self.node.requests.borrow_mut().close();
+        self.instance.requests.borrow_mut().close();
     }
 }
 
 /// Answers one request of a caller.
 pub(crate) async fn answer(
-    node: Rc<Node>,
+    instance: Rc<Instance>,
     request: Request<Incoming>,
 ) -> Response<LocalBody> {
     let path = request.uri().path();
     if path.starts_with(SERVICES_PREFIX) {
-        return services::answer(node, request).await;
+        return services::answer(instance, request).await;
     }
     match (request.method(), path) {
         (&Method::POST, COMPLETIONS_PATH | CHAT_PATH) => {
-            answer_completion(node, request).await
+            answer_completion(instance, request).await
         }
-        (&Method::GET, MODELS_PATH) => responses::json(&models(&node)),
+        (&Method::GET, MODELS_PATH) => responses::json(&models(&instance)),
         (_, COMPLETIONS_PATH | CHAT_PATH | MODELS_PATH) => {
             responses::problem(&Problem::new(
                 StatusCode::METHOD_NOT_ALLOWED,
@@ -107,65 +112,67 @@
 }
 
 async fn answer_completion(
-    node: Rc<Node>,
+    instance: Rc<Instance>,
     request: Request<Incoming>,
 ) -> Response<LocalBody> {
-    let slot = match RequestSlot::open(&node) {
-        Ok(slot) => slot,
+    let open_request = match OpenRequestGuard::open(&instance) {
+        Ok(open_request) => open_request,
         Err(problem) => return responses::problem(&problem),
     };
-    let id = slot.hex();
+    let id = open_request.hex();
     metrics::counter!("sedgewall_requests_total").increment(1);
-    let answered = match prepare(&node, slot, request).await {
-        Ok(call) => claim_and_run(&node, call).await,
+    let answered = match prepare(&instance, open_request, request).await {
+        Ok(call) => claim_and_run(&instance, call).await,
         Err(problem) => Err(problem),
     };
     let response = answered.unwrap_or_else(|problem| {
         let problem = problem.with_request_id(&id);
         let request = RequestId::from_str_radix(&id, 16).ok();
         let detail = &problem.detail;
-        node.event(EventKind::Refusal, request, "", "", detail);
+        instance.record_event(EventKind::Refusal, request, "", "", detail);
         responses::problem(&problem)
     });
     responses::with_request_id(response, &id)
 }
 
-/// Reads and checks a completion request.
+/// Reads and validates a completion request.
 async fn prepare(
-    node: &Rc<Node>,
-    slot: RequestSlot,
+    instance: &Rc<Instance>,
+    open_request: OpenRequestGuard,
     request: Request<Incoming>,
 ) -> Result<ModelCall, Problem> {
     let (parts, body) = request.into_parts();
-    let bad = |err: sedgewall_protocol::caller::CallerError| {
+    let bad_request = |err: sedgewall_protocol::caller::CallerError| {
         Problem::bad_request(err.to_string())
     };
-    let options = CallOptions::from_headers(&parts.headers).map_err(bad)?;
-    let limits = &node.settings.limits;
-    let body = read_request_body(node, body).await?;
-    let head = CompletionHead::from_body(&body).map_err(bad)?;
-    let model: ModelRef = head.model.parse().map_err(bad)?;
-    let (shard, default_priority) = route(node, &model)?;
-    let asked =
+    let options =
+        CallOptions::from_headers(&parts.headers).map_err(bad_request)?;
+    let limits = &instance.settings.limits;
+    let body = read_request_body(instance, body).await?;
+    let head = CompletionHead::from_body(&body).map_err(bad_request)?;
+    let model: ModelRef = head.model.parse().map_err(bad_request)?;
+    let (shard, default_priority) = route(instance, &model)?;
+    let requested =
         options.deadline.unwrap_or(Duration::from_millis(limits.deadline_ms));
-    let within = asked.min(Duration::from_millis(limits.max_deadline_ms));
+    let within = requested.min(Duration::from_millis(limits.max_deadline_ms));
     let caller = options
         .caller
         .clone()
         .or(head.user)
         .unwrap_or_else(|| ANONYMOUS.to_owned());
     let is_repeatable = options.is_repeatable.unwrap_or(true);
-    let ticket = ClaimTicket::new(&options, is_repeatable, &caller, slot.id);
+    let ticket =
+        ClaimTicket::new(&options, is_repeatable, &caller, open_request.id);
     let detail = format!("from {caller}");
-    node.event(
+    instance.record_event(
         EventKind::Request,
-        Some(slot.id),
+        Some(open_request.id),
         model.to_string(),
         "",
         detail,
     );
     Ok(ModelCall {
-        node: node.clone(),
+        instance: instance.clone(),
         path: parts.uri.path().to_owned(),
         shard,
         model,
@@ -178,18 +185,18 @@
         is_repeatable,
         idempotency_key: options.idempotency_key,
         ticket,
-        slot,
+        open_request,
     })
 }
 
 async fn claim_and_run(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     call: ModelCall,
 ) -> Result<Response<LocalBody>, Problem> {
     let ticket = call.ticket;
     if let Some(ticket) = &ticket {
         let within = call.deadline.saturating_duration_since(Instant::now());
-        match ticket.obtain(node, within).await {
+        match ticket.obtain(instance, within).await {
             ClaimOutcome::Granted => {}
             outcome => return Err(outcome.problem()),
         }
@@ -198,33 +205,33 @@
     if let (Some(ticket), Err(problem)) = (&ticket, &outcome)
         && problem.run_state == RunState::NotRun
     {
-        ticket.release(node);
+        ticket.release(instance);
     }
     outcome
 }
 
-/// Finds the shard and the default class of an adapter.
+/// Returns the shard and the default priority of an adapter.
 fn route(
-    node: &Node,
+    instance: &Instance,
     model: &ModelRef,
 ) -> Result<(ShardId, sedgewall_state::Priority), Problem> {
-    if node.stage.get() == Stage::Starting {
+    if instance.stage.get() == Stage::Starting {
         return Err(Problem::new(
             StatusCode::SERVICE_UNAVAILABLE,
             "starting",
             RunState::NotRun,
             "the instance has no configuration yet",
         )
-        .with_retry_after(FULL_RETRY));
+        .with_retry_after(FULL_RETRY_AFTER));
     }
-    let view = node.view();
-    let region = view.config.region_of(&node.settings.zone).to_owned();
-    let found =
+    let view = instance.view();
+    let region = view.config.region_of(&instance.settings.zone).to_owned();
+    let adapter_route =
         view.adapter(&model.adapter, &model.version).and_then(|adapter| {
             let shard = view.shard_of(&region, adapter)?;
             Some((shard, adapter.priority))
         });
-    found.ok_or_else(|| {
+    adapter_route.ok_or_else(|| {
         Problem::from_refusal(&Refusal {
             reason: RefusalReason::UnknownAdapter,
             retry_after: Duration::ZERO,
@@ -232,8 +239,8 @@
     })
 }
 
-fn models(node: &Node) -> ModelList {
-    let view = node.view();
+fn models(instance: &Instance) -> ModelList {
+    let view = instance.view();
     let mut data = Vec::new();
     for adapter in &view.config.adapters {
         for version in &adapter.versions {
@@ -247,12 +254,13 @@
     ModelList { object: "list".to_owned(), data }
 }
 
-/// Reads the body of a caller's request, within the limits.
+/// Reads the body of a caller's request, within the configured limits on its
+/// length and time.
 pub(crate) async fn read_request_body(
-    node: &Node,
+    instance: &Instance,
     body: Incoming,
 ) -> Result<Bytes, Problem> {
-    let limits = &node.settings.limits;
+    let limits = &instance.settings.limits;
     let within = Duration::from_millis(limits.body_ms);
     let read = read_body(body, limits.body_bytes, within).await;
     read.map_err(body_problem)
@@ -276,47 +284,53 @@
     }
 }
 
-/// Sends a request's submission to the present leader, if there is one.
-pub(crate) fn send_submit(node: &Rc<Node>, id: RequestId) {
+/// Submits a request to the current leader of its shard, if there is one and
+/// the request does not run yet.
+pub(crate) fn send_submit(instance: &Rc<Instance>, id: RequestId) {
     let submit = {
-        let mut requests = node.requests.borrow_mut();
-        let Some(held) = requests.get_mut(id) else { return };
-        if held.endpoint.is_some() {
+        let mut requests = instance.requests.borrow_mut();
+        let Some(tracked) = requests.get_mut(id) else { return };
+        if tracked.endpoint.is_some() {
             return;
         }
         let now = Instant::now();
-        held.sent = now;
+        tracked.sent = now;
         Submit {
-            shard: held.shard.clone(),
+            shard: tracked.shard.clone(),
             request: id,
-            adapter: held.adapter.clone(),
-            version: held.version.clone(),
-            priority: held.priority,
-            caller_hash: held.caller_hash,
-            time_left: held.deadline.saturating_duration_since(now),
-            waited: now.saturating_duration_since(held.submitted),
-            stamp_ms: node.stamp_ms(),
-            config_version: node.config.borrow().version(),
+            adapter: tracked.adapter.clone(),
+            version: tracked.version.clone(),
+            priority: tracked.priority,
+            caller_hash: tracked.caller_hash,
+            time_left: tracked.deadline.saturating_duration_since(now),
+            waited: now.saturating_duration_since(tracked.submitted),
+            // The leader states a grant's expiry on this clock.
+            stamp_ms: instance.uptime_ms(),
+            config_version: instance.config.borrow().version(),
         }
     };
-    let Some(leader) = node.leader_of(&submit.shard) else { return };
+    let Some(leader) = instance.leader_of(&submit.shard) else { return };
     let message = PeerMessage::Submit(submit);
-    node.send(&leader.peer_url, Some(leader.incarnation), message);
+    instance.send(&leader.peer_url, Some(leader.incarnation), message);
 }
 
-/// Tells the leader that a request is given up.
-pub(crate) fn send_cancel(node: &Rc<Node>, shard: &str, request: RequestId) {
-    let Some(leader) = node.leader_of(shard) else { return };
+/// Tells the leader that a request is cancelled.
+pub(crate) fn send_cancel(
+    instance: &Rc<Instance>,
+    shard: &str,
+    request: RequestId,
+) {
+    let Some(leader) = instance.leader_of(shard) else { return };
     let message =
         PeerMessage::Cancel(RequestRef { shard: shard.to_owned(), request });
-    node.send(&leader.peer_url, Some(leader.incarnation), message);
+    instance.send(&leader.peer_url, Some(leader.incarnation), message);
 }
 
-/// Turns to a new leader: tells it all that runs here, and submits again all
-/// that waits.
-pub(crate) fn turn_to_leader(node: &Rc<Node>, shard: &str) {
-    let Some(leader) = node.leader_of(shard) else { return };
-    let running = node.requests.borrow_mut().running().remove(shard);
+/// Sends a new leader the running requests of its shard, and submits the
+/// waiting ones to it.
+pub(crate) fn resync_with_leader(instance: &Rc<Instance>, shard: &str) {
+    let Some(leader) = instance.leader_of(shard) else { return };
+    let running = instance.requests.borrow_mut().running().remove(shard);
     let details = running.unwrap_or_default();
     let ids = details.iter().map(|request| request.request).collect();
     let message = PeerMessage::Running(Running {
@@ -326,42 +340,45 @@
         details,
         first_tokens: Vec::new(),
     });
-    node.send(&leader.peer_url, Some(leader.incarnation), message);
-    let ids = node.requests.borrow().ids_of(shard);
+    instance.send(&leader.peer_url, Some(leader.incarnation), message);
+    let ids = instance.requests.borrow().ids_of_shard(shard);
     for id in ids {
-        send_submit(node, id);
+        send_submit(instance, id);
     }
 }
 
-/// Takes in a seat. One that comes too late, twice or from a deposed leader
-/// is not used.
-pub(crate) fn on_granted(node: &Rc<Node>, granted: &Granted) {
-    if granted.epoch < node.seen_epoch(&granted.shard) {
+/// Handles a grant.
+///
+/// A late or repeated grant, or one from a superseded leader, is not used. The
+/// leader of a grant for an unknown request is told to cancel the request.
+pub(crate) fn on_granted(instance: &Rc<Instance>, granted: &Granted) {
+    if granted.epoch < instance.highest_epoch(&granted.shard) {
         return;
     }
-    let is_valid = node.stamp_ms() < granted.valid_until_stamp_ms;
-    let requests = node.requests.borrow();
+    let is_valid = instance.uptime_ms() < granted.valid_until_stamp_ms;
+    let requests = instance.requests.borrow();
     match requests.get(granted.request) {
-        Some(held) if held.endpoint.is_none() && is_valid => {
+        Some(tracked) if tracked.endpoint.is_none() && is_valid => {
             let decision = Decision::Granted(granted.clone());
-            let _ = held.tx.unbounded_send(decision);
+            let _ = tracked.tx.unbounded_send(decision);
         }
         Some(_) => {}
         None => {
             drop(requests);
-            send_cancel(node, &granted.shard, granted.request);
+            send_cancel(instance, &granted.shard, granted.request);
         }
     }
 }
 
-/// Takes in a refusal.
-pub(crate) fn on_refused(node: &Rc<Node>, refused: &Refused) {
-    if refused.epoch < node.seen_epoch(&refused.shard) {
+/// Handles a refusal. One from a superseded leader, or of a request that runs,
+/// is ignored.
+pub(crate) fn on_refused(instance: &Rc<Instance>, refused: &Refused) {
+    if refused.epoch < instance.highest_epoch(&refused.shard) {
         return;
     }
-    let requests = node.requests.borrow();
-    let Some(held) = requests.get(refused.request) else { return };
-    if held.endpoint.is_none() {
-        let _ = held.tx.unbounded_send(Decision::Refused(refused.refusal));
+    let requests = instance.requests.borrow();
+    let Some(tracked) = requests.get(refused.request) else { return };
+    if tracked.endpoint.is_none() {
+        let _ = tracked.tx.unbounded_send(Decision::Refused(refused.refusal));
     }
 }
--- a/crates/sedgewalld/src/led_requests.rs
+++ b/crates/sedgewalld/src/entry_messages.rs
@@ -1,4 +1,5 @@
-//! What entries tell the leader of a shard about their requests.
+//! Handlers of the messages that entries send to the leader of a shard about
+//! their requests.
 
 use std::rc::Rc;
 
@@ -11,26 +12,31 @@
 use sedgewall_state::{queue::Request, shard::RequestEnd};
 
 use crate::{
-    leader::{ShardLeader, act, send_grant},
-    node::Node,
+    instance::Instance,
+    leader::{ShardLeader, apply_change, send_grant},
 };
 
-/// Takes in a submission.
-pub(crate) fn on_submit(node: &Rc<Node>, envelope: &Envelope, submit: Submit) {
-    let Some(url) = node.sender_url(envelope) else { return };
+/// Handles a submission: queues the request, or sends its grant again.
+pub(crate) fn on_submit(
+    instance: &Rc<Instance>,
+    envelope: &Envelope,
+    submit: Submit,
+) {
+    let Some(url) = instance.sender_url(envelope) else { return };
     let now = Instant::now();
-    let is_newer = submit.config_version > node.config.borrow().version();
+    let is_newer = submit.config_version > instance.config.borrow().version();
     let id = submit.request;
     let mut resend = None;
-    let is_led = act(node, &submit.shard, |leader, actions| {
-        leader.note_entry(envelope, submit.stamp_ms, &url);
+    let is_led = apply_change(instance, &submit.shard, |leader, actions| {
+        leader.record_entry(envelope, submit.stamp_ms, &url);
         if let Some(grant) = leader.shard.grant(id) {
-            // The grant was lost on its way, or still is.
+            // This leader has granted the request already; the entry has not
+            // received the grant, or had not when it submitted again.
             if grant.expires > now {
                 resend = Some(grant.engine);
                 return;
             }
-            // It can be used no more; the request waits again, from now.
+            // The grant has expired; the request is queued again from now on.
             leader.shard.finish(id, RequestEnd::Finished, now, actions);
         }
         let adapter = leader.intern(EngineAdapter {
@@ -38,7 +44,8 @@
             version: submit.version.clone(),
         });
         if is_newer {
-            // The entry has a configuration that we are yet to get.
+            // The entry has a newer configuration, which this instance has not
+            // received yet.
             leader.shard.set_configured(adapter, true);
         }
         let request = Request {
@@ -48,49 +55,49 @@
             caller_hash: submit.caller_hash,
             submitted: now.checked_sub(submit.waited).unwrap_or(now),
             deadline: now + submit.time_left,
-            was_resident: false,
+            had_available_replica: false,
         };
         leader.shard.submit(request, now, actions);
     });
     if let Some(engine) = resend {
-        send_grant(node, &submit.shard, id, engine);
+        send_grant(instance, &submit.shard, id, engine);
     }
     if !is_led {
         let shard = submit.shard;
         let message =
             PeerMessage::NotLeader(RequestRef { shard, request: id });
-        node.send(&url, Some(envelope.incarnation), message);
+        instance.send(&url, Some(envelope.incarnation), message);
     }
 }
 
-/// Takes in that a caller gave up.
-pub(crate) fn on_cancel(node: &Rc<Node>, cancel: &RequestRef) {
-    act(node, &cancel.shard, |leader, actions| {
+/// Handles the cancellation of a request by its caller.
+pub(crate) fn on_cancel(instance: &Rc<Instance>, cancel: &RequestRef) {
+    apply_change(instance, &cancel.shard, |leader, actions| {
         leader.shard.cancel(cancel.request, Instant::now(), actions);
     });
 }
 
-/// Takes in the end of a request.
-pub(crate) fn on_ended(node: &Rc<Node>, ended: &Ended) {
+/// Handles the end of an attempt to run a request.
+pub(crate) fn on_ended(instance: &Rc<Instance>, ended: &Ended) {
     let end = match ended.end {
         EndKind::Finished => RequestEnd::Finished,
         EndKind::NotLoaded => RequestEnd::NotLoaded,
         EndKind::Unreachable => RequestEnd::Unreachable,
         EndKind::Failed => RequestEnd::Failed,
     };
-    act(node, &ended.shard, |leader, actions| {
+    apply_change(instance, &ended.shard, |leader, actions| {
         leader.shard.finish(ended.request, end, Instant::now(), actions);
     });
 }
 
-/// Takes in all that an entry runs here.
+/// Handles the list of the requests that an entry runs on this shard.
 pub(crate) fn on_running(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     envelope: &Envelope,
     running: &Running,
 ) {
     let now = Instant::now();
-    act(node, &running.shard, |leader, actions| {
+    apply_change(instance, &running.shard, |leader, actions| {
         if running.epoch == leader.epoch() {
             leader.acked.insert(envelope.incarnation);
         }
@@ -125,19 +132,23 @@
             caller_hash: 0,
             submitted: now,
             deadline: now,
-            was_resident: true,
+            had_available_replica: true,
         };
         leader.shard.adopt_running(request, engine, now);
     }
 }
 
-/// Takes in the clock of an entry that uses led shards.
-pub(crate) fn on_heartbeat(node: &Rc<Node>, envelope: &Envelope, stamp: u64) {
-    let mut shards = node.shards.borrow_mut();
+/// Records the clock of an entry in the led shards that it uses.
+pub(crate) fn on_heartbeat(
+    instance: &Rc<Instance>,
+    envelope: &Envelope,
+    uptime_ms: u64,
+) {
+    let mut shards = instance.shards.borrow_mut();
     for leader in shards.values_mut() {
         if let Some(entry) = leader.entries.get_mut(&envelope.incarnation) {
-            entry.stamp_ms = entry.stamp_ms.max(stamp);
-            entry.heard = Instant::now();
+            entry.uptime_ms = entry.uptime_ms.max(uptime_ms);
+            entry.last_heard = Instant::now();
         }
     }
 }
--- a/crates/sedgewalld/src/explain.rs
+++ b/crates/sedgewalld/src/explain.rs
@@ -1,5 +1,5 @@
-//! What a leader tells operators: the state of its shard, and why an adapter
-//! is where it is.
+//! What a leader reports to operators: the state of its shards, and the reason
+//! for the placement of an adapter.
 
 use sedgewall_clock::Instant;
 use sedgewall_protocol::{
@@ -8,24 +8,24 @@
 };
 use sedgewall_state::{AdapterIdx, EngineIdx, engine::Health};
 
-use crate::{leader::ShardLeader, node::Node};
+use crate::{instance::Instance, leader::ShardLeader};
 
-/// Returns the status of all led shards.
-pub(crate) fn statuses(node: &Node) -> Vec<ShardStatus> {
-    let shards = node.shards.borrow();
+/// Returns the status of all shards that this instance leads.
+pub(crate) fn statuses(instance: &Instance) -> Vec<ShardStatus> {
+    let shards = instance.shards.borrow();
     let mut statuses: Vec<ShardStatus> =
         shards.values().map(ShardLeader::status).collect();
     statuses.sort_by(|a, b| a.shard.cmp(&b.shard));
     statuses
 }
 
-/// Says why an adapter is where it is, if its shard is led here.
+/// Explains the placement of an adapter, if this instance leads its shard.
 pub(crate) fn explain(
-    node: &Node,
+    instance: &Instance,
     adapter: &EngineAdapter,
 ) -> Option<AdapterExplanation> {
     let now = Instant::now();
-    let shards = node.shards.borrow();
+    let shards = instance.shards.borrow();
     let (leader, idx) = shards
         .values()
         .find_map(|leader| Some((leader, *leader.index.get(adapter)?)))?;
@@ -37,6 +37,7 @@
         waiting_len: state.queue.len(),
         ready_on: leader.endpoints(&state.ready),
         loading_on: leader.endpoints(&state.loading),
+        // The adapter's failed loads in a row.
         load_failures: state.load_failures,
         next: leader.next_step(idx, now),
     })
@@ -51,7 +52,7 @@
             .map(|engine| EngineStatus {
                 endpoint: engine.endpoint.clone(),
                 health: format!("{:?}", engine.health).to_lowercase(),
-                running_len: engine.running_len(),
+                running_len: engine.granted_len(),
                 seats: engine.seats,
                 adapters: engine
                     .slots
--- a/crates/sedgewalld/src/fleet/announcements.rs
+++ b/crates/sedgewalld/src/fleet/announcements.rs
@@ -1,9 +1,12 @@
 //! Announcements that endpoints make about themselves in response headers, and
 //! what other instances report of them.
 //!
-//! Invariant: only a response to one of this instance's own requests, from the
-//! incarnation of the endpoint that the request was sent to, changes any
-//! state.
+//! Invariant: a header in a response to a caller's request counts only if the
+//! response answers that request and comes from the incarnation of the
+//! endpoint that the request was sent to. A cooldown in an engine's answer to
+//! an order, or to the question what it holds, counts for the incarnation that
+//! is known when the answer arrives. Limits that other instances report are
+//! applied separately, in [`apply_limit_reports`].
 
 use std::time::Duration;
 
@@ -14,7 +17,7 @@
     note::Status,
     view::AnsweredRequest,
 };
-use sedgewall_platform::AnswerFacts;
+use sedgewall_platform::ResponseMetadata;
 use sedgewall_state::id::EndpointId;
 
 use super::{
@@ -33,37 +36,37 @@
     call: &CallerRequest,
     answered: &AnsweredRequest,
     status: StatusCode,
-    facts: &AnswerFacts,
+    metadata: &ResponseMetadata,
 ) {
-    if !is_answer_to(call, status, facts) {
+    if !is_answer_to(call, status, metadata) {
         return;
     }
     let now = Instant::now();
-    log_unreadable(instance, answered, facts);
-    match facts.announcement.cooldown {
+    log_unreadable(instance, answered, metadata);
+    match metadata.announcement.cooldown {
         Some(cooldown) => {
             apply_cooldown(
                 instance,
                 answered,
                 cooldown,
-                &call.facts.request_id,
+                &call.metadata.request_id,
             );
         }
         None => end_cooldown(instance, answered),
     }
-    if facts.announcement.is_leaving {
+    if metadata.announcement.is_leaving {
         apply_announced_departure(
             instance,
             answered,
-            &call.facts.request_id,
+            &call.metadata.request_id,
             now,
         );
     }
-    let limit = facts.announcement.limit;
+    let limit = metadata.announcement.limit;
     let is_named = limit.per_s().is_some();
     // An endpoint may reject a request before it looks up its limit, so a
     // rejection without a limit does not mean that the limit is over.
-    if is_named || facts.is_proven {
+    if is_named || metadata.is_sealed {
         let change = instance
             .view
             .borrow_mut()
@@ -109,9 +112,9 @@
 fn log_unreadable(
     instance: &FleetInstance,
     answered: &AnsweredRequest,
-    facts: &AnswerFacts,
+    metadata: &ResponseMetadata,
 ) {
-    let Some(value) = &facts.announcement.unreadable else { return };
+    let Some(value) = &metadata.announcement.unreadable else { return };
     metrics::counter!("sedgewall_announcements_unreadable_total").increment(1);
     let now = Instant::now();
     let logged = instance.unreadable_logged.get();
@@ -165,14 +168,14 @@
 fn is_answer_to(
     call: &CallerRequest,
     status: StatusCode,
-    facts: &AnswerFacts,
+    metadata: &ResponseMetadata,
 ) -> bool {
     if status == StatusCode::MISDIRECTED_REQUEST {
         return false;
     }
-    match facts.request_id.as_deref() {
-        Some(id) => id == call.facts.request_id,
-        None => facts.is_not_run,
+    match metadata.request_id.as_deref() {
+        Some(id) => id == call.metadata.request_id,
+        None => metadata.is_not_run,
     }
 }
 
--- a/crates/sedgewalld/src/fleet/attempt.rs
+++ b/crates/sedgewalld/src/fleet/attempt.rs
@@ -22,11 +22,11 @@
     view::{AnsweredRequest, Target},
 };
 use sedgewall_platform::{
-    AnswerFacts, CallFacts,
-    call::{Handover, to_endpoint},
+    RequestMetadata, ResponseMetadata,
+    call::{ForwardingMetadata, endpoint_request_headers},
 };
 use sedgewall_state::id::EndpointId;
-use sedgewall_transport::{PooledAnswer, SendError};
+use sedgewall_transport::{PooledResponse, SendError};
 
 use super::{
     announcements,
@@ -41,13 +41,13 @@
 
 /// A caller's request after its headers and body were read.
 pub(crate) struct CallerRequest {
-    pub(crate) facts: CallFacts,
+    pub(crate) metadata: RequestMetadata,
     pub(crate) method: Method,
     pub(crate) uri: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
     pub(crate) route: Route,
-    /// The configuration that it was routed by.
+    /// The configuration by which the request was routed.
     pub(crate) decided_by: ConfigurationStatus,
     pub(crate) service: String,
     pub(crate) is_engine: bool,
@@ -59,9 +59,10 @@
     pub(crate) is_later_try: bool,
     /// The customer that the request belongs to, if its route needs a key.
     pub(crate) customer: Option<Rc<Customer>>,
-    /// The endpoint that it was last sent to, and when.
+    /// The endpoint to which the request was last sent, and when.
     pub(crate) sent_to: RefCell<Option<SentTo>>,
-    /// Computed on first use, because few requests need one.
+    /// The digest of the request, computed on first use, because few requests
+    /// need one.
     pub(crate) digest: OnceCell<RequestDigest>,
 }
 
@@ -122,7 +123,7 @@
 
 /// An endpoint's response that may be forwarded to the caller.
 pub(crate) struct GoodAnswer {
-    pub(crate) answer: PooledAnswer,
+    pub(crate) answer: PooledResponse,
     pub(crate) in_flight_guard: InFlightGuard,
 }
 
@@ -134,7 +135,7 @@
 
     /// Returns the model or adapter, if an engine serves the request.
     pub(crate) fn key(&self) -> Option<&AdapterKey> {
-        self.facts.key.as_ref().filter(|_| self.is_engine)
+        self.metadata.key.as_ref().filter(|_| self.is_engine)
     }
 
     /// Returns a digest that all tries of this request have in common.
@@ -160,9 +161,9 @@
         }
     }
 
-    /// Returns the priority rank. The customer's rank takes precedence over
-    /// the route's.
-    pub(crate) fn rank(&self) -> u8 {
+    /// Returns the priority of the request. The customer's priority takes
+    /// precedence over the route's.
+    pub(crate) fn priority(&self) -> u8 {
         let route = self.route.priority;
         self.customer.as_ref().map_or(route, |c| c.effective_priority(route))
     }
@@ -191,7 +192,7 @@
     last_event: Option<&str>,
     limits: SendLimits,
 ) -> Result<GoodAnswer, AttemptError> {
-    let prompt_tokens = call.facts.prompt_tokens;
+    let prompt_tokens = call.metadata.prompt_tokens;
     let mut in_flight_guard =
         InFlightGuard::begin(instance, &target.id, call.key(), prompt_tokens);
     let request = build(call, target, last_event);
@@ -206,11 +207,11 @@
     let ended = match compio::time::timeout(limits.within, sending).await {
         Ok(Ok(answer)) => {
             let status = answer.status;
-            let facts = AnswerFacts::read(status, &answer.headers);
+            let metadata = ResponseMetadata::read(status, &answer.headers);
             announcements::apply_response(
-                instance, call, &answered, status, &facts,
+                instance, call, &answered, status, &metadata,
             );
-            classify(call, answer, facts, limits.is_last)
+            classify(call, answer, metadata, limits.is_last)
         }
         Ok(Err(SendError::NotSent(cause))) => {
             Err(AttemptError::Unreachable(cause))
@@ -240,10 +241,10 @@
     target: &Target,
     last_event: Option<&str>,
 ) -> Request<http_body_util::Full<Bytes>> {
-    let handover = Handover {
+    let forwarding = ForwardingMetadata {
         endpoint: &target.id,
         left: call.left(),
-        priority: call.key().map(|_| call.rank()),
+        priority: call.key().map(|_| call.priority()),
         customer: call.customer.as_ref().map(|c| c.name.as_str()),
         expect_version: target.expect_version,
         last_event,
@@ -251,7 +252,8 @@
     let mut request = Request::new(call.body.clone().into());
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.uri.clone();
-    *request.headers_mut() = to_endpoint(&call.headers, &handover);
+    *request.headers_mut() =
+        endpoint_request_headers(&call.headers, &forwarding);
     request
 }
 
@@ -259,13 +261,13 @@
 /// failure.
 fn classify(
     call: &CallerRequest,
-    mut answer: PooledAnswer,
-    facts: AnswerFacts,
+    mut answer: PooledResponse,
+    metadata: ResponseMetadata,
     is_last: bool,
-) -> Result<PooledAnswer, AttemptError> {
-    answer.settle();
+) -> Result<PooledResponse, AttemptError> {
+    answer.apply_connection_header();
     let status = answer.status;
-    if facts.is_not_run || status == StatusCode::MISDIRECTED_REQUEST {
+    if metadata.is_not_run || status == StatusCode::MISDIRECTED_REQUEST {
         return Err(match status {
             StatusCode::MISDIRECTED_REQUEST => AttemptError::Misdirected,
             _ => AttemptError::Busy,
@@ -273,22 +275,22 @@
     }
     // An endpoint may send a response twice. The second copy is then read
     // where the response to the next request on the connection is expected.
-    let is_ours =
-        facts.request_id.as_deref() == Some(call.facts.request_id.as_str());
+    let is_ours = metadata.request_id.as_deref()
+        == Some(call.metadata.request_id.as_str());
     if !is_ours {
-        answer.distrust();
-        let of = facts.request_id.unwrap_or_default();
+        answer.discard_connection();
+        let of = metadata.request_id.unwrap_or_default();
         return Err(AttemptError::Unclear(format!(
             "response is for request {of:?}"
         )));
     }
-    if status.is_success() && !facts.is_proven {
-        answer.distrust();
+    if status.is_success() && !metadata.is_sealed {
+        answer.discard_connection();
         return Err(AttemptError::Unclear(
-            "success response without the response-seal header".into(),
+            "success response without proof that an endpoint made it".into(),
         ));
     }
-    if status.is_server_error() && !(is_last && facts.is_proven) {
+    if status.is_server_error() && !(is_last && metadata.is_sealed) {
         return Err(AttemptError::Unclear(format!(
             "endpoint answered {status}"
         )));
@@ -302,7 +304,7 @@
     instance: &FleetInstance,
     call: &CallerRequest,
     target: &Target,
-    ended: &Result<PooledAnswer, AttemptError>,
+    ended: &Result<PooledResponse, AttemptError>,
     sent: Instant,
 ) {
     let Some(key) = call.key() else { return };
@@ -327,7 +329,7 @@
     instance: &FleetInstance,
     call: &CallerRequest,
     target: &Target,
-    ended: &Result<PooledAnswer, AttemptError>,
+    ended: &Result<PooledResponse, AttemptError>,
 ) {
     let now = Instant::now();
     let mut view = instance.view.borrow_mut();
@@ -376,7 +378,7 @@
             event = "endpoint_ejected",
             endpoint = target.id,
             cause,
-            request = call.facts.request_id,
+            request = call.metadata.request_id,
         );
         metrics::counter!("sedgewall_ejections_total").increment(1);
     }
--- a/crates/sedgewalld/src/fleet/catch_up.rs
+++ b/crates/sedgewalld/src/fleet/catch_up.rs
@@ -140,7 +140,7 @@
     if answer.status != StatusCode::OK {
         return Err(FetchError::Refused(answer.status));
     }
-    let body = answer.whole().await.map_err(FetchError::Unreachable)?;
+    let body = answer.collect().await.map_err(FetchError::Unreachable)?;
     let missed = rmp_serde::from_slice(&body)
         .map_err(|err| FetchError::Unreadable(err.to_string()))?;
     Ok((missed, body.len()))
@@ -186,7 +186,7 @@
 ) {
     let limits = ServerLimits {
         connections: MAX_SERVED_AT_ONCE,
-        header_time: REQUEST_TIMEOUT,
+        header_timeout: REQUEST_TIMEOUT,
     };
     let handler: Handler =
         Rc::new(move |request| Box::pin(answer(instance.clone(), request)));
@@ -213,7 +213,7 @@
     };
     match rmp_serde::to_vec(&missing_for(&instance, known)) {
         Ok(body) => {
-            let mut response = Response::new(LocalBody::whole(body));
+            let mut response = Response::new(LocalBody::full(body));
             // One request per connection, so that idle connections do not use
             // up the limit.
             let close = header::HeaderValue::from_static("close");
--- a/crates/sedgewalld/src/fleet/daemon.rs
+++ b/crates/sedgewalld/src/fleet/daemon.rs
@@ -39,7 +39,8 @@
 /// the load balancer has probed readiness twice, one second apart.
 const BALANCER_GRACE: Duration = Duration::from_millis(2_400);
 
-/// The part of the grace period that is reserved for ending the process.
+/// The part of the configured grace period (`grace_s`) that is reserved for
+/// ending the process.
 const STOP_MARGIN: Duration = Duration::from_millis(700);
 
 /// The interval at which a shutdown checks whether all requests have ended.
@@ -136,7 +137,7 @@
 
 fn store_address(url: &str) -> Result<SocketAddr, DaemonError> {
     let address = url.trim_start_matches("http://").trim_end_matches('/');
-    address.parse().map_err(|_| DaemonError::StoreAddress(url.to_owned()))
+    address.parse().map_err(|_| DaemonError::PlatformUrl(url.to_owned()))
 }
 
 async fn bind(address: SocketAddr) -> Result<TcpListener, DaemonError> {
@@ -152,7 +153,7 @@
     stop: Stop,
 ) {
     let connections = instance.settings.limits.connections;
-    let limits = ServerLimits { connections, header_time: IDLE_TIMEOUT };
+    let limits = ServerLimits { connections, header_timeout: IDLE_TIMEOUT };
     let handler: Handler = Rc::new(move |request| {
         Box::pin(caller::answer(instance.clone(), request))
     });
@@ -184,7 +185,7 @@
     metrics: PrometheusHandle,
 ) {
     let connections = OPERATOR_CONNECTIONS;
-    let limits = ServerLimits { connections, header_time: IDLE_TIMEOUT };
+    let limits = ServerLimits { connections, header_timeout: IDLE_TIMEOUT };
     let handler: Handler = Rc::new(move |request| {
         let response = operator_answer(&instance, &metrics, &request);
         Box::pin(async move { response })
@@ -223,7 +224,7 @@
     metrics::counter!("sedgewall_store_calls_total")
         .absolute(instance.store.calls());
     metrics::counter!("sedgewall_endpoint_connections_total")
-        .absolute(instance.pool.opened());
+        .absolute(instance.pool.connections_opened());
     let leads = instance.current_lease(Instant::now()).is_some();
     metrics::gauge!("sedgewall_leads").set(f64::from(u8::from(leads)));
 }
--- a/crates/sedgewalld/src/fleet/notes.rs
+++ b/crates/sedgewalld/src/fleet/notes.rs
@@ -37,8 +37,9 @@
 /// interval between such lists.
 const RELIST_DELAY: Duration = Duration::from_millis(500);
 
-/// If newer state was first reported longer ago than this, that report was
-/// about another version.
+/// How long [`FleetInstance::behind_since`] stays valid. When another report
+/// of newer state comes later than this, the first one was about a version
+/// that has arrived since, and [`RELIST_DELAY`] starts anew.
 const BEHIND_VALID_FOR: Duration = Duration::from_millis(2_000);
 
 /// The maximum number of notes in one datagram, so that it fits one packet.
@@ -232,10 +233,10 @@
         );
         if is_configuration {
             instance.is_configuration_behind.set(true);
-            instance.configuration_notify.notify();
+            instance.configuration_relist_notify.notify();
         } else {
             instance.is_versions_behind.set(true);
-            instance.versions_notify.notify();
+            instance.versions_relist_notify.notify();
         }
     }
 }
@@ -310,12 +311,12 @@
 
 fn apply_load_observations(
     instance: &FleetInstance,
-    arrivals: &[LoadObservationReport],
+    observations: &[LoadObservationReport],
     now: Instant,
 ) {
     let mut times = instance.load_times.borrow_mut();
     let mut view = instance.view.borrow_mut();
-    for reported in arrivals {
+    for reported in observations {
         let LoadObservationReport { endpoint, key, is_there, ago_ms } =
             reported;
         // The engine that finished this load may take another one now.
@@ -351,7 +352,7 @@
 }
 
 /// Tells an instance at once where the adapters that it asks for are already
-/// placed. It is told of the others when they are placed.
+/// placed. It is told of the other adapters once they are placed.
 fn send_known_placements(
     instance: &FleetInstance,
     sender: &NoteSender,
@@ -579,7 +580,7 @@
         instance.awaited_adapters.borrow_mut().drain().collect();
     let unreachable: Vec<_> =
         instance.unreachable.take().into_iter().collect();
-    let arrivals: Vec<_> = instance
+    let observations: Vec<_> = instance
         .observed_loads
         .take()
         .into_iter()
@@ -588,7 +589,7 @@
     if counts.is_empty()
         && waiting.is_empty()
         && unreachable.is_empty()
-        && arrivals.is_empty()
+        && observations.is_empty()
     {
         return;
     }
@@ -606,7 +607,7 @@
         counts,
         waiting,
         unreachable,
-        arrivals,
+        arrivals: observations,
         saturated,
     };
     if instance.held.get().is_some() {
--- a/crates/sedgewalld/src/fleet/orders.rs
+++ b/crates/sedgewalld/src/fleet/orders.rs
@@ -16,7 +16,9 @@
     placement::PlacementPlanner,
     view::AnsweredRequest,
 };
-use sedgewall_platform::engine::{self, Holder, OrderAnswer, ReportError};
+use sedgewall_platform::engine::{
+    self, LeaseHolder, OrderAnswer, ReportError,
+};
 use sedgewall_state::id::{EndpointId, Epoch};
 
 use super::{announcements, instance::FleetInstance, note_sender::NoteSender};
@@ -25,8 +27,8 @@
 /// takes some time to arrive, and must reach its engine while the lease holds.
 const ORDER_MARGIN: Duration = Duration::from_millis(100);
 
-/// Orders to one engine that depend on each other: if one fails, those after
-/// it are not sent.
+/// Orders to one engine that depend on each other: if an order fails, the
+/// orders after it are not sent.
 type Batch = (Epoch, Vec<Order>);
 
 /// How old an order must be to show in an engine's report. The platform
@@ -142,7 +144,8 @@
         self.cancel_load(order);
     }
 
-    /// Asks an engine what it holds, once its report must show the last order.
+    /// Asks an engine for a report of what it holds, once the report must show
+    /// the last order.
     async fn sync(&self, order: &Order, accepted: &mut AcceptedOrders) {
         if self.is_cooling_down(&order.endpoint) {
             return;
@@ -174,7 +177,7 @@
                 );
             }
             Err(err) => {
-                if let ReportError::Rests(cooldown) = err {
+                if let ReportError::CooldownRequested(cooldown) = err {
                     self.apply_cooldown(&order.endpoint, cooldown);
                 }
                 let (endpoint, cause) = (&order.endpoint, err.to_string());
@@ -223,7 +226,7 @@
             self.broadcast(Note::Removed(removed));
         }
         let instance = self.instance.id().clone();
-        let holder = Holder { instance, epoch };
+        let holder = LeaseHolder { instance, epoch };
         let sent = Instant::now();
         let answer = engine::order(
             &self.instance.pool,
--- a/crates/sedgewalld/src/fleet/poison.rs
+++ b/crates/sedgewalld/src/fleet/poison.rs
@@ -16,7 +16,7 @@
     view::Target,
 };
 use sedgewall_state::id::EndpointId;
-use sedgewall_transport::Presence;
+use sedgewall_transport::ProbeOutcome;
 
 use super::{
     attempt::CallerRequest, instance::FleetInstance, refusal::Reason,
@@ -56,7 +56,7 @@
     metrics::counter!("sedgewall_poison_refused_total").increment(1);
     tracing::info!(
         event = "poison_refused",
-        request = call.facts.request_id,
+        request = call.metadata.request_id,
         digest = %call.digest(),
         path = call.uri.path(),
         customer = call.customer.as_ref().map(|c| c.name.as_str()),
@@ -76,7 +76,7 @@
 ) {
     tracing::info!(
         event = "run_broken",
-        request = call.facts.request_id,
+        request = call.metadata.request_id,
         digest = %call.digest(),
         path = call.uri.path(),
         customer = call.customer.as_ref().map(|c| c.name.as_str()),
@@ -92,9 +92,10 @@
 /// counts against the request if its endpoint turns out to have crashed.
 ///
 /// A request that succeeded here lately is not counted, because requests that
-/// many callers send alike are running at each endpoint that crashes. Without
-/// that, such a read was condemned beside a request that had crashed all three
-/// endpoints of a service.
+/// many callers send alike are running at each endpoint that crashes.
+/// Otherwise a harmless request that is often sent would be condemned together
+/// with the request that crashes the endpoints, as happened when one request
+/// had crashed all three endpoints of a service.
 pub(crate) fn run_lost(
     instance: &FleetInstance,
     call: &CallerRequest,
@@ -134,7 +135,7 @@
     if !instance.poison.borrow_mut().clear(digest, Instant::now()) {
         return;
     }
-    let request = &call.facts.request_id;
+    let request = &call.metadata.request_id;
     tracing::info!(event = "poison_cleared", %digest, request);
     broadcast_clearance(instance, digest);
     watch_poison::mark_refuted(instance, digest);
@@ -155,7 +156,7 @@
     compio::runtime::spawn(async move {
         let began = Instant::now();
         let presence =
-            instance.pool.presence(address, ENDPOINT_PROBE_TIMEOUT).await;
+            instance.pool.probe(address, ENDPOINT_PROBE_TIMEOUT).await;
         instance.probed_endpoints.borrow_mut().remove(&id);
         tracing::info!(
             event = "endpoint_looked_at",
@@ -164,14 +165,16 @@
             took_ms = began.elapsed().as_millis() as u64,
         );
         match presence {
-            Presence::Listens => {
+            ProbeOutcome::Listens => {
                 let mut poison = instance.poison.borrow_mut();
                 poison.endpoint_alive(&incarnation, began);
             }
-            Presence::Refuses => incarnation_ended(&instance, &incarnation),
+            ProbeOutcome::Refuses => {
+                incarnation_ended(&instance, &incarnation)
+            }
             // Undecided: the endpoint's entry will disappear, or another
             // instance finds out.
-            Presence::Unknown => {}
+            ProbeOutcome::Unknown => {}
         }
     })
     .detach();
@@ -198,9 +201,9 @@
 
 /// Records which runs of another instance were lost in a crash of an endpoint.
 pub(crate) fn apply_crash(instance: &FleetInstance, crash: &Crash) {
-    let own_crash =
+    let own_lost_runs =
         instance.poison.borrow_mut().record_crash(crash, Instant::now());
-    publish(instance, own_crash);
+    publish(instance, own_lost_runs);
 }
 
 /// Records that a run of a request succeeded at another instance.
--- a/crates/sedgewalld/src/fleet/refusal.rs
+++ b/crates/sedgewalld/src/fleet/refusal.rs
@@ -112,41 +112,47 @@
         }
     }
 
-    /// Returns when a retry is worthwhile, given the delay that suits the
-    /// caller's time limit, or none if it is not.
-    fn retry_after(self, most: Duration) -> Option<Duration> {
+    /// Returns the delay after which a retry is worthwhile, or none if no
+    /// retry is. `longest_delay` suits the caller's time limit and the time
+    /// until an endpoint is expected to take the request, if that is known.
+    fn retry_after(self, longest_delay: Duration) -> Option<Duration> {
         match self {
-            // Each of these lasts for seconds: a load waits for its turn, an
-            // outage or a restart for its end. A caller retries once or twice,
-            // and a second refusal leaves it nothing.
+            // These causes last for seconds: until a load has had its turn, or
+            // an outage or a restart is over. Callers retry only once or
+            // twice, and a second refusal may be the last, so the given delay
+            // is suggested in full.
             Reason::AdapterAbsent
             | Reason::NoConfiguration
             | Reason::Full
             | Reason::NobodyThere
             | Reason::EndpointsLimited
-            | Reason::RetriesSpent => Some(most),
-            Reason::OverAllowance(denied) => Some(most.min(denied.retry_in)),
+            | Reason::RetriesSpent => Some(longest_delay),
+            Reason::OverAllowance(denied) => {
+                Some(longest_delay.min(denied.retry_in))
+            }
             // Independent of the caller's time limit, because no instance
             // forwards the request before that.
-            Reason::CrashesEndpoints(back_in) => Some(back_in),
+            Reason::CrashesEndpoints(released_in) => Some(released_in),
             // Another instance may be able to serve the request.
             Reason::TooLate
             | Reason::KeysUnsure
-            | Reason::ConfigurationBehind => Some(most.min(SHORT_RETRY_DELAY)),
+            | Reason::ConfigurationBehind => {
+                Some(longest_delay.min(SHORT_RETRY_DELAY))
+            }
             _ => None,
         }
     }
 }
 
-/// Returns the response for a refusal, to a caller that may retry after a
-/// delay.
+/// Returns the response for a refusal. `longest_delay` limits the suggested
+/// retry delay, except for requests that crash endpoints.
 pub(crate) fn answer(
     reason: Reason,
-    come_back: Duration,
+    longest_delay: Duration,
 ) -> Response<LocalBody> {
     let mut problem =
         Problem::new(reason.status(), reason.name(), reason.run_state(), "");
-    let retry_after = reason.retry_after(come_back);
+    let retry_after = reason.retry_after(longest_delay);
     problem.retry_after_ms = retry_after.map(|d| d.as_millis() as u64);
     let mut response = responses::problem(&problem);
     if let Some(after) = retry_after {
--- a/crates/sedgewalld/src/fleet/request_log.rs
+++ b/crates/sedgewalld/src/fleet/request_log.rs
@@ -1,5 +1,7 @@
 //! Log lines: one for the end of each request, and one for each attempt that
-//! brought no response.
+//! brought no response to forward, whether or not the endpoint answered.
+//! Requests that are refused before they are admitted are logged in
+//! [`super::caller`], and streams that break in [`super::relay`].
 
 use std::{rc::Rc, time::Duration};
 
@@ -52,9 +54,9 @@
     metrics::counter!("sedgewall_callers_left_total").increment(1);
     tracing::info!(
         event = "caller_left",
-        request = call.facts.request_id,
+        request = call.metadata.request_id,
         route = call.route.name,
-        key = call.facts.key.as_ref().map(AdapterKey::to_string),
+        key = call.metadata.key.as_ref().map(AdapterKey::to_string),
         endpoint = call.sent_to.borrow().as_ref().map(|to| &to.endpoint),
         is_later_try = call.is_later_try,
         bytes,
@@ -73,7 +75,7 @@
         .increment(1);
     tracing::info!(
         event = "send_failed",
-        request = call.facts.request_id,
+        request = call.metadata.request_id,
         endpoint = target.id,
         send = progress.sends,
         cause = err.name(),
@@ -85,7 +87,7 @@
 /// What a caller received of an endpoint's response, and when.
 pub(crate) struct Delivered {
     /// The time from the arrival of the request to the response headers.
-    pub(crate) head: Duration,
+    pub(crate) head_time: Duration,
     pub(crate) bytes: usize,
     /// The longest time without a byte, after the headers.
     pub(crate) longest_pause: Duration,
@@ -100,23 +102,23 @@
 ) {
     metrics::counter!("sedgewall_served_total").increment(1);
     metrics::histogram!("sedgewall_first_byte_seconds")
-        .record(delivered.head.as_secs_f64());
+        .record(delivered.head_time.as_secs_f64());
     tracing::info!(
         event = "served",
-        request = call.facts.request_id,
+        request = call.metadata.request_id,
         route = call.route.name,
         customer = call.customer.as_ref().map(|c| c.name.as_str()),
-        key = call.facts.key.as_ref().map(AdapterKey::to_string),
+        key = call.metadata.key.as_ref().map(AdapterKey::to_string),
         endpoint = target.id,
         in_flight = target.in_flight,
         unread_tokens = target.unread_tokens,
         predicted_ms = target.predicted.map(|p| p.as_millis() as u64),
-        prompt_tokens = call.facts.prompt_tokens,
+        prompt_tokens = call.metadata.prompt_tokens,
         engine_ms = progress.engine_time.as_millis() as u64,
         sends = progress.sends,
         waited_ms = progress.waited.as_millis() as u64,
         is_later_try = call.is_later_try,
-        head_ms = delivered.head.as_millis() as u64,
+        head_ms = delivered.head_time.as_millis() as u64,
         longest_pause_ms = delivered.longest_pause.as_millis() as u64,
         configuration = call.decided_by.version,
         configuration_read_ms_ago = call.decided_by.read_ms_ago(),
@@ -137,10 +139,10 @@
         .increment(1);
     tracing::info!(
         event = "refused",
-        request = call.facts.request_id,
+        request = call.metadata.request_id,
         route = call.route.name,
         customer = call.customer.as_ref().map(|c| c.name.as_str()),
-        key = call.facts.key.as_ref().map(AdapterKey::to_string),
+        key = call.metadata.key.as_ref().map(AdapterKey::to_string),
         reason = reason.name(),
         configuration = call.decided_by.version,
         configuration_read_ms_ago = call.decided_by.read_ms_ago(),
--- a/crates/sedgewalld/src/leader.rs
+++ b/crates/sedgewalld/src/leader.rs
@@ -1,10 +1,10 @@
-//! The leader of a shard: feeds the policy with events and carries out what
-//! it wants done.
+//! The leader of a shard: passes events to the scheduling policy and executes
+//! the actions that it returns.
 //!
-//! The policy's state is in `sedgewall_state::Shard`. This module translates
-//! names to indices and actions to messages and orders, and keeps the rule
-//! that orders go only to engines that either check fences or cannot have a
-//! newer leader yet.
+//! The policy's state is in `sedgewall_state::Shard`. This module maps names
+//! to indices, and actions to messages and orders. It ensures that orders go
+//! only to engines that check fences (refuse orders of an older epoch), or
+//! that cannot have a newer leader yet.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -32,66 +32,76 @@
 
 use crate::{
     election,
-    node::{Leader, Node},
-    orders,
-    store::StorePart,
-    upkeep,
+    instance::{Instance, Leader},
+    leader_tasks, orders,
+    store::StoreAllotment,
 };
 
-/// What a new leader waits beyond the validity of its predecessor's grants
-/// before it evicts anything.
+/// How long a new leader waits, beyond the validity of its predecessor's
+/// grants, before it evicts adapters.
 const EVICTION_MARGIN: Duration = Duration::from_millis(500);
 
-/// Evictions on engines without fences wait for the entries; this is far
-/// enough away to mean "not yet".
-const NOT_YET: Duration = Duration::from_secs(86_400);
+/// The deferral of evictions on engines that do not check fences, until all
+/// entries have acknowledged the epoch. The value only has to exceed the time
+/// that the acknowledgements can take.
+const INDEFINITE_DEFERRAL: Duration = Duration::from_secs(86_400);
 
-/// An engine as the leader reaches it.
+/// An engine, and what the leader knows of its process.
 #[derive(Clone, Debug)]
 pub(crate) struct EngineLink {
     pub(crate) endpoint: EndpointId,
     pub(crate) address: String,
+    /// Whether the engine refuses orders of an older epoch.
     pub(crate) checks_fences: bool,
+    /// The boot id in the engine's last report; a new one means a restart.
     pub(crate) boot: Option<u64>,
-    pub(crate) is_asked: bool,
+    /// Whether a request for a report has not been answered yet.
+    pub(crate) is_report_pending: bool,
 }
 
-/// An entry as the leader reaches it.
+/// An entry, and where and when the leader last heard from it.
 #[derive(Clone, Debug)]
 pub(crate) struct EntryLink {
     pub(crate) instance: InstanceId,
     pub(crate) url: String,
-    /// The entry's clock, as of its last message.
-    pub(crate) stamp_ms: u64,
-    pub(crate) heard: Instant,
+    /// The uptime of the entry's process as of its last message, in
+    /// milliseconds. Grants state their expiry on this clock.
+    pub(crate) uptime_ms: u64,
+    pub(crate) last_heard: Instant,
 }
 
-/// One shard that this instance leads.
+/// The state of a shard that this instance leads.
 pub(crate) struct ShardLeader {
     pub(crate) shard_id: ShardId,
     pub(crate) base_model: ModelName,
     pub(crate) lease: Lease<Held>,
     pub(crate) shard: Shard,
+    /// The index of each interned adapter version.
     pub(crate) index: HashMap<EngineAdapter, AdapterIdx>,
+    /// The interned adapter versions by index.
     pub(crate) names: Vec<EngineAdapter>,
     pub(crate) engines: Vec<EngineLink>,
     pub(crate) entries: BTreeMap<Incarnation, EntryLink>,
-    /// Entries that know this epoch and use no older grants.
+    /// Entries that know this epoch and use no grants of older ones.
     pub(crate) acked: HashSet<Incarnation>,
-    pub(crate) guard_until: Instant,
+    /// When the grants of the predecessor have certainly expired.
+    pub(crate) evict_after: Instant,
+    /// Whether all entries have acknowledged this epoch.
     pub(crate) is_barrier_passed: bool,
-    pub(crate) is_deposed: bool,
-    /// The part of the weight store, beside what is guaranteed.
-    pub(crate) allotment: StorePart,
+    /// Whether an engine has refused an order because of a later epoch.
+    pub(crate) is_superseded: bool,
+    /// The allocator's epoch, and the time until which the allotted limits on
+    /// the weight store replace the guaranteed ones.
+    pub(crate) allotment: StoreAllotment,
 }
 
 impl ShardLeader {
-    /// Returns what the shard would do with the weight store.
+    /// Returns the shard's demand on the weight store.
     pub(crate) fn store_demand(&self) -> StoreDemand {
         self.shard.store_demand()
     }
 
-    /// Replaces the shard's part of the weight store.
+    /// Replaces the shard's limits on the weight store.
     pub(crate) fn set_store_limits(&mut self, limits: StoreLimits) {
         self.shard.set_store_limits(limits);
     }
@@ -120,38 +130,38 @@
         format!("{}@{}", name.adapter, name.version)
     }
 
-    pub(crate) fn note_entry(
+    pub(crate) fn record_entry(
         &mut self,
         envelope: &Envelope,
-        stamp_ms: u64,
+        uptime_ms: u64,
         url: &str,
     ) {
         let entry = EntryLink {
             instance: envelope.from.clone(),
             url: url.to_owned(),
-            stamp_ms,
-            heard: Instant::now(),
+            uptime_ms,
+            last_heard: Instant::now(),
         };
         self.entries.insert(envelope.incarnation, entry);
     }
 }
 
-/// Takes up the leadership of a shard.
-pub(crate) fn take_up(
-    node: &Rc<Node>,
+/// Starts to lead a shard whose lease this instance has acquired.
+pub(crate) fn start_leading(
+    instance: &Rc<Instance>,
     shard_id: &ShardId,
     lease: Lease<Held>,
 ) {
     let now = Instant::now();
-    let view = node.view();
+    let view = instance.view();
     let policy = &view.config.policy;
     let base_model = shard_id.rsplit('.').nth(1).map(|_| {
-        // A shard's id is region, model and number; a model may hold dots.
+        // A shard id is `REGION.MODEL.NUMBER`, and the model may contain dots.
         let rest = shard_id.split_once('.').map_or("", |(_, rest)| rest);
         rest.rsplit_once('.').map_or("", |(model, _)| model).to_owned()
     });
     let epoch = lease.epoch();
-    let guard_until = now + policy.settings().grant_validity + EVICTION_MARGIN;
+    let evict_after = now + policy.settings().grant_validity + EVICTION_MARGIN;
     let leader = ShardLeader {
         shard_id: shard_id.clone(),
         base_model: base_model.unwrap_or_default(),
@@ -166,78 +176,86 @@
         engines: Vec::new(),
         entries: BTreeMap::new(),
         acked: HashSet::new(),
-        guard_until,
+        evict_after,
         is_barrier_passed: false,
-        is_deposed: false,
-        allotment: StorePart::default(),
+        is_superseded: false,
+        allotment: StoreAllotment::default(),
     };
     info!("lease: this instance leads {shard_id} in epoch {epoch}.");
     metrics::counter!("sedgewall_leaderships_total").increment(1);
-    node.shards.borrow_mut().insert(shard_id.clone(), leader);
-    sync_adapters(node, shard_id);
-    let list = node.instances.borrow().clone();
-    refresh_engines(node, &list);
+    instance.shards.borrow_mut().insert(shard_id.clone(), leader);
+    sync_adapters(instance, shard_id);
+    let list = instance.instances.borrow().clone();
+    refresh_engines(instance, &list);
     let own = Leader {
-        instance: node.settings.instance.clone(),
-        incarnation: node.incarnation,
-        peer_url: node.settings.peer_url(),
+        instance: instance.settings.instance.clone(),
+        incarnation: instance.incarnation,
+        peer_url: instance.settings.peer_url(),
         epoch,
     };
-    election::learn_leader(node, shard_id, own);
-    crate::heartbeat::send_heartbeats(node);
-    upkeep::start(node, shard_id, epoch);
+    election::apply_leader(instance, shard_id, own);
+    crate::heartbeat::send_heartbeats(instance);
+    leader_tasks::start(instance, shard_id, epoch);
 }
 
-/// Ends the leadership of a shard; what waits is sent to the successor by the
-/// entries.
-pub(crate) fn step_down(node: &Rc<Node>, shard_id: &str) {
-    let Some(leader) = node.shards.borrow_mut().remove(shard_id) else {
+/// Stops leading a shard. The entries submit its waiting requests to the
+/// successor.
+pub(crate) fn step_down(instance: &Rc<Instance>, shard_id: &str) {
+    let Some(leader) = instance.shards.borrow_mut().remove(shard_id) else {
         return;
     };
     let epoch = leader.epoch();
     info!("lease: this instance no longer leads {shard_id}, epoch {epoch}.");
     let detail = format!("epoch {epoch} ended here");
-    node.event(EventKind::Lease, None, shard_id, "", detail);
+    instance.record_event(EventKind::Lease, None, shard_id, "", detail);
 }
 
 /// Returns the lease of a shard that this instance leads.
-pub(crate) fn lease(node: &Node, shard_id: &str) -> Option<Lease<Held>> {
-    let shards = node.shards.borrow();
+pub(crate) fn lease(
+    instance: &Instance,
+    shard_id: &str,
+) -> Option<Lease<Held>> {
+    let shards = instance.shards.borrow();
     Some(shards.get(shard_id)?.lease.clone())
 }
 
-/// Puts the renewed lease in force.
-pub(crate) fn set_lease(node: &Node, shard_id: &str, lease: Lease<Held>) {
-    if let Some(leader) = node.shards.borrow_mut().get_mut(shard_id) {
+/// Stores the renewed lease of a shard.
+pub(crate) fn set_lease(
+    instance: &Instance,
+    shard_id: &str,
+    lease: Lease<Held>,
+) {
+    if let Some(leader) = instance.shards.borrow_mut().get_mut(shard_id) {
         leader.lease = lease;
     }
 }
 
-/// Returns whether an engine or a peer told of a later epoch.
-pub(crate) fn is_deposed(node: &Node, shard_id: &str) -> bool {
-    let shards = node.shards.borrow();
+/// Returns whether an engine or a peer has reported a later epoch, or this
+/// instance does not lead the shard any more.
+pub(crate) fn is_superseded(instance: &Instance, shard_id: &str) -> bool {
+    let shards = instance.shards.borrow();
     let Some(leader) = shards.get(shard_id) else { return true };
-    leader.is_deposed || node.seen_epoch(shard_id) > leader.epoch()
+    leader.is_superseded || instance.highest_epoch(shard_id) > leader.epoch()
 }
 
-/// Brings all led shards up to date with the configuration.
-pub(crate) fn reconfigure(node: &Rc<Node>) {
-    let view = node.view();
+/// Applies the current configuration to all led shards.
+pub(crate) fn reconfigure(instance: &Rc<Instance>) {
+    let view = instance.view();
     let settings = view.config.policy.settings();
     let share = view.config.guaranteed_store();
-    let ids: Vec<ShardId> = node.shards.borrow().keys().cloned().collect();
+    let ids: Vec<ShardId> = instance.shards.borrow().keys().cloned().collect();
     for shard_id in ids {
-        if let Some(leader) = node.shards.borrow_mut().get_mut(&shard_id) {
+        if let Some(leader) = instance.shards.borrow_mut().get_mut(&shard_id) {
             leader.shard.reconfigure(settings, share);
         }
-        sync_adapters(node, &shard_id);
+        sync_adapters(instance, &shard_id);
     }
 }
 
 /// Interns the adapters of a shard and marks those that are configured.
-fn sync_adapters(node: &Rc<Node>, shard_id: &ShardId) {
-    let view = node.view();
-    let mut shards = node.shards.borrow_mut();
+fn sync_adapters(instance: &Rc<Instance>, shard_id: &ShardId) {
+    let view = instance.view();
+    let mut shards = instance.shards.borrow_mut();
     let Some(leader) = shards.get_mut(shard_id) else { return };
     let mut is_configured = vec![false; leader.shard.adapters_len()];
     let region = shard_id.split('.').next().unwrap_or("").to_owned();
@@ -259,38 +277,41 @@
     }
 }
 
-/// Brings the engines of all led shards up to date with the instance list.
-pub(crate) fn refresh_engines(node: &Rc<Node>, list: &InstanceList) {
-    let view = node.view();
+/// Updates the engines of all led shards from the instance list.
+pub(crate) fn refresh_engines(instance: &Rc<Instance>, list: &InstanceList) {
+    let view = instance.view();
     let now = Instant::now();
-    let mut shards = node.shards.borrow_mut();
+    let mut shards = instance.shards.borrow_mut();
     for leader in shards.values_mut() {
         let mut listed = HashSet::new();
-        for instance in &list.instances {
-            let Some(place) = view.engine_place(instance) else { continue };
-            if place.shard != leader.shard_id {
+        for listed_instance in &list.instances {
+            let Some(assignment) = view.engine_assignment(listed_instance)
+            else {
+                continue;
+            };
+            if assignment.shard != leader.shard_id {
                 continue;
             }
-            listed.insert(instance.id.clone());
-            let known = leader.shard.engine_idx(&instance.id);
-            if instance.state == ListedState::Leaving {
+            listed.insert(listed_instance.id.clone());
+            let known = leader.shard.engine_idx(&listed_instance.id);
+            if listed_instance.state == ListedState::Leaving {
                 if let Some(idx) = known {
                     leader.shard.mark_engine_leaving(idx, now);
                 }
                 continue;
             }
             let idx = leader.shard.add_engine(
-                &instance.id,
-                place.slots_len,
-                place.seats,
+                &listed_instance.id,
+                assignment.slots_len,
+                assignment.seats,
                 now,
             );
             let link = EngineLink {
-                endpoint: instance.id.clone(),
-                address: instance.address.clone(),
-                checks_fences: place.checks_fences,
+                endpoint: listed_instance.id.clone(),
+                address: listed_instance.address.clone(),
+                checks_fences: assignment.checks_fences,
                 boot: None,
-                is_asked: false,
+                is_report_pending: false,
             };
             match leader.engines.get_mut(idx as usize) {
                 Some(old) if old.address == link.address => {
@@ -305,43 +326,46 @@
                 leader.shard.mark_engine_leaving(idx as EngineIdx, now);
             }
         }
-        set_eviction_guard(leader);
+        update_eviction_deferrals(leader);
     }
 }
 
-/// Engines that check fences and idleness may be evicted from once the
-/// predecessor's grants have expired; the others only when all entries know
-/// this epoch.
-pub(crate) fn set_eviction_guard(leader: &mut ShardLeader) {
+/// Sets from when on adapters may be evicted from each engine.
+///
+/// On engines that check fences and idleness, evictions may start once the
+/// predecessor's grants have expired; on other engines all entries must know
+/// this epoch as well.
+pub(crate) fn update_eviction_deferrals(leader: &mut ShardLeader) {
     for (idx, link) in leader.engines.iter().enumerate() {
         let is_open = link.checks_fences || leader.is_barrier_passed;
         let until = match is_open {
-            true => leader.guard_until,
-            false => leader.guard_until + NOT_YET,
+            true => leader.evict_after,
+            false => leader.evict_after + INDEFINITE_DEFERRAL,
         };
         leader.shard.defer_evictions(idx as EngineIdx, until);
     }
 }
 
-/// Runs a function on a led shard and carries out what it wants done.
-pub(crate) fn act(
-    node: &Rc<Node>,
+/// Runs `change` on a led shard and executes the resulting actions. Returns
+/// whether this instance leads the shard.
+pub(crate) fn apply_change(
+    instance: &Rc<Instance>,
     shard_id: &str,
     change: impl FnOnce(&mut ShardLeader, &mut Vec<ShardAction>),
 ) -> bool {
     let mut actions = Vec::new();
     {
-        let mut shards = node.shards.borrow_mut();
+        let mut shards = instance.shards.borrow_mut();
         let Some(leader) = shards.get_mut(shard_id) else { return false };
         change(leader, &mut actions);
     }
     for action in actions {
-        carry_out(node, shard_id, action);
+        execute(instance, shard_id, action);
     }
     true
 }
 
-fn carry_out(node: &Rc<Node>, shard_id: &str, action: ShardAction) {
+fn execute(instance: &Rc<Instance>, shard_id: &str, action: ShardAction) {
     match action {
         ShardAction::Grant {
             request,
@@ -355,11 +379,11 @@
                 false => "sedgewall_seat_wait_seconds",
             };
             metrics::histogram!(name).record(waited.as_secs_f64());
-            send_grant(node, shard_id, request, engine);
-            note_grant(node, shard_id, request, engine, adapter, waited);
+            send_grant(instance, shard_id, request, engine);
+            record_grant(instance, shard_id, request, engine, adapter, waited);
         }
         ShardAction::Refuse { request, refusal } => {
-            let epoch = lease(node, shard_id).map_or(0, |l| l.epoch());
+            let epoch = lease(instance, shard_id).map_or(0, |l| l.epoch());
             let shard = shard_id.to_owned();
             let message = PeerMessage::Refused(Refused {
                 shard,
@@ -367,14 +391,16 @@
                 request,
                 refusal,
             });
-            send_to_entry(node, shard_id, request, message);
+            send_to_entry(instance, shard_id, request, message);
+        }
+        ShardAction::Load(order) => {
+            orders::start_load(instance, shard_id, order)
         }
-        ShardAction::Load(order) => orders::start_load(node, shard_id, order),
     }
 }
 
-fn note_grant(
-    node: &Rc<Node>,
+fn record_grant(
+    instance: &Rc<Instance>,
     shard_id: &str,
     request: RequestId,
     engine: EngineIdx,
@@ -382,58 +408,64 @@
     waited: Duration,
 ) {
     let (subject, endpoint) = {
-        let shards = node.shards.borrow();
+        let shards = instance.shards.borrow();
         let Some(leader) = shards.get(shard_id) else { return };
         let endpoint = leader.engines[engine as usize].endpoint.clone();
         (leader.label(adapter), endpoint)
     };
     let detail = format!("after {} ms", waited.as_millis());
-    node.event(EventKind::Grant, Some(request), subject, endpoint, detail);
+    instance.record_event(
+        EventKind::Grant,
+        Some(request),
+        subject,
+        endpoint,
+        detail,
+    );
 }
 
 pub(crate) fn send_grant(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     shard_id: &str,
     request: RequestId,
     engine: EngineIdx,
 ) {
     let granted = {
-        let shards = node.shards.borrow();
+        let shards = instance.shards.borrow();
         let Some(leader) = shards.get(shard_id) else { return };
         let link = &leader.engines[engine as usize];
         let Some(grant) = leader.shard.grant(request) else { return };
         let entry = leader.entries.get(&request_incarnation(request));
         let Some(entry) = entry else { return };
-        // Counted from the entry's own clock as we last heard it, so that a
-        // late or paused entry finds the grant expired.
-        let left = grant.expires.saturating_duration_since(entry.heard);
+        // The expiry is stated on the entry's own clock, as of its last
+        // message, so that a late or paused entry finds the grant expired.
+        let left = grant.expires.saturating_duration_since(entry.last_heard);
         Granted {
             shard: shard_id.to_owned(),
             request,
             epoch: leader.epoch(),
             endpoint: link.endpoint.clone(),
             address: link.address.clone(),
-            valid_until_stamp_ms: entry.stamp_ms
+            valid_until_stamp_ms: entry.uptime_ms
                 + left.min(grant.expires - grant.granted).as_millis() as u64,
         }
     };
-    send_to_entry(node, shard_id, request, PeerMessage::Granted(granted));
+    send_to_entry(instance, shard_id, request, PeerMessage::Granted(granted));
 }
 
 fn send_to_entry(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     shard_id: &str,
     request: RequestId,
     message: PeerMessage,
 ) {
     let incarnation = request_incarnation(request);
     let url = {
-        let shards = node.shards.borrow();
+        let shards = instance.shards.borrow();
         let entry =
             shards.get(shard_id).and_then(|l| l.entries.get(&incarnation));
         entry.map(|entry| entry.url.clone())
     };
     if let Some(url) = url {
-        node.send(&url, Some(incarnation), message);
+        instance.send(&url, Some(incarnation), message);
     }
 }
--- a/crates/sedgewalld/src/requests.rs
+++ b/crates/sedgewalld/src/requests.rs
@@ -1,7 +1,7 @@
-//! The requests that this entry holds, waiting for a seat or running.
+//! The requests of this entry that wait for a grant or run.
 //!
-//! The table keeps one invariant: a request is in it from its submission to
-//! its end, and only a request that is in it may use a grant.
+//! Invariant: a request is in the table from its submission to its end, and
+//! only a request in the table may use a grant.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -19,16 +19,16 @@
     ShardId, admission::Refusal, id::request_id,
 };
 
-/// What a leader decided for a request.
+/// A leader's decision on a request.
 #[derive(Clone, Debug)]
 pub(crate) enum Decision {
     Granted(Granted),
     Refused(Refusal),
 }
 
-/// One request at a shard.
+/// A request that was submitted to a shard.
 #[derive(Debug)]
-pub(crate) struct HeldRequest {
+pub(crate) struct TrackedRequest {
     pub(crate) shard: ShardId,
     pub(crate) adapter: AdapterName,
     pub(crate) version: AdapterVersion,
@@ -36,39 +36,41 @@
     pub(crate) caller_hash: u64,
     pub(crate) submitted: Instant,
     pub(crate) deadline: Instant,
-    /// When its submission was last sent.
+    /// When the submission was last sent.
     pub(crate) sent: Instant,
-    /// The endpoint on which it runs, if it does.
+    /// The endpoint that runs the request, once it runs.
     pub(crate) endpoint: Option<EndpointId>,
     pub(crate) tx: mpsc::UnboundedSender<Decision>,
 }
 
-/// All requests of this entry.
+/// The requests that were submitted to shards, the count of all open requests,
+/// and the retry budget.
 #[derive(Debug)]
 pub(crate) struct RequestTable {
-    held: BTreeMap<RequestId, HeldRequest>,
+    tracked: BTreeMap<RequestId, TrackedRequest>,
     sequence: u64,
-    len_limit: usize,
-    /// Requests of any kind, services included.
+    max_open: usize,
+    /// The number of open requests of any kind, calls of services included.
     open: usize,
     retry_tokens: f64,
     retry_share: f64,
-    /// First tokens that leaders have not been told yet.
+    /// First-token times that were not yet sent to the leaders.
     first_tokens: HashMap<ShardId, Vec<FirstToken>>,
 }
 
-/// First tokens kept for one leader; a few dozen tell enough.
+/// The maximum number of first-token times kept for one leader, as a few dozen
+/// are a sufficient sample.
 const MAX_FIRST_TOKENS: usize = 64;
 
-/// Retries that may be saved up.
+/// The capacity of the retry budget.
 const RETRY_BURST: f64 = 20.0;
 
 impl RequestTable {
     pub(crate) fn new(limits: &Limits) -> RequestTable {
         RequestTable {
-            held: BTreeMap::new(),
+            tracked: BTreeMap::new(),
             sequence: 0,
-            len_limit: limits.requests,
+            max_open: limits.requests,
             open: 0,
             retry_tokens: RETRY_BURST,
             retry_share: limits.retry_share,
@@ -76,12 +78,13 @@
         }
     }
 
-    /// Returns the id of a new request, unless too many are open.
+    /// Counts a new request as open and returns its id, or `None` if too many
+    /// are open.
     pub(crate) fn open(
         &mut self,
         incarnation: Incarnation,
     ) -> Option<RequestId> {
-        if self.open >= self.len_limit {
+        if self.open >= self.max_open {
             return None;
         }
         self.open += 1;
@@ -91,7 +94,7 @@
         Some(request_id(incarnation, self.sequence))
     }
 
-    /// Counts a request out.
+    /// Subtracts a request from the open ones.
     pub(crate) fn close(&mut self) {
         self.open = self.open.saturating_sub(1);
     }
@@ -101,7 +104,7 @@
         self.open
     }
 
-    /// Takes one retry from the budget, if there is one.
+    /// Takes one retry from the budget. Returns whether there was one.
     pub(crate) fn take_retry(&mut self) -> bool {
         if self.retry_tokens < 1.0 {
             return false;
@@ -110,36 +113,42 @@
         true
     }
 
-    pub(crate) fn insert(&mut self, id: RequestId, held: HeldRequest) {
-        self.held.insert(id, held);
+    pub(crate) fn insert(&mut self, id: RequestId, tracked: TrackedRequest) {
+        self.tracked.insert(id, tracked);
     }
 
-    pub(crate) fn remove(&mut self, id: RequestId) -> Option<HeldRequest> {
-        self.held.remove(&id)
+    pub(crate) fn remove(&mut self, id: RequestId) -> Option<TrackedRequest> {
+        self.tracked.remove(&id)
     }
 
-    pub(crate) fn get(&self, id: RequestId) -> Option<&HeldRequest> {
-        self.held.get(&id)
+    pub(crate) fn get(&self, id: RequestId) -> Option<&TrackedRequest> {
+        self.tracked.get(&id)
     }
 
     pub(crate) fn get_mut(
         &mut self,
         id: RequestId,
-    ) -> Option<&mut HeldRequest> {
-        self.held.get_mut(&id)
+    ) -> Option<&mut TrackedRequest> {
+        self.tracked.get_mut(&id)
     }
 
-    /// Notes how long the first token of a running request took.
-    pub(crate) fn note_first_token(&mut self, id: RequestId, took: Duration) {
-        let Some(held) = self.held.get(&id) else { return };
-        let Some(endpoint) = held.endpoint.clone() else { return };
-        let noted = self.first_tokens.entry(held.shard.clone()).or_default();
-        if noted.len() < MAX_FIRST_TOKENS {
-            noted.push(FirstToken { endpoint, took });
+    /// Records the first-token time of a running request.
+    pub(crate) fn record_first_token(
+        &mut self,
+        id: RequestId,
+        took: Duration,
+    ) {
+        let Some(tracked) = self.tracked.get(&id) else { return };
+        let Some(endpoint) = tracked.endpoint.clone() else { return };
+        let pending =
+            self.first_tokens.entry(tracked.shard.clone()).or_default();
+        if pending.len() < MAX_FIRST_TOKENS {
+            pending.push(FirstToken { endpoint, took });
         }
     }
 
-    /// Takes what a shard's leader has not been told yet.
+    /// Removes and returns the first-token times that were not yet sent to a
+    /// shard's leader.
     pub(crate) fn take_first_tokens(
         &mut self,
         shard: &str,
@@ -148,38 +157,37 @@
     }
 
     /// Returns the ids of all requests of one shard, sorted.
-    pub(crate) fn ids_of(&self, shard: &str) -> Vec<RequestId> {
-        self.held
+    pub(crate) fn ids_of_shard(&self, shard: &str) -> Vec<RequestId> {
+        self.tracked
             .iter()
-            .filter(|(_, held)| held.shard == shard)
+            .filter(|(_, tracked)| tracked.shard == shard)
             .map(|(id, _)| *id)
             .collect()
     }
 
-    /// Returns the ids of all requests that wait for a seat, sorted.
+    /// Returns the ids of all requests that wait for a grant, sorted.
     pub(crate) fn waiting(&self) -> Vec<RequestId> {
-        self.held
+        self.tracked
             .iter()
-            .filter(|(_, held)| held.endpoint.is_none())
+            .filter(|(_, tracked)| tracked.endpoint.is_none())
             .map(|(id, _)| *id)
             .collect()
     }
 
-    /// Returns all requests that run, by shard; shards without any are left
-    /// out.
+    /// Returns all running requests by shard; shards without any are left out.
     pub(crate) fn running(&self) -> HashMap<ShardId, Vec<RunningRequest>> {
         let mut by_shard: HashMap<ShardId, Vec<RunningRequest>> =
             HashMap::new();
-        for (id, held) in &self.held {
-            let Some(endpoint) = &held.endpoint else { continue };
+        for (id, tracked) in &self.tracked {
+            let Some(endpoint) = &tracked.endpoint else { continue };
             let running = RunningRequest {
                 request: *id,
                 endpoint: endpoint.clone(),
-                adapter: held.adapter.clone(),
-                version: held.version.clone(),
-                priority: held.priority,
+                adapter: tracked.adapter.clone(),
+                version: tracked.version.clone(),
+                priority: tracked.priority,
             };
-            by_shard.entry(held.shard.clone()).or_default().push(running);
+            by_shard.entry(tracked.shard.clone()).or_default().push(running);
         }
         by_shard
     }
--- a/crates/sedgewalld/src/services.rs
+++ b/crates/sedgewalld/src/services.rs
@@ -1,7 +1,9 @@
-//! Plain services: routed by each entry alone, with limits of their own.
+//! Plain services: each entry routes their calls by itself, within limits of
+//! their own.
 //!
-//! A call goes to the endpoint with the fewest calls from here. Nothing of
-//! the model side takes part, so a storm there does not slow a lookup here.
+//! A call goes to the endpoint with the fewest outstanding calls from this
+//! instance. No part of the scheduling of completions takes part, so that a
+//! surge of completions does not slow the calls of services.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
@@ -20,31 +22,33 @@
 use sedgewall_state::{
     EndpointId, GroupName, RequestId,
     config::EndpointKind,
-    service::{ServiceEndpoint, pick_endpoint},
+    plain_service::{ServiceEndpoint, pick_endpoint},
 };
 use sedgewall_transport::{
-    CallError, LocalBody, client::Call, client::WholeAnswer,
+    CallError, LocalBody, client::BufferedResponse, client::Call,
 };
 
 use crate::{
     claims::{ClaimOutcome, ClaimTicket},
-    entry::{RequestSlot, read_request_body},
-    node::Node,
+    entry::{OpenRequestGuard, read_request_body},
+    instance::Instance,
     responses,
     routes::ConfigView,
 };
 
-/// Where plain services are reached: `/services/GROUP/PATH`.
+/// The path prefix of plain services: `/services/GROUP/PATH`.
 pub(crate) const SERVICES_PREFIX: &str = "/services/";
 
-/// When to come back to a service whose endpoints are all at their limits.
-const BUSY_RETRY: Duration = Duration::from_millis(500);
+/// The `Retry-After` value while all endpoints of a service are at their
+/// limits, or if no connection could be made for the last permitted attempt.
+const BUSY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// The longest rest that an endpoint may ask for; a longer one counts as this, so
-/// that it can be added to any point in time.
-const LONGEST_REST: Duration = Duration::from_secs(86_400);
+/// The maximum cooldown. A longer one that an endpoint requests is cut to
+/// this, so that it can be added to any point in time.
+const MAX_COOLDOWN: Duration = Duration::from_secs(86_400);
 
-/// The endpoints of all plain services, with the calls from here.
+/// The endpoints of all plain services, with their outstanding calls from this
+/// instance.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceTable {
     groups: HashMap<GroupName, Vec<ServiceEndpoint>>,
@@ -52,8 +56,8 @@
 }
 
 impl ServiceTable {
-    /// Takes in a new instance list or configuration; calls under way keep
-    /// their counts.
+    /// Rebuilds the table from an instance list and a configuration. The
+    /// counts of calls in flight are kept.
     pub(crate) fn update(&mut self, view: &ConfigView, list: &InstanceList) {
         let old = std::mem::take(&mut self.groups);
         self.addresses.clear();
@@ -80,7 +84,7 @@
         }
     }
 
-    fn take(&mut self, group: &str, limit: u32) -> Option<Target> {
+    fn acquire(&mut self, group: &str, limit: u32) -> Option<Target> {
         let endpoints = self.groups.get_mut(group)?;
         let idx = pick_endpoint(endpoints, limit, Instant::now())?;
         endpoints[idx].outstanding += 1;
@@ -89,32 +93,36 @@
         Some(Target { group: group.to_owned(), endpoint, address })
     }
 
-    /// Returns when the first endpoint of a group that rests takes calls again.
-    fn rests_for(&self, group: &str) -> Option<Duration> {
+    /// Returns how long it takes until the first endpoint of a group that is
+    /// cooling down takes calls again.
+    fn remaining_cooldown(&self, group: &str) -> Option<Duration> {
         let now = Instant::now();
         let endpoints = self.groups.get(group)?.iter();
-        let resting =
+        let cooling_down =
             endpoints.filter(|e| e.takes_work && e.is_cooling_down(now));
-        let first = resting.filter_map(|e| e.cooldown_until).min()?;
+        let first = cooling_down.filter_map(|e| e.cooldown_until).min()?;
         Some(first.saturating_duration_since(now))
     }
 
-    /// Takes in that an endpoint wants no calls for a time.
-    fn rest(&mut self, target: &Target, time: Duration) {
-        if let Some(endpoint) = self.endpoint(target) {
-            let until = Instant::now() + time;
+    /// Starts a cooldown of an endpoint, or extends the current one.
+    fn start_cooldown(&mut self, target: &Target, cooldown: Duration) {
+        if let Some(endpoint) = self.endpoint_mut(target) {
+            let until = Instant::now() + cooldown;
             let known = endpoint.cooldown_until.unwrap_or(until);
             endpoint.cooldown_until = Some(known.max(until));
         }
     }
 
-    fn endpoint(&mut self, target: &Target) -> Option<&mut ServiceEndpoint> {
+    fn endpoint_mut(
+        &mut self,
+        target: &Target,
+    ) -> Option<&mut ServiceEndpoint> {
         let endpoints = self.groups.get_mut(&target.group)?;
         endpoints.iter_mut().find(|e| e.endpoint == target.endpoint)
     }
 
-    fn give_back(&mut self, target: &Target, is_failed: bool) {
-        let Some(endpoint) = self.endpoint(target) else { return };
+    fn release(&mut self, target: &Target, is_failed: bool) {
+        let Some(endpoint) = self.endpoint_mut(target) else { return };
         endpoint.outstanding = endpoint.outstanding.saturating_sub(1);
         endpoint.failures = match is_failed {
             true => endpoint.failures.saturating_add(1),
@@ -130,17 +138,17 @@
     address: String,
 }
 
-/// A seat at a service's endpoint, given back when dropped.
-struct ServiceSeat {
-    node: Rc<Node>,
+/// Counts an outstanding call of an endpoint until it is dropped.
+struct OutstandingCallGuard {
+    instance: Rc<Instance>,
     target: Target,
     is_failed: bool,
 }
 
-impl Drop for ServiceSeat {
+impl Drop for OutstandingCallGuard {
     fn drop(&mut self) {
-        let mut services = self.node.services.borrow_mut();
-        services.give_back(&self.target, self.is_failed);
+        let mut services = self.instance.services.borrow_mut();
+        services.release(&self.target, self.is_failed);
     }
 }
 
@@ -158,15 +166,15 @@
 
 /// Answers a request for a plain service.
 pub(crate) async fn answer(
-    node: Rc<Node>,
+    instance: Rc<Instance>,
     request: Request<Incoming>,
 ) -> Response<LocalBody> {
-    let slot = match RequestSlot::open(&node) {
-        Ok(slot) => slot,
+    let open_request = match OpenRequestGuard::open(&instance) {
+        Ok(open_request) => open_request,
         Err(problem) => return responses::problem(&problem),
     };
-    let id = slot.hex();
-    let answered = run(&node, &slot, request).await;
+    let id = open_request.hex();
+    let answered = run(&instance, &open_request, request).await;
     let response = answered.unwrap_or_else(|problem| {
         responses::problem(&problem.with_request_id(&id))
     });
@@ -174,84 +182,90 @@
 }
 
 async fn run(
-    node: &Rc<Node>,
-    slot: &RequestSlot,
+    instance: &Rc<Instance>,
+    open_request: &OpenRequestGuard,
     request: Request<Incoming>,
 ) -> Result<Response<LocalBody>, Problem> {
     let (parts, body) = request.into_parts();
     let options = CallOptions::from_headers(&parts.headers)
         .map_err(|err| Problem::bad_request(err.to_string()))?;
     let (group, path) = split_path(&parts.uri)?;
-    let body = read_request_body(node, body).await?;
-    let limits = &node.settings.limits;
-    let asked =
+    let body = read_request_body(instance, body).await?;
+    let limits = &instance.settings.limits;
+    let requested =
         options.deadline.unwrap_or(Duration::from_millis(limits.deadline_ms));
-    let within = asked.min(Duration::from_millis(limits.max_deadline_ms));
+    let within = requested.min(Duration::from_millis(limits.max_deadline_ms));
     let is_repeatable =
         options.is_repeatable.unwrap_or(is_idempotent(&parts.method));
     let call = ServiceCall {
         group,
         path,
         method: parts.method,
-        headers: forwarded(&parts.headers),
+        headers: forwarded_headers(&parts.headers),
         body,
         is_repeatable,
         within,
-        id: slot.id,
+        id: open_request.id,
     };
     let caller = options.caller.as_deref().unwrap_or("");
-    let ticket = ClaimTicket::new(&options, is_repeatable, caller, slot.id);
-    let outcome = claim_and_call(node, &call, ticket).await;
+    let ticket =
+        ClaimTicket::new(&options, is_repeatable, caller, open_request.id);
+    let outcome = claim_and_call(instance, &call, ticket).await;
     metrics::counter!("sedgewall_service_calls_total").increment(1);
     outcome
 }
 
 async fn claim_and_call(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     call: &ServiceCall,
     ticket: Option<ClaimTicket>,
 ) -> Result<Response<LocalBody>, Problem> {
     if let Some(ticket) = &ticket {
-        match ticket.obtain(node, call.within).await {
+        match ticket.obtain(instance, call.within).await {
             ClaimOutcome::Granted => {}
             outcome => return Err(outcome.problem()),
         }
     }
-    let outcome = call_with_retries(node, call).await;
+    let outcome = call_with_retries(instance, call).await;
     if let (Some(ticket), Err(problem)) = (&ticket, &outcome)
         && problem.run_state == RunState::NotRun
     {
-        ticket.release(node);
+        ticket.release(instance);
     }
     outcome
 }
 
 async fn call_with_retries(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     call: &ServiceCall,
 ) -> Result<Response<LocalBody>, Problem> {
-    let mut tries = 0;
+    let mut failures = 0;
     loop {
-        let mut seat = seat(node, call)?;
-        match send(node, call, &seat.target).await {
+        let mut outstanding_call = acquire_endpoint(instance, call)?;
+        match send(instance, call, &outstanding_call.target).await {
             Ok(answer) => {
-                if let Some(rest) = stated_rest(&answer) {
-                    note_rest(node, call, &seat.target, rest);
+                if let Some(cooldown) = requested_cooldown(&answer) {
+                    record_cooldown(
+                        instance,
+                        call,
+                        &outstanding_call.target,
+                        cooldown,
+                    );
                 }
-                return Ok(pass_on(answer));
+                return Ok(to_response(answer));
             }
             Err(err) => {
-                seat.is_failed = true;
-                tries += 1;
+                outstanding_call.is_failed = true;
+                failures += 1;
                 let may_repeat = call.is_repeatable || err.is_not_sent();
                 let may_retry = may_repeat
-                    && tries <= node.settings.limits.retries
-                    && node.requests.borrow_mut().take_retry();
+                    && failures <= instance.settings.limits.retries
+                    && instance.requests.borrow_mut().take_retry();
                 if !may_retry {
                     return Err(call_problem(call, &err));
                 }
-                let endpoint = seat.target.endpoint.clone();
-                node.event(
+                let endpoint = outstanding_call.target.endpoint.clone();
+                instance.record_event(
                     EventKind::Retry,
                     Some(call.id),
                     &call.group,
@@ -263,35 +277,40 @@
     }
 }
 
-/// Returns for how long an endpoint that turned a call away wants no other.
-fn stated_rest(answer: &WholeAnswer) -> Option<Duration> {
-    let is_turned_away = matches!(
+/// Returns the cooldown that an endpoint requests by `Retry-After` with an
+/// overload answer.
+fn requested_cooldown(answer: &BufferedResponse) -> Option<Duration> {
+    let is_overload_answer = matches!(
         answer.status,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
     );
     let value = answer.headers.get(header::RETRY_AFTER)?.to_str().ok()?;
-    let rest_s: u64 = value.trim().parse().ok()?;
-    is_turned_away.then(|| Duration::from_secs(rest_s).min(LONGEST_REST))
+    let cooldown_s: u64 = value.trim().parse().ok()?;
+    is_overload_answer
+        .then(|| Duration::from_secs(cooldown_s).min(MAX_COOLDOWN))
 }
 
-fn note_rest(
-    node: &Rc<Node>,
+fn record_cooldown(
+    instance: &Rc<Instance>,
     call: &ServiceCall,
     target: &Target,
-    rest: Duration,
+    cooldown: Duration,
 ) {
-    node.services.borrow_mut().rest(target, rest);
-    node.event(
+    instance.services.borrow_mut().start_cooldown(target, cooldown);
+    instance.record_event(
         EventKind::Call,
         Some(call.id),
         &call.group,
         &target.endpoint,
-        format!("asks for {} s of rest", rest.as_secs()),
+        format!("asks for {} s of rest", cooldown.as_secs()),
     );
 }
 
-fn seat(node: &Rc<Node>, call: &ServiceCall) -> Result<ServiceSeat, Problem> {
-    let view = node.view();
+fn acquire_endpoint(
+    instance: &Rc<Instance>,
+    call: &ServiceCall,
+) -> Result<OutstandingCallGuard, Problem> {
+    let view = instance.view();
     let group = view
         .config
         .group(&call.group)
@@ -304,26 +323,32 @@
                 format!("no service is named {:?}", call.group),
             )
         })?;
-    let target = node.services.borrow_mut().take(&call.group, group.seats);
+    let target =
+        instance.services.borrow_mut().acquire(&call.group, group.seats);
     let target = target.ok_or_else(|| {
-        let rest = node.services.borrow().rests_for(&call.group);
+        let cooldown =
+            instance.services.borrow().remaining_cooldown(&call.group);
         Problem::new(
             StatusCode::SERVICE_UNAVAILABLE,
             "service_busy",
             RunState::NotRun,
             "all endpoints of the service are at their limits or rest",
         )
-        .with_retry_after(rest.unwrap_or(BUSY_RETRY))
+        .with_retry_after(cooldown.unwrap_or(BUSY_RETRY_AFTER))
     })?;
-    Ok(ServiceSeat { node: node.clone(), target, is_failed: false })
+    Ok(OutstandingCallGuard {
+        instance: instance.clone(),
+        target,
+        is_failed: false,
+    })
 }
 
 async fn send(
-    node: &Rc<Node>,
+    instance: &Rc<Instance>,
     call: &ServiceCall,
     target: &Target,
-) -> Result<WholeAnswer, CallError> {
-    node.event(
+) -> Result<BufferedResponse, CallError> {
+    instance.record_event(
         EventKind::Call,
         Some(call.id),
         &call.group,
@@ -340,7 +365,7 @@
         out = out.header(REPEATABLE_HEADER, "?0");
     }
     let out = out.body(call.body.clone());
-    node.http.call(out, call.within).await
+    instance.http.call(out, call.within).await
 }
 
 fn call_problem(call: &ServiceCall, err: &CallError) -> Problem {
@@ -352,7 +377,7 @@
             RunState::NotRun,
             detail,
         )
-        .with_retry_after(BUSY_RETRY);
+        .with_retry_after(BUSY_RETRY_AFTER);
     }
     Problem::new(
         StatusCode::BAD_GATEWAY,
@@ -362,8 +387,8 @@
     )
 }
 
-fn pass_on(answer: WholeAnswer) -> Response<LocalBody> {
-    let mut response = Response::new(LocalBody::whole(answer.body));
+fn to_response(answer: BufferedResponse) -> Response<LocalBody> {
+    let mut response = Response::new(LocalBody::full(answer.body));
     *response.status_mut() = answer.status;
     for (name, value) in &answer.headers {
         if !is_hop_by_hop(name) {
@@ -373,7 +398,8 @@
     response
 }
 
-/// Takes `/services/GROUP/PATH?QUERY` apart.
+/// Splits `/services/GROUP/PATH?QUERY` into the group and the path with its
+/// query.
 fn split_path(uri: &http::Uri) -> Result<(GroupName, String), Problem> {
     let rest = uri.path().strip_prefix(SERVICES_PREFIX).unwrap_or("");
     let (group, path) = rest.split_once('/').unwrap_or((rest, ""));
@@ -384,18 +410,20 @@
     Ok((group.to_owned(), format!("/{path}{query}")))
 }
 
-fn forwarded(headers: &HeaderMap) -> HeaderMap {
-    let mut kept = HeaderMap::new();
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    let mut forwarded = HeaderMap::new();
     for (name, value) in headers {
-        let is_ours = name == REPEATABLE_HEADER || name == REQUEST_ID_HEADER;
-        if !is_hop_by_hop(name) && !is_ours && name != header::HOST {
-            kept.insert(name.clone(), value.clone());
+        let is_own_header =
+            name == REPEATABLE_HEADER || name == REQUEST_ID_HEADER;
+        if !is_hop_by_hop(name) && !is_own_header && name != header::HOST {
+            forwarded.insert(name.clone(), value.clone());
         }
     }
-    kept
+    forwarded
 }
 
-/// Headers that belong to one connection (RFC 9110, section 7.6.1).
+/// Returns whether a header belongs to a single connection (RFC 9110, section
+/// 7.6.1).
 fn is_hop_by_hop(name: &header::HeaderName) -> bool {
     matches!(
         name.as_str(),
@@ -410,7 +438,8 @@
     )
 }
 
-/// Methods that HTTP calls idempotent (RFC 9110, section 9.2.2).
+/// Returns whether HTTP defines a method as idempotent (RFC 9110, section
+/// 9.2.2).
 fn is_idempotent(method: &Method) -> bool {
     matches!(
         *method,
--- a/crates/state/src/allocation.rs
+++ b/crates/state/src/allocation.rs
@@ -3,9 +3,10 @@
 //! With fixed shares, the share of a shard without loads would be unused. So
 //! every shard has a small guaranteed share, and the rest is allocated
 //! according to the requests that wait in each shard, by allotments that
-//! expire. The module keeps
-//! one invariant: the limits that all shards may use never add up to more than
-//! the limits of the store.
+//! expire. The module keeps one invariant: the limits that all shards may use
+//! never add up to more than the limits of the store. After a change of the
+//! limits or of the set of shards, the invariant holds once the earlier
+//! allotments have expired.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -38,10 +39,11 @@
 /// two to three seconds.
 const DEMAND_SMOOTHING: f64 = 0.1;
 
-/// The score of a shard without demand, about that of two waiting adapters.
+/// The score of a shard without demand. Two adapters, each with one waiting
+/// request of normal priority, add about as much to a score.
 ///
-/// Without it, the first requests after an idle period would find their shard
-/// with only its guaranteed share.
+/// Without this score, the first requests after an idle period would find
+/// their shard with only its guaranteed share.
 const BASE_SCORE: f64 = 5.0;
 
 impl StoreDemand {
@@ -111,13 +113,13 @@
     let exact: Vec<f64> = parts.iter().map(|part| part * total).collect();
     let mut whole: Vec<f64> =
         exact.iter().map(|value| value.floor()).collect();
-    let fractions: f64 = exact
+    let fractional_sum: f64 = exact
         .iter()
         .zip(&whole)
         .filter(|(_, whole)| **whole == 0.0)
         .map(|(exact, _)| exact)
         .sum();
-    let mut left = total - whole.iter().sum::<f64>() - fractions;
+    let mut left = total - whole.iter().sum::<f64>() - fractional_sum;
     let mut order: Vec<usize> =
         (0..parts.len()).filter(|idx| whole[*idx] > 0.0).collect();
     order.sort_by(|a, b| exact[*b].fract().total_cmp(&exact[*a].fract()));
@@ -135,8 +137,8 @@
         .collect()
 }
 
-/// The validity of an allotment, which the shard counts from its request for
-/// it.
+/// The validity of an allotment, which the shard counts from the time at which
+/// it requested the allotment.
 pub const ALLOTMENT_VALIDITY: Duration = Duration::from_millis(800);
 
 /// The interval at which each shard requests an allotment.
@@ -149,8 +151,8 @@
     until: Instant,
 }
 
-/// The allocator's record of one shard: its demand, and the allotments that it
-/// may still use.
+/// The allocator's record of one shard: its demand, and the allotments that
+/// the shard may still use.
 ///
 /// An answer can be lost, in which case the shard uses an earlier allotment.
 /// So all allotments are kept until they expire.
@@ -175,9 +177,9 @@
 
 /// Issues allotments of the weight store's limits to shards.
 ///
-/// There is one active allocator, at the leader of the first shard. A new one
-/// issues only the guaranteed limits until all allotments of its predecessor
-/// have expired.
+/// There is one active allocator, at the leader of the first shard. A new
+/// allocator issues only the guaranteed limits until all allotments of its
+/// predecessor have expired.
 #[derive(Clone, Debug)]
 pub struct Allocator {
     limits: StoreLimits,
--- a/crates/state/src/shard.rs
+++ b/crates/state/src/shard.rs
@@ -3,12 +3,13 @@
 //!
 //! [`Shard`] owns the state and keeps its parts consistent. The decisions are
 //! in [`admission`](crate::admission), [`dispatch`](crate::dispatch),
-//! [`placement`](crate::placement) and [`eviction`](crate::eviction). Each
-//! method takes one event and appends the resulting actions.
+//! [`placement`](crate::placement) and [`eviction`](crate::eviction). Methods
+//! that handle an event append the resulting actions to a list, for the caller
+//! to carry out.
 //!
 //! The invariant is that every submitted request gets exactly one grant or one
 //! refusal, unless it is cancelled, its entry instance is lost, or it is
-//! requeued because its engine rejected it.
+//! requeued because its engine rejected it or could not be reached.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -38,14 +39,14 @@
     pub(crate) adapters: Vec<Adapter>,
     pub(crate) engines: Vec<Engine>,
     pub(crate) waiting: WaitingRequests,
-    /// The grants that have not ended. Those of one entry instance are
+    /// The grants that have not ended. The grants of one entry instance are
     /// adjacent, because a request id begins with the incarnation of its entry
     /// instance.
     pub(crate) grants: BTreeMap<RequestId, Grant>,
-    /// Adapters with waiting requests that no available engine serves or
-    /// loads.
-    pub(crate) unplaced: BTreeSet<AdapterIdx>,
-    /// Adapters with waiting requests that an available engine serves.
+    /// Adapters with waiting requests that have no available replica and that
+    /// no available engine is loading.
+    pub(crate) awaiting_load: BTreeSet<AdapterIdx>,
+    /// Adapters with waiting requests that have an available replica.
     pub(crate) backlogged: BTreeSet<AdapterIdx>,
     pub(crate) budget: LoadBudget,
     /// The moving average of the time for which a request holds its seat, in
@@ -58,7 +59,8 @@
     pub(crate) load_started: HashMap<(EngineIdx, AdapterIdx), Instant>,
 }
 
-/// The weight of a new sample in the moving average of the service time.
+/// The weight of a new sample in the moving average of the service time, for
+/// which a request holds its seat.
 const SERVICE_SMOOTHING: f64 = 0.05;
 
 /// The service time that is assumed before the first sample, in seconds.
@@ -77,7 +79,7 @@
             engines: Vec::new(),
             waiting: WaitingRequests::default(),
             grants: BTreeMap::new(),
-            unplaced: BTreeSet::new(),
+            awaiting_load: BTreeSet::new(),
             backlogged: BTreeSet::new(),
             budget: LoadBudget::new(limits, now),
             service_s: DEFAULT_SERVICE_S,
@@ -170,11 +172,11 @@
     /// Returns the shard's demand for the weight store, by which the allocator
     /// divides it: the requests that wait for a load, and their adapters.
     pub fn store_demand(&self) -> StoreDemand {
-        let waiting = self.unplaced.iter();
+        let waiting = self.awaiting_load.iter();
         let waiting_weight = waiting
             .map(|idx| self.adapters[*idx as usize].queue.weight())
             .sum();
-        let adapters = self.unplaced.len() as f64;
+        let adapters = self.awaiting_load.len() as f64;
         StoreDemand { waiting_weight, adapters }
     }
 
@@ -190,19 +192,21 @@
 
     /// Adds an engine or updates a known one, and returns its index.
     ///
-    /// A known engine that is leaving returns to service on probation.
+    /// A known engine that is leaving returns to service on probation. If the
+    /// configured number of slots of a known engine changed, the observed
+    /// number is reset to it.
     pub fn add_engine(
         &mut self,
         endpoint: &str,
-        slot_capacity: usize,
+        configured_slots: usize,
         seats: u32,
         now: Instant,
     ) -> EngineIdx {
         if let Some(idx) = self.engine_idx(endpoint) {
             let engine = &mut self.engines[idx as usize];
-            if engine.configured_slots != slot_capacity {
-                engine.configured_slots = slot_capacity;
-                engine.slot_capacity = slot_capacity;
+            if engine.configured_slots != configured_slots {
+                engine.configured_slots = configured_slots;
+                engine.observed_slots = configured_slots;
             }
             engine.seats = seats;
             if engine.health == Health::Leaving {
@@ -212,7 +216,7 @@
         }
         let idx = self.engines.len() as EngineIdx;
         let engine =
-            Engine::new(endpoint.to_owned(), slot_capacity, seats, now);
+            Engine::new(endpoint.to_owned(), configured_slots, seats, now);
         self.engines.push(engine);
         self.engine_by_id.insert(endpoint.to_owned(), idx);
         idx
@@ -257,9 +261,9 @@
             actions.push(ShardAction::Refuse { request: id, refusal });
             return;
         }
-        let is_served = self.is_served(idx);
+        let is_available = self.has_available_replica(idx);
         let adapter = &mut self.adapters[idx as usize];
-        request.was_resident = is_served;
+        request.had_available_replica = is_available;
         self.waiting.push(&mut adapter.queue, request);
         self.update_waiting_sets(idx);
         self.dispatch_adapter(idx, now, actions);
@@ -278,7 +282,8 @@
         }
     }
 
-    /// Records the outcome of a granted request and dispatches to its seat.
+    /// Records the outcome of a granted request, releases its seat and
+    /// dispatches waiting requests.
     ///
     /// A request without a grant is ignored, so that a repeated message is
     /// harmless.
@@ -311,8 +316,8 @@
     }
 
     /// Handles events that only the passing of time causes: deadlines, silent
-    /// engines, and loads that may now start. Must be called at least ten
-    /// times a second.
+    /// engines, and loads and prefetches that may now start. Must be called at
+    /// least ten times a second.
     pub fn tick(&mut self, now: Instant, actions: &mut Vec<ShardAction>) {
         self.refuse_expired(now, actions);
         self.check_health(now);
@@ -345,33 +350,35 @@
         request
     }
 
-    /// Recomputes whether one adapter belongs to `unplaced` and `backlogged`.
+    /// Recomputes whether an adapter belongs to `awaiting_load` and
+    /// `backlogged`.
     pub(crate) fn update_waiting_sets(&mut self, idx: AdapterIdx) {
         let adapter = &self.adapters[idx as usize];
         let waits = !adapter.queue.is_empty();
-        let is_served = self.is_served(idx);
-        let is_coming = self.is_loading(idx);
-        let is_unplaced = waits && !is_served && !is_coming;
-        set_membership(&mut self.unplaced, idx, is_unplaced);
-        set_membership(&mut self.backlogged, idx, waits && is_served);
+        let is_available = self.has_available_replica(idx);
+        let is_loading = self.is_loading(idx);
+        let awaits_load = waits && !is_available && !is_loading;
+        set_membership(&mut self.awaiting_load, idx, awaits_load);
+        set_membership(&mut self.backlogged, idx, waits && is_available);
     }
 
-    /// Returns whether an available engine serves an adapter.
+    /// Returns whether an adapter has an available replica: an available
+    /// engine has the adapter ready.
     ///
     /// A replica on a leaving or silent engine, or in a draining slot, does
     /// not count, because it takes no new requests.
-    pub fn is_served(&self, idx: AdapterIdx) -> bool {
-        self.adapters[idx as usize].ready.iter().any(|engine| {
+    pub fn has_available_replica(&self, adapter: AdapterIdx) -> bool {
+        self.adapters[adapter as usize].ready.iter().any(|engine| {
             let engine = &self.engines[*engine as usize];
-            let slot = engine.slot(idx);
+            let slot = engine.slot(adapter);
             engine.takes_work()
                 && slot.is_some_and(|slot| slot.state == SlotState::Ready)
         })
     }
 
     /// Returns whether an available engine is loading an adapter.
-    pub fn is_loading(&self, idx: AdapterIdx) -> bool {
-        self.adapters[idx as usize]
+    pub fn is_loading(&self, adapter: AdapterIdx) -> bool {
+        self.adapters[adapter as usize]
             .loading
             .iter()
             .any(|engine| self.engines[*engine as usize].takes_work())
@@ -379,7 +386,7 @@
 
     pub(crate) fn acquire_seat(&mut self, grant: &Grant, now: Instant) {
         let engine = &mut self.engines[grant.engine as usize];
-        engine.running[grant.priority.rank()] += 1;
+        engine.granted_by_class[grant.priority.rank()] += 1;
         if let Some(slot) = engine.slot_mut(grant.adapter) {
             slot.granted_len += 1;
             slot.last_used = now;
@@ -388,7 +395,7 @@
 
     pub(crate) fn release_seat(&mut self, grant: &Grant) {
         let engine = &mut self.engines[grant.engine as usize];
-        let count = &mut engine.running[grant.priority.rank()];
+        let count = &mut engine.granted_by_class[grant.priority.rank()];
         *count = count.saturating_sub(1);
         if let Some(slot) = engine.slot_mut(grant.adapter) {
             slot.granted_len = slot.granted_len.saturating_sub(1);
@@ -401,8 +408,9 @@
         self.service_s = (1.0 - share) * self.service_s + share * took;
     }
 
-    /// Removes a replica after its engine rejected a request because it does
-    /// not hold the adapter, unless the adapter was loaded after the grant.
+    /// Removes a replica after its engine rejected a request because the
+    /// engine does not hold the adapter, unless the adapter became ready after
+    /// the grant or is being loaded again.
     fn remove_stale_replica(&mut self, grant: &Grant) {
         let is_gone = self.engines[grant.engine as usize]
             .slot(grant.adapter)
